--- a/src/routing/load-reporter.ts
+++ b/src/routing/load-reporter.ts
@@ -1,71 +1,71 @@
 /**
- * Adds up work by shard for the load reports to the control leader. A report names a bounded number of shards: the
- * heavy ones exactly, the others by systematic sampling, so that the reports of many routers add up to the true loads.
+ * Sums work per shard for the load reports to the control leader. A report contains a bounded number of shards: heavy
+ * shards with their exact load, the others by systematic sampling, so that the reports of many routers add up to the true loads.
  */
 import type { LoadReport } from '../control/messages.js';
 import type { ShardId } from '../model/identifiers.js';
 
-const REPORT_MILLIS = 1000;
-/** The same while work waits: its owner may be overwhelmed. */
-const URGENT_REPORT_MILLIS = 300;
-/** Shards in one report, about; 1,200 routers then send the leader some 77,000 entries a second. */
-const REPORTED_SHARDS = 64;
+const REPORT_INTERVAL_MILLIS = 1000;
+/** Report interval while requests wait, because their owner may be overloaded. */
+const URGENT_REPORT_INTERVAL_MILLIS = 300;
+/** Approximate number of shards in one report; 1,200 routers then send the leader about 77,000 entries per second. */
+const SHARDS_PER_REPORT = 64;
 
-type ShardWork = LoadReport['shards'][number];
+type ShardLoad = LoadReport['shards'][number];
 
-interface CountedWork {
+interface LoadCount {
   workMillis: number;
   requests: number;
 }
 
 export class LoadReporter {
-  private works = new Map<ShardId, CountedWork>();
-  private reportedAt: number | null = null;
-  /** Work of light shards that no sample stood for yet, as a share of one sample. */
+  private loads = new Map<ShardId, LoadCount>();
+  private lastReportAt: number | null = null;
+  /** Work of light shards that no sample represents yet, as a fraction of one sample. */
   private remainder = 0.5;
 
-  /** Work that was done for a shard, or that a request for a key will take. */
+  /** Adds work that was done for a shard, or the estimated work of a request for a key. */
   add(shard: ShardId, workMillis: number): void {
-    const counted = this.works.get(shard) ?? { workMillis: 0, requests: 0 };
+    const counted = this.loads.get(shard) ?? { workMillis: 0, requests: 0 };
     counted.workMillis += workMillis;
     counted.requests += 1;
-    this.works.set(shard, counted);
+    this.loads.set(shard, counted);
   }
 
-  /** The report due now, if one is; counting starts again. `isUrgent`: work of shards or ranges waits. */
+  /** Returns the report that is due, if any, and resets the counts. `isUrgent`: requests for shards or ranges wait. */
   take(now: number, isUrgent = false): LoadReport | null {
-    this.reportedAt ??= now;
-    const intervalMillis = now - this.reportedAt;
-    if (intervalMillis < (isUrgent ? URGENT_REPORT_MILLIS : REPORT_MILLIS)) {
+    this.lastReportAt ??= now;
+    const intervalMillis = now - this.lastReportAt;
+    if (intervalMillis < (isUrgent ? URGENT_REPORT_INTERVAL_MILLIS : REPORT_INTERVAL_MILLIS)) {
       return null;
     }
     const shards = this.sample();
-    this.works = new Map();
-    this.reportedAt = now;
+    this.loads = new Map();
+    this.lastReportAt = now;
     return { type: 'load-report', intervalMillis, shards };
   }
 
-  /** A shard with at least the work that one sample stands for is named with its own work. */
-  private sample(): ShardWork[] {
-    const works = [...this.works].map(([shard, counted]) => ({ shard, ...counted }));
-    const total = works.reduce((sum, { workMillis }) => sum + workMillis, 0);
-    const sampleWork = total / REPORTED_SHARDS;
-    if (works.length <= REPORTED_SHARDS || sampleWork === 0) {
-      return works;
+  /** A shard with at least as much work as one sample represents is reported with its exact work. */
+  private sample(): ShardLoad[] {
+    const loads = [...this.loads].map(([shard, counted]) => ({ shard, ...counted }));
+    const total = loads.reduce((sum, { workMillis }) => sum + workMillis, 0);
+    const sampleMillis = total / SHARDS_PER_REPORT;
+    if (loads.length <= SHARDS_PER_REPORT || sampleMillis === 0) {
+      return loads;
     }
-    return works.flatMap((work) => this.sampled(work, sampleWork));
+    return loads.flatMap((load) => this.sampleShard(load, sampleMillis));
   }
 
-  private sampled(work: ShardWork, sampleWork: number): ShardWork[] {
-    if (work.workMillis >= sampleWork) {
-      return [work];
+  private sampleShard(load: ShardLoad, sampleMillis: number): ShardLoad[] {
+    if (load.workMillis >= sampleMillis) {
+      return [load];
     }
-    this.remainder += work.workMillis / sampleWork;
+    this.remainder += load.workMillis / sampleMillis;
     if (this.remainder < 1) {
       return [];
     }
     this.remainder -= 1;
-    const requests = (work.requests * sampleWork) / work.workMillis;
-    return [{ shard: work.shard, workMillis: sampleWork, requests }];
+    const requests = (load.requests * sampleMillis) / load.workMillis;
+    return [{ shard: load.shard, workMillis: sampleMillis, requests }];
   }
 }
--- a/src/routing/lost-attempts.ts
+++ b/src/routing/lost-attempts.ts
@@ -1,15 +1,15 @@
 /**
- * Attempts that are given up before their shell reports an end: those under grants that are over, which no answer can
- * come from any more, and reads that take far longer than usual while another upstream could serve them.
+ * Abandons attempts before the I/O layer reports their end: attempts whose grant has ended, which can no longer be
+ * answered, and reads that take far longer than usual while another upstream could serve them.
  */
 import type { AttemptResults } from './attempt-results.js';
 import type { RouterContext } from './router-context.js';
 import { type Attempt, isOverdue } from './work.js';
 
-/** Longest time for an answer to come after the grant of its attempt was over. */
+/** Longest time that an answer may take to arrive after the grant of its attempt ended. */
 const ANSWER_GRACE_MILLIS = 50;
-/** How often attempts in flight are looked at. */
-const SWEEP_MILLIS = 100;
+/** Interval at which attempts in flight are checked. */
+const SWEEP_INTERVAL_MILLIS = 100;
 
 export class LostAttempts {
   private sweepScheduled = false;
@@ -20,25 +20,25 @@
   ) {}
 
   /**
-   * Owners changed: attempts under grants that are over have little time left for their answers. A grant is over only
-   * when its holder finished its work or lost its lease, so what isn't on its way by now never comes.
+   * Called when owners change. Attempts whose grant has ended get a short grace period for their answers: a grant ends only
+   * once its holder finished its work or lost its lease, so an answer that isn't in transit by now never arrives.
    */
   noteGrantsOver(): void {
     const { context } = this;
-    let found = false;
+    let hasNewlyEnded = false;
     for (const attempt of context.attempts.values()) {
-      if (attempt.overSince === null && this.isGrantOver(attempt)) {
+      if (attempt.overSince === null && this.hasGrantEnded(attempt)) {
         attempt.overSince = context.now;
-        found = true;
+        hasNewlyEnded = true;
       }
     }
-    if (found) {
+    if (hasNewlyEnded) {
       context.schedule(context.now + ANSWER_GRACE_MILLIS, { type: 'grants-over' });
     }
   }
 
-  /** Gives up attempts whose grants were over for a while. */
-  abandonUnderOverGrants(): void {
+  /** Abandons attempts whose grant ended more than the grace period ago. */
+  abandonAfterGrace(): void {
     const { now } = this.context;
     for (const attempt of this.current()) {
       if (attempt.overSince !== null && now >= attempt.overSince + ANSWER_GRACE_MILLIS) {
@@ -47,33 +47,34 @@
     }
   }
 
-  /** Looks for overdue reads from time to time as long as anything is in flight. */
+  /** Schedules the periodic check for overdue reads while any attempt is in flight. */
   scheduleSweep(): void {
     const { context } = this;
     if (!this.sweepScheduled && context.attempts.size > 0) {
       this.sweepScheduled = true;
-      context.schedule(context.now + SWEEP_MILLIS, { type: 'overdue-sweep' });
+      context.schedule(context.now + SWEEP_INTERVAL_MILLIS, { type: 'overdue-sweep' });
     }
   }
 
-  /** Gives up reads that are overdue, as far as the retry budgets go. */
+  /** Abandons overdue reads and retries them elsewhere, as far as the retry budgets allow. */
   sweep(): void {
     this.sweepScheduled = false;
     for (const attempt of this.current()) {
-      if (this.mayMoveOn(attempt) && attempt.work.service.retryBudget.tryRetry()) {
+      if (this.canRetryElsewhere(attempt) && attempt.work.service.retryBudget.tryRetry()) {
         this.results.moveOn(attempt);
       }
     }
     this.scheduleSweep();
   }
 
+  /** Attempts that their groups still rely on. */
   private current(): Attempt[] {
     return [...this.context.attempts.values()].filter(
       (attempt) => !attempt.abandoned && attempt.work.attempt === attempt && attempt.work.phase !== 'done',
     );
   }
 
-  private isGrantOver({ grant }: Attempt): boolean {
+  private hasGrantEnded({ grant }: Attempt): boolean {
     if (grant === null || !grant.endsAttempts) {
       return false;
     }
@@ -81,19 +82,19 @@
     return record === undefined || record.owner === null || record.epoch !== grant.epoch;
   }
 
-  /** A key has one owner, so only a request that isn't keyed gains by going elsewhere. */
-  private mayMoveOn(attempt: Attempt): boolean {
+  /** Only a request without a key can be served by another upstream, because each key has one owner. */
+  private canRetryElsewhere(attempt: Attempt): boolean {
     const { now } = this.context;
-    const { work, upstream } = attempt;
-    const mayRepeat = work.isRepeatable && work.sentAttempts + 1 < work.terms.maxAttempts;
+    const { work: group, upstream } = attempt;
+    const canRepeat = group.isRepeatable && group.sentAttempts + 1 < group.terms.maxAttempts;
     if (
-      !mayRepeat ||
-      work.shard !== null ||
+      !canRepeat ||
+      group.shard !== null ||
       !isOverdue(attempt, now) ||
-      work.service.lanes.hasAbove(work.rank)
+      group.service.lanes.hasAbove(group.rank)
     ) {
       return false;
     }
-    return work.service.candidates(now, upstream, work.rank).some((candidate) => candidate !== upstream);
+    return group.service.candidates(now, upstream, group.rank).some((candidate) => candidate !== upstream);
   }
 }
--- a/src/routing/numbered-table.ts
+++ b/src/routing/numbered-table.ts
@@ -1,15 +1,15 @@
 /**
- * Things under way by their numbers, which are given in sequence. An open hash table in two arrays: unlike a `Map`,
- * whose outgrown tables stay linked to their successors, it leaves nothing behind that holds on to entries which left.
+ * Maps sequentially assigned numbers to values, as an open-addressing hash table in two arrays. A `Map` keeps its outgrown
+ * tables linked to their successors, which keeps deleted entries reachable; this table retains no deleted entry.
  */
 
-const FIRST_CAPACITY = 64;
-/** Key of an empty place; numbers are 0 or more. */
+const INITIAL_CAPACITY = 64;
+/** Key of an empty slot; numbers are 0 or more. */
 const EMPTY = -1;
 
 export class NumberedTable<Value> {
-  private keys: number[] = emptyKeys(FIRST_CAPACITY);
-  private entries: (Value | undefined)[] = new Array(FIRST_CAPACITY).fill(undefined);
+  private keys: number[] = emptyKeys(INITIAL_CAPACITY);
+  private entries: (Value | undefined)[] = new Array(INITIAL_CAPACITY).fill(undefined);
   private count = 0;
 
   get size(): number {
@@ -17,62 +17,62 @@
   }
 
   has(number: number): boolean {
-    return this.keys[this.placeOf(number)] === number;
+    return this.keys[this.slotOf(number)] === number;
   }
 
   get(number: number): Value | undefined {
-    return this.entries[this.placeOf(number)];
+    return this.entries[this.slotOf(number)];
   }
 
-  /** Adds or replaces. `number` is an integer of 0 or more. */
+  /** Adds or replaces an entry. `number` is an integer of 0 or more. */
   set(number: number, value: Value): void {
-    const place = this.placeOf(number);
-    if (this.keys[place] === EMPTY) {
+    const slot = this.slotOf(number);
+    if (this.keys[slot] === EMPTY) {
       this.count += 1;
     }
-    this.keys[place] = number;
-    this.entries[place] = value;
+    this.keys[slot] = number;
+    this.entries[slot] = value;
     if (this.count * 2 > this.keys.length) {
       this.grow();
     }
   }
 
-  /** `false` if there is no such number. */
+  /** Returns `false` if there is no entry for the number. */
   delete(number: number): boolean {
-    const place = this.placeOf(number);
-    if (this.keys[place] === EMPTY) {
+    const slot = this.slotOf(number);
+    if (this.keys[slot] === EMPTY) {
       return false;
     }
     this.count -= 1;
-    this.close(place);
+    this.removeAt(slot);
     return true;
   }
 
-  /** Everything there is now, in no certain order. */
+  /** Returns all current values in unspecified order. */
   values(): Value[] {
-    return this.entries.filter((_entry, place) => this.keys[place] !== EMPTY) as Value[];
+    return this.entries.filter((_entry, slot) => this.keys[slot] !== EMPTY) as Value[];
   }
 
-  /** Where the number stands, or the empty place where it would. */
-  private placeOf(number: number): number {
+  /** Returns the slot of the number, or the empty slot where it would be inserted. */
+  private slotOf(number: number): number {
     const mask = this.keys.length - 1;
-    let place = number % this.keys.length;
-    while (this.keys[place] !== number && this.keys[place] !== EMPTY) {
-      place = (place + 1) & mask;
+    let slot = number % this.keys.length;
+    while (this.keys[slot] !== number && this.keys[slot] !== EMPTY) {
+      slot = (slot + 1) & mask;
     }
-    return place;
+    return slot;
   }
 
-  /** Empties a place; entries behind it which were pushed on by it move up. */
-  private close(hole: number): void {
+  /** Empties a slot and shifts back the entries after it that collided with it. */
+  private removeAt(hole: number): void {
     const mask = this.keys.length - 1;
     let empty = hole;
-    for (let place = (hole + 1) & mask; this.keys[place] !== EMPTY; place = (place + 1) & mask) {
-      const home = (this.keys[place] as number) % this.keys.length;
-      if (((place - home) & mask) >= ((place - empty) & mask)) {
-        this.keys[empty] = this.keys[place] as number;
-        this.entries[empty] = this.entries[place];
-        empty = place;
+    for (let slot = (hole + 1) & mask; this.keys[slot] !== EMPTY; slot = (slot + 1) & mask) {
+      const home = (this.keys[slot] as number) % this.keys.length;
+      if (((slot - home) & mask) >= ((slot - empty) & mask)) {
+        this.keys[empty] = this.keys[slot] as number;
+        this.entries[empty] = this.entries[slot];
+        empty = slot;
       }
     }
     this.keys[empty] = EMPTY;
@@ -84,11 +84,11 @@
     const capacity = keys.length * 2;
     this.keys = emptyKeys(capacity);
     this.entries = new Array(capacity).fill(undefined);
-    for (const [place, key] of keys.entries()) {
+    for (const [slot, key] of keys.entries()) {
       if (key !== EMPTY) {
-        const target = this.placeOf(key);
+        const target = this.slotOf(key);
         this.keys[target] = key;
-        this.entries[target] = entries[place];
+        this.entries[target] = entries[slot];
       }
     }
   }
--- a/src/routing/outcome-table.ts
+++ b/src/routing/outcome-table.ts
@@ -1,32 +1,32 @@
-/** What is said of requests that the router answers itself: the outcome and the HTTP status. */
+/** Outcome and HTTP status of requests that the router answers itself. */
 import type { Outcome } from '../model/outcome.js';
 import type { RefusalReason } from './types.js';
 
 /**
- * What the ledger said of the caller's idempotency key.
- * `not-needed`: the request may be repeated or carries no key. `silent`: nothing yet, so another arrival of the same
- * key may have run on some router. `granted`: nothing ran under this key before. `other-request`: the key stands for
- * another request, which this one is not.
+ * State of the caller's idempotency key in the ledger.
+ * `not-needed`: the request may be repeated or has no key. `silent`: the ledger has not answered yet, so another request with
+ * the same key may have run through another router. `granted`: nothing ran under this key before. `other-request`: the key
+ * belongs to a different request.
  */
 export type LedgerWord = 'not-needed' | 'silent' | 'granted' | 'other-request';
 
-/** Everything that the outcome depends on. */
+/** Inputs of `outcomeOf`. */
 export interface OutcomeFacts {
   readonly ledger: LedgerWord;
-  /** An attempt is in flight, or one ended without proof that it did not run. */
+  /** Whether an attempt is in flight, or one ended without proof that it did not run. */
   readonly mayHaveRun: boolean;
 }
 
 /**
- * The table:
+ * Outcome by the given facts:
  *
  * | may have run | ledger                                | outcome |
  * | yes          | -                                     | unknown |
  * | no           | not-needed, granted or other-request  | not-run |
  * | no           | silent                                | unknown |
  *
- * The last row: a caller that resends an order whose first answer was lost means the order, not this one arrival of it.
- * Telling it `not-run` because this router could not reach the ledger would be false if the first arrival ran.
+ * The last row covers a caller that resends an order because the first answer was lost. The outcome refers to the order, not to
+ * this one request: `not-run` because this router could not reach the ledger would be false if the first request ran.
  */
 export function outcomeOf(facts: OutcomeFacts): Outcome {
   return facts.mayHaveRun || facts.ledger === 'silent' ? 'unknown' : 'not-run';
@@ -62,7 +62,7 @@
 const BAD_GATEWAY = 502;
 const SERVICE_UNAVAILABLE = 503;
 
-/** HTTP status of a refusal. What may have run on an upstream is never a plain 503, which clients resend freely. */
+/** HTTP status of a refusal. A request that may have run on an upstream never gets a plain 503, because clients retry those freely. */
 export function statusOf(reason: RefusalReason, mayHaveRun: boolean): number {
   const status = STATUS_OF_REASON[reason];
   if (reason === 'deadline-passed' && !mayHaveRun) {
--- a/src/routing/policy-gate.ts
+++ b/src/routing/policy-gate.ts
@@ -1,4 +1,4 @@
-/** What the policy of a service decides about its requests, before the dispatcher gets them. */
+/** Applies the policy of a service to its requests before they reach the dispatcher. */
 import type { PolicyContext, PolicyDecision } from '../policy/index.js';
 import type { Answers } from './answers.js';
 import { policyContextOf, policyUpstreamOf } from './policy-input.js';
@@ -9,22 +9,22 @@
 import type { Member, Work } from './work.js';
 
 const PASS: PolicyDecision = { type: 'pass' };
-/** How often the policy is asked again about a request that it holds. */
-const POLICY_RECHECK_MILLIS = 50;
+/** Interval at which the policy is evaluated again for a held request. */
+const POLICY_RECHECK_INTERVAL_MILLIS = 50;
 
 export interface PolicyGateParts {
   readonly context: RouterContext;
   readonly admission: Admission;
-  /** Where a work goes that the policy lets pass. */
-  readonly admit: (work: Work) => void;
+  /** Receives each group that the policy admits. */
+  readonly admit: (group: Work) => void;
   readonly answers: Answers;
 }
 
-/** Every request passes here once, and again for as long as its policy holds it. */
+/** Evaluates the policy once for each request, and repeatedly while the policy holds it. */
 export class PolicyGate {
   private readonly context: RouterContext;
   private readonly admission: Admission;
-  private readonly admit: (work: Work) => void;
+  private readonly admit: (group: Work) => void;
   private readonly answers: Answers;
 
   constructor(parts: PolicyGateParts) {
@@ -34,49 +34,49 @@
     this.answers = parts.answers;
   }
 
-  /** Admits, holds or refuses a work as the policy of its service says. */
-  pass(work: Work): void {
-    const decision = this.decide(work);
+  /** Admits, holds or refuses a group according to the policy of its service. */
+  pass(group: Work): void {
+    const decision = this.decide(group);
     if (decision.type === 'refuse') {
-      const wait = this.retryAfter(work, decision.retryAfterMillis);
-      this.answers.refuseWork(work, 'policy-refused', wait);
+      const wait = this.retryAfter(group, decision.retryAfterMillis);
+      this.answers.refuseWork(group, 'policy-refused', wait);
       return;
     }
-    if (decision.type === 'hold' && this.mayHold(work, decision.holdMillis)) {
-      this.hold(work);
+    if (decision.type === 'hold' && this.canHold(group, decision.holdMillis)) {
+      this.hold(group);
       return;
     }
-    work.phase = 'new';
-    this.admit(work);
+    group.phase = 'new';
+    this.admit(group);
   }
 
-  /** A policy may still refuse a read that could share an attempt; a hold was decided for the one it joins. */
+  /** Evaluates the policy for a read that joins a group. It may be refused, but not held on its own. */
   passJoined(member: Member): void {
-    const { work } = member;
-    const decision = this.decide(work);
+    const { work: group } = member;
+    const decision = this.decide(group);
     if (decision.type === 'refuse') {
-      const wait = this.retryAfter(work, decision.retryAfterMillis);
+      const wait = this.retryAfter(group, decision.retryAfterMillis);
       this.answers.refuse(member, 'policy-refused', wait);
     }
   }
 
-  /** Asks the policy again about a request that it holds. */
-  recheck(work: Work): void {
-    work.holdTimer = null;
-    work.service.held.delete(work);
-    this.pass(work);
+  /** Evaluates the policy again for a held group. */
+  recheck(group: Work): void {
+    group.holdTimer = null;
+    group.service.held.delete(group);
+    this.pass(group);
   }
 
-  private decide(work: Work): PolicyDecision {
-    const { policy } = work.service;
+  private decide(group: Work): PolicyDecision {
+    const { policy } = group.service;
     const { tracing } = this.context;
     if (policy === null && !tracing) {
       return PASS;
     }
-    const seen = policyContextOf(work, this.context);
-    const decision = policy === null ? PASS : policy.decide(seen);
+    const context = policyContextOf(group, this.context);
+    const decision = policy === null ? PASS : policy.decide(context);
     if (tracing) {
-      this.trace(work.service, seen, decision);
+      this.trace(group.service, context, decision);
     }
     return decision;
   }
@@ -88,27 +88,27 @@
     this.context.emit({ type: 'policy-trace', record });
   }
 
-  /** A hold counts from the first time that the policy asked for it, whatever it says later. */
-  private mayHold(work: Work, holdMillis: number): boolean {
+  /** The first hold decision fixes when the hold ends; later decisions don't extend it. */
+  private canHold(group: Work, holdMillis: number): boolean {
     const { now } = this.context;
-    const { holdLimitMillis, queueLimit } = work.service.definition;
-    work.holdUntil = Math.min(work.holdUntil, now + holdLimitMillis);
-    work.policyHoldUntil ??= Math.min(work.holdUntil, now + holdMillis);
-    return now < work.policyHoldUntil && work.service.waitingLength < queueLimit;
+    const { holdLimitMillis, queueLimit } = group.service.definition;
+    group.holdUntil = Math.min(group.holdUntil, now + holdLimitMillis);
+    group.policyHoldUntil ??= Math.min(group.holdUntil, now + holdMillis);
+    return now < group.policyHoldUntil && group.service.waitingLength < queueLimit;
   }
 
-  private hold(work: Work): void {
+  private hold(group: Work): void {
     const { now } = this.context;
-    work.phase = 'held';
-    work.service.held.add(work);
-    const recheckAt = Math.min(work.policyHoldUntil ?? now, now + POLICY_RECHECK_MILLIS);
-    work.holdTimer = this.context.schedule(recheckAt, { type: 'policy-recheck', work });
+    group.phase = 'held';
+    group.service.held.add(group);
+    const recheckAt = Math.min(group.policyHoldUntil ?? now, now + POLICY_RECHECK_INTERVAL_MILLIS);
+    group.holdTimer = this.context.schedule(recheckAt, { type: 'policy-recheck', group });
   }
 
-  private retryAfter(work: Work, asked: number | null): number {
-    if (asked === null) {
-      return this.admission.retryAfter(work);
+  private retryAfter(group: Work, policyMillis: number | null): number {
+    if (policyMillis === null) {
+      return this.admission.retryAfter(group);
     }
-    return retryAfterMillis(asked, this.context.random);
+    return retryAfterMillis(policyMillis, this.context.random);
   }
 }
--- a/src/routing/policy-input.ts
+++ b/src/routing/policy-input.ts
@@ -1,12 +1,12 @@
-/** The variables of a policy program, taken from the router's state. */
+/** Builds the variables of a policy program from the router's state. */
 import type { PolicyContext, PolicyUpstream } from '../policy/index.js';
 import type { RouterContext } from './router-context.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
 import type { Work } from './work.js';
 
-/** Variables of one request of a work. */
-export function policyContextOf(work: Work, context: RouterContext): PolicyContext {
-  const { service, request } = work;
+/** Variables of the first request of a group. */
+export function policyContextOf(group: Work, context: RouterContext): PolicyContext {
+  const { service, request } = group;
   const { definition } = service;
   return {
     request: {
@@ -14,12 +14,12 @@
       method: request.method,
       key: request.key ?? '',
       service: definition.name,
-      attempt: work.attempts + 1,
+      attempt: group.attempts + 1,
     },
     queue: { length: service.waitingLength, limit: definition.queueLimit },
     load: service.inFlight / Math.max(1, service.totalSlots(context.now)),
     zone: context.config.zone,
-    deadline: { remainingMillis: work.deadline - context.now },
+    deadline: { remainingMillis: group.deadline - context.now },
   };
 }
 
--- a/src/routing/quarantine-trials.ts
+++ b/src/routing/quarantine-trials.ts
@@ -1,15 +1,16 @@
 /**
- * The one trial of a quarantined request. An innocent request that was beside a guilty one each time would else be refused for as long as the
- * quarantine lasts. One run of one router is named for it, so that a guilty request costs one upstream more and not one a router.
+ * The single trial of a quarantined request. Without it, a harmless request that was in flight beside the harmful one at each crash
+ * would be refused until the quarantine ends. Control assigns the trial to one run of one router, so that a harmful request ends one
+ * more upstream, not one per router.
  */
 import type { CrashSuspect, RequestFingerprint } from '../model/crash-suspect.js';
 import type { Incarnation, MonotonicMillis } from '../model/identifiers.js';
 
-/** Of a request that is quarantined. */
+/** Trial state of a quarantined request. */
 interface Trial {
-  /** `null`: none here, or it was made. */
+  /** `null`: the trial isn't assigned to this router, or it was already sent. */
   dueAt: MonotonicMillis | null;
-  isMade: boolean;
+  isSent: boolean;
 }
 
 export class QuarantineTrials {
@@ -21,8 +22,8 @@
   }
 
   /**
-   * What control holds of a suspect has changed; `true` if its quarantine begins with that. The trial is due some time after a router
-   * learned of the quarantine; one that starts later isn't the one that is named.
+   * Applies a changed suspect record from control. Returns `true` if a quarantine begins with it. The trial is due `trialMillis` after
+   * the assigned router received the quarantine; a later run of that router isn't assigned.
    */
   suspectChanged(
     fingerprint: RequestFingerprint,
@@ -33,13 +34,13 @@
       this.#trials.delete(fingerprint);
       return false;
     }
-    const known = this.#trials.get(fingerprint);
-    const isNamed = record.trialBy === this.#self;
-    if (known === undefined) {
-      this.#trials.set(fingerprint, { dueAt: isNamed ? now + record.trialMillis : null, isMade: false });
+    const trial = this.#trials.get(fingerprint);
+    const isAssigned = record.trialBy === this.#self;
+    if (trial === undefined) {
+      this.#trials.set(fingerprint, { dueAt: isAssigned ? now + record.trialMillis : null, isSent: false });
       return true;
     }
-    known.dueAt = isNamed ? known.dueAt : null;
+    trial.dueAt = isAssigned ? trial.dueAt : null;
     return false;
   }
 
@@ -48,21 +49,21 @@
     return dueAt !== null && now >= dueAt;
   }
 
-  /** The request is sent. */
+  /** Records that the trial request is sent. */
   begin(fingerprint: RequestFingerprint): void {
     const trial = this.#trials.get(fingerprint);
     if (trial !== undefined) {
       trial.dueAt = null;
-      trial.isMade = true;
+      trial.isSent = true;
     }
   }
 
-  /** An attempt came to no upstream: if it was the trial, that is still due. */
+  /** Called when an attempt reached no upstream: if it was the trial, the trial is due again. */
   cameToNobody(fingerprint: RequestFingerprint | null, now: MonotonicMillis): void {
     const trial = fingerprint === null ? undefined : this.#trials.get(fingerprint);
-    if (trial?.isMade) {
+    if (trial?.isSent) {
       trial.dueAt = now;
-      trial.isMade = false;
+      trial.isSent = false;
     }
   }
 }
--- a/src/routing/range-view.ts
+++ b/src/routing/range-view.ts
@@ -1,24 +1,24 @@
-/** Owners of ranges of numeric keys as a router holds them. To the rest of the core each range is a shard. */
+/** A router's view of the owners of numeric key ranges. The rest of the core treats each range as a shard. */
 import { formatShardId, type ServiceName, type ShardId } from '../model/identifiers.js';
 import { findRange, type KeyRange, parseNumericKey, RANGE_KEYSPACE } from '../model/key-range.js';
 import type { ShardRecord } from '../registry/types.js';
 
-/** Ranges aren't mapped anew, so there is one generation. */
+/** Keys are never remapped to other ranges by a new generation, so there is one generation. */
 const GENERATION = 0;
 
-/** Name of the range that begins at `from`. */
+/** Shard id of the range that begins at `from`. */
 export function rangeShardId(service: ServiceName, from: number): ShardId {
   return formatShardId({ service, keyspace: RANGE_KEYSPACE, generation: GENERATION, number: from });
 }
 
 export class RangeView {
   readonly #byStart = new Map<ServiceName, Map<number, KeyRange>>();
-  /** Sorted by first key; made anew once changes were applied. */
+  /** Ranges sorted by first key; rebuilt by `commit`. */
   readonly #sorted = new Map<ServiceName, readonly KeyRange[]>();
   readonly #shards = new Map<ShardId, ShardRecord>();
   readonly #changed = new Set<ServiceName>();
 
-  /** Whether keys of this service are numbers. */
+  /** Whether the service has numeric keys. */
   has(service: ServiceName): boolean {
     return this.#sorted.has(service);
   }
@@ -27,7 +27,7 @@
     return [...this.#sorted.values()].flat();
   }
 
-  /** Sets the range that begins at `from`, or removes it. Holds once `settle` was called. */
+  /** Sets the range that begins at `from`, or removes it. Key lookups see the change after `commit`. */
   put(service: ServiceName, from: number, range: KeyRange | null): void {
     const ranges = this.#byStart.get(service) ?? new Map<number, KeyRange>();
     this.#byStart.set(service, ranges);
@@ -42,7 +42,7 @@
     }
   }
 
-  /** All changes of a step were put. */
+  /** Makes the changes since the last commit visible to key lookups. */
   settle(): void {
     for (const service of this.#changed) {
       const ranges = [...(this.#byStart.get(service)?.values() ?? [])];
@@ -63,7 +63,7 @@
     return this.#shards.get(shard);
   }
 
-  /** The range of a key; `undefined` if it is no number in range. */
+  /** Returns the range of a key; `undefined` if the key isn't a number in any range. */
   shardOfKey(service: ServiceName, text: string): ShardId | undefined {
     const key = parseNumericKey(text);
     const ranges = this.#sorted.get(service) ?? [];
--- a/src/routing/request-intake.ts
+++ b/src/routing/request-intake.ts
@@ -1,4 +1,4 @@
-/** A request's way from its arrival to the dispatcher: checks, joining, the ledger, policy. */
+/** Takes requests from arrival to the dispatcher: validation, coalescing, the ledger claim and the policy. */
 import type { ClaimResult, StoredAnswer } from '../ledger/types.js';
 import type { RouteDefinition } from '../model/declaration.js';
 import type { ServiceName, ShardId } from '../model/identifiers.js';
@@ -15,13 +15,13 @@
 import type { ArrivedRequest, RefusalReason, RequestNumber } from './types.js';
 import { isOverdue, type Member, Work } from './work.js';
 
-/** What is said when the ledger knows that it ran but kept no answer. */
+/** Answer for a request that has run according to the ledger, whose answer was not kept. */
 const ANSWER_NOT_KEPT: StoredAnswer = { status: 200, contentType: '', body: '', truncated: true };
 
-/** Nobody is told to come back sooner: who gives this much less time than its route has not been here before. */
-const LEAST_RETURN_MILLIS = 100;
+/** Shortest retry delay given to refused callers: a request whose deadline is shorter than its route's by at most this is a first try. */
+const MIN_RETURN_MILLIS = 100;
 
-/** A request counts for this while no answer was measured. */
+/** Estimated work of a request while no answer time has been measured. */
 const UNMEASURED_WORK_MILLIS = 10;
 
 export interface RequestIntakeParts {
@@ -52,7 +52,7 @@
     parts.claims.listen(this);
   }
 
-  arrive(request: ArrivedRequest): void {
+  receive(request: ArrivedRequest): void {
     const { context } = this;
     const route = this.routeOf(request);
     const service = context.services.get(this.serviceOf(request, route));
@@ -65,119 +65,119 @@
     const shard = service === undefined ? null : this.shardOf(request, service);
     const terms = service === undefined ? undefined : termsOf(service, route);
     if (service === undefined || terms === undefined) {
-      this.answers.refuseArrival(request, unknownPlace(request), ledgerWordOf(request, service), null);
+      this.answers.refuseArrival(request, unknownDestination(request), ledgerStateOf(request, service), null);
       return;
     }
-    const fault = this.faultOf(request, service, shard, terms);
-    if (fault !== undefined) {
-      this.answers.refuseArrival(request, fault, ledgerWordOf(request, service), null);
+    const reason = this.validate(request, service, shard, terms);
+    if (reason !== undefined) {
+      this.answers.refuseArrival(request, reason, ledgerStateOf(request, service), null);
       return;
     }
     const key = coalesceKeyOf(request, service, terms);
-    const joined = key === null ? undefined : service.joinable.get(key);
-    if (joined !== undefined && this.mayJoin(joined)) {
-      this.join(joined, request);
+    const joinable = key === null ? undefined : service.joinable.get(key);
+    if (joinable !== undefined && this.canJoin(joinable)) {
+      this.join(joinable, request);
       return;
     }
-    const work = new Work(service, terms, context.tallies.of(terms, service.name));
-    work.arrivedAt = context.now;
-    work.shard = shard;
-    work.shardRevision = context.view.revision;
-    this.addMember(work, request);
-    this.noteRank(work);
+    const group = new Work(service, terms, context.tallies.of(terms, service.name));
+    group.arrivedAt = context.now;
+    group.shard = shard;
+    group.shardRevision = context.view.revision;
+    this.addMember(group, request);
+    this.applyRank(group);
     if (context.crashes.isRefused(request)) {
-      this.answers.refuseQuarantined(work);
+      this.answers.refuseQuarantined(group);
       return;
     }
-    this.noteLoad(work);
-    this.makeJoinable(work, key);
-    this.begin(work);
+    this.recordLoad(group);
+    this.makeJoinable(group, key);
+    this.start(group);
   }
 
-  /** The first configuration is here. */
-  arriveEarly(): void {
+  /** Receives the requests that waited for the first configuration. */
+  receiveEarly(): void {
     for (const request of this.early.takeAll()) {
-      this.arrive(request);
+      this.receive(request);
     }
   }
 
-  /** The first configuration didn't come in time. */
-  endEarly(number: RequestNumber): void {
+  /** Refuses a request for which the first configuration didn't arrive in time. */
+  timeOutEarly(number: RequestNumber): void {
     const request = this.early.take(number);
     if (request !== undefined) {
       this.refuseUnconfigured(request);
     }
   }
 
-  /** The caller of a request that waits for the first configuration went away. */
+  /** Drops a request that waits for the first configuration, because its caller disconnected. */
   cancelEarly(number: RequestNumber): void {
     this.early.take(number);
   }
 
   private refuseUnconfigured(request: ArrivedRequest): void {
     const wait = this.admission.unmeasuredRetryAfter();
-    this.answers.refuseArrival(request, 'no-configuration', ledgerWordOf(request, undefined), wait);
+    this.answers.refuseArrival(request, 'no-configuration', ledgerStateOf(request, undefined), wait);
   }
 
-  /** Takes a read again that joined another one and could not have its answer. It shares no attempt this time. */
+  /** Receives a read again that joined another one and couldn't share its answer. This time it shares no attempt. */
   arriveAlone(member: Member): void {
     const { request, deadline, mayHaveRun } = member;
     if (mayHaveRun) {
       this.answers.refuseArrival(request, 'upstream-failed', 'silent', null);
       return;
     }
-    this.arrive({ ...request, variant: null, deadlineMillis: deadline - this.context.now });
+    this.receive({ ...request, variant: null, deadlineMillis: deadline - this.context.now });
   }
 
-  claimGranted(work: Work): void {
-    work.service.claiming.delete(work);
-    this.policyGate.pass(work);
+  claimGranted(group: Work): void {
+    group.service.claiming.delete(group);
+    this.policyGate.pass(group);
   }
 
-  claimDenied(work: Work, result: ClaimResult): void {
+  claimDenied(group: Work, result: ClaimResult): void {
     switch (result.type) {
       case 'duplicate':
-        this.answerDuplicate(work, result.record.state, result.record.answer);
+        this.answerDuplicate(group, result.record.state, result.record.answer);
         return;
       case 'mismatch':
-        work.ledger = 'other-request';
-        this.answers.refuseWork(work, 'idempotency-key-mismatch', null);
+        group.ledger = 'other-request';
+        this.answers.refuseWork(group, 'idempotency-key-mismatch', null);
         return;
       case 'expired':
-        this.answers.refuseWork(work, 'idempotency-key-expired', null);
+        this.answers.refuseWork(group, 'idempotency-key-expired', null);
         return;
       case 'unknown-service':
-        this.answers.refuseWork(work, 'unknown-service', null);
+        this.answers.refuseWork(group, 'unknown-service', null);
         return;
       default:
-        this.answers.refuseWork(work, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
+        this.answers.refuseWork(group, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
     }
   }
 
-  claimTimedOut(work: Work): void {
-    this.answers.refuseWork(work, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
+  claimTimedOut(group: Work): void {
+    this.answers.refuseWork(group, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
   }
 
-  /** Answers all that wait, once the configuration can't be trusted any more. */
+  /** Refuses all waiting requests of a service, because the configuration is no longer confirmed. */
   refuseWaiting(service: ServiceState, reason: RefusalReason): void {
     const waiting = [...service.lanes.allWork(), ...service.held, ...service.claiming];
-    for (const work of waiting) {
-      this.answers.refuseWork(work, reason, this.admission.unmeasuredRetryAfter());
+    for (const group of waiting) {
+      this.answers.refuseWork(group, reason, this.admission.unmeasuredRetryAfter());
     }
   }
 
-  /** Answers what waits of requests that are refused since a moment ago; what was sent may still succeed and clear itself. */
+  /** Refuses waiting requests that are newly quarantined. Requests already sent may still succeed and be cleared by that. */
   refuseQuarantined(): void {
     for (const { lanes, held, claiming } of this.context.services.values()) {
-      for (const work of [...lanes.allWork(), ...held, ...claiming]) {
-        if (this.context.crashes.isRefused(work.request)) {
-          this.answers.refuseQuarantined(work);
+      for (const group of [...lanes.allWork(), ...held, ...claiming]) {
+        if (this.context.crashes.isRefused(group.request)) {
+          this.answers.refuseQuarantined(group);
         }
       }
     }
   }
 
-  private faultOf(
+  private validate(
     request: ArrivedRequest,
     service: ServiceState,
     shard: ShardId | null,
@@ -194,11 +194,11 @@
       return 'deadline-passed';
     }
     const { size } = service.claiming;
-    const tooMany = size > queueLimit && size > queueLimit + service.totalSlots(this.context.now);
-    return tooMany ? 'queue-full' : undefined;
+    const isQueueFull = size > queueLimit && size > queueLimit + service.totalSlots(this.context.now);
+    return isQueueFull ? 'queue-full' : undefined;
   }
 
-  /** The declared route of a request that goes by host and path. */
+  /** The declared route of a request that is addressed by host and path. */
   private routeOf({ place }: ArrivedRequest): RouteDefinition | undefined {
     return place === undefined ? undefined : this.context.view.routes.find(place.host, place.path);
   }
@@ -210,102 +210,102 @@
     return route === undefined ? '' : this.splits.next(route);
   }
 
-  /** The shard of a request's key; `null` without one, and for services that aren't keyed. */
+  /** The shard of a request's key; `null` without a key, and for services that aren't keyed. */
   private shardOf(request: ArrivedRequest, service: ServiceState): ShardId | null {
     const { key } = request;
     return key === null ? null : (this.context.view.shardOfKey(service.name, key) ?? null);
   }
 
-  private addMember(work: Work, request: ArrivedRequest): void {
+  private addMember(group: Work, request: ArrivedRequest): void {
     const { now } = this.context;
-    const ownMillis = work.terms.deadlineMillis;
-    const deadline = now + Math.min(ownMillis, request.deadlineMillis ?? ownMillis);
-    const member: Member = { request, work, deadline, mayHaveRun: false, deadlineTimer: null };
+    const ownDeadlineMillis = group.terms.deadlineMillis;
+    const deadline = now + Math.min(ownDeadlineMillis, request.deadlineMillis ?? ownDeadlineMillis);
+    const member: Member = { request, work: group, deadline, mayHaveRun: false, deadlineTimer: null };
     member.deadlineTimer = this.context.schedule(deadline, { type: 'deadline', member });
-    work.members.push(member);
+    group.members.push(member);
     this.context.members.set(request.request, member);
   }
 
   /**
-   * Numeric keys count by what arrives, at the speed of their owner: what an overwhelmed owner answers is no measure of
-   * what is asked of it, and how long it takes tells more of its queue than of the work. Shards count by what was done.
+   * Records the load of a numeric key on arrival, at the speed of the key's owner: the answers of an overloaded owner don't measure
+   * its demand, and their times reflect its queue more than the work. The load of other shards is recorded when work is done.
    */
-  private noteLoad(work: Work): void {
-    const { service, shard, request } = work;
-    const keyName =
+  private recordLoad(group: Work): void {
+    const { service, shard, request } = group;
+    const keyLoadName =
       shard === null ? null : this.context.view.keyLoadName(service.name, request.key as string);
-    if (shard === null || keyName === null) {
-      work.loadName = shard;
+    if (shard === null || keyLoadName === null) {
+      group.loadName = shard;
       return;
     }
     const owner = this.context.ownerOf(shard)?.upstream;
     const workMillis = owner?.unhinderedMillis ?? service.unhinderedMillis() ?? UNMEASURED_WORK_MILLIS;
-    this.context.reporter.add(keyName, workMillis);
+    this.context.reporter.add(keyLoadName, workMillis);
   }
 
-  /** A caller that comes back gives less time than its route; what is gone of it is gone of its target as well. */
-  private noteRank(work: Work): void {
-    const { service, terms, arrivedAt, request } = work;
-    const givenMillis = request.deadlineMillis ?? terms.deadlineMillis;
-    work.askedAt = arrivedAt - Math.max(0, terms.deadlineMillis - givenMillis);
+  /** A retry has a shorter deadline than its route. The time already used counts against its target time as well. */
+  private applyRank(group: Work): void {
+    const { service, terms, arrivedAt, request } = group;
+    const remainingMillis = request.deadlineMillis ?? terms.deadlineMillis;
+    group.askedAt = arrivedAt - Math.max(0, terms.deadlineMillis - remainingMillis);
     service.presence.note(terms, arrivedAt);
-    this.noteHotKey(work);
-    if (work.askedAt >= arrivedAt - LEAST_RETURN_MILLIS) {
+    this.applyHotKeyRank(group);
+    if (group.askedAt >= arrivedAt - MIN_RETURN_MILLIS) {
       service.rankRoom.shares.came(terms.priority, arrivedAt);
     }
   }
 
-  private noteHotKey(work: Work): void {
-    const { service, shard, request, rank, arrivedAt } = work;
+  private applyHotKeyRank(group: Work): void {
+    const { service, shard, request, rank, arrivedAt } = group;
     const owner = shard === null ? undefined : this.context.ownerOf(shard);
     if (owner === undefined || request.key === null) {
       return;
     }
     const { upstream } = owner;
-    work.rank = service.hotKeys.rankOf({ key: request.key, rank, owner: upstream }, arrivedAt);
+    group.rank = service.hotKeys.rankOf({ key: request.key, rank, owner: upstream }, arrivedAt);
   }
 
-  private makeJoinable(work: Work, key: string | null): void {
+  private makeJoinable(group: Work, key: string | null): void {
     if (key !== null) {
-      work.coalesceKey = key;
-      work.service.joinable.set(key, work);
+      group.coalesceKey = key;
+      group.service.joinable.set(key, group);
     }
   }
 
-  /** Whoever joined an attempt that hangs would be left with `unknown`; on its own it can be told `not-run`. */
-  private mayJoin({ attempt }: Work): boolean {
+  /** A read that joined an attempt that hangs would end as `unknown`; on its own it can end as `not-run`. */
+  private canJoin({ attempt }: Work): boolean {
     return attempt === null || !isOverdue(attempt, this.context.now);
   }
 
-  private join(work: Work, request: ArrivedRequest): void {
-    this.addMember(work, request);
-    const member = work.members[work.members.length - 1] as Member;
+  private join(group: Work, request: ArrivedRequest): void {
+    this.addMember(group, request);
+    const member = group.members[group.members.length - 1] as Member;
     this.policyGate.passJoined(member);
   }
 
-  private begin(work: Work): void {
-    const { idempotency } = work.request;
-    if (!work.needsClaim || idempotency === null) {
-      this.policyGate.pass(work);
+  private start(group: Work): void {
+    const { idempotency } = group.request;
+    if (!group.needsClaim || idempotency === null) {
+      this.policyGate.pass(group);
       return;
     }
-    // The ledger comes first: a refusal after the grant can truly say that the order did not run.
-    work.phase = 'claiming';
-    work.service.claiming.add(work);
-    this.claims.ask(work, idempotency);
+    // The claim comes first: once it is granted, a refusal can correctly report that the order did not run.
+    group.phase = 'claiming';
+    group.service.claiming.add(group);
+    this.claims.ask(group, idempotency);
   }
 
   private answerDuplicate(
-    work: Work,
+    group: Work,
     state: 'running' | 'ran' | 'unknown',
     answer: StoredAnswer | null,
   ): void {
     if (state === 'ran') {
-      this.answers.deliverStored(work, answer ?? ANSWER_NOT_KEPT);
+      this.answers.deliverStored(group, answer ?? ANSWER_NOT_KEPT);
     } else if (state === 'running') {
-      this.answers.refuseWork(work, 'still-running', this.admission.unmeasuredRetryAfter());
+      this.answers.refuseWork(group, 'still-running', this.admission.unmeasuredRetryAfter());
     } else {
-      this.answers.refuseWork(work, 'outcome-unknown', null);
+      this.answers.refuseWork(group, 'outcome-unknown', null);
     }
   }
 }
@@ -315,23 +315,23 @@
   return route === undefined ? termsOfService(definition) : termsOfRoute(route, definition);
 }
 
-function unknownPlace({ place }: ArrivedRequest): RefusalReason {
+function unknownDestination({ place }: ArrivedRequest): RefusalReason {
   return place === undefined ? 'unknown-service' : 'unknown-route';
 }
 
-/** A key may have been used on another router before, unless its service is known not to need the ledger. */
-function ledgerWordOf(request: ArrivedRequest, service: ServiceState | undefined): LedgerWord {
+/** An idempotency key may have been used on another router before, unless its service is known not to need the ledger. */
+function ledgerStateOf(request: ArrivedRequest, service: ServiceState | undefined): LedgerWord {
   const repeatable = service?.definition.repeatable ?? false;
   return request.idempotency === null || repeatable ? 'not-needed' : 'silent';
 }
 
-/** Only reads that carry no key of their own are alike. */
+/** Only reads without an idempotency key can share an attempt. */
 function coalesceKeyOf(request: ArrivedRequest, service: ServiceState, terms: RequestTerms): string | null {
   const { coalesce } = service.definition;
   const { repeatable } = terms;
   const { key, target, variant = '' } = request;
-  const isAlike = request.method === 'GET' && request.idempotency === null && variant !== null;
-  if (!coalesce || !repeatable || !isAlike) {
+  const isShareable = request.method === 'GET' && request.idempotency === null && variant !== null;
+  if (!coalesce || !repeatable || !isShareable) {
     return null;
   }
   return `${key ?? ''}\n${target}\n${variant}`;
--- a/src/routing/request-terms.ts
+++ b/src/routing/request-terms.ts
@@ -1,30 +1,30 @@
-/** On what terms one request is served: those of its route, or of its service if it was addressed to that. */
+/** Terms on which a request is served: those of its route, or of its service if it is addressed to a service. */
 import type { RouteDefinition } from '../model/declaration.js';
 import { PRIORITY_CLASSES, type ServiceDefinition } from '../model/service.js';
 
-/** Share of its target time that its work is expected to take at most: single requests take longer than expected. */
-const IN_TIME_SHARE = 0.6;
-/** Share of its target time that a request may wait: the rest is for its work. */
-const WAITING_SHARE = 0.35;
+/** Fraction of the target time that the expected work may take; the rest allows for requests that take longer than expected. */
+const MAX_WORK_SHARE = 0.6;
+/** Fraction of the target time that a request may wait; the rest is for its work. */
+const MAX_WAIT_SHARE = 0.35;
 
 /** Times in milliseconds. */
 export interface RequestTerms {
-  /** `null`: addressed to a service. */
+  /** Name of the route; `null`: the request is addressed to a service. */
   readonly route: string | null;
-  /** Whether it may be run twice without harm. */
+  /** Whether the request may run twice without harm. */
   readonly repeatable: boolean;
-  /** Whether a claim on the ledger must stand before it is sent. */
+  /** Whether the ledger must grant a claim before the request is sent. */
   readonly needsClaim: boolean;
   readonly deadlineMillis: number;
-  /** Longest wait in the router before it is sent. */
+  /** Longest wait in the router before the request is sent. */
   readonly holdMillis: number;
-  /** Time within which an answer is worth most; `null`: the sooner the better. */
+  /** Time within which an answer has its full value; `null`: no target, sooner is better. */
   readonly targetMillis: number | null;
-  /** Time at an upstream that still is in time; `null`: the sooner the better. */
+  /** Longest expected time at an upstream that still meets the target; `null`: no target. */
   readonly inTimeMillis: number | null;
-  /** Upstreams that it may be sent to at most. */
+  /** Maximum number of upstreams to which the request may be sent. */
   readonly maxAttempts: number;
-  /** Rank, 0 the most important. */
+  /** Rank; 0 is the most important. */
   readonly priority: number;
 }
 
@@ -43,16 +43,16 @@
   };
 }
 
-/** Terms of a request that a route took. What must not be repeated is sent once, and only what is proved not run again. */
+/** Terms of a request that matches a route. A non-repeatable request is sent again only after proof that it did not run. */
 export function termsOfRoute(route: RouteDefinition, service: ServiceDefinition): RequestTerms {
   return {
     route: route.name,
     repeatable: route.repeatable,
     needsClaim: false,
     deadlineMillis: route.timeoutMillis,
-    holdMillis: Math.min(service.holdLimitMillis, route.targetMillis * WAITING_SHARE),
+    holdMillis: Math.min(service.holdLimitMillis, route.targetMillis * MAX_WAIT_SHARE),
     targetMillis: route.targetMillis,
-    inTimeMillis: route.targetMillis * IN_TIME_SHARE,
+    inTimeMillis: route.targetMillis * MAX_WORK_SHARE,
     maxAttempts: route.maxAttempts,
     priority: route.priority,
   };
--- a/src/routing/route-table.ts
+++ b/src/routing/route-table.ts
@@ -1,17 +1,17 @@
-/** Routes by host and path. Prefixes end with a slash, so only as many are looked up as the path has slashes. */
+/** Finds routes by host and path. Prefixes end with a slash, so a lookup tries one prefix per slash of the path. */
 import type { RouteDefinition } from '../model/declaration.js';
 
-const DEFAULT_PORT_PATTERN = /:\d*$/;
+const PORT_PATTERN = /:\d*$/;
 
 export class RouteTable {
   readonly #byName = new Map<string, RouteDefinition>();
   readonly #hosts = new Map<string, Map<string, RouteDefinition>>();
 
-  /** Adds a route, puts it in the place of the one with its name, or takes that one out (`null`). */
+  /** Adds a route, replaces the route of this name, or removes it (`null`). */
   put(name: string, route: RouteDefinition | null): void {
-    const before = this.#byName.get(name);
-    if (before !== undefined) {
-      this.#remove(before);
+    const previous = this.#byName.get(name);
+    if (previous !== undefined) {
+      this.#remove(previous);
     }
     if (route !== null) {
       this.#byName.set(name, route);
@@ -27,9 +27,9 @@
     return this.#byName.get(name);
   }
 
-  /** The route with the longest prefix that begins `path`, which has no query; `host` may have a port. */
+  /** Returns the route with the longest prefix of `path`. `path` has no query; `host` may include a port. */
   find(host: string, path: string): RouteDefinition | undefined {
-    const prefixes = this.#hosts.get(host.replace(DEFAULT_PORT_PATTERN, '').toLowerCase());
+    const prefixes = this.#hosts.get(host.replace(PORT_PATTERN, '').toLowerCase());
     if (prefixes === undefined) {
       return undefined;
     }
@@ -42,7 +42,7 @@
     return undefined;
   }
 
-  /** Another route may have taken the same place before this one went. */
+  /** Removes a route, but keeps another one that has replaced it at the same host and prefix. */
   #remove(route: RouteDefinition): void {
     const prefixes = this.#hosts.get(route.host);
     this.#byName.delete(route.name);
@@ -55,12 +55,12 @@
   }
 
   #prefixesOf(host: string): Map<string, RouteDefinition> {
-    const known = this.#hosts.get(host);
-    if (known !== undefined) {
-      return known;
+    const existing = this.#hosts.get(host);
+    if (existing !== undefined) {
+      return existing;
     }
-    const made = new Map<string, RouteDefinition>();
-    this.#hosts.set(host, made);
-    return made;
+    const created = new Map<string, RouteDefinition>();
+    this.#hosts.set(host, created);
+    return created;
   }
 }
--- a/src/routing/router-context.ts
+++ b/src/routing/router-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a router share: its state, the present instant and the effects of the step under way. */
+/** Shared by the parts of a router: its state, the current time and the effects of the current step. */
 import type { Epoch, Incarnation, ShardId, UpstreamId, WallMillis } from '../model/identifiers.js';
 import { type RouterTurn, UNTOLD_TURN } from '../model/router-turn.js';
 import { ConfigurationLease } from './configuration-lease.js';
@@ -20,7 +20,7 @@
 import type { Attempt, Member } from './work.js';
 import { FleetKnowledge } from './zones/fleet-knowledge.js';
 
-/** Where a shard's requests go. */
+/** The upstream to which a shard's requests are sent, with the epoch and incarnation of its ownership. */
 export interface ShardOwner {
   readonly upstream: UpstreamState;
   readonly epoch: Epoch;
@@ -33,28 +33,28 @@
   readonly leader: LeaderGuess;
   readonly random: Random;
   readonly reporter: LoadReporter;
-  /** What control says of upstreams without keys, and what it is told of them. */
+  /** Shared measurements of upstreams without keys, received from and reported to control. */
   readonly fleet = new FleetKnowledge();
   readonly fleetSums = new FleetSums();
   readonly crashes: CrashWatch;
-  /** What upstreams said of themselves. */
+  /** Notices that upstreams report in response headers. */
   readonly notices: NoticeTable;
-  /** `null`: the settings don't say how wide the link is. */
+  /** `null`: the settings contain no link width. */
   link: LinkGate | null = null;
-  /** This router's places among those that share what cold upstreams bear, as control told it last. */
+  /** This router's positions among the routers that share cold upstreams in time slots, as last received from control. */
   turn: RouterTurn = UNTOLD_TURN;
-  /** What became of the requests of each route. */
+  /** Outcome counts of each route. */
   readonly tallies = new RouteTallies();
   readonly timers = new TimerHeap<TimerSubject>();
   readonly services = new Map<string, ServiceState>();
   readonly upstreams = new Map<UpstreamId, UpstreamState>();
   readonly attempts = new NumberedTable<Attempt>();
   readonly members = new NumberedTable<Member>();
-  /** The attempt that began last; 0: none. */
+  /** Number of the attempt that started last; 0: none. */
   latestAttempt: AttemptNumber = 0;
-  /** Whether what policies see is told. */
+  /** Whether `policy-trace` effects are emitted. */
   tracing = false;
-  /** A request was refused for want of room at the owner of its key; loads are reported early then. */
+  /** Whether a request was refused because the owner of its key has no capacity left; loads are then reported early. */
   hasRefusedAtOwner = false;
   now = 0;
   wall: WallMillis = 0;
@@ -63,8 +63,8 @@
   constructor(readonly config: RouterConfig) {
     this.random = new Random(config.seed);
     const { control, configLease, whenOutOfTouch } = config;
-    const firstMember = this.random.below(control.length);
-    this.lease = new ConfigurationLease(control, configLease, firstMember, whenOutOfTouch, config.zone);
+    const firstMemberIndex = this.random.below(control.length);
+    this.lease = new ConfigurationLease(control, configLease, firstMemberIndex, whenOutOfTouch, config.zone);
     this.leader = new LeaderGuess(control, this.random.below(control.length));
     this.reporter = new LoadReporter();
     this.crashes = new CrashWatch(this);
@@ -84,7 +84,7 @@
     return taken;
   }
 
-  /** Requests of all services that wait. */
+  /** Number of waiting requests of all services. */
   waitingLength(): number {
     let sum = 0;
     for (const service of this.services.values()) {
@@ -93,7 +93,7 @@
     return sum;
   }
 
-  /** Who owns a shard now, if a request may go there. */
+  /** Returns the current owner of a shard; `undefined` if there is none to which requests may be sent. */
   ownerOf(shard: ShardId): ShardOwner | undefined {
     const record = this.view.shard(shard);
     if (record === undefined || record.owner === null || record.incarnation === null) {
--- a/src/routing/router-node.ts
+++ b/src/routing/router-node.ts
@@ -1,4 +1,4 @@
-/** The router core: takes inputs, keeps the state of all requests, gives back effects. No clock, no socket, no wait. */
+/** The router core: handles inputs, holds the state of all requests and returns effects. It uses no clock, sockets or async calls. */
 import type { ControlToRouter, SyncResponse, UpstreamPermits } from '../control/messages.js';
 import type { Address, UpstreamId, WallMillis } from '../model/identifiers.js';
 import type { RoutingDelta } from '../registry/types.js';
@@ -22,7 +22,7 @@
 import type { Member, Work } from './work.js';
 import { FleetReports } from './zones/fleet-reports.js';
 
-/** Makes the core of one run of a router. It serves nothing before its first confirmed configuration. */
+/** Creates the core of one router run. It serves no requests before its first confirmed configuration. */
 export function createRouterNode(config: RouterConfig): RouterCore {
   return new RouterNode(config);
 }
@@ -56,7 +56,7 @@
       context.link = new LinkGate({ context, dispatcher, answers }, linkBytesPerMilli);
     }
     const { link } = context;
-    const admit = (work: Work): void => (link === null ? dispatcher.admit(work) : link.pass(work));
+    const admit = (group: Work): void => (link === null ? dispatcher.admit(group) : link.pass(group));
     this.policyGate = new PolicyGate({ context, admission, admit, answers });
     this.intake = new RequestIntake({ context, admission, answers, claims, policyGate: this.policyGate });
     this.notices = new NoticeIntake({ context, admission, dispatcher });
@@ -83,7 +83,7 @@
     this.context.now = Math.max(this.context.now, now);
     this.context.wall = wall;
     this.endLease();
-    this.take(input);
+    this.handleInput(input);
     this.fireTimers();
     if (this.context.crashes.takeNews()) {
       this.intake.refuseQuarantined();
@@ -91,7 +91,7 @@
     this.lost.scheduleSweep();
     this.sync();
     this.reports.step();
-    if (this.isOverwhelmed()) {
+    if (this.isOverloaded()) {
       this.context.hasRefusedAtOwner = false;
       this.reportLoad(true);
     }
@@ -122,12 +122,12 @@
     };
   }
 
-  private take(input: RouterInput): void {
+  private handleInput(input: RouterInput): void {
     switch (input.type) {
       case 'tick':
         return;
       case 'request':
-        this.intake.arrive(input.request);
+        this.intake.receive(input.request);
         return;
       case 'request-cancelled':
         this.cancelRequest(input.request);
@@ -152,10 +152,10 @@
         this.endLease();
         return;
       case 'run-checked':
-        this.context.crashes.runs.checked(input.run, input.check);
+        this.context.crashes.runs.recordCheck(input.run, input.check);
         return;
       case 'control-message':
-        this.takeControlMessage(input.from, input.message);
+        this.handleControlMessage(input.from, input.message);
         return;
       case 'control-lost':
         this.context.lease.memberLost(input.from, this.context.now);
@@ -168,24 +168,24 @@
         this.context.lease.useSettings(input.members);
         return;
       case 'probe-result':
-        this.takeProbe(input.upstream, input.healthy, input.load);
+        this.handleProbe(input.upstream, input.healthy, input.load);
         return;
       case 'policy-trace':
         this.context.tracing = input.on;
         return;
       case 'platform-list':
-        this.takePlatformList(input.leaving, input.live);
+        this.handlePlatformList(input.leaving, input.live);
     }
   }
 
-  private takeControlMessage(from: Address, message: ControlToRouter): void {
+  private handleControlMessage(from: Address, message: ControlToRouter): void {
     const { context } = this;
     switch (message.type) {
       case 'sync-response':
-        this.takeSyncResponse(message);
+        this.handleSyncResponse(message);
         return;
       case 'sync-news':
-        this.takeNews(message.delta);
+        this.handleSyncUpdate(message.delta);
         return;
       case 'change-notice':
         context.lease.notice(message.revision, context.view.revision, context.now);
@@ -197,15 +197,15 @@
         this.claims.settleAnswered(message, from);
         return;
       case 'upstream-permits':
-        this.takePermits(message, from);
+        this.handlePermits(message, from);
         return;
       case 'fleet-news':
         context.fleet.take(message, context.now);
     }
   }
 
-  /** Control has permits for requests that wait, or says when there are some. */
-  private takePermits(message: UpstreamPermits, from: Address): void {
+  /** Handles permits from control for waiting requests, or the time at which there will be some. */
+  private handlePermits(message: UpstreamPermits, from: Address): void {
     if (message.upstreams.length === 0) {
       this.context.leader.avoid(from);
     }
@@ -216,22 +216,22 @@
     }
   }
 
-  private takeSyncResponse(response: SyncResponse): void {
+  private handleSyncResponse(response: SyncResponse): void {
     const { context } = this;
     const outcome = this.applyResponse(response);
-    const gap = outcome?.type === 'gap';
-    context.lease.answered(response, context.view.revision, gap, context.now);
+    const hasGap = outcome?.type === 'gap';
+    context.lease.answered(response, context.view.revision, hasGap, context.now);
     context.leader.learn(response.leader);
     context.lease.learnMembers(response.members);
     context.turn = response.turn ?? context.turn;
     this.beginLease();
     this.update(outcome);
     if (this.serving) {
-      this.intake.arriveEarly();
+      this.intake.receiveEarly();
     }
   }
 
-  private takeNews(delta: RoutingDelta): void {
+  private handleSyncUpdate(delta: RoutingDelta): void {
     const { context } = this;
     const outcome = context.view.applyDelta(delta);
     context.lease.newsApplied(context.view.revision, outcome.type === 'gap', context.now);
@@ -267,7 +267,7 @@
     }
   }
 
-  /** Nothing may start any more: what waits is answered now, what runs may finish. */
+  /** Once the lease is over no request may start: waiting requests are refused now, attempts in flight may finish. */
   private endLease(): void {
     const { context } = this;
     if (!this.serving || context.lease.isValid(context.now)) {
@@ -296,16 +296,16 @@
         this.endHold(subject);
         return;
       case 'policy-recheck':
-        this.policyGate.recheck(subject.work);
+        this.policyGate.recheck(subject.group);
         return;
       case 'claim':
         this.claims.timerFired(subject.claim);
         return;
       case 'early-end':
-        this.intake.endEarly(subject.request);
+        this.intake.timeOutEarly(subject.request);
         return;
       case 'grants-over':
-        this.lost.abandonUnderOverGrants();
+        this.lost.abandonAfterGrace();
         return;
       case 'overdue-sweep':
         this.lost.sweep();
@@ -327,40 +327,40 @@
     }
   }
 
-  /** What has not run may be sent again: its route's time may be over before its caller's. */
+  /** If the request did not run, the refusal includes a retry time, because its route's deadline may pass before the caller's. */
   private passDeadline(member: Member): void {
     const mayHaveRun = member.mayHaveRun || member.work.attempt !== null;
     const wait = mayHaveRun ? null : this.admission.unmeasuredRetryAfter();
     this.answers.refuse(member, 'deadline-passed', wait);
   }
 
-  /** The bound counts only for work that waits just now. */
+  /** The limit applies only to groups that are waiting at this moment. */
   private endHold(subject: Extract<TimerSubject, { type: 'hold-end' }>): void {
-    const { work } = subject;
-    work.holdTimer = null;
-    if (work.phase === 'queued') {
-      this.admission.giveUpWaiting(work);
+    const { work: group } = subject;
+    group.holdTimer = null;
+    if (group.phase === 'queued') {
+      this.admission.giveUpWaiting(group);
     }
   }
 
   private sync(): void {
     const { context } = this;
-    const attempt = context.lease.takeSync(context.now);
-    if (attempt === undefined) {
+    const sync = context.lease.takeSync(context.now);
+    if (sync === undefined) {
       return;
     }
     const { router, incarnation, zone } = context.config;
-    const have = attempt.wantsSnapshot ? 0 : context.view.revision;
-    const { stamp } = attempt;
+    const have = sync.wantsSnapshot ? 0 : context.view.revision;
+    const { stamp } = sync;
     context.emit({
       type: 'send-control',
-      to: attempt.to,
+      to: sync.to,
       message: { type: 'sync-request', router, incarnation, zone, stamp, have },
     });
     this.reportLoad(false);
   }
 
-  /** Load reports keep the time of the syncs, but for urgent ones. */
+  /** Sends a load report if one is due. Reports are sent together with syncs, except urgent ones. */
   private reportLoad(isUrgent: boolean): void {
     const { context } = this;
     const leader = context.leader.target();
@@ -372,8 +372,8 @@
     }
   }
 
-  /** Whether work waits for owners of numeric keys, which can be cut anew, or was refused for want of room there. */
-  private isOverwhelmed(): boolean {
+  /** Whether requests wait for owners of numeric keys, whose ranges can be split, or were refused because an owner has no capacity. */
+  private isOverloaded(): boolean {
     const { services, view, hasRefusedAtOwner } = this.context;
     return (
       hasRefusedAtOwner ||
@@ -390,7 +390,7 @@
     }
   }
 
-  private takeProbe(id: UpstreamId, healthy: boolean, load: number | null): void {
+  private handleProbe(id: UpstreamId, healthy: boolean, load: number | null): void {
     const upstream = this.context.upstreams.get(id);
     if (upstream === undefined) {
       return;
@@ -405,7 +405,7 @@
     }
   }
 
-  private takePlatformList(leaving: readonly UpstreamId[], live: readonly UpstreamId[]): void {
+  private handlePlatformList(leaving: readonly UpstreamId[], live: readonly UpstreamId[]): void {
     const { upstreams, now } = this.context;
     for (const id of live) {
       upstreams.get(id)?.evidence.platformSays(false, now);
@@ -420,6 +420,6 @@
   }
 }
 
-function countNotices({ upstreams }: RouterContext, counts: (notices: RunNotices) => boolean): number {
-  return [...upstreams.values()].filter(({ notices }) => notices !== null && counts(notices)).length;
+function countNotices({ upstreams }: RouterContext, predicate: (notices: RunNotices) => boolean): number {
+  return [...upstreams.values()].filter(({ notices }) => notices !== null && predicate(notices)).length;
 }
--- a/src/routing/router-timer.ts
+++ b/src/routing/router-timer.ts
@@ -1,4 +1,4 @@
-/** Everything that a router waits for by the clock. */
+/** Timers of a router. */
 import type { RunName } from '../model/crash-suspect.js';
 import type { Claim } from './claim.js';
 import type { ServiceState } from './service-state.js';
@@ -9,23 +9,23 @@
 export type TimerSubject =
   | { readonly type: 'deadline'; readonly member: Member }
   | { readonly type: 'hold-end'; readonly work: Work }
-  | { readonly type: 'policy-recheck'; readonly work: Work }
+  | { readonly type: 'policy-recheck'; readonly group: Work }
   | { readonly type: 'claim'; readonly claim: Claim }
-  /** The first configuration didn't come in time for a request. */
+  /** The first configuration didn't arrive in time for a request. */
   | { readonly type: 'early-end'; readonly request: RequestNumber }
-  /** Attempts under grants that are over are given up. */
+  /** Attempts whose grant has ended are abandoned. */
   | { readonly type: 'grants-over' }
-  /** Reads in flight are looked at for overdue ones. */
+  /** Reads in flight are checked for overdue ones. */
   | { readonly type: 'overdue-sweep' }
-  /** A run that left an attempt without an answer is looked at again. */
+  /** A run that left an attempt unanswered is checked. */
   | { readonly type: 'run-check'; readonly run: RunName }
-  /** Control is told of requests under which upstreams ended. */
+  /** Requests under which upstream runs ended are reported to control. */
   | { readonly type: 'crash-report' }
-  /** Requests for large answers that wait for the link are looked at. */
+  /** Requests for large answers that wait for link capacity are reconsidered. */
   | { readonly type: 'link-wake' }
-  /** Control is told what upstreams say of themselves. */
+  /** Notices of upstreams are reported to control. */
   | { readonly type: 'upstream-report' }
-  /** Waiting work of a service is looked at again: pauses end and hints age without an event. */
+  /** Waiting requests of a service are reconsidered, because pauses end and hints expire without an event. */
   | { readonly type: 'service-wake'; readonly service: ServiceState };
 
 export type RouterTimer = Timer<TimerSubject>;
--- a/src/routing/service-state.ts
+++ b/src/routing/service-state.ts
@@ -1,4 +1,4 @@
-/** What a router keeps for one service: its upstreams, waiting work, budgets and policy. */
+/** A router's state of one service: its upstreams, waiting requests, budgets and policy. */
 import type { ServiceName, UpstreamId, Zone } from '../model/identifiers.js';
 import type { RouterTurn } from '../model/router-turn.js';
 import type { ServiceDefinition } from '../model/service.js';
@@ -17,42 +17,47 @@
 import type { UpstreamState } from './upstream/upstream-state.js';
 import type { Work } from './work.js';
 
-/** Standings from best to worst. */
-const RANK_OF: Readonly<Record<Standing, number>> = { usable: 0, suspect: 1, 'last-resort': 2, leaving: 3 };
+/** Order of the standings, from best to worst. */
+const STANDING_ORDER: Readonly<Record<Standing, number>> = {
+  usable: 0,
+  suspect: 1,
+  'last-resort': 2,
+  leaving: 3,
+};
 
-/** Expected times are good for so long: they are means over all upstreams, and move slowly. */
-const EXPECTED_MILLIS = 250;
-/** No upstream is taken to be faster. */
-const LEAST_SERVICE_MILLIS = 0.1;
+/** How long an expected time is cached; it is a mean over all upstreams and changes slowly. */
+const EXPECTED_TIME_CACHE_MILLIS = 250;
+/** Lower bound of an upstream's service time in capacity estimates. */
+const MIN_SERVICE_MILLIS = 0.1;
 
-/** Callers who were told to come back may come for this long after the latest of them was told. */
-const RETURNS_MILLIS = 10_000;
+/** How long after the latest retry time was given to a refused caller such retries may arrive. */
+const RETURN_WINDOW_MILLIS = 10_000;
 
 export class ServiceState {
   readonly name: ServiceName;
   readonly lanes = new LaneTable();
-  /** Terms on which requests came lately. */
+  /** Terms of recently arrived requests. */
   readonly presence: RankPresence;
   readonly rankRoom: RankRoom;
-  #returnsUntil = Number.NEGATIVE_INFINITY;
+  #returnWindowEnd = Number.NEGATIVE_INFINITY;
   readonly hotKeys: HotKeys;
   readonly picker: Picker;
   readonly retryBudget: TokenRetryBudget;
-  /** Reads that identical ones may join. */
+  /** Groups of reads that identical reads may join, by coalescing key. */
   readonly joinable = new Map<string, Work>();
-  /** Work that is held before the queue, by a policy or for the router's link. */
+  /** Groups held before the queue, by a policy or for link capacity. */
   readonly held = new Set<Work>();
-  /** Work that waits for the ledger. */
+  /** Groups that wait for a claim on the ledger. */
   readonly claiming = new Set<Work>();
-  #expected = 0;
-  #expectedAt = Number.NEGATIVE_INFINITY;
+  #expectedMillis = 0;
+  #expectedMillisAt = Number.NEGATIVE_INFINITY;
   inFlight = 0;
   wakeScheduled = false;
   policy: PolicyProgram | null = null;
   private sortedUpstreams: UpstreamState[] = [];
   private current: ServiceRecord;
 
-  /** `roomByRank`: whether less important requests, and a hot key's, leave room for the others. */
+  /** `roomByRank`: whether less important requests, and those of a hot key, leave headroom for the others. */
   constructor(record: ServiceRecord, pickerName: PickerName, roomByRank: boolean) {
     this.presence = new RankPresence(roomByRank);
     this.rankRoom = new RankRoom(this.presence);
@@ -62,7 +67,7 @@
     this.picker = createPicker(pickerName);
     const { retryBudget, savedRetries } = record.definition;
     this.retryBudget = new TokenRetryBudget(retryBudget, savedRetries);
-    this.compile();
+    this.updatePolicy();
   }
 
   get definition(): ServiceDefinition {
@@ -73,33 +78,33 @@
     return this.current;
   }
 
-  /** In the order of their ids. */
+  /** Sorted by id. */
   get upstreams(): readonly UpstreamState[] {
     return this.sortedUpstreams;
   }
 
-  /** Requests that wait, in lanes or by policy. */
+  /** Number of groups that wait in queues or are held. */
   get waitingLength(): number {
     return this.lanes.length + this.held.size;
   }
 
-  /** Takes over a changed definition; `true` if keys now fall into other shards. */
+  /** Applies a changed definition. Returns `true` if keys now map to other shards. */
   update(record: ServiceRecord): boolean {
-    const remapped =
+    const isRemapped =
       record.generation !== this.current.generation ||
       record.definition.keyed !== this.current.definition.keyed;
-    const changed = record.revision !== this.current.revision;
+    const isChanged = record.revision !== this.current.revision;
     this.current = record;
-    if (changed) {
+    if (isChanged) {
       this.retryBudget.resize(record.definition.retryBudget);
-      this.compile();
+      this.updatePolicy();
       for (const upstream of this.sortedUpstreams) {
         const { announced } = upstream.record.definition;
         upstream.slotLimit.resize(announced?.slots ?? record.definition.slotsPerUpstream);
         upstream.warmth.useTerms(record.definition.warmup ?? null);
       }
     }
-    return remapped;
+    return isRemapped;
   }
 
   addUpstream(upstream: UpstreamState): void {
@@ -112,8 +117,8 @@
   }
 
   /**
-   * A cold upstream of this zone at which the router's turn has come, as far as it has a free slot; `undefined`: there is none. What
-   * it bears is used: at others it would only wait longer.
+   * Returns a cold upstream of this zone that has a free slot and whose current time slot belongs to this router; `undefined` if there
+   * is none. Its allowance is used first, because the request would only wait longer at other upstreams.
    */
   coldInTurn(zone: Zone, turn: RouterTurn, bounds: WarmupBounds, now: number): UpstreamState | undefined {
     return this.sortedUpstreams.find(
@@ -129,34 +134,35 @@
   }
 
   /**
-   * Upstreams that may take one more request of a rank now; the doubted ones, best first, only if none is usable. Those where routers
-   * take turns aren't among them. `waitedShare`: how much of the request's wait is over, from 0 to 1.
+   * Returns the upstreams that may take one more request of a rank now. Doubtful upstreams are included only if none is usable, those
+   * of the best standing only. Upstreams shared in time slots are excluded. `waitedShare`: elapsed fraction of
+   * the request's longest wait, from 0 to 1.
    */
   candidates(now: number, avoid: UpstreamState | null, rank: number, waitedShare = 0): UpstreamState[] {
     const byStanding: UpstreamState[][] = [[], [], []];
-    let usableExists = false;
+    let hasUsable = false;
     for (const upstream of this.sortedUpstreams) {
-      const standing = RANK_OF[upstream.evidence.standing(now)];
+      const standing = STANDING_ORDER[upstream.evidence.standing(now)];
       if (
-        standing === RANK_OF.leaving ||
+        standing === STANDING_ORDER.leaving ||
         upstream.ejection.isEjected(now) ||
         upstream.warmth.takesTurns(now)
       ) {
         continue;
       }
-      usableExists = usableExists || standing === RANK_OF.usable;
+      hasUsable = hasUsable || standing === STANDING_ORDER.usable;
       if (upstream.hasSlot(now, rank, waitedShare)) {
         byStanding[standing]?.push(upstream);
       }
     }
     const [usable = [], suspects = [], lastResort = []] = byStanding;
-    const doubted = suspects.length > 0 ? suspects : lastResort;
-    const candidates = usableExists ? usable : doubted;
-    return without(this.#clearFirst(candidates, now), avoid);
+    const doubtful = suspects.length > 0 ? suspects : lastResort;
+    const candidates = hasUsable ? usable : doubtful;
+    return without(this.#preferClear(candidates, now), avoid);
   }
 
-  /** Where ranks compete, upstreams that probably have a slot free go before the others. */
-  #clearFirst(candidates: UpstreamState[], now: number): UpstreamState[] {
+  /** Where ranks compete, keeps only the upstreams that probably have a free slot, if there are any. */
+  #preferClear(candidates: UpstreamState[], now: number): UpstreamState[] {
     if (!this.presence.isMixed(now)) {
       return candidates;
     }
@@ -165,8 +171,8 @@
   }
 
   /**
-   * Whether operators have taken the zones of all upstreams that don't leave anyway out of use, so that nothing that waits can be
-   * served. Where all leave by themselves others are on their way.
+   * Whether operators have evacuated the zones of all upstreams that aren't draining by themselves, so that no waiting request can be
+   * served. Where all upstreams drain by themselves, replacements are expected.
    */
   get isOutOfUse(): boolean {
     const upstreams = this.sortedUpstreams;
@@ -174,42 +180,42 @@
     return isAnyOut && upstreams.every(({ evidence }) => evidence.operatorLeaving);
   }
 
-  /** Mean time of a request that finds a free slot, in milliseconds; `null` while none was seen. */
+  /** Mean time of requests that find a free slot, in milliseconds; `null` while there were none. */
   unhinderedMillis(): number | null {
     return meanOf(this.sortedUpstreams, ({ unhinderedMillis }) => unhinderedMillis);
   }
 
-  /** Mean time of an attempt over the upstreams that gave an answer, in milliseconds; `null`: none did. */
+  /** Mean time of an attempt over the upstreams that have answered, in milliseconds; `null` if none has. */
   measuredMillis(): number | null {
     return meanOf(this.sortedUpstreams, ({ measuredMillis }) => measuredMillis);
   }
 
-  /** Requests a millisecond that one upstream could take from this router; one of which nothing is known counts as the others do. */
+  /** Estimated requests per millisecond that one upstream can take from this router; the mean time stands in for an unmeasured one. */
   capacityOf(upstream: UpstreamState, meanMillis = this.measuredMillis()): number {
-    const usual = upstream.measuredMillis ?? meanMillis ?? upstream.serviceMillis;
-    return upstream.slotLimit.slots / Math.max(LEAST_SERVICE_MILLIS, usual);
+    const usualMillis = upstream.measuredMillis ?? meanMillis ?? upstream.serviceMillis;
+    return upstream.slotLimit.slots / Math.max(MIN_SERVICE_MILLIS, usualMillis);
   }
 
-  /** Time that a request is expected to take once it is worked on, in milliseconds; 0 while nothing is known. */
+  /** Expected service time of a request, in milliseconds; 0 while nothing was measured. */
   expectedMillis(now: number): number {
-    if (now >= this.#expectedAt + EXPECTED_MILLIS) {
-      this.#expectedAt = now;
-      this.#expected = this.unhinderedMillis() ?? this.measuredMillis() ?? 0;
+    if (now >= this.#expectedMillisAt + EXPECTED_TIME_CACHE_MILLIS) {
+      this.#expectedMillisAt = now;
+      this.#expectedMillis = this.unhinderedMillis() ?? this.measuredMillis() ?? 0;
     }
-    return this.#expected;
+    return this.#expectedMillis;
   }
 
-  /** A refused caller was told to come back: callers who are late by then come beside others who aren't. */
+  /** Called when a refused caller gets a retry time: retries with little time left then compete with first tries. */
   returnsPromised(now: number): void {
-    this.#returnsUntil = now + RETURNS_MILLIS;
+    this.#returnWindowEnd = now + RETURN_WINDOW_MILLIS;
   }
 
-  /** By what waiting work takes its turn. */
+  /** Order in which waiting groups are dequeued. */
   turnOrder(now: number): TurnOrder {
     return {
       now,
       expectedMillis:
-        this.presence.isMixed(now) || now < this.#returnsUntil ? this.expectedMillis(now) : null,
+        this.presence.isMixed(now) || now < this.#returnWindowEnd ? this.expectedMillis(now) : null,
     };
   }
 
@@ -217,31 +223,34 @@
     return this.sortedUpstreams.filter((upstream) => upstream.ejection.isEjected(now)).length;
   }
 
-  /** Slots of upstreams that take work now. */
+  /** Total slots of the upstreams that take requests now. */
   totalSlots(now: number): number {
-    return this.working(now).reduce((sum, upstream) => sum + upstream.slotLimit.slots, 0);
+    return this.activeUpstreams(now).reduce((sum, upstream) => sum + upstream.slotLimit.slots, 0);
   }
 
-  /** Requests a millisecond that its upstreams could take, by slots and smoothed service times. */
+  /** Estimated requests per millisecond that the upstreams can take, by slots and smoothed service times. */
   capacityPerMilli(now: number): number {
     const meanMillis = this.measuredMillis();
-    return this.working(now).reduce((sum, upstream) => sum + this.capacityOf(upstream, meanMillis), 0);
+    return this.activeUpstreams(now).reduce(
+      (sum, upstream) => sum + this.capacityOf(upstream, meanMillis),
+      0,
+    );
   }
 
-  /** Upstreams that take work now; the last resort only if none is usable. */
-  private working(now: number): UpstreamState[] {
-    const ranked = this.sortedUpstreams.map((upstream) => ({
+  /** Upstreams that take requests now; those of last resort only if none is usable. */
+  private activeUpstreams(now: number): UpstreamState[] {
+    const ordered = this.sortedUpstreams.map((upstream) => ({
       upstream,
-      rank: RANK_OF[upstream.evidence.standing(now)],
+      order: STANDING_ORDER[upstream.evidence.standing(now)],
     }));
-    const usableExists = ranked.some(({ rank }) => rank === RANK_OF.usable);
-    const most = usableExists ? RANK_OF.suspect : RANK_OF['last-resort'];
-    const taken = ranked.filter(({ rank }) => rank <= most);
-    return taken.map(({ upstream }) => upstream);
+    const hasUsable = ordered.some(({ order }) => order === STANDING_ORDER.usable);
+    const maxOrder = hasUsable ? STANDING_ORDER.suspect : STANDING_ORDER['last-resort'];
+    const active = ordered.filter(({ order }) => order <= maxOrder);
+    return active.map(({ upstream }) => upstream);
   }
 
-  /** A control member refuses wrong programs, so a failure here means that versions differ: run without a policy. */
-  private compile(): void {
+  /** Control rejects invalid programs, so a failure means that versions differ; the service then runs without a policy. */
+  private updatePolicy(): void {
     try {
       const { policy } = this.definition;
       this.policy = policy.length === 0 ? null : compilePolicy(policy);
@@ -254,7 +263,7 @@
   }
 }
 
-/** Mean over the upstreams that have a value; `null`: none has. In one pass, since every request with a key asks. */
+/** Mean over the upstreams that have a value; `null` if none has. One pass, since it runs for every request with a key. */
 function meanOf(
   upstreams: readonly UpstreamState[],
   millisOf: (upstream: UpstreamState) => number | null,
@@ -271,7 +280,7 @@
   return count === 0 ? null : sum / count;
 }
 
-/** Leaves out `avoid` unless it is all there is. */
+/** Removes `avoid` unless it is the only upstream. */
 function without(upstreams: UpstreamState[], avoid: UpstreamState | null): UpstreamState[] {
   if (avoid === null || upstreams.length < 2) {
     return upstreams;
--- a/src/routing/split-rotation.ts
+++ b/src/routing/split-rotation.ts
@@ -1,35 +1,35 @@
 /**
- * Divides a route's requests among the parts of its split. Each router takes the parts in an order in which their shares stay
- * close to their weights over any stretch of requests, rather than by chance; it begins at a place of its own, so that
- * routers which see few requests each don't all begin with the same part.
+ * Divides a route's requests among the parts of its split. Each router uses a low-discrepancy sequence instead of random choices, so
+ * that shares stay close to the weights over any run of requests. It starts at a random position, so that routers with few requests
+ * each don't all start with the same part.
  */
 import type { RouteDefinition, SplitPart } from '../model/declaration.js';
 import type { ServiceName } from '../model/identifiers.js';
 import type { Random } from './random.js';
 
-/** Step of the sequence as a share of all weights: multiples of the golden ratio fall most evenly. */
+/** Step of the sequence as a fraction of the total weight; multiples of the golden ratio are distributed most evenly. */
 const STEP_SHARE = (Math.sqrt(5) - 1) / 2;
-/** Routes remembered; beyond that all begin anew, which costs some evenness. */
-const MOST_ROUTES = 8192;
+/** Maximum number of remembered routes; beyond it all positions are reset, which costs some evenness. */
+const MAX_ROUTES = 8192;
 
 export class SplitRotation {
-  /** Where each route stands, as a share of all weights, from 0 to below 1. */
-  readonly #places = new Map<string, number>();
+  /** Position of each route in its sequence, as a fraction of the total weight from 0 to below 1. */
+  readonly #positions = new Map<string, number>();
 
   constructor(private readonly random: Random) {}
 
-  /** The service that the next request of a route goes to. */
+  /** Returns the service for the next request of a route. */
   next({ name, split }: RouteDefinition): ServiceName {
     const [first] = split as readonly [SplitPart];
     if (split.length === 1) {
       return first.service;
     }
-    const place = this.#advance(name);
+    const position = this.#advance(name);
     const total = split.reduce((sum, { weight }) => sum + weight, 0);
-    let left = place * total;
+    let remaining = position * total;
     for (const { service, weight } of split) {
-      left -= weight;
-      if (left < 0) {
+      remaining -= weight;
+      if (remaining < 0) {
         return service;
       }
     }
@@ -37,11 +37,11 @@
   }
 
   #advance(route: string): number {
-    if (this.#places.size >= MOST_ROUTES && !this.#places.has(route)) {
-      this.#places.clear();
+    if (this.#positions.size >= MAX_ROUTES && !this.#positions.has(route)) {
+      this.#positions.clear();
     }
-    const place = this.#places.get(route) ?? this.random.share();
-    this.#places.set(route, (place + STEP_SHARE) % 1);
-    return place;
+    const position = this.#positions.get(route) ?? this.random.share();
+    this.#positions.set(route, (position + STEP_SHARE) % 1);
+    return position;
   }
 }
--- a/src/routing/timer-heap.ts
+++ b/src/routing/timer-heap.ts
@@ -1,16 +1,16 @@
 /**
- * Deadlines in time order: a binary heap whose entries know their place, so that a cancelled one leaves at once. Kept
- * until it were due, it would hold on to its request for seconds, and the garbage collector would carry that along.
+ * Timers in time order: a binary heap whose entries store their index, so that a cancelled timer is removed at once. A cancelled
+ * timer that stayed until it was due would keep its request reachable for seconds, which costs the garbage collector time.
  */
 
-/** Place of a timer that isn't in the heap. */
-const NOWHERE = -1;
+/** Position of a timer that isn't in the heap. */
+const NOT_IN_HEAP = -1;
 
 export interface Timer<Subject> {
   readonly at: number;
   readonly subject: Subject;
   readonly sequence: number;
-  /** Place in the heap; only the heap writes it. */
+  /** Index in the heap; written only by the heap. */
   position: number;
 }
 
@@ -18,12 +18,12 @@
   private readonly heap: Timer<Subject>[] = [];
   private nextSequence = 0;
 
-  /** Timers that wait. */
+  /** Number of pending timers. */
   get size(): number {
     return this.heap.length;
   }
 
-  /** Adds a timer. Timers due at the same time come out in the order they were added. */
+  /** Adds a timer. Timers due at the same time are returned in the order in which they were added. */
   schedule(at: number, subject: Subject): Timer<Subject> {
     const position = this.heap.length;
     const timer = { at, subject, sequence: this.nextSequence++, position };
@@ -32,19 +32,19 @@
     return timer;
   }
 
-  /** Cancelling a timer twice, or one that came out, changes nothing. */
+  /** Removes a timer. Has no effect if it was cancelled before or has been returned by `takeDue`. */
   cancel(timer: Timer<Subject>): void {
-    if (timer.position !== NOWHERE) {
+    if (timer.position !== NOT_IN_HEAP) {
       this.remove(timer);
     }
   }
 
-  /** Time of the earliest timer; `Infinity` without one. */
+  /** Time of the earliest timer; `Infinity` if there is none. */
   nextAt(): number {
     return this.heap[0]?.at ?? Number.POSITIVE_INFINITY;
   }
 
-  /** Removes and returns the earliest timer that is due, if there is one. */
+  /** Removes and returns the earliest timer if it is due. */
   takeDue(now: number): Timer<Subject> | undefined {
     const top = this.heap[0];
     if (top === undefined || top.at > now) {
@@ -54,11 +54,11 @@
     return top;
   }
 
-  /** The last timer takes the place of the removed one and moves to where it belongs. */
+  /** Replaces the removed timer by the last one and restores the heap order. */
   private remove(timer: Timer<Subject>): void {
     const { position } = timer;
     const last = this.heap.pop() as Timer<Subject>;
-    timer.position = NOWHERE;
+    timer.position = NOT_IN_HEAP;
     if (last !== timer) {
       this.siftUp(last, position);
       this.siftDown(last, last.position);
@@ -75,7 +75,7 @@
     while (position > 0) {
       const parentPosition = (position - 1) >> 1;
       const parent = this.heap[parentPosition] as Timer<Subject>;
-      if (!before(timer, parent)) {
+      if (!isBefore(timer, parent)) {
         break;
       }
       this.place(parent, position);
@@ -88,7 +88,7 @@
     let position = start;
     for (;;) {
       const child = this.earlierChild(position);
-      if (child === undefined || !before(child, timer)) {
+      if (child === undefined || !isBefore(child, timer)) {
         break;
       }
       const childPosition = child.position;
@@ -104,10 +104,10 @@
     if (left === undefined || right === undefined) {
       return left;
     }
-    return before(right, left) ? right : left;
+    return isBefore(right, left) ? right : left;
   }
 }
 
-function before(a: Timer<unknown>, b: Timer<unknown>): boolean {
+function isBefore(a: Timer<unknown>, b: Timer<unknown>): boolean {
   return a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
 }
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,5 +1,5 @@
 /**
- * Inputs and effects of the router core. Bodies never pass through it: the shell keeps them by request id and attempt id.
+ * Inputs and effects of the router core. Bodies never pass through it; the I/O layer keeps them by request id and attempt id.
  */
 import type { ConfigLeaseTimings, ControlToRouter, RouterToControl } from '../control/messages.js';
 import type { FenceCredentials, FenceRefusal } from '../lease/types.js';
@@ -34,25 +34,25 @@
 
 export interface ArrivedRequest {
   readonly request: RequestNumber;
-  /** Empty if `place` says where it goes. */
+  /** Empty if the request is addressed by `place`. */
   readonly service: ServiceName;
-  /** Host and path, for which a declared route is looked up; left out: it goes to `service`. */
+  /** Host and path for which a declared route is looked up; if left out, the request goes to `service`. */
   readonly place?: { readonly host: string; readonly path: string };
   readonly key: string | null;
   readonly method: string;
   /** Path and query, for coalescing. */
   readonly target: string;
   /**
-   * What else of the request the answer may depend on, such as its cookies: only reads with the same one share an
-   * attempt. `null`: it shares none; left out: nothing else.
+   * Anything else on which the answer may depend, such as cookies: only reads with an equal variant share an attempt.
+   * `null`: the request never shares an attempt; left out: the answer depends on nothing else.
    */
   readonly variant?: string | null;
   /**
-   * What it asks for, however often it is sent; left out or `null`: it isn't watched for crashes. The shell may make it when it is
-   * asked for, which takes a hash over the whole body, so it is asked for only where it is needed.
+   * Identifies the request across retries; left out or `null`: it isn't watched for crashes. The I/O layer may compute it on
+   * access, by a hash over the whole body, so it is read only where it is needed.
    */
   readonly fingerprint?: RequestFingerprint | null;
-  /** Asked for by the caller; capped by the service's own. `null`: the service's. */
+  /** Deadline set by the caller, capped by the service's own. `null`: the service's deadline applies. */
   readonly deadlineMillis: number | null;
   readonly idempotency: {
     readonly key: string;
@@ -63,70 +63,71 @@
 
 /** How an attempt on an upstream ended. */
 export type AttemptResult =
-  /** The whole answer is in the shell's hands (or its head, if it is longer than the service's bound). */
+  /** The I/O layer has the whole answer (or its head, if it is longer than the service's bound). */
   | {
       readonly type: 'answered';
       readonly status: number;
       readonly load: number | null;
       readonly stored: StoredAnswer | null;
-      /** Meant for the request that was sent alone: nobody who joined it may have it. */
+      /** The answer is meant only for the request that was sent; requests that joined it must not get it. */
       readonly personal?: boolean;
-      /** Size of the answer's body; left out or `null`: not known when its head came. */
+      /** Size of the answer's body; left out or `null`: unknown when its head arrived. */
       readonly bytes?: number | null;
     }
-  /** The upstream's fence or shedding turned it away before it started. */
+  /** The upstream rejected the request before it started, by its fence or by load shedding. */
   | {
       readonly type: 'refused';
       readonly refusal: FenceRefusal;
       readonly retryAfterMillis: number | null;
-      /** Outstanding work that the refusal reported; left out or `null`: none. */
+      /** Outstanding requests reported with the refusal; left out or `null`: none were reported. */
       readonly load?: number | null;
     }
-  /** No connection was made: nothing was sent. */
-  /** `turnedAway`: the upstream took a connection and ended it at once. `refused`: nothing listens at the address. */
-  /** `recalled`: it was taken back by `recall-unsent` while it waited for a connection. */
+  /**
+   * There was no connection, so nothing was sent. `closedOnAccept`: the upstream accepted a connection and closed it at once.
+   * `refused`: nothing listens at the address. `recalled`: cancelled by `recall-unsent` while it waited for a connection.
+   */
   | {
       readonly type: 'connect-failed';
       readonly turnedAway?: boolean;
       readonly refused?: boolean;
       readonly recalled?: boolean;
     }
-  /** Something was sent and no whole answer came. `how`: left out if the shell can't tell. */
+  /** Something was sent and no whole answer arrived. `how`: left out if the I/O layer can't determine it. */
   | { readonly type: 'broken'; readonly how?: ConnectionBreak }
   | { readonly type: 'cancelled' };
 
-/** Whether anything takes connections at an address: `silent` proves nothing. */
+/** Whether anything accepts connections at an address; `silent` proves neither. */
 export type RunCheck = 'there' | 'gone' | 'silent';
 
 export type RouterInput =
   | { readonly type: 'tick' }
   | { readonly type: 'control-message'; readonly from: Address; readonly message: ControlToRouter }
   | { readonly type: 'control-lost'; readonly from: Address }
-  /** Messages to this member, which is in `zone`, reach it from now on. */
+  /** A connection to this member, which is in `zone`, is open. */
   | { readonly type: 'control-connected'; readonly to: Address; readonly zone: Zone }
-  /** The settings name other control members now. */
+  /** The list of control members in the settings has changed. */
   | { readonly type: 'control-members'; readonly members: readonly Address[] }
   | { readonly type: 'request'; readonly request: ArrivedRequest }
   | { readonly type: 'request-cancelled'; readonly request: RequestNumber }
   | { readonly type: 'attempt-ended'; readonly attempt: AttemptNumber; readonly result: AttemptResult }
-  /** The head of an answer came; told before the end of its attempt. */
+  /** The head of an answer arrived. Sent before the end of its attempt. */
   | { readonly type: 'upstream-notice'; readonly attempt: AttemptNumber; readonly notice: UpstreamNotice }
-  /** A large answer came in, from its first byte to its last in `millis`. */
+  /** A large answer was received; `millis` is the time from its first byte to its last. */
   | { readonly type: 'answer-carried'; readonly bytes: number; readonly millis: number }
-  /** The machine was suspended so long, which the monotonic clock doesn't show. */
+  /** The machine was suspended for `millis`, which the monotonic clock doesn't include. */
   | { readonly type: 'suspended'; readonly millis: number }
-  /** Answers `check-run`. */
+  /** Result of `check-run`. */
   | { readonly type: 'run-checked'; readonly run: RunName; readonly check: RunCheck }
-  /** Evidence from an upstream's health and load endpoints: hints only. */
+  /** Result of an upstream's health and load endpoints; a hint only. */
   | {
       readonly type: 'probe-result';
       readonly upstream: UpstreamId;
       readonly healthy: boolean;
       readonly load: number | null;
     }
-  /** Whether `policy-trace` effects are wanted from now on. */
+  /** Turns `policy-trace` effects on or off. */
   | { readonly type: 'policy-trace'; readonly on: boolean }
-  /** The platform's list of machines, which lags: hints only. */
+  /** The platform's list of machines, which may be outdated; a hint only. */
   | {
       readonly type: 'platform-list';
       readonly leaving: readonly UpstreamId[];
@@ -150,7 +151,7 @@
   | 'upstream-resting'
   | 'queue-full'
   | 'link-full'
-  /** It waited, wasn't sent, and more important work needs its place. */
+  /** The request waited, wasn't sent, and more important requests need its place. */
   | 'gave-way'
   | 'would-miss-deadline'
   | 'deadline-passed'
@@ -160,46 +161,46 @@
   | 'retry-budget-spent'
   | 'attempts-spent';
 
-/** What a decision by rank relied on. */
+/** Inputs of a decision by rank. */
 export interface OrderFacts {
-  /** That of its route; a half more if its key asks for more than its owner can do. */
+  /** Rank of the route, plus one half if the demand for the request's key exceeds its owner's capacity. */
   readonly rank: number;
-  /** Waiting requests that go before it. */
+  /** Number of waiting requests ahead of it. */
   readonly ahead: number;
-  /** Outstanding requests for each slot that are usual at the service's upstreams, and how long ago that was learnt last. */
+  /** Usual number of outstanding requests per slot at the service's upstreams, and the age of the last report of it. */
   readonly usualLoad: number;
   readonly loadAgoMillis: number | null;
 }
 
-/** What a decision about a request relied on, for the log. Times in milliseconds. */
+/** Inputs of a decision about a request, for the log. Times in milliseconds. */
 export interface DecisionFacts {
-  /** `null`: addressed to a service. */
+  /** `null`: the request is addressed to a service. */
   readonly route: string | null;
   readonly service: ServiceName;
-  /** Version of the declared document in force here; 0: none. */
+  /** Version of the declaration in force at this router; 0: none. */
   readonly version: number;
   /** Revision of the configuration, and how long ago it was confirmed to be the latest; `null`: never. */
   readonly revision: Revision;
   readonly confirmedAgoMillis: number | null;
-  /** Owner of the key and its fence; `null`: there is none, or the service has no keys. */
+  /** Owner of the key and its fence; `null`: the key has no owner, or the service has no keys. */
   readonly owner: UpstreamId | null;
   readonly fence: Epoch | null;
-  /** Requests of the service that wait, and how long one more would. */
+  /** Number of waiting requests of the service, and the expected wait of one more. */
   readonly waiting: number;
   readonly waitMillis: number;
-  /** Upstreams of the service that take work. */
+  /** Number of the service's upstreams that take requests. */
   readonly usable: number;
-  /** Where ranks compete, or the key is hot: what the order and the room went by. */
+  /** Set where ranks compete or the key is hot: inputs of the queue order and the capacity by rank. */
   readonly order?: OrderFacts;
-  /** Of an owner that named a limit: what it names, how long ago that was heard, and the permits at hand. */
+  /** Set if the owner reported a rate limit: the limit, the age of the report, and the permits available here. */
   readonly limit?: HeardLimit & { readonly permits: number };
-  /** Of an owner that asked this router for rest: what is left of it, in milliseconds. */
+  /** Set if the owner requested a back-off from this router: the remaining time in milliseconds. */
   readonly restMillis?: number;
-  /** Where the settings say how wide the link is. */
+  /** Set if the settings contain the link width. */
   readonly link?: LinkStatus;
-  /** Of a request under which upstreams ended. */
+  /** Set if upstream runs ended while they served the request. */
   readonly fingerprint?: RequestFingerprint;
-  /** Of a request refused for want of room: whether it was told a time of its own to come back. */
+  /** Set if the request was refused for lack of capacity: whether its caller got a reserved retry time. */
   readonly returns?: ReturnWord;
 }
 
@@ -211,28 +212,28 @@
       readonly attempt: AttemptNumber;
       readonly upstream: UpstreamId;
       readonly address: Address;
-      /** Shards of upstreams with a fence only. */
+      /** Only for shards of upstreams with a fence. */
       readonly credentials: FenceCredentials | null;
-      /** The run of an upstream that announced itself, which alone may take the request. */
+      /** Run of an upstream that announced itself; no other run may accept the request. */
       readonly instance: UpstreamId | null;
-      /** Time left. */
+      /** Remaining time. */
       readonly deadlineMillis: number;
       /** Revision of the configuration that chose the upstream, and the owner's fence. */
       readonly revision: Revision;
       readonly fence: Epoch | null;
-      /** The shell reads answers whole up to this size before reporting `answered`. */
+      /** The I/O layer buffers whole answers up to this size before it reports `answered`. */
       readonly wholeAnswerBytes: number;
     }
-  /** Make a connection to this address and say at once whether it was taken; nothing is sent on it. */
+  /** Opens a connection to this address and reports at once whether it was accepted; nothing is sent on it. */
   | { readonly type: 'check-run'; readonly run: RunName; readonly address: Address }
   | { readonly type: 'cancel-attempt'; readonly attempt: AttemptNumber }
-  /** Take back the attempts on this upstream that wait for a connection; each ends as `connect-failed`, `recalled`. */
+  /** Cancels the attempts on this upstream that wait for a connection; each ends as `connect-failed`, `recalled`. */
   | { readonly type: 'recall-unsent'; readonly upstream: UpstreamId }
-  /** Give the caller the answer of this attempt. */
+  /** Sends the answer of this attempt to the caller. */
   | { readonly type: 'deliver'; readonly request: RequestNumber; readonly attempt: AttemptNumber }
-  /** Give the caller an answer that the ledger kept. */
+  /** Sends an answer stored in the ledger to the caller. */
   | { readonly type: 'deliver-stored'; readonly request: RequestNumber; readonly answer: StoredAnswer }
-  /** Give the caller an answer of the router's own, at once. */
+  /** Sends the router's own answer to the caller at once. */
   | {
       readonly type: 'refuse';
       readonly request: RequestNumber;
@@ -240,12 +241,12 @@
       readonly outcome: Outcome;
       readonly reason: RefusalReason;
       readonly retryAfterMillis: number | null;
-      /** `null`: it was turned away before anything was looked at. */
+      /** `null`: the request was refused before any state was examined. */
       readonly facts: DecisionFacts | null;
     }
-  /** What callers may send from now on. */
+  /** Sets the limits on callers. */
   | { readonly type: 'limit-callers'; readonly limits: CallerLimits }
-  /** What a policy saw of a request; only while they are wanted. */
+  /** Input of a policy decision; emitted only while policy tracing is on. */
   | { readonly type: 'policy-trace'; readonly record: PolicyTraceRecord }
   | {
       readonly type: 'log';
@@ -254,10 +255,10 @@
       readonly fields: Readonly<Record<string, unknown>>;
     };
 
-/** What a router does whose configuration lease is over. */
+/** Behavior of a router after its configuration lease ends. */
 export type WhenOutOfTouch = 'refuse' | 'serve';
 
-/** `spread`: all about the time at which there is room. `reserved`: each a time of its own, which is kept for it. */
+/** Retry times of refused callers. `spread`: all around the time of expected capacity. `reserved`: one per caller, with capacity kept for it. */
 export type ReturnTimesMode = 'spread' | 'reserved';
 
 export interface RouterConfig {
@@ -267,29 +268,29 @@
   readonly seed: number;
   readonly control: readonly Address[];
   readonly configLease: ConfigLeaseTimings;
-  /** Wait for an answer of the ledger before giving up with `not-run` is not proved: the claim is then released or left `unknown`. */
+  /** How long to wait for a claim response from the ledger. After that `not-run` isn't proved: the claim is released or left `unknown`. */
   readonly claimTimeoutMillis: number;
-  /** What a router does that hears nothing confirmed for long: it refuses (if left out), or serves what it last knew. */
+  /** Behavior without a confirmed configuration for long: refuses requests (the default), or serves with the last one received. */
   readonly whenOutOfTouch?: WhenOutOfTouch;
-  /** Whether requests that come before the first configuration wait for it a short while; they are refused if left out. */
+  /** Whether requests that arrive before the first configuration wait for it for a short time; refused if left out. */
   readonly holdsEarlyRequests?: boolean;
-  /** How far routers may go together beyond what cold upstreams bear; the defaults if left out. */
+  /** How far all routers together may exceed the capacity of cold upstreams; the defaults if left out. */
   readonly warmupBounds?: WarmupBounds;
-  /** How upstreams of services that aren't keyed are picked; `least-work` if left out. */
+  /** Picker for upstreams of services that aren't keyed; `least-work` if left out. */
   readonly picker?: PickerName;
-  /** Whether less important requests, and those of a hot key, leave room for the others; they don't if left out. */
+  /** Whether less important requests, and those of a hot key, leave headroom for the others; they don't if left out. */
   readonly roomByRank?: boolean;
-  /** What callers are told who are refused for want of room; `spread` if left out. */
+  /** Retry times of callers that are refused for lack of capacity; `spread` if left out. */
   readonly returnTimes?: ReturnTimesMode;
-  /** Width of the router's link, each way; large answers aren't held back for it if left out. */
+  /** Width of the router's link in each direction; if left out, large answers aren't delayed for it. */
   readonly linkBytesPerMilli?: number;
 }
 
-/** How the router's link stands. */
+/** State of the router's link. */
 export interface LinkStatus {
-  /** Requests for large answers that wait for room on it. */
+  /** Number of requests for large answers that wait for link capacity. */
   readonly waiting: number;
-  /** Bytes a millisecond that it carries, as far as is known. */
+  /** Estimated throughput in bytes per millisecond. */
   readonly bytesPerMilli: number;
 }
 
@@ -298,21 +299,21 @@
   readonly serving: boolean;
   readonly queued: number;
   readonly inFlight: number;
-  /** Upstreams with a limit in force here. */
+  /** Number of upstreams with a rate limit in force at this router. */
   readonly limited: number;
-  /** Upstreams that this router leaves alone, as they asked. */
+  /** Number of upstreams with a back-off in force at this router. */
   readonly resting: number;
-  /** Upstreams that said in their answers that they leave. */
+  /** Number of upstreams that reported in their answers that they are draining. */
   readonly leaving: number;
-  /** Left out where the settings don't say how wide the link is. */
+  /** Left out if the settings contain no link width. */
   readonly link?: LinkStatus;
-  /** Times that refused callers were told, and what came of them. */
+  /** Retry times given to refused callers, and their results. */
   readonly returns: ReturnCounts;
-  /** What became of the requests of each route so far. */
+  /** Outcome counts of each route. */
   readonly routes: readonly RouteTally[];
 }
 
-/** Deterministic core of a router. `wall` is for ages of idempotency keys only. */
+/** Deterministic core of a router. `wall` is used only for the ages of idempotency keys. */
 export interface RouterCore {
   step(input: RouterInput, now: number, wall: WallMillis): RouterEffect[];
   nextDeadline(): number;
--- a/src/routing/watched-runs.ts
+++ b/src/routing/watched-runs.ts
@@ -1,8 +1,8 @@
 /**
- * Runs of upstreams that left attempts without an answer, and whether they have ended. A reset, a lost answer or silence proves nothing:
- * a run has ended when nothing listens at its address any more, or when another run is there. The first is believed at once, since a request
- * that ends one run after the other must be stopped within three, but a device on the way can refuse in the name of a run that lives: once
- * that run answers again, whoever was accused of its end is cleared.
+ * Determines whether upstream runs that left attempts unanswered have ended. A reset, a lost answer or silence proves nothing: a run has
+ * ended when nothing listens at its address any more, or when another run is there. A refused connection counts as proof at once, since a
+ * request that ends one run after the other must be stopped within three. But a device on the path can refuse connections to a run that is
+ * alive, so the suspicions are retracted if that run answers again.
  */
 import { nameUnnamedRun, type RunName, type UpstreamCrash } from '../model/crash-suspect.js';
 import type { Address, MonotonicMillis, UpstreamId } from '../model/identifiers.js';
@@ -12,34 +12,34 @@
 import type { UpstreamState } from './upstream/upstream-state.js';
 import type { Attempt } from './work.js';
 
-/** An attempt that ended longer before its run is no sign that the request ended it. */
-const LOSS_MEMORY_MILLIS = 5000;
-/** Runs of which something is remembered, and unanswered attempts of one run. */
-const MOST_RUNS = 256;
-const MOST_LOSSES = 64;
+/** An attempt that was lost longer than this before the end of its run is no evidence that its request caused the end. */
+const MAX_LOSS_AGE_MILLIS = 5000;
+/** Maximum number of watched runs, and of unanswered attempts kept per run. */
+const MAX_RUNS = 256;
+const MAX_LOSSES = 64;
 /**
- * How long after a connection broke its run is looked at. Meanwhile the next attempt there often tells, and the connection for looking,
- * which takes a slot for a moment where connections are dear, isn't needed.
+ * Delay between a broken connection and the check of its run. The result of the next attempt there often makes the check unnecessary,
+ * whose connection takes a slot for a moment where connections are limited.
  */
-const CHECK_AFTER_MILLIS = 20;
-/** A process closes its connections one by one, and its listener maybe last: one that is there is looked at again. */
-const CHECK_AGAIN_MILLIS = 150;
-const MOST_CHECKS = 3;
+const FIRST_CHECK_DELAY_MILLIS = 20;
+/** Delay before another check: a process closes its connections one by one, possibly its listener last. */
+const RECHECK_DELAY_MILLIS = 150;
+const MAX_CHECKS = 3;
 
-/** What a request is accused of once the run has a name and has ended. */
+/** A request suspected of having ended a run. */
 export type Accusation = Pick<UpstreamCrash, 'fingerprint' | 'service'>;
 
-/** Told of each request that was under way and unanswered at a run that has ended. */
-export type AccuseRequest = (accusation: Accusation, run: RunName) => void;
+/** Called for each request that was in flight and unanswered at a run that has ended. */
+export type SuspectListener = (suspect: Accusation, run: RunName) => void;
 
-/** Proofs of an end; the first can turn out to be wrong. */
-const END_PROOFS = { connectionRefused: 'connection-refused', addressTaken: 'address-taken' } as const;
+/** Proofs that a run has ended; a refused connection can turn out to be no proof. */
+const END_PROOFS = { connectionRefused: 'connection-refused', otherRun: 'address-taken' } as const;
 
-/** An attempt that got no answer. */
+/** An unanswered attempt. */
 interface Loss {
-  readonly accusation: Accusation;
-  /** The router gave it up; the run may well have gone on. */
-  readonly wasGivenUp: boolean;
+  readonly suspect: Accusation;
+  /** Whether the router abandoned the attempt; the run may still be alive then. */
+  readonly wasAbandoned: boolean;
   readonly at: MonotonicMillis;
 }
 
@@ -47,67 +47,71 @@
   readonly name: RunName;
   readonly address: Address;
   losses: Loss[];
-  /** Looks since the latest loss. */
+  /** Number of checks since the latest loss. */
   checks: number;
-  /** A look is due or under way. */
+  /** Whether a check is scheduled or in progress. */
   isChecking: boolean;
   hasEnded: boolean;
   endedAt: MonotonicMillis;
-  /** Those who were accused of an end that may turn out to be none. */
-  accused: Accusation[];
+  /** Requests suspected of the run's end; cleared if the run turns out to be alive. */
+  suspects: Accusation[];
 }
 
 export class WatchedRuns {
   readonly #context: RouterContext;
-  readonly #accuse: AccuseRequest;
-  readonly #takeBack: (accusation: Accusation) => void;
-  /** The longest watched first. */
+  readonly #onSuspect: SuspectListener;
+  readonly #onRetracted: (suspect: Accusation) => void;
+  /** In order of insertion: the first is evicted first. */
   readonly #runs = new Map<RunName, WatchedRun>();
 
-  /** `takeBack`: told of each request that was accused of an end that was none. */
-  constructor(context: RouterContext, accuse: AccuseRequest, takeBack: (accusation: Accusation) => void) {
+  /** `onRetracted` is called for each request that was suspected of the end of a run that turns out to be alive. */
+  constructor(
+    context: RouterContext,
+    onSuspect: SuspectListener,
+    onRetracted: (suspect: Accusation) => void,
+  ) {
     this.#context = context;
-    this.#accuse = accuse;
-    this.#takeBack = takeBack;
+    this.#onSuspect = onSuspect;
+    this.#onRetracted = onRetracted;
   }
 
-  /** The upstream's side ended the connection of an attempt. */
+  /** Called when the upstream's side closed the connection of an attempt. */
   connectionBroke(attempt: Attempt): void {
-    const run = this.#lose(attempt, false);
+    const run = this.#recordLoss(attempt, false);
     if (run !== null) {
-      this.#checkAfter(run, CHECK_AFTER_MILLIS);
+      this.#scheduleCheck(run, FIRST_CHECK_DELAY_MILLIS);
     }
   }
 
-  /** An attempt ended for another reason before it was answered. */
-  leftUnanswered(attempt: Attempt, wasGivenUp: boolean): void {
-    this.#lose(attempt, wasGivenUp);
+  /** Called when an attempt ended unanswered for another reason. */
+  leftUnanswered(attempt: Attempt, wasAbandoned: boolean): void {
+    this.#recordLoss(attempt, wasAbandoned);
   }
 
-  /** A run that answers hasn't ended under what was given up there, nor under what was lost there before this attempt began. */
+  /** Called when a run answers. Attempts abandoned there, or lost there before this attempt started, didn't end it. */
   answered({ run, startedAt }: Attempt): void {
     const watched = run === null ? undefined : this.#runs.get(run);
     if (watched !== undefined && watched.losses.length > 0) {
-      watched.losses = watched.losses.filter(({ wasGivenUp, at }) => !wasGivenUp && at > startedAt);
+      watched.losses = watched.losses.filter(({ wasAbandoned, at }) => !wasAbandoned && at > startedAt);
     }
   }
 
-  /** A run that did work for an attempt that began after its end hasn't ended. */
+  /** Clears the suspects of a run that has served an attempt started after its supposed end, because the run is alive. */
   livesOn({ run, startedAt }: Attempt): void {
     const watched = run === null ? undefined : this.#runs.get(run);
     if (watched === undefined || !watched.hasEnded || startedAt <= watched.endedAt) {
       return;
     }
-    const { name, address, accused } = watched;
-    Object.assign(watched, { hasEnded: false, losses: [], accused: [], checks: 0 });
-    const fields = { run: name, address, takenBack: accused.length };
+    const { name, address, suspects } = watched;
+    Object.assign(watched, { hasEnded: false, losses: [], suspects: [], checks: 0 });
+    const fields = { run: name, address, takenBack: suspects.length };
     this.#context.emit({ type: 'log', level: 'info', event: 'run-lives', fields });
-    for (const accusation of accused) {
-      this.#takeBack(accusation);
+    for (const suspect of suspects) {
+      this.#onRetracted(suspect);
     }
   }
 
-  /** It is proved that a run has ended. */
+  /** Called when it is proved that a run has ended. */
   ended(name: RunName, proof: string): void {
     const run = this.#runs.get(name);
     if (run === undefined || run.hasEnded) {
@@ -116,25 +120,25 @@
     run.hasEnded = true;
     run.endedAt = this.#context.now;
     const { now } = this.#context;
-    const losses = run.losses.filter(({ at }) => now - at <= LOSS_MEMORY_MILLIS);
+    const losses = run.losses.filter(({ at }) => now - at <= MAX_LOSS_AGE_MILLIS);
     const fields = { run: name, address: run.address, proof, unanswered: losses.length };
     this.#context.emit({ type: 'log', level: 'info', event: 'run-ended', fields });
-    for (const { accusation } of losses) {
-      this.#accuseOf(run, accusation);
+    for (const { suspect } of losses) {
+      this.#addSuspect(run, suspect);
     }
   }
 
-  /** A run is at this address now: any other one that was there has ended. */
-  addressTaken(address: Address, by: RunName): void {
+  /** Called when a run is present at an address: any other run that was there has ended. */
+  addressTaken(address: Address, currentRun: RunName): void {
     for (const run of [...this.#runs.values()]) {
-      if (run.address === address && run.name !== by) {
-        this.ended(run.name, END_PROOFS.addressTaken);
+      if (run.address === address && run.name !== currentRun) {
+        this.ended(run.name, END_PROOFS.otherRun);
       }
     }
   }
 
-  /** The shell looked whether anything takes connections at a run's address. */
-  checked(name: RunName, check: RunCheck): void {
+  /** Handles the I/O layer's result of a `check-run` effect. */
+  recordCheck(name: RunName, check: RunCheck): void {
     const run = this.#runs.get(name);
     if (run === undefined) {
       return;
@@ -143,59 +147,59 @@
     if (check === 'gone') {
       this.ended(name, END_PROOFS.connectionRefused);
     } else {
-      this.#checkAfter(run, CHECK_AGAIN_MILLIS);
+      this.#scheduleCheck(run, RECHECK_DELAY_MILLIS);
     }
   }
 
-  /** Time to look at a run, unless it is known by now what became of it. */
+  /** Checks a run, unless it has ended or no unanswered attempt is left to explain. */
   check(name: RunName): void {
     const run = this.#runs.get(name);
     if (run === undefined) {
       return;
     }
-    run.isChecking = !run.hasEnded && run.losses.some(({ wasGivenUp }) => !wasGivenUp);
+    run.isChecking = !run.hasEnded && run.losses.some(({ wasAbandoned }) => !wasAbandoned);
     if (run.isChecking) {
       run.checks += 1;
       this.#context.emit({ type: 'check-run', run: run.name, address: run.address });
     }
   }
 
-  /** Gives the run; `null`: the request isn't watched. */
-  #lose(attempt: Attempt, wasGivenUp: boolean): WatchedRun | null {
-    const { request, work } = attempt;
+  /** Records a lost attempt and returns its run; `null` if the request isn't watched. */
+  #recordLoss(attempt: Attempt, wasAbandoned: boolean): WatchedRun | null {
+    const { request, work: group } = attempt;
     const { fingerprint } = request;
     if (fingerprint == null) {
       return null;
     }
     const run = this.#runOf(attempt);
-    const accusation = { fingerprint, service: work.service.name };
+    const suspect = { fingerprint, service: group.service.name };
     if (run.hasEnded) {
-      this.#accuseOf(run, accusation);
+      this.#addSuspect(run, suspect);
       return run;
     }
-    run.losses.push({ accusation, wasGivenUp, at: this.#context.now });
+    run.losses.push({ suspect, wasAbandoned, at: this.#context.now });
     run.checks = 0;
-    if (run.losses.length > MOST_LOSSES) {
+    if (run.losses.length > MAX_LOSSES) {
       run.losses.shift();
     }
     return run;
   }
 
-  #accuseOf(run: WatchedRun, accusation: Accusation): void {
-    if (run.accused.length < MOST_LOSSES) {
-      run.accused.push(accusation);
+  #addSuspect(run: WatchedRun, suspect: Accusation): void {
+    if (run.suspects.length < MAX_LOSSES) {
+      run.suspects.push(suspect);
     }
-    this.#accuse(accusation, run.name);
+    this.#onSuspect(suspect, run.name);
   }
 
   #runOf({ upstream, run }: Attempt): WatchedRun {
     const name = run ?? nameUnnamedRun(upstream.id, this.#context.wall);
-    const known = this.#runs.get(name);
-    if (known !== undefined) {
-      return known;
+    const existing = this.#runs.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const { address } = upstream.record.definition;
-    const made: WatchedRun = {
+    const created: WatchedRun = {
       name,
       address,
       losses: [],
@@ -203,30 +207,30 @@
       isChecking: false,
       hasEnded: false,
       endedAt: Number.NEGATIVE_INFINITY,
-      accused: [],
+      suspects: [],
     };
-    this.#runs.set(name, made);
-    if (this.#runs.size > MOST_RUNS) {
+    this.#runs.set(name, created);
+    if (this.#runs.size > MAX_RUNS) {
       const [oldest] = this.#runs.keys();
       this.#runs.delete(oldest as RunName);
     }
-    return made;
+    return created;
   }
 
-  #checkAfter(run: WatchedRun, millis: number): void {
-    if (!run.isChecking && !run.hasEnded && run.checks < MOST_CHECKS) {
+  #scheduleCheck(run: WatchedRun, delayMillis: number): void {
+    if (!run.isChecking && !run.hasEnded && run.checks < MAX_CHECKS) {
       run.isChecking = true;
-      this.#context.schedule(this.#context.now + millis, { type: 'run-check', run: run.name });
+      this.#context.schedule(this.#context.now + delayMillis, { type: 'run-check', run: run.name });
     }
   }
 }
 
-/** Whose words an answer carries: a run's, or those of whoever answers for an upstream whose runs have no names. */
+/** Source of the notices in an answer: the run, or the upstream if its runs have no names. */
 export function speakerOf(upstream: UpstreamId, run: RunName | null): RunName {
   return run ?? upstream;
 }
 
-/** Name of the run that an upstream is at; `null`: it is known by its upstream alone. */
+/** Name of an upstream's current run; `null` if the run has no name of its own. */
 export function runNameOf({ id, incarnation, isAnnounced, record }: UpstreamState): RunName | null {
   if (isAnnounced) {
     return runOfAnnounced(record.definition);
--- a/src/routing/work.ts
+++ b/src/routing/work.ts
@@ -1,4 +1,4 @@
-/** A piece of work on its way to an upstream, and the callers' requests that it answers. */
+/** Requests on their way to an upstream, grouped where identical reads share attempts, and the attempts made for them. */
 import type { RunName } from '../model/crash-suspect.js';
 import type { Epoch, Revision, ShardId } from '../model/identifiers.js';
 import type { Claim } from './claim.js';
@@ -13,121 +13,121 @@
 import type { ArrivedRequest, AttemptNumber } from './types.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
 
-/** One caller's request. It gets one final answer of its own. */
+/** One caller's request in a group. Each member gets exactly one final answer. */
 export interface Member {
   readonly request: ArrivedRequest;
   readonly work: Work;
   readonly deadline: number;
-  /** An attempt on its behalf ended without proof that it did not run. */
+  /** Whether an attempt for this request ended without proof that it did not run. */
   mayHaveRun: boolean;
   deadlineTimer: RouterTimer | null;
 }
 
-/** `claiming`: waits for the ledger. `held`: by policy. `queued`: in a lane. */
+/** `claiming`: waits for the ledger. `held`: held by a policy or for link capacity. `queued`: in a shard queue. */
 export type WorkPhase = 'new' | 'claiming' | 'held' | 'queued' | 'in-flight' | 'done';
 
 /** The grant under which an attempt was sent. */
 export interface SentGrant {
   readonly shard: ShardId;
   readonly epoch: Epoch;
-  /** Whether no answer comes any more once the grant is over. Not so where the owner is taken off first. */
+  /** Whether no answer can arrive after the grant ends. `false` where the owner is removed first and may finish its attempts. */
   readonly endsAttempts: boolean;
 }
 
-/** One try of a work on an upstream. It is kept until the shell says how it ended, also when nobody waits for it. */
+/** One attempt of a group on an upstream. It is kept until the I/O layer reports its end, even if no caller waits for it any more. */
 export interface Attempt {
   readonly number: AttemptNumber;
   readonly work: Work;
   readonly upstream: UpstreamState;
-  /** The request that was sent; those who joined it only wait for its answer. */
+  /** The request that was sent; members that joined later only share its answer. */
   readonly request: ArrivedRequest;
   readonly startedAt: number;
-  /** The run of the upstream that it was sent to; `null`: runs have no names there. */
+  /** The upstream run to which it was sent; `null` if the upstream's runs have no names. */
   readonly run: RunName | null;
-  /** Whether its upstream had a free slot then, as far as reported loads told. */
+  /** Whether its upstream had a free slot at the start, according to reported loads. */
   readonly foundFreeSlot: boolean;
-  /** Shard and epoch of the grant under which it was sent; `null` for services that aren't keyed. */
+  /** The grant under which it was sent; `null` for services that aren't keyed. */
   readonly grant: SentGrant | null;
-  /** Since when that grant is over. */
+  /** When the end of the grant was noticed; `null`: it hasn't ended. */
   overSince: number | null;
-  /** Its work goes on without it. */
+  /** Whether its group continues without it. */
   abandoned: boolean;
 }
 
-/** An attempt is overdue after this many of its upstream's usual times, and not before the least time. */
+/** An attempt is overdue after this multiple of its upstream's usual time, but not before the minimum. */
 const OVERDUE_FACTOR = 10;
-const LEAST_OVERDUE_MILLIS = 200;
-/** While nothing was measured at any upstream of the service, an attempt is overdue after this many times what its route aims at. */
-const UNMEASURED_TARGETS = 2;
+const MIN_OVERDUE_MILLIS = 200;
+/** While no upstream of the service was measured, an attempt is overdue after this multiple of its route's target time. */
+const UNMEASURED_TARGET_FACTOR = 2;
 
 /** Whether an attempt takes so long that its upstream has probably stopped. */
-export function isOverdue({ startedAt, upstream, work }: Attempt, now: number): boolean {
-  return now >= startedAt + Math.max(LEAST_OVERDUE_MILLIS, overdueMillis(upstream, work));
+export function isOverdue({ startedAt, upstream, work: group }: Attempt, now: number): boolean {
+  return now >= startedAt + Math.max(MIN_OVERDUE_MILLIS, overdueMillis(upstream, group));
 }
 
 /**
- * An upstream that this router has no answer of yet is taken to be as fast as the others of its service. Taken to be as fast as
- * any, its first requests were given up after 0.2 s and made again elsewhere: of reads that take 0.16 s, 5 %, and of those that take
- * 0.4 s, 13 %, each with its connection (a quiet day of 69 and 61 upstreams and 76 routers).
+ * The mean of the service's other upstreams stands in for an upstream that has not answered this router yet. If the
+ * shortest time is assumed instead, its first requests are abandoned after 0.2 s and repeated elsewhere, each with a new connection: 5 % of
+ * reads that take 0.16 s and 13 % of those that take 0.4 s (at low load, with 69 and 61 upstreams and 76 routers).
  */
 function overdueMillis({ measuredMillis, serviceMillis }: UpstreamState, { service, terms }: Work): number {
-  const usual = measuredMillis ?? service.measuredMillis();
-  if (usual !== null) {
-    return usual * OVERDUE_FACTOR;
+  const usualMillis = measuredMillis ?? service.measuredMillis();
+  if (usualMillis !== null) {
+    return usualMillis * OVERDUE_FACTOR;
   }
-  return (terms.targetMillis ?? 0) * UNMEASURED_TARGETS || serviceMillis * OVERDUE_FACTOR;
+  return (terms.targetMillis ?? 0) * UNMEASURED_TARGET_FACTOR || serviceMillis * OVERDUE_FACTOR;
 }
 
-/** Requests that take alike: those of a route, or those addressed to a service. */
+/** Name under which times are measured: the route, or the service for requests addressed to one. */
 export function workNameOf({ service, terms }: Work): string {
   return terms.route ?? service.name;
 }
 
-/** Whether a refused caller was told a time of its own to come back; `none-in-time`: there is none before it gives up. */
+/** `promised`: a refused caller got a reserved retry time. `none-in-time`: none is free before its deadline. */
 export type ReturnWord = 'promised' | 'none-in-time';
 
-/** Usually one request; several when identical reads share an attempt. */
+/** Usually one request; several if identical reads share an attempt. */
 export class Work {
   phase: WorkPhase = 'new';
   readonly members: Member[] = [];
-  /** Set when the work can be joined by identical reads. */
+  /** Set if identical reads can join the group. */
   coalesceKey: string | null = null;
-  /** Keyed services only. */
+  /** Shard of the key; `null` for services that aren't keyed. */
   shard: ShardId | null = null;
-  /** Revision of the configuration by which `shard` was found. */
+  /** Revision of the configuration from which `shard` was determined. */
   shardRevision: Revision = -1;
-  /** Shard whose work its answer is reported as; `null`: none, or its load was reported when it came. */
+  /** Shard to which the work of its answer is attributed; `null`: none, or the load was recorded on arrival. */
   loadName: ShardId | null = null;
-  /** That of its terms, or behind it and before the next one if its key is hot. */
+  /** Rank of its terms; if its key is hot, between that and the next rank. */
   rank: number;
-  /** When its first request came. */
+  /** Arrival time of its first request. */
   arrivedAt = 0;
-  /** When its caller first asked, as the time shows that it still gives: one that comes back has less of it. */
+  /** Estimated time of the caller's first try: a retry has a shorter deadline by the time already used. */
   askedAt = 0;
   lane: Lane | null = null;
   node: QueueNode<Work> | null = null;
-  /** What its answer was counted for on the router's link before it came; `null`: it isn't counted. */
+  /** Link capacity accounted for its answer in advance; `null`: none is. */
   linkAnswer: OpenAnswer | null = null;
-  /** When the bounded wait ends; `Infinity` until it first waits. */
+  /** End of the bounded wait; `Infinity` until the group first waits. */
   holdUntil = Number.POSITIVE_INFINITY;
   holdTimer: RouterTimer | null = null;
   policyHoldUntil: number | null = null;
   attempts = 0;
-  /** Attempts that reached an upstream, whatever it made of them. */
+  /** Number of attempts that reached an upstream, whatever their result. */
   sentAttempts = 0;
   attempt: Attempt | null = null;
-  /** An attempt ended without proof that it did not run. */
+  /** Whether an attempt ended without proof that it did not run. */
   mayHaveRun = false;
-  /** A caller was told that the deadline passed. */
+  /** Whether a member was refused because its deadline passed. */
   timedOut = false;
   claim: Claim | null = null;
   ledger: LedgerWord = 'not-needed';
-  /** Where the last attempt failed; others are tried first. */
+  /** Upstream of the last failed attempt; other upstreams are preferred. */
   avoid: UpstreamState | null = null;
 
-  /** It came when it was told to after a refusal, so it goes before those who come first. */
+  /** Whether the request arrived at its reserved retry time; it then goes ahead of first tries. */
   isExpected = false;
-  /** What it was told of its return when it was refused for want of room; `null`: it wasn't. */
+  /** Whether it got a reserved retry time when it was refused for lack of capacity; `null`: it wasn't refused for that. */
   returnWord: ReturnWord | null = null;
 
   constructor(
@@ -142,12 +142,12 @@
     return (this.members[0] as Member).request;
   }
 
-  /** Its service may have been declared non-repeatable while it waited. */
+  /** Evaluated anew each time, because its service may become non-repeatable while it waits. */
   get needsClaim(): boolean {
     return this.terms.route === null ? !this.service.definition.repeatable : this.terms.needsClaim;
   }
 
-  /** Whether it may be run again after an attempt that may have run. */
+  /** Whether the request may run again after an attempt that may have run. */
   get isRepeatable(): boolean {
     const repeatable = this.terms.route === null ? this.service.definition.repeatable : this.terms.repeatable;
     return this.claim === null && repeatable;
@@ -170,7 +170,7 @@
     );
   }
 
-  /** An attempt ended without proof that it did not run. */
+  /** Called when an attempt ended without proof that it did not run. */
   noteMayHaveRun(): void {
     this.mayHaveRun = true;
     for (const member of this.members) {
--- a/test/routing/load-reporter.test.ts
+++ b/test/routing/load-reporter.test.ts
@@ -2,14 +2,14 @@
 import fc from 'fast-check';
 import { LoadReporter } from '../../src/routing/load-reporter.js';
 
-const LIMIT = 65;
+const MAX_SHARDS = 65;
 
-function sumOf(works: readonly { readonly workMillis: number }[]): number {
-  return works.reduce((sum, { workMillis }) => sum + workMillis, 0);
+function sumOf(loads: readonly { readonly workMillis: number }[]): number {
+  return loads.reduce((sum, { workMillis }) => sum + workMillis, 0);
 }
 
 describe('load reporter', () => {
-  it('reports once a second what was worked on since', () => {
+  it('reports once per second the work since the last report', () => {
     const reporter = new LoadReporter();
     expect(reporter.take(0)).to.equal(null);
     reporter.add('a', 5);
@@ -23,26 +23,26 @@
     expect(reporter.take(2000)?.shards).to.deep.equal([]);
   });
 
-  it('names a bounded number of shards, whose work adds up to that of all but one sample', () => {
+  it('reports a bounded number of shards, whose total differs from the true total by one sample at most', () => {
     fc.assert(
       fc.property(
         fc.array(fc.integer({ min: 1, max: 10_000 }), { minLength: 1, maxLength: 500 }),
-        (works) => {
+        (loads) => {
           const reporter = new LoadReporter();
           reporter.take(0);
-          works.forEach((work, number) => {
-            reporter.add(`k${number}`, work);
+          loads.forEach((workMillis, number) => {
+            reporter.add(`k${number}`, workMillis);
           });
           const shards = reporter.take(1000)?.shards ?? [];
-          const total = works.reduce((sum, work) => sum + work, 0);
-          expect(shards.length).to.be.at.most(LIMIT);
+          const total = loads.reduce((sum, workMillis) => sum + workMillis, 0);
+          expect(shards.length).to.be.at.most(MAX_SHARDS);
           expect(Math.abs(sumOf(shards) - total)).to.be.at.most(total / 64 + 1e-6);
         },
       ),
     );
   });
 
-  it('gives each light shard its share over many reports', () => {
+  it('reports the true load of each light shard over many reports', () => {
     const reporter = new LoadReporter();
     reporter.take(0);
     const reported = new Map<string, number>();
--- a/test/routing/loaded-upstream.ts
+++ b/test/routing/loaded-upstream.ts
@@ -1,20 +1,20 @@
-/** An upstream of few slots with a short queue, in virtual time: first come, first served, and each answer reports its load. */
+/** A simulated upstream with few slots and a short FIFO queue, in virtual time; its answers report its load. */
 import type { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import type { RandomSource } from '../../src/dev/virtual/random-source.js';
 import type { AttemptResult } from '../../src/routing/types.js';
 
-/** How long a turn of slowness lasts, and how much longer work takes in it. */
-const SLOW_TURN_MILLIS = 400;
+/** Duration of a slow period, and the factor on the work that starts in it. */
+const SLOW_PERIOD_MILLIS = 400;
 const SLOW_FACTOR = 3;
 
 export interface LoadedUpstreamTraits {
   readonly slots: number;
   readonly queueLimit: number;
-  /** Mean of exponential times. */
+  /** Mean of the exponentially distributed work. */
   readonly workMillis: number;
-  /** Which of how many it is, and the share of them that are slow at a time; `null`: never slow. */
+  /** Index of this upstream, number of upstreams, and fraction of them that are slow at a time; `null`: never slow. */
   readonly slowTurn: { readonly number: number; readonly of: number; readonly share: number } | null;
-  /** `null`: it reports no load. */
+  /** Age of the reported loads; `null`: answers report no load. */
   readonly reportAgeMillis: number | null;
 }
 
@@ -25,7 +25,7 @@
 export class LoadedUpstream {
   readonly #waiting: WorkToDo[] = [];
   #busy = 0;
-  /** Loads since a moment, oldest first. */
+  /** Recent loads, oldest first. */
   readonly #loads: { readonly at: number; readonly load: number }[] = [];
 
   constructor(
@@ -38,20 +38,20 @@
     return this.traits.slots - this.#busy;
   }
 
-  take(work: WorkToDo): void {
+  take(request: WorkToDo): void {
     if (this.#busy + this.#waiting.length >= this.traits.slots + this.traits.queueLimit) {
-      work.done({ type: 'refused', refusal: 'overloaded', retryAfterMillis: null });
+      request.done({ type: 'refused', refusal: 'overloaded', retryAfterMillis: null });
       return;
     }
     if (this.#busy < this.traits.slots) {
-      this.#start(work);
+      this.#start(request);
     } else {
-      this.#waiting.push(work);
+      this.#waiting.push(request);
     }
-    this.#note();
+    this.#recordLoad();
   }
 
-  #start(work: WorkToDo): void {
+  #start(request: WorkToDo): void {
     this.#busy += 1;
     this.queue.after(this.random.exponential(this.traits.workMillis) * this.#slowness(), () => {
       this.#busy -= 1;
@@ -59,8 +59,8 @@
       if (next !== undefined) {
         this.#start(next);
       }
-      this.#note();
-      work.done({ type: 'answered', status: 200, load: this.#reported(), stored: null });
+      this.#recordLoad();
+      request.done({ type: 'answered', status: 200, load: this.#reportedLoad(), stored: null });
     });
   }
 
@@ -69,16 +69,16 @@
     if (slowTurn === null) {
       return 1;
     }
-    const first = Math.floor(this.queue.now / SLOW_TURN_MILLIS) % slowTurn.of;
+    const first = Math.floor(this.queue.now / SLOW_PERIOD_MILLIS) % slowTurn.of;
     const place = (slowTurn.number - first + slowTurn.of) % slowTurn.of;
     return place < slowTurn.of * slowTurn.share ? SLOW_FACTOR : 1;
   }
 
-  #note(): void {
+  #recordLoad(): void {
     this.#loads.push({ at: this.queue.now, load: this.#busy + this.#waiting.length });
   }
 
-  #reported(): number | null {
+  #reportedLoad(): number | null {
     const { reportAgeMillis } = this.traits;
     if (reportAgeMillis === null) {
       return null;
--- a/test/routing/numbered-table.test.ts
+++ b/test/routing/numbered-table.test.ts
@@ -1,4 +1,4 @@
-/** The table of numbered things against a `Map`. */
+/** Compares the numbered table with a `Map`. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { NumberedTable } from '../../src/routing/numbered-table.js';
@@ -13,7 +13,7 @@
 });
 
 describe('numbered table', () => {
-  it('holds what a map would', () => {
+  it('behaves like a map', () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 400 }), (steps) => {
         const table = new NumberedTable<string>();
--- a/test/routing/router-harness.ts
+++ b/test/routing/router-harness.ts
@@ -1,4 +1,4 @@
-/** Drives a router core in tests: a clock, a configuration, and the effects it gave. */
+/** Drives a router core in tests, with a clock and a configuration, and records its effects. */
 import type { ControlToRouter, RouterToControl } from '../../src/control/messages.js';
 import type { ClaimResult } from '../../src/ledger/types.js';
 import type { ServiceDefinition, UpstreamDefinition } from '../../src/model/service.js';
@@ -75,7 +75,7 @@
   return { definition, revision: 1, incarnation: `${id}-1` };
 }
 
-/** The only shard of a keyed service made by `service`. */
+/** The only shard of a keyed service created by `service`. */
 export function onlyShard(serviceName: string, owner: string | null, epoch: number): ShardRecord {
   const shard = `${serviceName}/all@1/0`;
   const incarnation = owner === null ? null : `${owner}-1`;
@@ -89,7 +89,7 @@
   /** All effects since the start. */
   readonly effects: RouterEffect[] = [];
   revision = 1;
-  /** Number that the next request gets. */
+  /** Number of the next request. */
   nextRequest = 1;
 
   constructor(config: RouterConfig = CONFIG) {
@@ -102,22 +102,22 @@
     return effects;
   }
 
-  /** Lets time pass without an input. */
+  /** Advances the clock without an input. */
   advance(millis: number): RouterEffect[] {
     this.now += millis;
     return this.step({ type: 'tick' });
   }
 
-  /** Lets time pass with a tick whenever the core asks for one; control answers each sync. */
+  /** Advances the clock with a tick at each deadline of the core; control answers each sync. */
   run(millis: number): RouterEffect[] {
     const end = this.now + millis;
-    const seen: RouterEffect[] = [];
+    const emitted: RouterEffect[] = [];
     while (this.now < end) {
       this.now = Math.min(end, Math.max(this.now + 1, this.core.nextDeadline()));
       const effects = this.step({ type: 'tick' });
-      seen.push(...effects, ...this.answerSyncs(effects));
+      emitted.push(...effects, ...this.answerSyncs(effects));
     }
-    return seen;
+    return emitted;
   }
 
   /** Starts with a configuration and a valid lease. */
@@ -126,14 +126,14 @@
     upstreams: readonly UpstreamRecord[],
     shards: readonly ShardRecord[] = [],
   ): this {
-    const stamp = this.askedStamp(this.step({ type: 'tick' }));
-    const undeclared = { routes: [], declaration: null, ranges: [], suspects: [] };
-    const snapshot: RoutingSnapshot = { revision: this.revision, services, upstreams, shards, ...undeclared };
+    const stamp = this.syncStamp(this.step({ type: 'tick' }));
+    const emptyParts = { routes: [], declaration: null, ranges: [], suspects: [] };
+    const snapshot: RoutingSnapshot = { revision: this.revision, services, upstreams, shards, ...emptyParts };
     this.respond(stamp, { snapshot });
     return this;
   }
 
-  /** Sends changes as a delta from the revision before. */
+  /** Sends changes as a delta from the previous revision. */
   change(changes: readonly RegistryChange[]): RouterEffect[] {
     const from = this.revision;
     this.revision += 1;
@@ -193,7 +193,7 @@
     return syncsIn(effects).flatMap((message) => this.respond(message.stamp));
   }
 
-  private askedStamp(effects: readonly RouterEffect[]): number {
+  private syncStamp(effects: readonly RouterEffect[]): number {
     return syncsIn(effects)[0]?.stamp ?? this.now;
   }
 }
@@ -205,7 +205,7 @@
   return effects.filter((effect): effect is EffectOf<Type> => effect.type === type);
 }
 
-/** Messages of one type that went to control. */
+/** Messages of one type sent to control. */
 export function sent<Type extends RouterToControl['type']>(
   effects: readonly RouterEffect[],
   type: Type,
--- a/test/routing/router-node.test.ts
+++ b/test/routing/router-node.test.ts
@@ -27,7 +27,7 @@
   return new RouterHarness().start([service('orders', { repeatable: false, ...changes })], upstreams);
 }
 
-/** The attempt which was sent last. */
+/** The latest attempt. */
 function lastAttempt(harness: RouterHarness): number {
   return only(harness.effects, 'dispatch').at(-1)?.attempt ?? 0;
 }
@@ -60,7 +60,7 @@
     expect(only(harness.effects, 'refuse')[0]?.retryAfterMillis).to.be.greaterThan(0);
   });
 
-  it('queues beyond the slots and goes on in order', () => {
+  it('queues requests beyond the slots and dispatches them in order', () => {
     const harness = unkeyed();
     for (let i = 0; i < 6; i++) {
       harness.request('web');
@@ -70,7 +70,7 @@
     expect(next.map((dispatch) => dispatch.request)).to.deep.equal([5]);
   });
 
-  it('retries elsewhere after a failed connection, and gives up with not-run once the budget is spent', () => {
+  it('retries elsewhere after a failed connection, and refuses with not-run once the retry budget is spent', () => {
     const harness = unkeyed({ retryBudget: 0 });
     harness.request('web');
     const refusal = refusalOf(harness.ended(lastAttempt(harness), { type: 'connect-failed' }));
@@ -79,7 +79,7 @@
 
   it('answers 504 with outcome unknown when the deadline passes in flight', () => {
     const harness = unkeyed();
-    // Before the attempt is overdue and another one is made.
+    // Shorter than the time after which the attempt is overdue and is repeated.
     harness.request('web', { deadlineMillis: 150 });
     const effects = harness.run(150);
     expect(refusalOf(effects)).to.deep.equal({
@@ -90,7 +90,7 @@
     expect(only(effects, 'cancel-attempt')).to.have.length(1);
   });
 
-  it('shares one attempt between identical reads, also when the first caller leaves', () => {
+  it('shares one attempt between identical reads, also when the first caller cancels', () => {
     const harness = unkeyed({ coalesce: true });
     harness.request('web', { target: '/a' });
     harness.request('web', { target: '/a' });
@@ -101,7 +101,7 @@
     expect(only(harness.ended(attempt), 'deliver')).to.deep.equal([{ type: 'deliver', request: 2, attempt }]);
   });
 
-  it('goes by news at once, and renews nothing by them', () => {
+  it('applies updates at once, without renewing the lease', () => {
     const harness = unkeyed();
     const changes = [{ type: 'service', name: 'web', record: null }] as const;
     harness.fromControl({ type: 'sync-news', delta: { from: 1, to: 2, changes } });
@@ -112,28 +112,28 @@
     );
   });
 
-  it('asks for everything when news begin after what it holds', () => {
+  it('requests a snapshot when an update starts after its own revision', () => {
     const harness = unkeyed();
     harness.now += 100;
     const effects = harness.fromControl({ type: 'sync-news', delta: { from: 5, to: 6, changes: [] } });
     expect(only(effects, 'send-control')[0]?.message).to.include({ type: 'sync-request', have: 0 });
   });
 
-  it('looks again as soon as the pause is over that an upstream asked for', () => {
+  it('dispatches again as soon as the back-off requested by an upstream ends', () => {
     const harness = new RouterHarness().start([service('web')], [upstream('u1', 'web')]);
     harness.request('web');
     const refused = { type: 'refused', refusal: 'overloaded', retryAfterMillis: 30 } as const;
     harness.ended(lastAttempt(harness), refused);
     const before = harness.now;
-    const sent = lastAttempt(harness);
-    while (lastAttempt(harness) === sent && harness.now < before + 200) {
+    const attempt = lastAttempt(harness);
+    while (lastAttempt(harness) === attempt && harness.now < before + 200) {
       harness.now = Math.max(harness.now + 1, harness.core.nextDeadline());
       harness.step({ type: 'tick' });
     }
     expect(harness.now - before).to.be.within(30, 31);
   });
 
-  it('sends nothing to an upstream once the operator said that it leaves', () => {
+  it('sends nothing to an upstream once the operator has marked it as leaving', () => {
     const harness = unkeyed();
     harness.change([{ type: 'upstream', id: 'u1', record: upstream('u1', 'web', { leaving: true }) }]);
     for (let i = 0; i < 4; i++) {
@@ -159,7 +159,7 @@
     });
   });
 
-  it('asks for a key', () => {
+  it('requires a key', () => {
     expect(refusalOf(keyed().request('sheets'))).to.deep.equal({
       status: 400,
       outcome: 'not-run',
@@ -168,7 +168,7 @@
   });
 
   for (const refusal of ['not-owner', 'stale-epoch', 'lease-over'] as const) {
-    it(`after ${refusal} asks control and holds until the owner changes`, () => {
+    it(`after ${refusal} syncs with control and holds the request until the owner changes`, () => {
       const harness = keyed();
       harness.request('sheets', { key: 'k' });
       harness.now += 30;
@@ -186,7 +186,7 @@
     });
   }
 
-  it('gives up after the hold limit when nobody owns the shard', () => {
+  it('refuses after the hold limit when the shard has no owner', () => {
     const harness = keyed();
     const record = onlyShard('sheets', null, 1);
     harness.change([{ type: 'shard', shard: record.shard, record }]);
@@ -213,7 +213,7 @@
     expect(sent(ended, 'settle-request')[0]).to.include({ outcome: 'ran', answer: stored });
   });
 
-  it('never repeats an attempt that broke', () => {
+  it('never repeats a broken attempt', () => {
     const harness = orders();
     harness.order('orders');
     harness.claimResult('r1/i1/1', { type: 'granted' });
@@ -227,7 +227,7 @@
     expect(only(harness.run(3000), 'dispatch')).to.have.length(0);
   });
 
-  it('dispatches nothing when the grant comes after the deadline', () => {
+  it('dispatches nothing when the claim is granted after the deadline', () => {
     const harness = orders();
     harness.order('orders');
     harness.now += 60_000;
--- a/test/routing/routes.test.ts
+++ b/test/routing/routes.test.ts
@@ -1,4 +1,4 @@
-/** Declared routes: which one takes a request, on what terms, and what becomes of what may not be repeated. */
+/** Declared routes: which one matches a request, on what terms, and how non-repeatable requests end. */
 import { expect } from 'chai';
 import type { RouteDefinition } from '../../src/model/declaration.js';
 import type { KeyRange } from '../../src/model/key-range.js';
@@ -46,7 +46,7 @@
     });
   }
 
-  it('forgets a route that goes, and keeps one that took its place', () => {
+  it('removes a route, and keeps one that has replaced it at the same prefix', () => {
     const changing = new RouteTable();
     changing.put('one', route('one'));
     changing.put('two', route('two'));
@@ -56,7 +56,7 @@
     expect(changing.find('menu.example', '/sheets/')).to.equal(undefined);
   });
 
-  it('divides requests by weight, closely over any 100 in a row, whatever it begins with', () => {
+  it('divides any 100 consecutive requests closely by weight, from any start position', () => {
     const split = [
       { service: 'a', weight: 70 },
       { service: 'b', weight: 30 },
@@ -64,26 +64,26 @@
     ];
     for (let seed = 1; seed <= 50; seed += 1) {
       const rotation = new SplitRotation(new Random(seed));
-      const taken = Array.from({ length: 1000 }, () => rotation.next(route('parts', { split })));
-      expect(taken).to.not.include('c');
-      for (let from = 0; from + 100 <= taken.length; from += 10) {
-        const share = taken.slice(from, from + 100).filter((name) => name === 'b').length / 100;
+      const chosen = Array.from({ length: 1000 }, () => rotation.next(route('parts', { split })));
+      expect(chosen).to.not.include('c');
+      for (let from = 0; from + 100 <= chosen.length; from += 10) {
+        const share = chosen.slice(from, from + 100).filter((name) => name === 'b').length / 100;
         expect(share, `seed ${seed}, from ${from}`).to.be.closeTo(0.3, 0.03);
       }
     }
   });
 
-  it('divides few requests of many routers by weight all together', () => {
+  it('divides few requests each of many routers by weight in total', () => {
     const split = [
       { service: 'a', weight: 90 },
       { service: 'b', weight: 10 },
     ];
     const random = new Random(7);
-    const taken = Array.from({ length: 1000 }, () => {
+    const chosen = Array.from({ length: 1000 }, () => {
       const rotation = new SplitRotation(random);
       return [rotation.next(route('parts', { split })), rotation.next(route('parts', { split }))];
     }).flat();
-    expect(taken.filter((name) => name === 'b').length / taken.length).to.be.closeTo(0.1, 0.03);
+    expect(chosen.filter((name) => name === 'b').length / chosen.length).to.be.closeTo(0.1, 0.03);
   });
 });
 
@@ -111,12 +111,12 @@
 }
 
 describe('requests by route', () => {
-  it('without a route are refused as unknown', () => {
+  it('are refused as unknown without a route', () => {
     const harness = harnessWith([route('sheets')], ['u1']);
     expect(only(send(harness, '/none/'), 'refuse')[0]).to.include({ status: 404, reason: 'unknown-route' });
   });
 
-  it('name the run that may take them, and wait no longer than the route says', () => {
+  it('are dispatched to one run only, with the deadline of the route', () => {
     const harness = harnessWith([route('sheets')], ['u1']);
     expect(only(send(harness, '/sheets/1'), 'dispatch')[0]).to.include({
       instance: 'u1',
@@ -132,7 +132,7 @@
     expect(only(effects, 'refuse')[0]).to.include({ status: 502, outcome: 'unknown' });
   });
 
-  it('are sent again after a proof that they did not run, as often as the route allows', () => {
+  it('are sent again after proof that they did not run, as often as the route allows', () => {
     const harness = harnessWith([route('orders', { repeatable: false, maxAttempts: 2 })], ['u1', 'u2']);
     const refused = { type: 'refused', refusal: 'overloaded', retryAfterMillis: null } as const;
     const first = only(send(harness, '/sheets/1'), 'dispatch')[0];
@@ -172,7 +172,7 @@
     expect(only(send(harness, '/sheets/1', '100'), 'dispatch')[0]?.instance).to.equal('u2');
   });
 
-  it('are refused if the key is no number in range', () => {
+  it('are refused if the key is not a number in range', () => {
     for (const key of ['65536', 'x', '-1', '']) {
       expect(only(send(keyed(), '/sheets/1', key), 'refuse')[0], key).to.include({ reason: 'key-required' });
     }
@@ -194,7 +194,7 @@
     expect(only(effects, 'dispatch')[0]?.instance).to.equal('u2');
   });
 
-  it('that wait for a busy owner go to the next one as soon as there is one', () => {
+  it('that wait for a busy owner go to the next owner as soon as there is one', () => {
     const harness = keyed();
     const isSent = (key: number): boolean =>
       only(send(harness, '/sheets/1', String(key)), 'dispatch').length > 0;
@@ -207,7 +207,7 @@
     expect(only(effects, 'dispatch')[0]?.instance).to.equal('u2');
   });
 
-  it('are refused at once while their owner is full, and told when it may have room', () => {
+  it('are refused at once while their owner is full, with a time at which it may have capacity', () => {
     const harness = keyed();
     const attempt = only(send(harness, '/sheets/1', '50'), 'dispatch')[0]?.attempt ?? 0;
     const full = { type: 'refused', refusal: 'overloaded', retryAfterMillis: null, load: 14 } as const;
@@ -222,7 +222,7 @@
     expect(only(send(harness, '/sheets/1', '100'), 'dispatch')).to.have.length(1);
   });
 
-  it('keep their attempt when the range loses its owner: it is asked to finish', () => {
+  it('keep their attempt when the range loses its owner, which may still finish it', () => {
     const harness = keyed();
     const attempt = only(send(harness, '/sheets/1', '50'), 'dispatch')[0]?.attempt ?? 0;
     harness.change([range(0, 99, null, 6)]);
@@ -233,7 +233,7 @@
 });
 
 describe('load of numeric keys', () => {
-  /** A router of a service whose keys one upstream owns. */
+  /** A router with a service whose keys are all owned by one upstream. */
   function ownedByOne(): RouterHarness {
     const keyspaces = [{ name: 'numbers', kind: 'range', match: '', shards: 0 }] as const;
     const harness = new RouterHarness().start(
@@ -248,25 +248,25 @@
     return harness;
   }
 
-  it('counts requests that were refused, and not the time that others waited at their owner', () => {
+  it('includes refused requests, and excludes the time that requests waited at their owner', () => {
     const harness = ownedByOne();
     const [first] = only(send(harness, '/sheets/1', '7'), 'dispatch');
     harness.now += 60;
     harness.ended(first?.attempt ?? 0, ANSWERED);
     harness.run(1700);
-    const sentNow = Array.from({ length: 30 }, () => send(harness, '/sheets/1', '8')).flat();
-    for (const { attempt } of only(sentNow, 'dispatch')) {
+    const burst = Array.from({ length: 30 }, () => send(harness, '/sheets/1', '8')).flat();
+    for (const { attempt } of only(burst, 'dispatch')) {
       harness.now += 100;
       harness.ended(attempt, ANSWERED);
     }
-    const reports = [...sentNow, ...harness.advance(1000)];
-    const works = sent(reports, 'load-report').flatMap(({ shards }) => shards);
-    const ofKey = works.filter(({ shard }) => shard === 'menu/numbers@0/8');
+    const reports = [...burst, ...harness.advance(1000)];
+    const loads = sent(reports, 'load-report').flatMap(({ shards }) => shards);
+    const ofKey = loads.filter(({ shard }) => shard === 'menu/numbers@0/8');
     const sum = ofKey.reduce((total, { workMillis }) => total + workMillis, 0);
     expect(sum).to.be.closeTo(30 * 60, 1);
   });
 
-  it('is reported at once while requests wait for an owner, and by key', () => {
+  it('is reported by key, at once while requests wait for an owner', () => {
     const harness = ownedByOne();
     harness.run(1700);
     const [early] = only(send(harness, '/sheets/1', '7'), 'dispatch');
@@ -274,11 +274,11 @@
     harness.ended(early?.attempt ?? 0, ANSWERED);
     const effects = [0, 1, 2, 3, 4].flatMap((number) => send(harness, '/sheets/1', String(number)));
     const [report] = sent(effects, 'load-report');
-    const works = new Map(report?.shards.map(({ shard, workMillis }) => [shard, workMillis]));
-    // What arrived before the first wait counts, at the owner's own speed once that was measured.
-    expect(works.get('menu/numbers@0/7')).to.equal(10);
-    expect(works.size).to.be.at.least(3);
-    for (const [shard, workMillis] of works) {
+    const workByShard = new Map(report?.shards.map(({ shard, workMillis }) => [shard, workMillis]));
+    // Requests that arrived before the first wait are included, at the owner's speed once that was measured.
+    expect(workByShard.get('menu/numbers@0/7')).to.equal(10);
+    expect(workByShard.size).to.be.at.least(3);
+    for (const [shard, workMillis] of workByShard) {
       expect(workMillis, shard).to.equal(shard === 'menu/numbers@0/7' ? 10 : 60);
     }
   });
--- a/test/routing/timer-heap.test.ts
+++ b/test/routing/timer-heap.test.ts
@@ -1,4 +1,4 @@
-/** The timer heap against a list that is sorted each time. */
+/** Compares the timer heap with a list that is sorted on each step. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { type Timer, TimerHeap } from '../../src/routing/timer-heap.js';
@@ -14,45 +14,45 @@
   fc.record({ type: fc.constant('take' as const), now: fc.integer({ min: 0, max: 20 }) }),
 );
 
-/** What waits, in the order in which it has to come out. */
-function inOrder(waiting: ReadonlySet<Timer<number>>): Timer<number>[] {
-  return [...waiting].sort((one, other) => one.at - other.at || one.sequence - other.sequence);
+/** Pending timers in the order in which the heap must return them. */
+function inOrder(pending: ReadonlySet<Timer<number>>): Timer<number>[] {
+  return [...pending].sort((one, other) => one.at - other.at || one.sequence - other.sequence);
 }
 
 describe('timer heap', () => {
-  it('gives timers in order of time and then of arrival, and none that was cancelled', () => {
+  it('returns timers in order of time and then of insertion, and no cancelled ones', () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 120 }), (steps) => {
         const heap = new TimerHeap<number>();
         const all: Timer<number>[] = [];
-        const waiting = new Set<Timer<number>>();
+        const pending = new Set<Timer<number>>();
         for (const action of steps) {
           if (action.type === 'schedule') {
             const timer = heap.schedule(action.at, all.length);
             all.push(timer);
-            waiting.add(timer);
+            pending.add(timer);
           } else if (action.type === 'cancel') {
             const timer = all[action.index];
             if (timer !== undefined) {
               heap.cancel(timer);
-              waiting.delete(timer);
+              pending.delete(timer);
             }
           } else {
-            const expected = inOrder(waiting)[0];
+            const expected = inOrder(pending)[0];
             const due = expected !== undefined && expected.at <= action.now ? expected : undefined;
             expect(heap.takeDue(action.now)).to.equal(due);
             if (due !== undefined) {
-              waiting.delete(due);
+              pending.delete(due);
             }
           }
-          expect(heap.size).to.equal(waiting.size);
-          expect(heap.nextAt()).to.equal(inOrder(waiting)[0]?.at ?? Number.POSITIVE_INFINITY);
+          expect(heap.size).to.equal(pending.size);
+          expect(heap.nextAt()).to.equal(inOrder(pending)[0]?.at ?? Number.POSITIVE_INFINITY);
         }
       }),
     );
   });
 
-  it('lets go of a cancelled timer at once', () => {
+  it('removes a cancelled timer at once', () => {
     const heap = new TimerHeap<string>();
     const timers = Array.from({ length: 100 }, (_, at) => heap.schedule(at, 'request'));
     for (const timer of timers) {
--- a/test/routing/uneven-fleet.ts
+++ b/test/routing/uneven-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Router cores of two zones, the core that learns speeds and room, and upstreams of unequal speed on one virtual clock. What is counted
- * are answers to callers and arrivals at upstreams, never what routers think.
+ * Router cores in two zones, the control core that collects speeds and capacity, and upstreams of unequal speed on one virtual clock.
+ * Results count answers to callers and arrivals at upstreams, not the state of routers.
  */
 import { FleetRoom } from '../../src/control/fleet-room/fleet-room.js';
 import type { ControlToRouter, FleetNews, RouterToControl } from '../../src/control/messages.js';
@@ -20,11 +20,11 @@
 } from './uneven-upstream.js';
 
 const SERVICE = 'menu';
-const NEAR_MILLIS = 1;
-const FAR_MILLIS = 2;
-const CONTROL_MILLIS = 2;
-const WORK_MILLIS = 630;
-/** Spread of the logarithm of the work. */
+const SAME_ZONE_DELAY_MILLIS = 1;
+const OTHER_ZONE_DELAY_MILLIS = 2;
+const CONTROL_DELAY_MILLIS = 2;
+const MEAN_WORK_MILLIS = 630;
+/** Standard deviation of the logarithm of the work. */
 const WORK_SIGMA = 0.25;
 const TARGET_MILLIS = 2000;
 const TIMEOUT_MILLIS = 8000;
@@ -32,64 +32,64 @@
 
 export type UnevenSabotage =
   | 'none'
-  /** What the fleet measured of speeds is not believed. */
+  /** Routers get no measured speeds. */
   | 'speeds-ignored'
-  /** What control said holds for ever. */
+  /** Spill plans of control never expire. */
   | 'spill-never-lapses';
 
 export interface UnevenOptions {
   readonly seed: number;
-  /** Routers of each zone; 4 if left out. */
+  /** Routers per zone; 4 if left out. */
   readonly routersPerZone?: number;
-  /** Upstreams of each zone; 6 if left out. */
+  /** Upstreams per zone; 6 if left out. */
   readonly upstreamsPerZone?: number;
-  /** Speeds of a zone's upstreams in turn; their mean is 1. */
+  /** Speeds of a zone's upstreams, repeated cyclically; their mean is 1. */
   readonly speeds?: readonly number[];
-  /** Demand of a zone at a time, as a part of what its own upstreams can do. */
+  /** Demand of a zone at a time, as a fraction of the capacity of its own upstreams. */
   readonly demand: (zone: FleetZone, millis: number) => number;
   readonly millis: number;
-  /** Nothing is counted before; 10 s if left out. */
+  /** Requests before this time aren't counted; 10 s if left out. */
   readonly countFromMillis?: number;
   readonly picker?: PickerName;
-  /** Factor on the time of work that begins now; 1 if left out. */
+  /** Factor on the time of work that starts now; 1 if left out. */
   readonly slowness?: Slowness;
-  /** Whether an upstream is gone. */
+  /** Whether an upstream is lost. */
   readonly isLost?: (zone: FleetZone, index: number, millis: number) => boolean;
-  /** Nothing goes from one zone to the other. */
+  /** Whether the zones can't reach each other. */
   readonly isZoneCut?: (millis: number) => boolean;
-  /** No member leads in these spans; the next leader starts empty. */
+  /** Intervals without a leader; the next leader starts without state. */
   readonly leaderless?: readonly { readonly from: number; readonly to: number }[];
-  /** Share of the routers that control can't be reached by in this span. */
+  /** Interval in which this fraction of the routers can't reach control. */
   readonly cut?: { readonly from: number; readonly to: number; readonly share: number };
-  /** Times at which a router starts again without memory. */
+  /** Times at which a router restarts without state. */
   readonly restarts?: readonly { readonly at: number; readonly router: number }[];
-  /** Each report comes twice, the second time late. */
+  /** Each report arrives twice, the second time late. */
   readonly doubledReports?: boolean;
-  /** Routers that neither report nor are told, as older ones. */
+  /** Routers neither send reports nor get updates, like older versions. */
   readonly isWithoutControl?: boolean;
   readonly sabotage?: UnevenSabotage;
 }
 
 export interface ZoneResult {
   readonly arrived: number;
-  /** Share of what arrived that was answered within its target. */
+  /** Fraction of the arrived requests that was answered within the target time. */
   readonly inTime: number;
   readonly refused: number;
-  /** Share of what was sent that went to the other zone. */
+  /** Fraction of the attempts that went to the other zone. */
   readonly across: number;
 }
 
 export interface UnevenResult {
   readonly zones: Readonly<Record<FleetZone, ZoneResult>>;
   readonly inTime: number;
-  /** Share of all that was sent to another zone. */
+  /** Fraction of all attempts that went to the other zone. */
   readonly across: number;
-  /** Share in time by one queue over all slots, the fastest free one first. */
+  /** Fraction in time with one ideal queue over all slots that uses the fastest free slot first. */
   readonly oneQueue: number;
-  /** Requests that each upstream worked on. */
+  /** Number of requests served by each upstream. */
   readonly served: readonly number[];
-  /** Messages of control about speeds and room, and their entries. */
-  readonly told: { readonly messages: number; readonly entries: number };
+  /** Number of messages from control about speeds and capacity, and of their entries. */
+  readonly controlUpdates: { readonly messages: number; readonly entries: number };
 }
 
 interface Call {
@@ -228,12 +228,12 @@
 
   #arriveNext(zone: FleetZone, random: RandomSource): void {
     const { upstreamsPerZone = 6, millis, demand } = this.#options;
-    const perMilli = (demand(zone, this.#time.now) * upstreamsPerZone * SLOTS) / WORK_MILLIS;
+    const perMilli = (demand(zone, this.#time.now) * upstreamsPerZone * SLOTS) / MEAN_WORK_MILLIS;
     this.#time.after(random.exponential(1 / Math.max(1e-6, perMilli)), () => {
       if (this.#time.now >= millis) {
         return;
       }
-      const arrival = { at: this.#time.now, zone, work: random.logNormal(WORK_MILLIS, WORK_SIGMA) };
+      const arrival = { at: this.#time.now, zone, work: random.logNormal(MEAN_WORK_MILLIS, WORK_SIGMA) };
       this.#arrivals.push(arrival);
       const peers = this.#routers.filter((router) => router.zone === zone);
       this.#call(random.pick(peers), arrival);
@@ -247,7 +247,7 @@
     router.calls.set(router.harness.nextRequest, { arrival, counts });
     const place = { host: 'menu.example', path: '/' };
     router.harness.now = this.#time.now;
-    this.#carryOut(router, router.harness.request('', { place, deadlineMillis: TIMEOUT_MILLIS }));
+    this.#applyEffects(router, router.harness.request('', { place, deadlineMillis: TIMEOUT_MILLIS }));
   }
 
   #isCounted({ at }: Arrival): boolean {
@@ -264,12 +264,12 @@
       if (router.tickAt === this.#time.now && this.#routers[router.index] === router) {
         router.tickAt = Number.POSITIVE_INFINITY;
         router.harness.now = Math.max(router.harness.now, this.#time.now);
-        this.#carryOut(router, router.harness.step({ type: 'tick' }));
+        this.#applyEffects(router, router.harness.step({ type: 'tick' }));
       }
     });
   }
 
-  #carryOut(router: FleetRouter, effects: readonly RouterEffect[]): void {
+  #applyEffects(router: FleetRouter, effects: readonly RouterEffect[]): void {
     router.harness.effects.length = 0;
     for (const effect of effects) {
       switch (effect.type) {
@@ -294,8 +294,8 @@
     router.calls.delete(request);
     if (call?.counts) {
       const tally = this.#counts[call.arrival.zone];
-      const took = this.#time.now - call.arrival.at;
-      tally.inTime += isDelivered && took <= TARGET_MILLIS ? 1 : 0;
+      const tookMillis = this.#time.now - call.arrival.at;
+      tally.inTime += isDelivered && tookMillis <= TARGET_MILLIS ? 1 : 0;
       tally.refused += isDelivered ? 0 : 1;
     }
   }
@@ -308,16 +308,16 @@
       this.#counts[router.zone].sent += 1;
       this.#counts[router.zone].across += isFar ? 1 : 0;
     }
-    const way = isFar ? FAR_MILLIS : NEAR_MILLIS;
+    const delayMillis = isFar ? OTHER_ZONE_DELAY_MILLIS : SAME_ZONE_DELAY_MILLIS;
     const end = (result: Parameters<RouterHarness['ended']>[1]): void => {
-      this.#time.after(way, () => {
+      this.#time.after(delayMillis, () => {
         if (this.#routers[router.index] === router) {
           router.harness.now = this.#time.now;
-          this.#carryOut(router, router.harness.ended(effect.attempt, result));
+          this.#applyEffects(router, router.harness.ended(effect.attempt, result));
         }
       });
     };
-    this.#time.after(way, () => {
+    this.#time.after(delayMillis, () => {
       if (isFar && this.#options.isZoneCut?.(this.#time.now)) {
         end({ type: 'connect-failed' });
         return;
@@ -326,12 +326,12 @@
         end({ type: 'connect-failed', refused: true });
         return;
       }
-      const work = call?.arrival.work ?? WORK_MILLIS;
-      const isTaken = target.take({
+      const work = call?.arrival.work ?? MEAN_WORK_MILLIS;
+      const isAccepted = target.enqueue({
         work,
         answer: (load) => end({ type: 'answered', status: 200, load, stored: null }),
       });
-      if (!isTaken) {
+      if (!isAccepted) {
         end({ type: 'refused', refusal: 'overloaded', retryAfterMillis: null, load: target.load });
       }
     });
@@ -363,7 +363,7 @@
   }
 
   #report(router: FleetRouter, report: Extract<RouterToControl, { type: 'load-report' }>): void {
-    this.#time.after(CONTROL_MILLIS, () => {
+    this.#time.after(CONTROL_DELAY_MILLIS, () => {
       const answer = this.#answerTo(router, report);
       if (answer !== null) {
         this.#messages += 1;
@@ -392,10 +392,10 @@
   }
 
   #toRouter(router: FleetRouter, message: ControlToRouter): void {
-    this.#time.after(CONTROL_MILLIS, () => {
+    this.#time.after(CONTROL_DELAY_MILLIS, () => {
       if (!router.isCut && this.#routers[router.index] === router) {
         router.harness.now = Math.max(router.harness.now, this.#time.now);
-        this.#carryOut(router, router.harness.fromControl(message));
+        this.#applyEffects(router, router.harness.fromControl(message));
       }
     });
   }
@@ -417,7 +417,7 @@
       across: (a.across + b.across) / Math.max(1, a.sent + b.sent),
       oneQueue: this.#oneQueue(),
       served: this.#upstreams.map(({ served }) => served),
-      told: { messages: this.#messages, entries: this.#entries },
+      controlUpdates: { messages: this.#messages, entries: this.#entries },
     };
   }
 
@@ -425,8 +425,8 @@
     const { slowness = () => 1 } = this.#options;
     const ends = oneQueueEnds(this.#arrivals, this.#upstreams, slowness);
     const counted = this.#arrivals.flatMap((arrival, index) =>
-      this.#isCounted(arrival) ? [(ends[index] as number) + 2 * NEAR_MILLIS - arrival.at] : [],
+      this.#isCounted(arrival) ? [(ends[index] as number) + 2 * SAME_ZONE_DELAY_MILLIS - arrival.at] : [],
     );
-    return counted.filter((took) => took <= TARGET_MILLIS).length / Math.max(1, counted.length);
+    return counted.filter((millis) => millis <= TARGET_MILLIS).length / Math.max(1, counted.length);
   }
 }
--- a/test/routing/uneven-rows.test.ts
+++ b/test/routing/uneven-rows.test.ts
@@ -1,14 +1,14 @@
 /**
- * Two zones with 8 routers and 12 upstreams, demand as a part of what each zone's own can do. What the fleet owes its callers: nearly what
- * one queue over all slots would serve in time, the fastest free one first, and next to nothing across zones beyond what has to cross.
+ * Two zones with 8 routers and 12 upstreams; demand is a fraction of each zone's own capacity. Nearly as many requests must be answered in
+ * time as by one ideal queue over all slots that uses the fastest free slot first, and almost none may go to the other zone without need.
  */
 import { expect } from 'chai';
 import { UnevenFleet, type UnevenResult } from './uneven-fleet.js';
 
-/** In time, and across, within this of the best there is. */
+/** Allowed difference from the ideal fractions of requests in time and across zones. */
 const TOLERANCE = 0.03;
 const SEEDS = [1, 2, 3, 4];
-const ALIKE = [1];
+const EVEN = [1];
 const UNEVEN = [0.7, 0.7, 1.6];
 
 interface Row {
@@ -29,11 +29,11 @@
 function expectNearBest(row: Row): void {
   const runs = runsOf(row);
   const best = meanOf(runs, ({ oneQueue }) => oneQueue);
-  const needed = Math.max(0, row.a - 1, row.b - 1) / (row.a + row.b);
+  const neededAcross = Math.max(0, row.a - 1, row.b - 1) / (row.a + row.b);
   expect(
     meanOf(runs, ({ across }) => across),
     'across',
-  ).to.be.at.most(needed + TOLERANCE);
+  ).to.be.at.most(neededAcross + TOLERANCE);
   expect(
     meanOf(runs, ({ inTime }) => inTime),
     'in time',
@@ -43,10 +43,10 @@
 describe('two zones with uneven demand and upstreams', function () {
   this.timeout(60_000);
   const rows: readonly Row[] = [
-    { a: 0.6, b: 0.6, speeds: ALIKE },
+    { a: 0.6, b: 0.6, speeds: EVEN },
     { a: 0.6, b: 0.6, speeds: UNEVEN },
     { a: 0.8, b: 0.8, speeds: UNEVEN },
-    { a: 1.1, b: 0.5, speeds: ALIKE },
+    { a: 1.1, b: 0.5, speeds: EVEN },
     { a: 1.1, b: 0.5, speeds: UNEVEN },
   ];
   for (const row of rows) {
--- a/test/routing/uneven-upstream.ts
+++ b/test/routing/uneven-upstream.ts
@@ -1,4 +1,4 @@
-/** Upstreams of unequal speed with a queue before their slots, and what one queue before all slots would do. */
+/** Simulated upstreams of unequal speed with a queue before their slots, and an ideal single queue before all slots. */
 import type { EventQueue } from '../../src/dev/virtual/event-queue.js';
 
 export const SLOTS = 4;
@@ -6,7 +6,7 @@
 
 export type FleetZone = 'a' | 'b';
 
-/** Factor on the time of work that begins at an upstream at a time. */
+/** Factor on the time of work that starts at an upstream at a given time. */
 export type Slowness = (upstream: number, millis: number) => number;
 
 export interface Arrival {
@@ -15,14 +15,14 @@
   readonly work: number;
 }
 
-interface Waiting {
+interface QueuedRequest {
   readonly work: number;
   readonly answer: (load: number) => void;
 }
 
 export class FleetUpstream {
   #busy = 0;
-  readonly #queue: Waiting[] = [];
+  readonly #queue: QueuedRequest[] = [];
   served = 0;
 
   constructor(
@@ -38,22 +38,22 @@
     return this.#busy + this.#queue.length;
   }
 
-  /** `false`: it is full. */
-  take(waiting: Waiting): boolean {
+  /** Returns `false` if the upstream is full. */
+  enqueue(request: QueuedRequest): boolean {
     if (this.load >= SLOTS + QUEUE_LIMIT) {
       return false;
     }
-    this.#queue.push(waiting);
+    this.#queue.push(request);
     this.#startNext();
     return true;
   }
 
   #startNext(): void {
     while (this.#busy < SLOTS && this.#queue.length > 0) {
-      const { work, answer } = this.#queue.shift() as Waiting;
+      const { work, answer } = this.#queue.shift() as QueuedRequest;
       this.#busy += 1;
-      const took = (work / this.speed) * this.slowness(this.index, this.time.now);
-      this.time.after(took, () => {
+      const durationMillis = (work / this.speed) * this.slowness(this.index, this.time.now);
+      this.time.after(durationMillis, () => {
         this.#busy -= 1;
         this.served += 1;
         this.#startNext();
@@ -63,7 +63,10 @@
   }
 }
 
-/** When one queue before all slots would be done with each arrival, the fastest free one first. Nobody can do better without knowing what is to come. */
+/**
+ * End time of each arrival with one queue before all slots that uses the fastest free slot first. No policy without knowledge of
+ * future arrivals does better.
+ */
 export function oneQueueEnds(
   arrivals: readonly Arrival[],
   upstreams: readonly FleetUpstream[],
