--- a/src/routing/request-intake.ts
+++ b/src/routing/request-intake.ts
@@ -168,8 +168,8 @@
 
   /** Refuses waiting requests that are newly quarantined. Requests already sent may still succeed and be cleared by that. */
   refuseQuarantined(): void {
-    for (const { lanes, held, claiming } of this.context.services.values()) {
-      for (const group of [...lanes.allWork(), ...held, ...claiming]) {
+    for (const { lanes: queues, held, claiming } of this.context.services.values()) {
+      for (const group of [...queues.allWork(), ...held, ...claiming]) {
         if (this.context.crashes.isRefused(group.request)) {
           this.answers.refuseQuarantined(group);
         }
--- a/src/routing/router-node.ts
+++ b/src/routing/router-node.ts
@@ -377,7 +377,7 @@
     const { services, view, hasRefusedAtOwner } = this.context;
     return (
       hasRefusedAtOwner ||
-      [...services.values()].some(({ name, lanes }) => lanes.length > 0 && view.hasRanges(name))
+      [...services.values()].some(({ name, lanes: queues }) => queues.length > 0 && view.hasRanges(name))
     );
   }
 
