--- a/src/routing/attempt-evidence.ts
+++ b/src/routing/attempt-evidence.ts
@@ -9,9 +9,9 @@
 /** Pause of an upstream that refused for overload, in addition to any back-off that the upstream requests itself. */
 const OVERLOAD_PAUSE_MILLIS = 20;
 const PAUSE_JITTER = 0.5;
-/** A missed deadline counts as a failure of the upstream only if the attempt lasted at least this many service times, */
+/** A missed deadline counts as a failure of the upstream only if the attempt lasted at least this many service times. */
 const SLOW_ATTEMPT_FACTOR = 5;
-/** and at least this long, or half of the service's own deadline if that is less: callers may set very short deadlines. */
+/** Minimum for that duration, or half of the service's own deadline if that is less: callers may set very short deadlines. */
 const MIN_SLOW_MILLIS = 200;
 const FIRST_SERVER_ERROR = 500;
 
@@ -90,7 +90,7 @@
   }
 
   private countAnswer(attempt: Attempt, status: number, { tookMillis, load }: AnswerSample): void {
-    this.countForFleet(attempt, status, { tookMillis, load });
+    this.recordForFleet(attempt, status, { tookMillis, load });
     const { upstream, work: group } = attempt;
     if (group.loadName !== null) {
       this.context.reporter.add(group.loadName, tookMillis);
@@ -110,7 +110,7 @@
    * allows: at an upstream that is never idle no request finds a free slot, and its speed matters most there. Failures are left out because
    * they don't reflect speed, and cold upstreams because they are slow anyway.
    */
-  private countForFleet(
+  private recordForFleet(
     { upstream, work: group, foundFreeSlot }: Attempt,
     status: number,
     sample: AnswerSample,
@@ -148,8 +148,8 @@
     const { now } = this.context;
     const { upstream, work: group } = attempt;
     const { service } = group;
-    const ejected = upstream.ejection.failed(now, service.ejectedCount(now), service.upstreams.length);
-    if (ejected) {
+    const isEjected = upstream.ejection.failed(now, service.ejectedCount(now), service.upstreams.length);
+    if (isEjected) {
       this.context.emit({
         type: 'log',
         level: 'warn',
--- a/src/routing/claim-flow.ts
+++ b/src/routing/claim-flow.ts
@@ -95,7 +95,7 @@
       return;
     }
     if (claim.state !== 'asked') {
-      this.answeredLate(claim, response.result);
+      this.onLateAnswer(claim, response.result);
       return;
     }
     if (response.result === null) {
@@ -179,7 +179,7 @@
   }
 
   /** Settles again if the claim was granted only after its settlement, which overtook it, had been acknowledged. */
-  private answeredLate(claim: Claim, result: ClaimResult | null): void {
+  private onLateAnswer(claim: Claim, result: ClaimResult | null): void {
     if (claim.state === 'lingering' && result !== null && isGranted(result, claim)) {
       claim.state = 'settling';
       claim.settlingSince = this.context.now;
--- a/src/routing/crash-watch.ts
+++ b/src/routing/crash-watch.ts
@@ -80,10 +80,10 @@
     if (this.#hasNoSuspects()) {
       return false;
     }
-    const known = this.#context.view.suspect(fingerprint);
+    const suspect = this.#context.view.suspect(fingerprint);
     const own = this.#accusations.get(fingerprint)?.size ?? 0;
-    const needed = known?.needed ?? DEFAULT_QUARANTINE_TERMS.crashes;
-    return known?.quarantinedAt != null || (known?.crashes ?? 0) + own >= needed;
+    const needed = suspect?.needed ?? DEFAULT_QUARANTINE_TERMS.crashes;
+    return suspect?.quarantinedAt != null || (suspect?.crashes ?? 0) + own >= needed;
   }
 
   /** Milliseconds until a quarantined request may be retried: the rest of its quarantine. */
@@ -164,8 +164,8 @@
     this.#scheduleReport(REPORT_RETRY_MILLIS);
   }
 
-  #recordBroken(attempt: Attempt, byUpstream: boolean): void {
-    if (byUpstream) {
+  #recordBroken(attempt: Attempt, isByUpstream: boolean): void {
+    if (isByUpstream) {
       this.runs.connectionBroke(attempt);
     } else {
       this.runs.leftUnanswered(attempt, false);
@@ -196,9 +196,9 @@
       return;
     }
     this.#accusations.delete(fingerprint);
-    const known = this.#context.view.suspect(fingerprint);
-    if (known !== undefined && this.#cleared.size < MAX_UNCONFIRMED) {
-      this.#cleared.set(fingerprint, known.revision);
+    const suspect = this.#context.view.suspect(fingerprint);
+    if (suspect !== undefined && this.#cleared.size < MAX_UNCONFIRMED) {
+      this.#cleared.set(fingerprint, suspect.revision);
       this.#scheduleReport(0);
     }
   }
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -106,12 +106,12 @@
 
   /** Reassigns waiting groups to queues after keys were mapped to other shards. */
   relocate(service: ServiceState): void {
-    const waiting = service.lanes.allWork();
-    for (const group of waiting) {
+    const waitingGroups = service.lanes.allWork();
+    for (const group of waitingGroups) {
       service.lanes.remove(group);
       group.phase = 'new';
     }
-    for (const group of waiting) {
+    for (const group of waitingGroups) {
       if (this.locate(group)) {
         this.enqueue(group, 'back');
       }
@@ -172,11 +172,11 @@
       return;
     }
     const order = service.turnOrder(this.context.now);
-    let progress = true;
-    while (progress && upstream.hasSlot(this.context.now, TOP_RANK)) {
-      progress = false;
+    let hasProgress = true;
+    while (hasProgress && upstream.hasSlot(this.context.now, TOP_RANK)) {
+      hasProgress = false;
       for (const shardQueue of service.lanes.inTurn(upstream.id, order)) {
-        progress = this.drainOne(service, shardQueue) || progress;
+        hasProgress = this.drainOne(service, shardQueue) || hasProgress;
       }
     }
     this.scheduleWake(service);
@@ -185,15 +185,15 @@
   /** For a rate-limited upstream: dispatches the most important groups first, and among equals the one with the least time left. */
   private drainLimited(service: ServiceState, upstream: UpstreamState): void {
     const order = { ...service.turnOrder(this.context.now), byDeadline: true };
-    let progress = true;
-    while (progress && upstream.hasSlot(this.context.now, TOP_RANK)) {
+    let hasProgress = true;
+    while (hasProgress && upstream.hasSlot(this.context.now, TOP_RANK)) {
       const shardQueues = service.lanes.inTurn(upstream.id, order);
       const heads = shardQueues.flatMap(({ queue }) => queue.peek(order) ?? []);
       const first = heads.reduce<Work | undefined>(
         (best, group) => (best === undefined || compareSlack(group, best, true) < 0 ? group : best),
         undefined,
       );
-      progress = first !== undefined && this.place(first) !== 'waits';
+      hasProgress = first !== undefined && this.place(first) !== 'waits';
     }
     this.scheduleWake(service);
   }
--- a/src/routing/link-gate.ts
+++ b/src/routing/link-gate.ts
@@ -67,12 +67,12 @@
     this.#isWaking = false;
     this.#dropReleased();
     let ahead = 0;
-    for (const waiting of this.#waiting) {
-      const { group, bytes } = waiting;
+    for (const held of this.#waiting) {
+      const { group, bytes } = held;
       const waitMillis = this.#capacity.waitMillis(ahead, context.now);
       if (waitMillis <= 0) {
         group.service.held.delete(group);
-        this.#start(waiting);
+        this.#start(held);
       } else if (waitMillis > group.deadline - context.now - this.#serviceAndTransferMillis(group, bytes)) {
         answers.refuseWork(group, 'link-full', retryAfterAtLeast(waitMillis, context.random));
       } else {
@@ -131,11 +131,11 @@
     dispatcher.admit(group);
   }
 
-  #hold(waiting: HeldGroup, place: number): void {
-    const { group } = waiting;
+  #hold(held: HeldGroup, place: number): void {
+    const { group } = held;
     group.phase = 'held';
     group.service.held.add(group);
-    this.#waiting.splice(place, 0, waiting);
+    this.#waiting.splice(place, 0, held);
     this.#scheduleWake();
   }
 
@@ -171,6 +171,6 @@
   return terms.route ?? service.name;
 }
 
-function sumOf(waiting: readonly HeldGroup[]): number {
-  return waiting.reduce((sum, { bytes }) => sum + bytes, 0);
+function sumOf(groups: readonly HeldGroup[]): number {
+  return groups.reduce((sum, { bytes }) => sum + bytes, 0);
 }
--- a/test/routing/crash-watch.test.ts
+++ b/test/routing/crash-watch.test.ts
@@ -4,7 +4,7 @@
 import type { AttemptResult, RouterEffect, RunCheck } from '../../src/routing/types.js';
 import { ANSWERED, CONFIG, only, RouterHarness, sent, service, upstream } from './router-harness.js';
 
-const GUILTY = 'f'.repeat(32);
+const CRASHING = 'f'.repeat(32);
 const OTHER = 'e'.repeat(32);
 const BROKEN: AttemptResult = { type: 'broken', how: 'closed' };
 /** Longer than the delay before a run is checked, and than the delay before it is checked again. */
@@ -14,7 +14,7 @@
 
 function suspect(changes: Partial<CrashSuspect> = {}): CrashSuspect {
   return {
-    fingerprint: GUILTY,
+    fingerprint: CRASHING,
     service: 'web',
     runs: ['a', 'b', 'c'],
     crashes: 3,
@@ -38,11 +38,11 @@
 }
 
 function applySuspect(harness: RouterHarness, record: CrashSuspect | null): RouterEffect[] {
-  return harness.change([{ type: 'suspect', fingerprint: record?.fingerprint ?? GUILTY, record }]);
+  return harness.change([{ type: 'suspect', fingerprint: record?.fingerprint ?? CRASHING, record }]);
 }
 
 /** Sends the request and ends its attempt with `result`. Returns the run that it was sent to; `undefined` if it wasn't sent. */
-function attempt(harness: RouterHarness, result: AttemptResult, fingerprint = GUILTY): string | undefined {
+function attempt(harness: RouterHarness, result: AttemptResult, fingerprint = CRASHING): string | undefined {
   const [dispatch] = only(harness.request('web', { fingerprint }), 'dispatch');
   if (dispatch !== undefined) {
     harness.ended(dispatch.attempt, result);
@@ -51,7 +51,7 @@
 }
 
 /** Like `attempt` with a broken connection; a check of the run then results in `check`. */
-function crash(harness: RouterHarness, check: RunCheck = 'gone', fingerprint = GUILTY): string | undefined {
+function crash(harness: RouterHarness, check: RunCheck = 'gone', fingerprint = CRASHING): string | undefined {
   const run = attempt(harness, BROKEN, fingerprint);
   if (run !== undefined) {
     expect(only(harness.advance(CHECK_MILLIS), 'check-run').map((effect) => effect.run)).to.deep.equal([run]);
@@ -79,10 +79,10 @@
   it('is refused immediately after three crashes, while other requests continue', () => {
     const harness = started();
     expect([crash(harness), crash(harness), crash(harness)]).not.to.include(undefined);
-    const effects = harness.request('web', { fingerprint: GUILTY });
+    const effects = harness.request('web', { fingerprint: CRASHING });
     expect(refusals(effects)).to.deep.equal([NOT_RUN]);
     expect(only(effects, 'refuse')[0]?.retryAfterMillis).to.equal(600_000);
-    expect(only(effects, 'refuse')[0]?.facts).to.include({ fingerprint: GUILTY });
+    expect(only(effects, 'refuse')[0]?.facts).to.include({ fingerprint: CRASHING });
     expect(only(harness.request('web', { fingerprint: OTHER }), 'dispatch')).to.have.length(1);
   });
 
@@ -124,13 +124,13 @@
     attempt(harness, { type: 'connect-failed', refused: true }, OTHER);
     const [report] = sent(harness.effects, 'crash-report');
     expect(report?.crashes).to.deep.equal([
-      { fingerprint: GUILTY, service: 'web', run: 'u1', reporter: CONFIG.incarnation },
+      { fingerprint: CRASHING, service: 'web', run: 'u1', reporter: CONFIG.incarnation },
     ]);
   });
 
   it('is accused when another run appears at the address, even if the first one went silent', () => {
     const harness = started(['u1']);
-    const [dispatch] = only(harness.request('web', { fingerprint: GUILTY }), 'dispatch');
+    const [dispatch] = only(harness.request('web', { fingerprint: CRASHING }), 'dispatch');
     harness.ended(dispatch?.attempt as number, { type: 'cancelled' });
     const next = upstream('u9', 'web', {
       address: dispatch?.address as string,
@@ -139,7 +139,7 @@
     harness.change([{ type: 'upstream', id: 'u9', record: next }]);
     harness.advance(1);
     expect(sent(harness.effects, 'crash-report')[0]?.crashes[0]).to.include({
-      fingerprint: GUILTY,
+      fingerprint: CRASHING,
       run: 'u1',
     });
   });
@@ -171,14 +171,14 @@
     crash(harness);
     attempt(harness, { type: 'answered', status: 504, load: null, stored: null });
     crash(harness);
-    expect(refusals(harness.request('web', { fingerprint: GUILTY }))).to.deep.equal([NOT_RUN]);
+    expect(refusals(harness.request('web', { fingerprint: CRASHING }))).to.deep.equal([NOT_RUN]);
   });
 
   it('is counted over all routers: crashes recorded by control and by this router', () => {
     const harness = started();
     applySuspect(harness, suspect({ runs: ['x', 'y'], crashes: 2, quarantinedAt: null }));
     crash(harness);
-    expect(refusals(harness.request('web', { fingerprint: GUILTY }))).to.deep.equal([NOT_RUN]);
+    expect(refusals(harness.request('web', { fingerprint: CRASHING }))).to.deep.equal([NOT_RUN]);
   });
 
   it('is counted once per run, whichever router reports it', () => {
@@ -194,7 +194,7 @@
         record: upstream('u2', 'web', { announced: { slots: 2, warmupMillis: 0 } }),
       },
     ]);
-    expect(only(ended.request('web', { fingerprint: GUILTY }), 'dispatch')).to.have.length(1);
+    expect(only(ended.request('web', { fingerprint: CRASHING }), 'dispatch')).to.have.length(1);
   });
 
   it('is reported until it appears in the record of control', () => {
@@ -217,7 +217,7 @@
     const reported = sent(harness.effects, 'crash-report')
       .at(-1)
       ?.crashes.map(({ fingerprint }) => fingerprint);
-    expect(reported).to.deep.equal([OTHER, GUILTY]);
+    expect(reported).to.deep.equal([OTHER, CRASHING]);
   });
 
   it('is refused while it waits once control quarantines it', () => {
@@ -225,7 +225,7 @@
     for (let count = 0; count < 6; count += 1) {
       harness.request('web', { fingerprint: OTHER });
     }
-    expect(only(harness.request('web', { fingerprint: GUILTY }), 'dispatch')).to.deep.equal([]);
+    expect(only(harness.request('web', { fingerprint: CRASHING }), 'dispatch')).to.deep.equal([]);
     expect(refusals(applySuspect(harness, suspect()))).to.deep.equal([NOT_RUN]);
   });
 
@@ -234,7 +234,7 @@
       [service('web', { retryBudget: 1 })],
       ['u1', 'u2'].map((id) => upstream(id, 'web', { announced: { slots: 2, warmupMillis: 0 } })),
     );
-    const [dispatch] = only(harness.request('web', { fingerprint: GUILTY }), 'dispatch');
+    const [dispatch] = only(harness.request('web', { fingerprint: CRASHING }), 'dispatch');
     applySuspect(harness, suspect());
     const effects = harness.ended(dispatch?.attempt as number, BROKEN);
     expect(only(effects, 'dispatch')).to.deep.equal([]);
@@ -248,7 +248,7 @@
     );
     applySuspect(harness, suspect({ service: 'orders' }));
     const idempotency = { key: 'k', issuedAt: harness.wall, fingerprint: 'f' };
-    const effects = harness.request('orders', { fingerprint: GUILTY, idempotency });
+    const effects = harness.request('orders', { fingerprint: CRASHING, idempotency });
     expect(sent(effects, 'claim-request')).to.deep.equal([]);
     expect(refusals(effects)).to.have.length(1);
   });
@@ -298,7 +298,7 @@
     expect(attempt(harness, ANSWERED)).not.to.equal(undefined);
     harness.advance(1);
     const cleared = sent(harness.effects, 'crash-report').at(-1)?.cleared;
-    expect(cleared).to.deep.equal([{ fingerprint: GUILTY, revision: 9 }]);
+    expect(cleared).to.deep.equal([{ fingerprint: CRASHING, revision: 9 }]);
   });
 
   it('is still due after an attempt that reached no upstream', () => {
--- a/test/routing/refused-innocents.test.ts
+++ b/test/routing/refused-innocents.test.ts
@@ -10,8 +10,8 @@
 import type { AttemptResult } from '../../src/routing/types.js';
 import { ANSWERED, only, RouterHarness, sent, service, upstream } from './router-harness.js';
 
-const INNOCENT = 'a'.repeat(32);
-const BYSTANDER = 'b'.repeat(32);
+const HARMLESS = 'a'.repeat(32);
+const UNRELATED = 'b'.repeat(32);
 const OTHER = 'e'.repeat(32);
 const RESET: AttemptResult = { type: 'broken', how: 'reset' };
 const IDS = ['u1', 'u2', 'u3'];
@@ -73,11 +73,11 @@
     const harness = started();
     const runs = new Set<string | undefined>();
     for (let count = 0; count < 30 && runs.size < IDS.length; count += 1) {
-      runs.add(resetAndRefuse(harness, INNOCENT));
+      runs.add(resetAndRefuse(harness, HARMLESS));
       harness.run(300);
     }
     answerAll(harness);
-    expect(attempt(harness, ANSWERED, INNOCENT), 'sent').not.to.equal(undefined);
+    expect(attempt(harness, ANSWERED, HARMLESS), 'sent').not.to.equal(undefined);
   });
 
   it('does not affect later requests once those runs answer again', () => {
@@ -91,10 +91,10 @@
     answerAll(harness);
     // The caller disconnects each time; no connection breaks.
     for (let count = 0; count < 12; count += 1) {
-      attempt(harness, { type: 'cancelled' }, BYSTANDER);
+      attempt(harness, { type: 'cancelled' }, UNRELATED);
       harness.run(300);
     }
-    expect(accused(harness, BYSTANDER), 'runs that it is accused of ending').to.deep.equal([]);
-    expect(attempt(harness, ANSWERED, BYSTANDER), 'sent').not.to.equal(undefined);
+    expect(accused(harness, UNRELATED), 'runs that it is accused of ending').to.deep.equal([]);
+    expect(attempt(harness, ANSWERED, UNRELATED), 'sent').not.to.equal(undefined);
   });
 });
