--- a/src/routing/notices/even-turns.ts
+++ b/src/routing/notices/even-turns.ts
@@ -1,7 +1,7 @@
 /**
- * Turns of one router at an upstream that takes so many requests a second from all routers together. Each router has one turn a round, evenly
- * spread over the round, without knowing the others. A turn that isn't used is lost after a while: were turns kept, all routers together
- * could spend theirs in the same moment.
+ * Time slots of one router at an upstream that limits the request rate of all routers together. Each router has one time slot per round. The
+ * slots are spread evenly over the round without communication between routers. An unused slot expires after a while: if slots accumulated,
+ * all routers could use theirs at the same moment.
  */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import { EVEN_TURN_MILLIS } from '../../model/limit-shares.js';
@@ -10,38 +10,38 @@
 const MILLIS_PER_SECOND = 1000;
 
 export class EvenTurns {
-  /** Share of a round until the next turn; `null`: the first round hasn't begun. */
-  #left: number | null = null;
-  #countedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
-  /** When the turn that may be used began; `null`: there is none. */
-  #turnAt: MonotonicMillis | null = null;
+  /** Share of a round until the next time slot; `null` before the first round. */
+  #remaining: number | null = null;
+  #advancedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  /** Start of the current unused time slot; `null` if there is none. */
+  #slotStartedAt: MonotonicMillis | null = null;
 
-  /** `shift`: 0 to below 1, the same at all routers, so that turns at many upstreams don't fall into one moment. */
+  /** `shift`: from 0 to below 1 and equal at all routers; it keeps the time slots at different upstreams apart. */
   constructor(private readonly shift: number) {}
 
-  /** Time has passed at this pace, which may change: turns that have come are there from now on. */
+  /** Advances to `now` at the given rate, which may change between calls, and makes the time slots that have started available. */
   advance({ phaseShare, routers }: RoundPlace, perSecond: number, now: MonotonicMillis): void {
-    if (this.#left === null) {
-      this.#left = 1 - ((phaseShare + this.shift) % 1);
-      this.#countedAt = now;
+    if (this.#remaining === null) {
+      this.#remaining = 1 - ((phaseShare + this.shift) % 1);
+      this.#advancedAt = now;
       return;
     }
     const roundMillis = (MILLIS_PER_SECOND * routers) / perSecond;
-    this.#left -= (now - this.#countedAt) / roundMillis;
-    this.#countedAt = now;
-    if (this.#left <= 0) {
-      const turnsCome = Math.floor(-this.#left) + 1;
-      this.#left += turnsCome;
-      this.#turnAt = now - (1 - this.#left) * roundMillis;
+    this.#remaining -= (now - this.#advancedAt) / roundMillis;
+    this.#advancedAt = now;
+    if (this.#remaining <= 0) {
+      const startedSlots = Math.floor(-this.#remaining) + 1;
+      this.#remaining += startedSlots;
+      this.#slotStartedAt = now - (1 - this.#remaining) * roundMillis;
     }
   }
 
-  /** Whether there is a turn to use. */
+  /** Whether a time slot is available. */
   isDue(now: MonotonicMillis): boolean {
-    return this.#turnAt !== null && now - this.#turnAt < EVEN_TURN_MILLIS;
+    return this.#slotStartedAt !== null && now - this.#slotStartedAt < EVEN_TURN_MILLIS;
   }
 
   use(): void {
-    this.#turnAt = null;
+    this.#slotStartedAt = null;
   }
 }
--- a/src/routing/notices/notice-intake.ts
+++ b/src/routing/notices/notice-intake.ts
@@ -1,4 +1,7 @@
-/** What follows from a word of an upstream: what waits for it is sent, goes on waiting, or is answered, and what wasn't sent yet is taken back. */
+/**
+ * Applies the notices of upstreams: requests queued for the upstream are sent, stay queued or are rejected, and attempts that aren't sent yet are
+ * recalled. A notice is what an upstream reports in response headers: a rate limit, a back-off, or that it is draining.
+ */
 import type { UpstreamNotice } from '../../model/upstream-notice.js';
 import type { Dispatcher } from '../dispatcher.js';
 import type { Admission } from '../queue/admission.js';
@@ -22,22 +25,22 @@
     this.#parts = parts;
   }
 
-  /** The head of an answer came; one of an attempt that isn't known any more is ignored. */
+  /** Processes the notice in a response head; ignored if the attempt is no longer tracked. */
   headed(number: AttemptNumber, notice: UpstreamNotice): void {
     const { context } = this.#parts;
     const attempt = context.attempts.get(number);
     if (attempt !== undefined) {
-      const heeded = hasSession(attempt) ? { ...notice, isLeaving: false } : notice;
-      this.#follow(context.notices.take(heeded, this.#sourceOf(attempt), context.now));
+      const effective = hasSession(attempt) ? { ...notice, isLeaving: false } : notice;
+      this.#applyChange(context.notices.take(effective, this.#sourceOf(attempt), context.now));
     }
   }
 
-  /** An attempt ended. A refusal that names a time asks for rest, also where its head wasn't told. */
+  /** Processes the end of an attempt. A refusal with a retry time starts a back-off even if no response head was reported. */
   ended(attempt: Attempt, result: AttemptResult): void {
     const { notices, now } = this.#parts.context;
     const from = this.#sourceOf(attempt);
     if (result.type === 'refused' && result.refusal === 'overloaded' && result.retryAfterMillis !== null) {
-      this.#follow(notices.restAsked(result.retryAfterMillis, from, now));
+      this.#applyChange(notices.restAsked(result.retryAfterMillis, from, now));
     }
     const isAnswered = result.type === 'answered' || result.type === 'refused';
     notices.of(from.run)?.rest.ended(attempt.number, isAnswered);
@@ -55,8 +58,8 @@
     };
   }
 
-  /** `changed`: a run whose word lets more through than before, or less; `null`: none does. */
-  #follow(changed: RunNotices | null): void {
+  /** `changed`: a run whose notices now admit more or fewer requests than before; `null` if there is none. */
+  #applyChange(changed: RunNotices | null): void {
     const { context, dispatcher, admission } = this.#parts;
     const upstream = changed === null ? undefined : context.upstreams.get(changed.upstream);
     if (
@@ -76,8 +79,8 @@
 }
 
 /**
- * Whether the upstream has a session with control, in which it says that it leaves. Its keys move by that and by nothing else, so a router that
- * went by the heads of its answers would only leave them unserved.
+ * Whether the upstream has a session with control and reports there that it is draining. Its keys move only by that report, so a router that
+ * followed the draining notice in response heads would leave the keys unserved.
  */
 function hasSession({ work, upstream }: Attempt): boolean {
   return work.service.definition.keyed && !upstream.isAnnounced;
--- a/src/routing/notices/notice-table.ts
+++ b/src/routing/notices/notice-table.ts
@@ -1,6 +1,6 @@
 /**
- * What runs of upstreams said of themselves, by run: a state that a router drops and makes anew, or a late answer of an earlier run, changes
- * nothing of what another run said.
+ * Notices of upstreams, by run. They survive when a router drops and recreates an upstream's state, and a late answer of an earlier run doesn't
+ * change the notices of another run.
  */
 import type { RunName } from '../../model/crash-suspect.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
@@ -9,42 +9,42 @@
 import type { AnswerOrder } from './request-limit.js';
 import { RunNotices } from './run-notices.js';
 
-/** Runs that are remembered; the ones that first spoke longest ago are forgotten first. */
-const MOST_RUNS = 4096;
+/** Beyond this many runs, the run whose first notice is oldest is removed. */
+const MAX_RUNS = 4096;
 
 export interface NoticeTableParts {
-  /** This router's place among all routers now. */
+  /** Returns this router's current place among all routers. */
   readonly place: () => RoundPlace;
-  /** Takes a record of what was heard. */
+  /** Logs a received notice. */
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-/** Which answer said it. */
+/** The answer that carried a notice. */
 export interface HeardFrom extends AnswerOrder {
   readonly upstream: UpstreamId;
   readonly run: RunName;
-  /** Whether `run` is the name of one run, or of whoever answers for the upstream. */
+  /** Whether `run` identifies a single run; `false`: it stands for every process that answers as this upstream. */
   readonly isNamed: boolean;
-  /** When its attempt began. */
+  /** Start of the attempt. */
   readonly startedAt: MonotonicMillis;
 }
 
 export class NoticeTable {
   readonly #parts: NoticeTableParts;
   readonly #runs = new Map<RunName, RunNotices>();
-  /** Runs of which there is, or may be, something to tell control. */
+  /** Runs that have, or may have, something to report to control. */
   readonly untold = new Set<RunNotices>();
 
   constructor(parts: NoticeTableParts) {
     this.#parts = parts;
   }
 
-  /** `null`: the run said nothing yet. */
+  /** Returns the notices of a run; `null` if it has sent none yet. */
   of(run: RunName): RunNotices | null {
     return this.#runs.get(run) ?? null;
   }
 
-  /** The same for a run that an upstream's state is made for; what it said is told to control again. */
+  /** Returns the notices of a run for a newly created upstream state, and schedules them to be reported to control again. */
   resume(run: RunName): RunNotices | null {
     const notices = this.of(run);
     if (notices !== null) {
@@ -53,27 +53,27 @@
     return notices;
   }
 
-  /** Takes in the head of an answer; gives the run's notices if it changes what they let through, `null` else. */
+  /** Records the notice of a response head. Returns the run's notices if this changes which requests they admit, otherwise `null`. */
   take(notice: UpstreamNotice, from: HeardFrom, now: MonotonicMillis): RunNotices | null {
     const { upstream, run, attempt } = from;
     for (const { header, text } of notice.unreadable) {
       this.#parts.log('upstream-notice-unreadable', { upstream, run, attempt, header, text });
     }
-    const known = this.#runs.get(run);
-    if (known === undefined && saysNothing(notice)) {
+    const existing = this.#runs.get(run);
+    if (existing === undefined && isSilent(notice)) {
       return null;
     }
-    const notices = known ?? this.#begin(from);
-    const isLimitChanged = this.#takeLimit(notice, notices, from, now);
+    const notices = existing ?? this.#addRun(from);
+    const isLimitChanged = this.#recordLimit(notice, notices, from, now);
     const { restMillis } = notice;
-    const isRestAsked = restMillis !== null && this.restAsked(restMillis, from, now) !== null;
-    const isLeavingNews = notice.isLeaving && this.#takeLeaving(notices, from, now);
-    return isLimitChanged || isRestAsked || isLeavingNews ? notices : null;
+    const isBackoffNew = restMillis !== null && this.restAsked(restMillis, from, now) !== null;
+    const isDrainingNew = notice.isLeaving && this.#recordDraining(notices, from, now);
+    return isLimitChanged || isBackoffNew || isDrainingNew ? notices : null;
   }
 
-  /** An answer asks for rest; gives the run's notices unless that answer did before, `null` then. */
+  /** Records that an answer asks for a back-off. Returns the run's notices, or `null` if this answer's request is already recorded. */
   restAsked(restMillis: number, from: HeardFrom, now: MonotonicMillis): RunNotices | null {
-    const notices = this.#runs.get(from.run) ?? this.#begin(from);
+    const notices = this.#runs.get(from.run) ?? this.#addRun(from);
     const { upstream, run, rest } = notices;
     const { attempt } = from;
     if (!rest.ask(restMillis, attempt, now)) {
@@ -86,7 +86,7 @@
     return notices;
   }
 
-  /** Control passes on what another router heard last; `true` if that changes what is in force here. */
+  /** Applies the latest limit that another router received, forwarded by control. Returns `true` if this changes the limit in force. */
   takeFromControl(notices: RunNotices, heard: HeardLimit, now: MonotonicMillis): boolean {
     const { limit, upstream, run } = notices;
     const before = limit.perSecond;
@@ -106,18 +106,18 @@
     return isChanged;
   }
 
-  #begin({ upstream, run, isNamed }: HeardFrom): RunNotices {
+  #addRun({ upstream, run, isNamed }: HeardFrom): RunNotices {
     const notices = new RunNotices(upstream, run, isNamed, this.#parts.place);
     this.#runs.set(run, notices);
     const [oldest] = this.#runs.values();
-    if (this.#runs.size > MOST_RUNS && oldest !== undefined) {
+    if (this.#runs.size > MAX_RUNS && oldest !== undefined) {
       this.#runs.delete(oldest.run);
       this.untold.delete(oldest);
     }
     return notices;
   }
 
-  #takeLeaving(notices: RunNotices, { attempt, startedAt }: HeardFrom, now: MonotonicMillis): boolean {
+  #recordDraining(notices: RunNotices, { attempt, startedAt }: HeardFrom, now: MonotonicMillis): boolean {
     if (!notices.leaves(now)) {
       return false;
     }
@@ -128,18 +128,18 @@
     return true;
   }
 
-  #takeLimit(
-    { limit: word }: UpstreamNotice,
+  #recordLimit(
+    { limit: reported }: UpstreamNotice,
     notices: RunNotices,
     from: HeardFrom,
     now: MonotonicMillis,
   ): boolean {
     const { limit, upstream, run } = notices;
-    if (word.type === 'unreadable') {
+    if (reported.type === 'unreadable') {
       return false;
     }
     const before = limit.perSecond;
-    const isChanged = limit.hear(word.type === 'named' ? word.perSecond : null, from, now);
+    const isChanged = limit.hear(reported.type === 'named' ? reported.perSecond : null, from, now);
     if (isChanged) {
       this.untold.add(notices);
       const answerMillis = Math.round(now - from.startedAt);
@@ -159,6 +159,6 @@
   }
 }
 
-function saysNothing({ limit, restMillis, isLeaving }: UpstreamNotice): boolean {
+function isSilent({ limit, restMillis, isLeaving }: UpstreamNotice): boolean {
   return limit.type !== 'named' && restMillis === null && !isLeaving;
 }
--- a/src/routing/notices/notice-wait.ts
+++ b/src/routing/notices/notice-wait.ts
@@ -1,4 +1,4 @@
-/** Work that must wait because of what upstreams said of themselves, for how long, and what is said if it can't. */
+/** How long a request group has to wait because of upstream notices, and the reason given if it can't wait. */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
 import type { RefusalReason } from '../types.js';
@@ -9,20 +9,20 @@
 
 export interface NoticeWait {
   readonly reason: Extract<RefusalReason, 'upstream-limited' | 'upstream-resting'>;
-  /** Milliseconds until it may be sent, as far as that is known; 0: at any moment. */
+  /** Milliseconds until the group may be sent, as far as known; 0 if that may be at any moment. */
   readonly millis: number;
-  /** Milliseconds after which whoever is turned away should come again. */
+  /** Milliseconds after which a rejected caller should retry. */
   readonly againMillis: number;
 }
 
-/** `null`: no word of an upstream holds this work back. */
+/** Returns `null` if no upstream notice delays this group. */
 export function noticeWaitOf({ service, shard }: Work, context: RouterContext): NoticeWait | null {
   const { now } = context;
   if (shard !== null) {
     const owner = context.ownerOf(shard);
     return owner === undefined ? null : waitAt(owner.upstream, now);
   }
-  let least: NoticeWait | null = null;
+  let shortest: NoticeWait | null = null;
   for (const upstream of service.upstreams) {
     if (upstream.evidence.standing(now) === 'leaving') {
       continue;
@@ -31,12 +31,12 @@
     if (wait === null) {
       return null;
     }
-    least = least === null || wait.millis < least.millis ? wait : least;
+    shortest = shortest === null || wait.millis < shortest.millis ? wait : shortest;
   }
-  return least;
+  return shortest;
 }
 
-/** `null`: one more request may go there, as far as its own words go; or it leaves, and there is nothing to wait for there. */
+/** Returns `null` if the upstream's notices admit one more request, or if it is draining, since waiting doesn't help then. */
 function waitAt(upstream: UpstreamState, now: MonotonicMillis): NoticeWait | null {
   const { notices } = upstream;
   if (notices === null || notices.isLeaving || notices.admits(now)) {
@@ -44,11 +44,11 @@
   }
   if (!notices.rest.admits(now)) {
     const millis = notices.rest.waitMillis(now);
-    // While one request tries whether the rest is over, the others wait for its answer.
+    // While one request tests whether the back-off is over, the others wait for its answer.
     return { reason: 'upstream-resting', millis, againMillis: Math.max(millis, upstream.serviceMillis) };
   }
   const millis = notices.limit.waitMillis(now);
-  // Where control said nothing, the time in which the limit lets one request of any router through.
+  // If control has reported no wait: the time in which the limit admits one request over all routers.
   const perRequest = MILLIS_PER_SECOND / (notices.limit.perSecond || 1);
   return { reason: 'upstream-limited', millis, againMillis: Math.max(millis, perRequest) };
 }
--- a/src/routing/notices/request-limit.ts
+++ b/src/routing/notices/request-limit.ts
@@ -1,7 +1,7 @@
 /**
- * The limit that one run of an upstream names for all routers together, and what part of it this router may use: its turns, and
- * permits of the control leader. An answer that names none ends it, unless the attempt had begun before the limit was heard last: answers
- * come in any order.
+ * The rate limit that one run of an upstream sets for all routers together, and the part that this router may use: its time slots and
+ * permits from the control leader. An answer without a limit ends it, unless its attempt started before the limit was last received:
+ * answers arrive in any order.
  */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import { EVEN_SHARE, sharedPerSecond } from '../../model/limit-shares.js';
@@ -10,16 +10,16 @@
 import type { AttemptNumber } from '../types.js';
 import { EvenTurns } from './even-turns.js';
 
-/** Requests that were sent are counted over this time, to ask for as many permits ahead. */
+/** Sent requests are counted over this window; the router requests as many permits in advance. */
 const USE_WINDOW_MILLIS = 250;
 const MILLIS_PER_SECOND = 1000;
-/** Longer ago than anything that was heard. */
+/** Age that is greater than that of any received limit. */
 const NEVER_MILLIS = Number.MAX_SAFE_INTEGER;
 
-/** When an answer began, among this router's attempts. */
+/** Position of an answer among this router's attempts. */
 export interface AnswerOrder {
   readonly attempt: AttemptNumber;
-  /** The latest attempt that has begun by now. */
+  /** The latest attempt started so far. */
   readonly latest: AttemptNumber;
 }
 
@@ -29,21 +29,21 @@
 }
 
 export class RequestLimit {
-  /** `null`: no limit is in force. */
-  #turns: EvenTurns | null = null;
+  /** `null` while no limit is in force. */
+  #timeSlots: EvenTurns | null = null;
   readonly #place: () => RoundPlace;
   #perSecond: number | null = null;
-  #heardAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
-  /** Attempts up to this one had begun when it was heard last. */
-  #heardUnder: AttemptNumber = 0;
-  /** The first to end first. */
+  #receivedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  /** The latest attempt that had started when the limit was last received. */
+  #latestWhenReceived: AttemptNumber = 0;
+  /** Sorted by expiry, earliest first. */
   #permits: Permits[] = [];
   #nextAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   #useWindowAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   #used = 0;
-  #usedBefore = 0;
+  #usedInPreviousWindow = 0;
 
-  /** `place`: this router's place among all routers now. `shift`: see `EvenTurns`. */
+  /** `place` returns this router's current place among all routers. `shift`: see `EvenTimeSlots`. */
   constructor(
     place: () => RoundPlace,
     private readonly shift: number,
@@ -51,7 +51,7 @@
     this.#place = place;
   }
 
-  /** Requests a second from all routers together; `null`: no limit is in force. */
+  /** Requests per second over all routers; `null` while no limit is in force. */
   get perSecond(): number | null {
     return this.#perSecond;
   }
@@ -60,57 +60,57 @@
     return this.#perSecond !== null;
   }
 
-  /** When control says that there may be a permit again. */
+  /** Earliest time at which control may have a permit again. */
   get nextAt(): MonotonicMillis {
     return this.#nextAt;
   }
 
-  /** What is known of it, for others. */
+  /** The last received limit and its age, to be reported to control. */
   heard(now: MonotonicMillis): HeardLimit {
-    const isHeard = this.#heardAt !== Number.NEGATIVE_INFINITY;
-    return { perSecond: this.#perSecond, heardAgoMillis: isHeard ? now - this.#heardAt : NEVER_MILLIS };
+    const isReceived = this.#receivedAt !== Number.NEGATIVE_INFINITY;
+    return { perSecond: this.#perSecond, heardAgoMillis: isReceived ? now - this.#receivedAt : NEVER_MILLIS };
   }
 
-  /** An answer names a limit, or none (`null`); `true` if that changes what is in force. */
+  /** Records the limit in an answer (`null` for none). Returns `true` if this changes the limit in force. */
   hear(perSecond: number | null, { attempt, latest }: AnswerOrder, now: MonotonicMillis): boolean {
     const isLower = perSecond !== null && perSecond < (this.#perSecond ?? Number.POSITIVE_INFINITY);
-    if (attempt <= this.#heardUnder && !isLower) {
+    if (attempt <= this.#latestWhenReceived && !isLower) {
       return false;
     }
     if (perSecond !== null) {
-      this.#heardUnder = latest;
+      this.#latestWhenReceived = latest;
     }
-    this.#heardAt = now;
+    this.#receivedAt = now;
     return this.#set(perSecond, now);
   }
 
-  /** Control passes on what another router heard; `true` if that changes what is in force here. */
+  /** Records a limit that another router received, forwarded by control. Returns `true` if this changes the limit in force. */
   hearFromControl({ perSecond, heardAgoMillis }: HeardLimit, now: MonotonicMillis): boolean {
-    if (now - heardAgoMillis <= this.#heardAt) {
+    if (now - heardAgoMillis <= this.#receivedAt) {
       return false;
     }
-    this.#heardAt = now - heardAgoMillis;
+    this.#receivedAt = now - heardAgoMillis;
     return this.#set(perSecond, now);
   }
 
-  /** Whether one more request may go there now, as far as the limit goes. */
+  /** Whether the limit admits one more request now. */
   admits(now: MonotonicMillis): boolean {
-    const turns = this.#turnsAt(now);
-    return turns === null || turns.isDue(now) || this.permitsLeft(now) > 0;
+    const timeSlots = this.#timeSlotsAt(now);
+    return timeSlots === null || timeSlots.isDue(now) || this.permitsLeft(now) > 0;
   }
 
-  /** A request goes there. A turn is lost soon, so it is used first. */
+  /** Counts a sent request. Time slots expire sooner than permits, so an available one is used first. */
   sent(now: MonotonicMillis): void {
-    const turns = this.#turnsAt(now);
-    if (turns === null) {
+    const timeSlots = this.#timeSlotsAt(now);
+    if (timeSlots === null) {
       return;
     }
     this.#countUse(now);
-    if (turns.isDue(now)) {
-      turns.use();
+    if (timeSlots.isDue(now)) {
+      timeSlots.use();
       return;
     }
-    this.#dropSpent(now);
+    this.#dropSpentPermits(now);
     const [first] = this.#permits;
     if (first !== undefined) {
       first.count -= 1;
@@ -118,35 +118,35 @@
   }
 
   permitsLeft(now: MonotonicMillis): number {
-    this.#dropSpent(now);
+    this.#dropSpentPermits(now);
     return this.#permits.reduce((sum, { count }) => sum + count, 0);
   }
 
-  /** Control issued permits that are good until then. */
+  /** Adds permits from control that are valid until then. */
   take(count: number, until: MonotonicMillis): void {
     if (count > 0) {
       this.#permits.push({ count, until });
     }
   }
 
-  /** Control has none before then. */
+  /** Records that control has no permits before then. */
   turnedDown(nextAt: MonotonicMillis): void {
     this.#nextAt = nextAt;
   }
 
-  /** Permits worth asking for before they are needed: where control had enough of late, as many as were used in a moment. */
+  /** Number of permits to request in advance: as many as were used in one recent window, or none if control ran short within the last second. */
   aheadOf(now: MonotonicMillis): number {
     const isScarce = now - this.#nextAt < MILLIS_PER_SECOND;
     this.#moveWindow(now);
-    return isScarce ? 0 : Math.max(this.#used, this.#usedBefore);
+    return isScarce ? 0 : Math.max(this.#used, this.#usedInPreviousWindow);
   }
 
-  /** Milliseconds until one more request may go there, as far as that is known; 0: at any moment. */
+  /** Milliseconds until the limit admits one more request, as far as known; 0 if that may be at any moment. */
   waitMillis(now: MonotonicMillis): number {
     return Math.max(0, this.#nextAt - now);
   }
 
-  #dropSpent(now: MonotonicMillis): void {
+  #dropSpentPermits(now: MonotonicMillis): void {
     this.#permits = this.#permits.filter(({ count, until }) => count > 0 && now < until);
   }
 
@@ -154,11 +154,11 @@
     if (perSecond === this.#perSecond) {
       return false;
     }
-    // Time until now counts at the pace that was in force; a limit that begins has no turns from before it.
-    const turns = this.#turnsAt(now);
+    // The time until now counts at the previous rate; a new limit has no time slots from before its start.
+    const timeSlots = this.#timeSlotsAt(now);
     this.#perSecond = perSecond;
-    this.#turns = perSecond === null ? null : (turns ?? new EvenTurns(this.shift));
-    this.#turnsAt(now);
+    this.#timeSlots = perSecond === null ? null : (timeSlots ?? new EvenTurns(this.shift));
+    this.#timeSlotsAt(now);
     if (perSecond === null) {
       this.#permits = [];
       this.#nextAt = Number.NEGATIVE_INFINITY;
@@ -166,12 +166,12 @@
     return true;
   }
 
-  /** The turns as they are now; `null`: no limit is in force. */
-  #turnsAt(now: MonotonicMillis): EvenTurns | null {
+  /** Returns the time slots, advanced to `now`; `null` while no limit is in force. */
+  #timeSlotsAt(now: MonotonicMillis): EvenTurns | null {
     if (this.#perSecond !== null) {
-      this.#turns?.advance(this.#place(), sharedPerSecond(this.#perSecond) * EVEN_SHARE, now);
+      this.#timeSlots?.advance(this.#place(), sharedPerSecond(this.#perSecond) * EVEN_SHARE, now);
     }
-    return this.#turns;
+    return this.#timeSlots;
   }
 
   #countUse(now: MonotonicMillis): void {
@@ -183,7 +183,7 @@
     if (now - this.#useWindowAt < USE_WINDOW_MILLIS) {
       return;
     }
-    this.#usedBefore = now - this.#useWindowAt < 2 * USE_WINDOW_MILLIS ? this.#used : 0;
+    this.#usedInPreviousWindow = now - this.#useWindowAt < 2 * USE_WINDOW_MILLIS ? this.#used : 0;
     this.#used = 0;
     this.#useWindowAt = now;
   }
--- a/src/routing/notices/rest.ts
+++ b/src/routing/notices/rest.ts
@@ -1,65 +1,65 @@
 /**
- * The rest that one run of an upstream asked this router for when it turned a request away. Nothing goes there before it is over; then one request
- * goes first, and the others follow once it was answered without another such word.
+ * Back-off of this router at one run of an upstream, which requested it when it rejected a request. Nothing is sent before the back-off is over.
+ * Then a single trial request is sent, and the others follow once it is answered without a new back-off.
  */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import type { AttemptNumber } from '../types.js';
 
-/** No honest upstream asks for more at once: one that means it asks again. */
+/** A longer back-off is cut to this; an upstream that needs more can request it again. */
 export const LONGEST_REST_MILLIS = 600_000;
 
 export class Rest {
   #until: MonotonicMillis = Number.NEGATIVE_INFINITY;
-  /** The attempt whose answer asked last. */
-  #askedBy: AttemptNumber | null = null;
-  /** Nothing was answered since. */
-  #isUntried = false;
-  /** The request that went first; `null`: none is under way. */
-  #trial: AttemptNumber | null = null;
+  /** The attempt whose answer last requested a back-off. */
+  #requestedBy: AttemptNumber | null = null;
+  /** Whether no attempt has been answered since the last back-off request. */
+  #isUnconfirmed = false;
+  /** The attempt in flight that tests whether the back-off is over; `null` if there is none. */
+  #trialAttempt: AttemptNumber | null = null;
 
-  /** When it is over. */
+  /** End of the back-off. */
   get until(): MonotonicMillis {
     return this.#until;
   }
 
-  /** Whether it isn't over, or nobody knows yet whether it is. */
+  /** Whether the back-off is running, or its end isn't confirmed by an answer yet. */
   isInForce(now: MonotonicMillis): boolean {
-    return this.#isUntried || now < this.#until;
+    return this.#isUnconfirmed || now < this.#until;
   }
 
-  /** The answer to this attempt asks for it; `false`: it did before. A longer one that was asked for before stands. */
+  /** Starts a back-off for the answer to this attempt. Returns `false` if that answer already did. An earlier one that ends later is kept. */
   ask(restMillis: number, attempt: AttemptNumber, now: MonotonicMillis): boolean {
-    if (attempt === this.#askedBy) {
+    if (attempt === this.#requestedBy) {
       return false;
     }
-    this.#askedBy = attempt;
+    this.#requestedBy = attempt;
     this.#until = Math.max(this.#until, now + Math.min(LONGEST_REST_MILLIS, restMillis));
-    this.#isUntried = true;
-    this.#trial = null;
+    this.#isUnconfirmed = true;
+    this.#trialAttempt = null;
     return true;
   }
 
   admits(now: MonotonicMillis): boolean {
-    return now >= this.#until && (!this.#isUntried || this.#trial === null);
+    return now >= this.#until && (!this.#isUnconfirmed || this.#trialAttempt === null);
   }
 
-  /** A request goes there. */
+  /** Records a sent request; the first one after a back-off is the trial. */
   sent(attempt: AttemptNumber): void {
-    if (this.#isUntried) {
-      this.#trial = attempt;
+    if (this.#isUnconfirmed) {
+      this.#trialAttempt = attempt;
     }
   }
 
-  /** An attempt ended; `isAnswered`: the upstream answered it, without a word of rest. */
+  /** Records the end of an attempt. `isAnswered`: the upstream answered it. */
   ended(attempt: AttemptNumber, isAnswered: boolean): void {
-    if (attempt !== this.#trial) {
+    if (attempt !== this.#trialAttempt) {
       return;
     }
-    this.#trial = null;
-    this.#isUntried = !isAnswered;
+    this.#trialAttempt = null;
+    this.#isUnconfirmed = !isAnswered;
   }
 
-  /** Milliseconds until a request may go there; 0: as soon as it is known whether the rest is over. */
+  /** Milliseconds until a request may be sent; 0 once the back-off has ended, even if a trial request is still open. */
   waitMillis(now: MonotonicMillis): number {
     return Math.max(0, this.#until - now);
   }
--- a/src/routing/notices/run-notices.ts
+++ b/src/routing/notices/run-notices.ts
@@ -1,4 +1,4 @@
-/** What one run of an upstream said of itself in its answers to this router. It outlives the state that a router keeps of an upstream. */
+/** Notices of one run of an upstream in its answers to this router. They outlive the router's state of the upstream. */
 import type { RunName } from '../../model/crash-suspect.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import type { RoundPlace } from '../../model/router-turn.js';
@@ -9,59 +9,59 @@
 
 /** Values of `affinityOf`. */
 const HASHES = 2 ** 32;
-/** Any name will do, as long as it is the same one at all routers. */
+/** Any fixed name works, provided that all routers use the same one. */
 const COMMON_NAME = 'limits';
 
-/** Where runs have no names, a health check that is well so long after it said last that it leaves is taken for the next run's. */
+/** Where runs have no names, a successful health check this long after the last draining notice is attributed to the next run. */
 const NEXT_RUN_MILLIS = 15_000;
 
 export class RunNotices {
   readonly limit: RequestLimit;
   readonly rest = new Rest();
-  #isLeaving = false;
-  #leavingSaidAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  #isDraining = false;
+  #drainingReportedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
-  /** `place`: this router's place among all routers now. */
+  /** `place` returns this router's current place among all routers. */
   constructor(
     readonly upstream: UpstreamId,
     readonly run: RunName,
-    /** Whether `run` is the name of one run, or of whoever answers for the upstream. */
+    /** Whether `run` identifies a single run; `false`: it stands for every process that answers as this upstream. */
     private readonly isNamed: boolean,
     place: () => RoundPlace,
   ) {
     this.limit = new RequestLimit(place, affinityOf(COMMON_NAME, run) / HASHES);
   }
 
-  /** Whether it said that it leaves, and takes no new work. A run with a name never takes any again. */
+  /** Whether the run reported that it is draining and accepts no new requests. For a run with a name this is final. */
   get isLeaving(): boolean {
-    return this.#isLeaving;
+    return this.#isDraining;
   }
 
-  /** An answer says that it leaves; `true`: that is news. */
+  /** Records a draining notice. Returns `true` if the run wasn't draining before. */
   leaves(now: MonotonicMillis): boolean {
-    const isNews = !this.#isLeaving;
-    this.#isLeaving = true;
-    this.#leavingSaidAt = now;
-    return isNews;
+    const isNew = !this.#isDraining;
+    this.#isDraining = true;
+    this.#drainingReportedAt = now;
+    return isNew;
   }
 
-  /** Its health check is well: where runs have no names, another one may be there. */
+  /** Records a successful health check: where runs have no names, it may come from the next run. */
   foundWell(now: MonotonicMillis): void {
-    const mayBeNext = !this.isNamed && now - this.#leavingSaidAt >= NEXT_RUN_MILLIS;
-    this.#isLeaving &&= !mayBeNext;
+    const mayBeNextRun = !this.isNamed && now - this.#drainingReportedAt >= NEXT_RUN_MILLIS;
+    this.#isDraining &&= !mayBeNextRun;
   }
 
-  /** Whether it neither leaves nor wants rest. If `false`, nothing that wasn't sent yet may go there. */
+  /** Whether the run is neither draining nor backed off. If `false`, attempts that aren't sent yet are recalled. */
   takesAnything(now: MonotonicMillis): boolean {
-    return !this.#isLeaving && this.rest.waitMillis(now) === 0;
+    return !this.#isDraining && this.rest.waitMillis(now) === 0;
   }
 
-  /** Whether what it said lets this router send it one more request now. */
+  /** Whether the notices admit one more request from this router now. */
   admits(now: MonotonicMillis): boolean {
-    return !this.#isLeaving && this.rest.admits(now) && this.limit.admits(now);
+    return !this.#isDraining && this.rest.admits(now) && this.limit.admits(now);
   }
 
-  /** A request goes there. */
+  /** Records a sent request. */
   sent(attempt: AttemptNumber, now: MonotonicMillis): void {
     this.limit.sent(now);
     this.rest.sent(attempt);
--- a/src/routing/notices/upstream-reports.ts
+++ b/src/routing/notices/upstream-reports.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the control leader what upstreams said of themselves, and asks it for permits for requests that wait at upstreams with a limit. One
- * message is about all of them; a word that is lost is said again.
+ * Reports upstream notices to the control leader, and requests permits for the requests that wait for upstreams with a limit. One message
+ * covers all upstreams; reports are repeated, since messages may be lost.
  */
 import type { UpstreamPermits } from '../../control/messages.js';
 import type { MonotonicMillis } from '../../model/identifiers.js';
@@ -11,63 +11,63 @@
 import type { UpstreamState } from '../upstream/upstream-state.js';
 import type { RunNotices } from './run-notices.js';
 
-/** Shortest time between two messages, so that requests which come together share one. */
-const REPORT_GAP_MILLIS = 10;
-/** What is wanted is asked for again after this long without an answer. */
-const ASK_AGAIN_MILLIS = 200;
-/** What is in force is told again this often: the leader may be another one, and forgets. */
-const TELL_AGAIN_MILLIS = 1000;
+/** Minimum time between two messages, so that requests which arrive together share one. */
+const MIN_REPORT_GAP_MILLIS = 10;
+/** A request for permits is repeated after this time without an answer. */
+const PERMIT_RETRY_MILLIS = 200;
+/** Notices in force are reported again at this interval: the leader may have changed, and it drops old reports. */
+const REPORT_REPEAT_MILLIS = 1000;
 
-/** What the leader was told of one run. */
-interface Told {
+/** The last report about one run. */
+interface LastReport {
   perSecond: number | null;
   restUntil: MonotonicMillis;
   isLeaving: boolean;
   at: MonotonicMillis;
-  /** Permits that were asked for and not answered; 0: none. */
-  asked: number;
+  /** Requested permits without an answer yet. */
+  pendingPermits: number;
 }
 
-/** Requests that wait for one upstream. */
-interface Waiting {
+/** The queued requests of one upstream. */
+interface QueuedRequests {
   readonly count: number;
   readonly rank: number;
   readonly patienceMillis: number;
 }
 
-const NOTHING_TOLD: Told = {
+const NO_REPORT: LastReport = {
   perSecond: null,
   restUntil: Number.NEGATIVE_INFINITY,
   isLeaving: false,
   at: Number.NEGATIVE_INFINITY,
-  asked: 0,
+  pendingPermits: 0,
 };
-/** Behind any rank that a route may have. */
+/** Less important than any rank that a route can have. */
 const LAST_RANK = 1_000_000;
-const NOBODY: Waiting = { count: 0, rank: LAST_RANK, patienceMillis: 0 };
+const NO_REQUESTS: QueuedRequests = { count: 0, rank: LAST_RANK, patienceMillis: 0 };
 
 export class UpstreamReports {
   readonly #context: RouterContext;
-  readonly #told = new Map<RunNotices, Told>();
+  readonly #lastReports = new Map<RunNotices, LastReport>();
   #reportedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
-  #dueAt: MonotonicMillis = Number.POSITIVE_INFINITY;
+  #timerAt: MonotonicMillis = Number.POSITIVE_INFINITY;
 
   constructor(context: RouterContext) {
     this.#context = context;
   }
 
-  /** Tells what is due. Costs nothing while no upstream says anything. */
+  /** Sends the reports that are due. Returns at once while there is nothing to report. */
   step(): void {
     const { now, leader, notices } = this.#context;
     const to = leader.target();
     if (notices.untold.size === 0 || to === null) {
       return;
     }
-    if (now - this.#reportedAt < REPORT_GAP_MILLIS) {
-      this.#wakeAt(this.#reportedAt + REPORT_GAP_MILLIS);
+    if (now - this.#reportedAt < MIN_REPORT_GAP_MILLIS) {
+      this.#scheduleAt(this.#reportedAt + MIN_REPORT_GAP_MILLIS);
       return;
     }
-    const upstreams = this.#due();
+    const upstreams = this.#dueReports();
     if (upstreams.length > 0) {
       this.#reportedAt = now;
       this.#context.emit({
@@ -78,26 +78,29 @@
     }
   }
 
-  /** The time for a look has come. */
+  /** Handles the timer that `step` scheduled. */
   woken(): void {
-    this.#dueAt = Number.POSITIVE_INFINITY;
+    this.#timerAt = Number.POSITIVE_INFINITY;
   }
 
-  /** Takes the leader's answer; gives the upstreams whose waiting requests are to be looked at. */
+  /** Applies the leader's answer. Returns the upstreams whose queued requests have to be checked. */
   take({ stamp, waitedMillis, upstreams }: UpstreamPermits): UpstreamState[] {
     const until = stamp + waitedMillis + PERMIT_MILLIS;
-    return upstreams.flatMap((issued) => this.#takeIssued(issued, until));
+    return upstreams.flatMap((issued) => this.#applyIssued(issued, until));
   }
 
-  #takeIssued({ run, granted, nextInMillis, limit }: IssuedPermits, until: MonotonicMillis): UpstreamState[] {
+  #applyIssued(
+    { run, granted, nextInMillis, limit }: IssuedPermits,
+    until: MonotonicMillis,
+  ): UpstreamState[] {
     const { now, notices: table } = this.#context;
     const notices = table.of(run);
     if (notices === null) {
       return [];
     }
-    const told = this.#told.get(notices);
-    if (told !== undefined) {
-      told.asked = nextInMillis === null ? Math.max(0, told.asked - granted) : 0;
+    const last = this.#lastReports.get(notices);
+    if (last !== undefined) {
+      last.pendingPermits = nextInMillis === null ? Math.max(0, last.pendingPermits - granted) : 0;
     }
     table.takeFromControl(notices, limit, now);
     if (now < until) {
@@ -110,7 +113,7 @@
     return state === null ? [] : [state];
   }
 
-  #due(): HeardUpstream[] {
+  #dueReports(): HeardUpstream[] {
     const { notices: table, now } = this.#context;
     const { untold } = table;
     const due: HeardUpstream[] = [];
@@ -120,45 +123,56 @@
         due.push(report);
       }
       const { limit, rest } = notices;
-      const hasMore = limit.isInForce || rest.isInForce(now) || this.#isLeavingUnshown(notices);
-      if (!hasMore || this.#stateOf(notices) === null) {
+      const hasNoticeInForce = limit.isInForce || rest.isInForce(now) || this.#isDrainingUnshown(notices);
+      if (!hasNoticeInForce || this.#stateOf(notices) === null) {
         untold.delete(notices);
-        this.#told.delete(notices);
+        this.#lastReports.delete(notices);
       }
     }
     return due;
   }
 
-  /** `null`: there is nothing to tell of it now. */
+  /** Returns `null` if nothing about this run is due to be reported. */
   #reportOf(notices: RunNotices): HeardUpstream | null {
     const { now } = this.#context;
     const { limit, rest, upstream, run } = notices;
-    const told = this.#told.get(notices) ?? NOTHING_TOLD;
+    const last = this.#lastReports.get(notices) ?? NO_REPORT;
     const restMillis = rest.waitMillis(now);
-    const isNewRest = restMillis > 0 && rest.until !== told.restUntil;
-    const isLeaving = this.#isLeavingUnshown(notices);
-    const isNews = limit.perSecond !== told.perSecond || isNewRest || isLeaving !== told.isLeaving;
-    const isOld = (limit.isInForce || restMillis > 0 || isLeaving) && now - told.at >= TELL_AGAIN_MILLIS;
-    const { count, rank, patienceMillis } = limit.isInForce ? this.#waitingFor(notices) : NOBODY;
-    const wanted = this.#wanted(notices, count);
-    const asksMore = wanted > told.asked || (wanted > 0 && now - told.at >= ASK_AGAIN_MILLIS);
-    if (!isNews && !isOld && !asksMore) {
+    const isNewBackoff = restMillis > 0 && rest.until !== last.restUntil;
+    const isLeaving = this.#isDrainingUnshown(notices);
+    const isChanged = limit.perSecond !== last.perSecond || isNewBackoff || isLeaving !== last.isLeaving;
+    const isRepeatDue =
+      (limit.isInForce || restMillis > 0 || isLeaving) && now - last.at >= REPORT_REPEAT_MILLIS;
+    const { count, rank, patienceMillis } = limit.isInForce ? this.#queuedFor(notices) : NO_REQUESTS;
+    const wanted = this.#wantedPermits(notices, count);
+    const isPermitRequestDue =
+      wanted > last.pendingPermits || (wanted > 0 && now - last.at >= PERMIT_RETRY_MILLIS);
+    if (!isChanged && !isRepeatDue && !isPermitRequestDue) {
       return null;
     }
     const { perSecond } = limit;
-    this.#told.set(notices, { perSecond, restUntil: rest.until, isLeaving, at: now, asked: wanted });
+    this.#lastReports.set(notices, {
+      perSecond,
+      restUntil: rest.until,
+      isLeaving,
+      at: now,
+      pendingPermits: wanted,
+    });
     return { upstream, run, limit: limit.heard(now), restMillis, isLeaving, wanted, rank, patienceMillis };
   }
 
-  /** Only upstreams that announce themselves are marked by their own word; of the others operators say who leaves. */
-  #isLeavingUnshown(notices: RunNotices): boolean {
+  /**
+   * Whether control doesn't show a draining run as such yet. Control marks only upstreams that announce themselves by their own notices; the
+   * others are drained by operators.
+   */
+  #isDrainingUnshown(notices: RunNotices): boolean {
     const definition = this.#stateOf(notices)?.record.definition;
     const isShown = definition === undefined || definition.leaving || definition.announced === undefined;
     return !isShown && notices.isLeaving;
   }
 
-  /** Nothing more while control has said when there is something again. */
-  #wanted({ limit }: RunNotices, waiting: number): number {
+  /** Number of permits to request; 0 while control has announced when it will have permits again. */
+  #wantedPermits({ limit }: RunNotices, waiting: number): number {
     const { now } = this.#context;
     if (waiting === 0 || limit.waitMillis(now) > 0) {
       return 0;
@@ -166,22 +180,22 @@
     return Math.max(0, waiting + limit.aheadOf(now) - limit.permitsLeft(now));
   }
 
-  #waitingFor(notices: RunNotices): Waiting {
+  #queuedFor(notices: RunNotices): QueuedRequests {
     const state = this.#stateOf(notices);
     const service = this.#context.services.get(state?.record.definition.service ?? '');
     if (state === null || service === undefined) {
-      return NOBODY;
+      return NO_REQUESTS;
     }
     const { lanes, definition } = service;
     const waiting = definition.keyed ? lanes.waitingFor(state.id) : lanes.allWaiting();
-    return waiting.reduce((sum, { queue }) => this.#withQueue(sum, queue), NOBODY);
+    return waiting.reduce((sum, { queue }) => this.#addQueue(sum, queue), NO_REQUESTS);
   }
 
-  /** The first and the last stand for those between them. */
-  #withQueue({ count, rank, patienceMillis }: Waiting, queue: RankedQueue): Waiting {
+  /** Adds a queue, represented by its first and last group. */
+  #addQueue({ count, rank, patienceMillis }: QueuedRequests, queue: RankedQueue): QueuedRequests {
     const { now } = this.#context;
     const ends = queue.ends;
-    const patiences = ends.map((work) => Math.min(work.holdUntil, work.deadline) - now);
+    const patiences = ends.map((group) => Math.min(group.holdUntil, group.deadline) - now);
     return {
       count: count + queue.length,
       rank: Math.min(rank, ...ends.map(({ terms }) => terms.priority)),
@@ -189,15 +203,15 @@
     };
   }
 
-  /** The state of the upstream while it is this run of it. */
+  /** Returns the state of the upstream if it is at this run, otherwise `null`. */
   #stateOf(notices: RunNotices): UpstreamState | null {
     const state = this.#context.upstreams.get(notices.upstream);
     return state?.notices === notices ? state : null;
   }
 
-  #wakeAt(at: MonotonicMillis): void {
-    if (at < this.#dueAt) {
-      this.#dueAt = at;
+  #scheduleAt(at: MonotonicMillis): void {
+    if (at < this.#timerAt) {
+      this.#timerAt = at;
       this.#context.schedule(at, { type: 'upstream-report' });
     }
   }
--- a/src/routing/picker/capacity-draw.ts
+++ b/src/routing/picker/capacity-draw.ts
@@ -1,61 +1,61 @@
 /**
- * Draws upstreams by what they can do: each has its part of the requests where nobody knows how busy any of them is, however many routers
- * decide alike.
+ * Draws upstreams at random in proportion to their capacity, so that each gets its share of the requests even if nothing is known about their
+ * load, however many routers decide by the same data.
  */
 import type { UpstreamState } from '../upstream/upstream-state.js';
 import type { PickContext } from './picker.js';
 
-/** Values of an upstream's affinity. */
-const HASHES = 2 ** 32;
+/** Number of different affinity values. */
+const AFFINITY_RANGE = 2 ** 32;
 
-interface Drawn {
+interface WeightedUpstream {
   readonly upstream: UpstreamState;
   readonly weight: number;
 }
 
-/** What an upstream can do, in slots of speed 1. */
+/** Capacity of an upstream, in slots of speed 1. */
 function capacityOf(upstream: UpstreamState, now: number): number {
   return upstream.slotLimit.most * (upstream.fleetSpeed(now) ?? 1);
 }
 
 export class CapacityDraw {
-  readonly #drawn: readonly Drawn[];
-  readonly #weight: number;
+  readonly #weighted: readonly WeightedUpstream[];
+  readonly #totalWeight: number;
 
   /**
-   * Keeps to `most` of the upstreams, by an order of the router's own in which large ones come first more often. What is in the orders of
-   * more routers is drawn less often by each.
+   * Limits the draw to `count` upstreams, by an order of this router in which larger upstreams tend to come first. An upstream that is
+   * among the first of more routers is drawn less often by each.
    */
   constructor(
     from: readonly UpstreamState[],
-    most: number,
+    count: number,
     private readonly context: PickContext,
   ) {
     const { now } = context;
     const placed = from.map((upstream) => {
       const capacity = capacityOf(upstream, now);
-      // Of the least of such places, each upstream has the first with a probability in proportion to its capacity.
-      const place = -Math.log1p(-upstream.affinity / HASHES) / capacity;
+      // An exponential variate with rate `capacity`: each upstream has the lowest with a probability in proportion to its capacity.
+      const place = -Math.log1p(-upstream.affinity / AFFINITY_RANGE) / capacity;
       return { upstream, capacity, place };
     });
-    const isAll = placed.length <= most;
+    const isAll = placed.length <= count;
     const inOrder = isAll ? placed : placed.sort((one, other) => one.place - other.place);
-    const end = isAll ? Number.POSITIVE_INFINITY : (inOrder[most]?.place ?? Number.POSITIVE_INFINITY);
-    this.#drawn = inOrder.slice(0, most).map(({ upstream, capacity }) => ({
+    const end = isAll ? Number.POSITIVE_INFINITY : (inOrder[count]?.place ?? Number.POSITIVE_INFINITY);
+    this.#weighted = inOrder.slice(0, count).map(({ upstream, capacity }) => ({
       upstream,
       weight: capacity / -Math.expm1(-capacity * end),
     }));
-    this.#weight = this.#drawn.reduce((sum, { weight }) => sum + weight, 0);
+    this.#totalWeight = this.#weighted.reduce((sum, { weight }) => sum + weight, 0);
   }
 
   next(): UpstreamState {
-    let left = this.context.random.share() * this.#weight;
-    for (const { upstream, weight } of this.#drawn) {
-      left -= weight;
-      if (left < 0) {
+    let remaining = this.context.random.share() * this.#totalWeight;
+    for (const { upstream, weight } of this.#weighted) {
+      remaining -= weight;
+      if (remaining < 0) {
         return upstream;
       }
     }
-    return (this.#drawn.at(-1) as Drawn).upstream;
+    return (this.#weighted.at(-1) as WeightedUpstream).upstream;
   }
 }
--- a/src/routing/picker/create-picker.ts
+++ b/src/routing/picker/create-picker.ts
@@ -1,4 +1,4 @@
-/** Makes a picker by name. */
+/** Creates a picker by its configured name. */
 import { LeastInFlightPicker } from './least-in-flight-picker.js';
 import { LeastWorkPicker } from './least-work-picker.js';
 import type { Picker, PickerName } from './picker.js';
--- a/src/routing/picker/least-in-flight-picker.ts
+++ b/src/routing/picker/least-in-flight-picker.ts
@@ -1,4 +1,4 @@
-/** Fewest requests of this router's own in flight; a baseline to measure against. */
+/** Picks the upstream with the fewest requests of this router in flight; a baseline for measurements. */
 import type { UpstreamState } from '../upstream/upstream-state.js';
 import type { PickContext, Picker } from './picker.js';
 
--- a/src/routing/picker/least-work-picker.ts
+++ b/src/routing/picker/least-work-picker.ts
@@ -1,4 +1,4 @@
-/** Two random choices by estimated outstanding work, the own zone first. */
+/** Picks the better of random choices by estimated outstanding work, and prefers the own zone. */
 import type { ZoneRoom } from '../../model/fleet-view.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
 import { SpillTurns } from '../zones/spill-turns.js';
@@ -6,49 +6,50 @@
 import type { PickContext, Picker } from './picker.js';
 
 /**
- * Work in another zone is chosen when it is cheaper than the own zone's by this factor, and by the hop; not while the own zone
- * is in time, since bytes between zones are dear.
+ * A request goes to another zone if the cost there is lower by this factor and by the hop. It doesn't while the own zone is expected to answer in
+ * time, since traffic between zones is expensive.
  */
 const SPILL_FACTOR = 1.25;
 const ZONE_HOP_MILLIS = 1;
 /**
- * A router keeps to so many upstreams of its zone, the first of its order that have room, that it meets each about once in this
- * time: with few requests and many upstreams it would know neither how fast nor how busy any of them is.
+ * A router uses only the first upstreams of its order in the zone that have capacity, as many as it reaches about once each in this time. With few
+ * requests over many upstreams it would have no current data about the speed and load of any of them.
  */
-const MEETING_MILLIS = 4000;
-/** It keeps to no fewer than this: a few routers that kept to one or two would load them unevenly. */
-const LEAST_PREFERRED = 8;
+const REVISIT_MILLIS = 4000;
+/** Minimum number of upstreams that a router uses: a few routers with one or two each would load them unevenly. */
+const MIN_PREFERRED = 8;
 /**
- * Where upstreams differ, the best of so many draws is taken. With two, a slow one is taken too often while a fast one is free; with all,
- * routers that know the same go for the same upstream.
+ * If upstreams differ in speed, the best of this many draws is picked. With two draws, a slow upstream is picked too often while a fast one is
+ * free. With all upstreams drawn, routers with the same data would pick the same upstream.
  */
 const DRAWS = 12;
 /**
- * Where control sees room enough in the zone, work there may take this part of what still is in time before any leaves the zone, and then
- * so many of a router's requests do, and so many in a row: a burst is over before what it sent away is back.
+ * If control reports enough capacity in the zone, a request leaves the zone beyond the plan only if its cost there exceeds this multiple of the
+ * time that counts as in time. At most this share of a router's requests does, and at most this many in a row: a burst is over before the requests
+ * that it sent to other zones are answered.
  */
 const UNPLANNED_LATE_SHARE = 1.2;
-/** The same where some have to leave anyway. */
+/** Multiple of the in-time limit above which a request leaves the zone ahead of the plan, if some requests have to leave anyway. */
 const PLANNED_LATE_SHARE = 1.1;
 const UNPLANNED_SHARE = 0.01;
 const UNPLANNED_BURST = 3;
-/** Beyond this part of it all may leave: control hears of a zone that fails a few seconds later than its routers. */
+/** Above this multiple any request may leave: control detects a failing zone a few seconds later than the routers do. */
 const HOPELESS_LATE_SHARE = 2;
 
 export class LeastWorkPicker implements Picker {
-  /** Picks of about the last `MEETING_MILLIS`, older ones counting for less. */
+  /** Exponentially decayed number of picks in about the last `REVISIT_MILLIS`. */
   #recentPicks = 0;
-  #pickedAt = Number.NEGATIVE_INFINITY;
-  readonly #spill = new SpillTurns();
-  /** Requests that may leave the zone beyond the plan. */
-  #unplanned = UNPLANNED_BURST;
+  #lastPickAt = Number.NEGATIVE_INFINITY;
+  readonly #spillCredits = new SpillTurns();
+  /** Number of requests that may leave the zone beyond the plan. */
+  #unplannedAllowance = UNPLANNED_BURST;
 
   pick(context: PickContext): UpstreamState {
     this.#countPick(context.now);
     const local = context.candidates.filter((upstream) => upstream.zone === context.zone);
     const { room = null } = context;
     if (room !== null && (room.isUneven || room.spill.length > 0)) {
-      return this.#pickByRoom(local, context, room);
+      return this.#pickByCapacity(local, context, room);
     }
     if (local.length === 0) {
       return cheaperOfTwo(context.candidates, context).upstream;
@@ -60,23 +61,25 @@
     const remote = context.candidates.filter((upstream) => upstream.zone !== context.zone);
     const near = cheaperOfTwo(preferred, context);
     const far = cheaperOfTwo(remote, context);
-    return this.#leaves(near, far, context) ? far.upstream : near.upstream;
+    return this.#leavesZone(near, far, context) ? far.upstream : near.upstream;
   }
 
-  /** As control sees demand and room: the planned part of the requests leaves the zone, and little else. */
-  #pickByRoom(local: readonly UpstreamState[], context: PickContext, room: ZoneRoom): UpstreamState {
+  /** Picks by demand and capacity as reported by control: the planned share of the requests leaves the zone, and few others do. */
+  #pickByCapacity(local: readonly UpstreamState[], context: PickContext, room: ZoneRoom): UpstreamState {
     const remote = context.candidates.filter((upstream) => upstream.zone !== context.zone);
-    const turn = this.#spill.next(room.spill, context.random);
-    const inTurn = remote.filter(({ zone }) => zone === turn);
+    const spillZone = this.#spillCredits.next(room.spill, context.random);
+    const inSpillZone = remote.filter(({ zone }) => zone === spillZone);
     const chosen =
-      inTurn.length > 0 ? this.#best(inTurn, context).upstream : this.#nearOrBetter(local, remote, context);
+      inSpillZone.length > 0
+        ? this.#best(inSpillZone, context).upstream
+        : this.#pickUnplanned(local, remote, context);
     if (chosen.zone !== context.zone) {
-      this.#spill.sent(chosen.zone);
+      this.#spillCredits.sent(chosen.zone);
     }
     return chosen;
   }
 
-  #nearOrBetter(
+  #pickUnplanned(
     local: readonly UpstreamState[],
     remote: readonly UpstreamState[],
     context: PickContext,
@@ -89,17 +92,17 @@
       return near.upstream;
     }
     const far = this.#best(remote, context);
-    return this.#leaves(near, far, context) ? far.upstream : near.upstream;
+    return this.#leavesZone(near, far, context) ? far.upstream : near.upstream;
   }
 
-  /** Whether a request leaves the zone for how it is there now. */
-  #leaves(near: Choice, far: Choice, context: PickContext): boolean {
+  /** Whether a request leaves the zone because of the present cost there. */
+  #leavesZone(near: Choice, far: Choice, context: PickContext): boolean {
     const { room = null } = context;
     const inTimeMillis = context.inTimeMillis ?? 0;
     if (near.cost <= inTimeMillis || near.cost <= far.cost * SPILL_FACTOR + ZONE_HOP_MILLIS) {
       return false;
     }
-    const isPlanned = this.#spill.mayGoAhead(far.upstream.zone);
+    const isPlanned = this.#spillCredits.mayGoAhead(far.upstream.zone);
     if (
       room === null ||
       (isPlanned && near.cost > inTimeMillis * PLANNED_LATE_SHARE) ||
@@ -107,10 +110,10 @@
     ) {
       return true;
     }
-    if (near.cost <= inTimeMillis * UNPLANNED_LATE_SHARE || this.#unplanned < 1) {
+    if (near.cost <= inTimeMillis * UNPLANNED_LATE_SHARE || this.#unplannedAllowance < 1) {
       return false;
     }
-    this.#unplanned -= 1;
+    this.#unplannedAllowance -= 1;
     return true;
   }
 
@@ -125,13 +128,13 @@
   }
 
   get #preferredCount(): number {
-    return Math.max(LEAST_PREFERRED, Math.ceil(this.#recentPicks));
+    return Math.max(MIN_PREFERRED, Math.ceil(this.#recentPicks));
   }
 
   #countPick(now: number): void {
-    this.#unplanned = Math.min(UNPLANNED_BURST, this.#unplanned + UNPLANNED_SHARE);
-    this.#recentPicks = 1 + this.#recentPicks * Math.exp((this.#pickedAt - now) / MEETING_MILLIS);
-    this.#pickedAt = now;
+    this.#unplannedAllowance = Math.min(UNPLANNED_BURST, this.#unplannedAllowance + UNPLANNED_SHARE);
+    this.#recentPicks = 1 + this.#recentPicks * Math.exp((this.#lastPickAt - now) / REVISIT_MILLIS);
+    this.#lastPickAt = now;
   }
 }
 
--- a/src/routing/picker/picker.ts
+++ b/src/routing/picker/picker.ts
@@ -1,25 +1,25 @@
-/** How an upstream is picked for a request that any of them can serve. */
+/** Interface of the algorithms that pick an upstream for a request which any upstream of the service can serve. */
 import type { ZoneRoom } from '../../model/fleet-view.js';
 import type { Zone } from '../../model/identifiers.js';
 import type { Random } from '../random.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
 
 export interface PickContext {
-  /** Those that may take a request now; never empty. */
+  /** Upstreams that can accept a request now; never empty. */
   readonly candidates: readonly UpstreamState[];
   /** Zone of this router. */
   readonly zone: Zone;
   readonly now: number;
   readonly random: Random;
-  /** Whoever is expected to be done within this many milliseconds is as good as anyone; `null`: the sooner the better. */
+  /** Upstreams that are expected to answer within this many milliseconds count as equally good; `null`: faster is always better. */
   readonly inTimeMillis: number | null;
-  /** Demand of this router's zone against its room; left out: not known. */
+  /** Demand and capacity of this router's zone; left out or `null` if unknown. */
   readonly room?: ZoneRoom | null;
-  /** Factor of the service's policy on an upstream's cost; 1 for none. */
+  /** Returns the factor of the service's policy on an upstream's cost; 1 without a policy. */
   weigh(upstream: UpstreamState): number;
 }
 
-/** Picks one of the candidates. Pickers keep only what they need between picks of one service. */
+/** Picks one of the candidates. A picker belongs to one service and keeps state between its picks. */
 export interface Picker {
   pick(context: PickContext): UpstreamState;
 }
--- a/src/routing/picker/round-robin-picker.ts
+++ b/src/routing/picker/round-robin-picker.ts
@@ -1,4 +1,4 @@
-/** Each in turn; a baseline to measure against. */
+/** Picks the upstreams in turn; a baseline for measurements. */
 import type { UpstreamState } from '../upstream/upstream-state.js';
 import type { PickContext, Picker } from './picker.js';
 
--- a/src/routing/picker/two-choices-picker.ts
+++ b/src/routing/picker/two-choices-picker.ts
@@ -1,4 +1,4 @@
-/** The less busy of two drawn at random, by requests of this router's own in flight; a baseline to measure against. */
+/** Picks the one of two random upstreams with fewer requests of this router in flight; a baseline for measurements. */
 import type { UpstreamState } from '../upstream/upstream-state.js';
 import type { PickContext, Picker } from './picker.js';
 
--- a/src/routing/upstream/affinity.ts
+++ b/src/routing/upstream/affinity.ts
@@ -1,17 +1,17 @@
 /**
- * Which upstreams a router prefers among equals. Each router has an order of its own, which others' coming and going doesn't change,
- * so it keeps to few upstreams, knows them and reuses its connections; over many routers the orders spread evenly.
+ * A router's order of preference among equal upstreams. Each router has its own order, which doesn't change when other upstreams are added or
+ * removed. The router thus uses few upstreams, has current data about them and reuses its connections. Over many routers the load is even.
  */
 import type { RouterId, UpstreamId } from '../../model/identifiers.js';
 
 /** FNV-1a, 32 bits. */
 const OFFSET_BASIS = 0x811c9dc5;
 const PRIME = 0x01000193;
-/** Multipliers and shifts of MurmurHash3's finalizer: names that differ in one digit must land far apart. */
+/** Multipliers of MurmurHash3's finalizer, which separates the hashes of names that differ in one digit. */
 const MIX_FIRST = 0x85ebca6b;
 const MIX_SECOND = 0xc2b2ae35;
 
-/** Place of an upstream in the order of a router; the lowest are preferred. */
+/** Returns the position of an upstream in a router's order; lower values are preferred. */
 export function affinityOf(router: RouterId, upstream: UpstreamId): number {
   const text = `${router} ${upstream}`;
   let hash = OFFSET_BASIS;
--- a/src/routing/upstream/fleet-view.ts
+++ b/src/routing/upstream/fleet-view.ts
@@ -1,13 +1,13 @@
-/** What the whole fleet measured of an upstream, as far as it is known now. */
+/** Measurements of upstreams by all routers together, as far as they are current. */
 import type { MonotonicMillis, ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
 
 export interface FleetView {
-  /** Speed, 1 for the mean of its service; `null`: not known to differ. */
+  /** Relative speed of an upstream, 1 for the mean of its service; `null` if no difference is known. */
   speedOf(upstream: UpstreamId, now: MonotonicMillis): number | null;
-  /** What a request takes at an upstream of speed 1, in milliseconds; `null`: upstreams of the service aren't known to differ. */
+  /** Service time of a request at an upstream of speed 1, in milliseconds; `null` if the service's upstreams aren't known to differ. */
   unevenMillis(service: ServiceName, zone: Zone, now: MonotonicMillis): number | null;
-  /** Notes for how many turns of an upstream of speed 1 there was work at one of a zone. */
-  noteTurns(service: ServiceName, zone: Zone, turns: number, now: MonotonicMillis): void;
-  /** For how many such turns there usually is work; `null`: not known. */
+  /** Records the load that an answer from a zone reported, relative to its upstream's capacity: 1 if all slots of an upstream of speed 1 are used. */
+  noteTurns(service: ServiceName, zone: Zone, relativeLoad: number, now: MonotonicMillis): void;
+  /** The usual relative load in a zone; `null` if unknown. */
   usualTurns(service: ServiceName, zone: Zone): number | null;
 }
--- a/src/routing/upstream/leaving-table.ts
+++ b/src/routing/upstream/leaving-table.ts
@@ -1,46 +1,46 @@
 /**
- * When an upstream counts as leaving. The operator's word is final. What this router saw itself comes next, while it is
- * fresh; the platform's list and health checks lag or mislead, so they are hints which age.
+ * Decides whether an upstream may be picked and when it counts as draining. The operator's declaration has priority, then this router's own recent
+ * observations. The platform's list and health checks lag or mislead, so they are hints which expire.
  */
 
 /**
- * `usable`: pick freely. `suspect`: only if no usable one is left. `last-resort`: only if no suspect has a slot either.
- * `leaving`: no new work.
+ * `usable`: may be picked. `suspect`: only if no usable upstream is left. `last-resort`: only if no suspect has a slot either.
+ * `leaving`: draining, gets no new requests.
  */
 export type Standing = 'usable' | 'suspect' | 'last-resort' | 'leaving';
 
-/** A success of this router's own on an upstream speaks for it this long. */
+/** How long a successful request of this router counts as evidence for an upstream. */
 export const FRESH_SUCCESS_MILLIS = 2000;
-/** A refusal with `draining` speaks against it this long. */
+/** How long a refusal with reason `draining` counts as evidence against an upstream. */
 export const FRESH_DRAINING_MILLIS = 5000;
-/** A connection that failed speaks against it this long, unless a request succeeds meanwhile. */
+/** How long a failed connection counts as evidence against an upstream, unless a request succeeds meanwhile. */
 export const FRESH_UNREACHABLE_MILLIS = 1000;
-/** Each further one in a row speaks twice as long, up to this: one that is gone for good is tried ever more rarely. */
+/** Each further failure in a row counts twice as long, up to this maximum, so that an upstream that is gone is tried less and less often. */
 export const LONGEST_UNREACHABLE_MILLIS = 8000;
-/** A hint of the platform or of a probe holds this long unless it is repeated. */
+/** A hint of the platform or of a health check expires after this time unless it is repeated. */
 export const HINT_LIFETIME_MILLIS = 15_000;
 
-/** The columns of the table. */
+/** Input of `standingOf`: the columns of its table. */
 export interface StandingFacts {
   readonly operatorLeaving: boolean;
-  /** Its address answered that another run is there: this one is over. */
+  /** The upstream's address answered as another run, so this run has ended. */
   readonly hasEnded: boolean;
-  /** Its own answers say that it leaves. */
+  /** The run reported in an answer that it is draining. */
   readonly saysLeaving: boolean;
-  /** The upstream's own fence said `draining` lately, and nothing succeeded since. */
+  /** The upstream's fence recently refused a request as `draining`, and no request has succeeded since. */
   readonly ownDraining: boolean;
-  /** A request of this router's own succeeded lately. */
+  /** A request of this router recently succeeded. */
   readonly ownSuccess: boolean;
-  /** A connection of this router's own failed lately, and nothing succeeded since. */
+  /** A connection of this router recently failed, and no request has succeeded since. */
   readonly ownUnreachable: boolean;
   readonly platformLeaving: boolean;
   readonly probeUnhealthy: boolean;
 }
 
 /**
- * The table, first row that fits:
+ * Derives the standing by the first matching row:
  *
- * | operator, ended, or its own answers | own draining | platform or probe against it | own success | own unreachable | standing |
+ * | operator, run ended, or draining notice | draining refusal | platform or probe against | recent success | failed connection | standing |
  * | yes      | -            | -                            | -           | -               | leaving  |
  * | no       | yes          | -                            | -           | -               | leaving  |
  * | no       | no           | yes, the platform            | no          | -               | last-resort |
@@ -48,9 +48,9 @@
  * | no       | no           | no                           | -           | yes             | suspect  |
  * | no       | no           | no                           | -           | no              | usable   |
  *
- * A suspect is avoided while others are usable, so its successes age and a true hint takes hold within seconds.
- * A hint alone never empties a service: if the platform says so of all upstreams, they go on serving, and one that
- * really leaves says so itself.
+ * A suspect is avoided while others are usable, so its successes expire and a correct hint takes effect within seconds.
+ * Hints alone never exclude all upstreams of a service: if the platform reports all of them as draining, they continue to
+ * serve, and an upstream that is really draining reports it itself.
  */
 export function standingOf(facts: StandingFacts): Standing {
   if (facts.operatorLeaving || facts.hasEnded || facts.saysLeaving || facts.ownDraining) {
@@ -59,14 +59,14 @@
   if (facts.platformLeaving && !facts.ownSuccess) {
     return 'last-resort';
   }
-  const isDoubted = facts.platformLeaving || facts.probeUnhealthy || facts.ownUnreachable;
-  return isDoubted ? 'suspect' : 'usable';
+  const isDoubtful = facts.platformLeaving || facts.probeUnhealthy || facts.ownUnreachable;
+  return isDoubtful ? 'suspect' : 'usable';
 }
 
-/** Evidence about one upstream, with its age. */
+/** Evidence about one upstream, with timestamps. */
 export class StandingEvidence {
   operatorLeaving = false;
-  /** Its present run said that it leaves; no success ends that. */
+  /** The current run reported that it is draining; later successes don't change that. */
   saysLeaving = false;
   private hasEnded = false;
   private successAt = Number.NEGATIVE_INFINITY;
@@ -84,18 +84,18 @@
     this.drainingAt = now;
   }
 
-  /** Proof, for upstreams whose every run has an id of its own. */
+  /** Records the end of the run, which is certain for upstreams whose runs have ids. */
   runEnded(): void {
     this.hasEnded = true;
   }
 
   connectionFailed(now: number): void {
     const isFirst = this.successAt > this.unreachableAt || this.unreachableMillis === 0;
-    const isNews = now - this.unreachableAt >= FRESH_UNREACHABLE_MILLIS;
+    const isSeparateFailure = now - this.unreachableAt >= FRESH_UNREACHABLE_MILLIS;
     if (isFirst) {
       this.unreachableMillis = FRESH_UNREACHABLE_MILLIS;
-    } else if (isNews) {
-      // Attempts that failed together are one failure.
+    } else if (isSeparateFailure) {
+      // Attempts that fail together count as one failure.
       this.unreachableMillis = Math.min(LONGEST_UNREACHABLE_MILLIS, this.unreachableMillis * 2);
     }
     this.unreachableAt = now;
@@ -109,7 +109,7 @@
     this.unhealthyAt = healthy ? Number.NEGATIVE_INFINITY : now;
   }
 
-  /** A new incarnation: what was seen of the one before says nothing about it. */
+  /** Discards the evidence, which was about an earlier incarnation. */
   forget(): void {
     this.hasEnded = false;
     this.successAt = Number.NEGATIVE_INFINITY;
@@ -119,7 +119,7 @@
     this.unhealthyAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** Whether it gets nothing new because an operator, or it itself, said so. */
+  /** Whether an operator or the upstream itself declared it to be draining. */
   get isToldLeaving(): boolean {
     return this.operatorLeaving || this.saysLeaving;
   }
--- a/src/routing/upstream/outlier-ejection.ts
+++ b/src/routing/upstream/outlier-ejection.ts
@@ -1,20 +1,20 @@
 /**
- * Takes an upstream out of the picking for a while when this router's own requests to it fail. Only own evidence counts,
- * and no more than a share of a service's upstreams is out at a time, so that a fault of the router's side empties nothing.
+ * Excludes an upstream from picking for a while when this router's requests to it fail. Only the router's own requests count, and at most a share
+ * of a service's upstreams is ejected at a time, so that a fault on the router's side can't exclude all of them.
  */
 
 const CONSECUTIVE_FAILURES = 3;
 const BASE_EJECTION_MILLIS = 1000;
-const LONGEST_EJECTION_MILLIS = 30_000;
-/** Largest share of a service's upstreams that may be out at once. */
-const LARGEST_EJECTED_SHARE = 0.5;
-/** Success for this long after an ejection forgets it. */
-const FORGET_AFTER_MILLIS = 60_000;
+const MAX_EJECTION_MILLIS = 30_000;
+/** Maximum share of a service's upstreams that is ejected at a time. */
+const MAX_EJECTED_SHARE = 0.5;
+/** A success this long after the end of an ejection resets the ejection count. */
+const EJECTION_RESET_MILLIS = 60_000;
 
 export class OutlierEjection {
   private consecutiveFailures = 0;
   private ejections = 0;
-  /** Nothing succeeded since the latest ejection: the next failure ejects again. */
+  /** Whether no request has succeeded since the latest ejection: the next failure ejects again. */
   private isOnTrial = false;
   private until = Number.NEGATIVE_INFINITY;
 
@@ -30,28 +30,28 @@
   succeeded(now: number): void {
     this.consecutiveFailures = 0;
     this.isOnTrial = false;
-    if (now - this.until > FORGET_AFTER_MILLIS) {
+    if (now - this.until > EJECTION_RESET_MILLIS) {
       this.ejections = 0;
     }
   }
 
   /**
-   * Counts a failure; `true` if it ejects the upstream.
+   * Records a failure. Returns `true` if it ejects the upstream.
    *
-   * @param ejectedNow upstreams of the service that are out already
-   * @param total upstreams of the service
+   * @param ejectedNow number of the service's upstreams that are already ejected
+   * @param total number of the service's upstreams
    */
   failed(now: number, ejectedNow: number, total: number): boolean {
     this.consecutiveFailures += 1;
-    const mayEject = (ejectedNow + 1) / total <= LARGEST_EJECTED_SHARE;
-    const needed = this.isOnTrial ? 1 : CONSECUTIVE_FAILURES;
-    if (this.isEjected(now) || this.consecutiveFailures < needed || !mayEject) {
+    const mayEject = (ejectedNow + 1) / total <= MAX_EJECTED_SHARE;
+    const threshold = this.isOnTrial ? 1 : CONSECUTIVE_FAILURES;
+    if (this.isEjected(now) || this.consecutiveFailures < threshold || !mayEject) {
       return false;
     }
     this.ejections += 1;
     this.consecutiveFailures = 0;
     this.isOnTrial = true;
-    this.until = now + Math.min(LONGEST_EJECTION_MILLIS, BASE_EJECTION_MILLIS * 2 ** (this.ejections - 1));
+    this.until = now + Math.min(MAX_EJECTION_MILLIS, BASE_EJECTION_MILLIS * 2 ** (this.ejections - 1));
     return true;
   }
 }
--- a/src/routing/upstream/reported-load.ts
+++ b/src/routing/upstream/reported-load.ts
@@ -1,72 +1,73 @@
-/** Outstanding work of other routers at one upstream, from the loads that its answers and probes report. */
+/** Outstanding requests of other routers at one upstream, from the loads that its answers and probes report. */
 
-/** Reports within this time are averaged: each is old when it comes, and following the latest would swing. */
-const AVERAGE_MILLIS = 250;
-/** A report loses two thirds of its weight in this time. */
+/** Averaging time of reports: each one is outdated on arrival, so following only the latest would oscillate. */
+const AVERAGING_MILLIS = 250;
+/** A report loses about two thirds of its weight in this time. */
 const DECAY_MILLIS = 1000;
-/** Where nothing was heard for a while, this is how fast what was heard last gives way to what is usual there. */
-const USUAL_AGAIN_MILLIS = 1500;
-/** What is usual at one upstream is smoothed over this time, and gives way to what is usual in its zone in the next. */
-const USUAL_MILLIS = 5000;
-const USUAL_LASTS_MILLIS = 10_000;
-/** Work of others that is believed at most, for each slot: one that says more is no fuller, or says it wrongly. */
-const MOST_PER_SLOT = 4;
+/** Without new reports, the estimate moves from the last report to the usual load of the upstream in this time. */
+const RETURN_TO_USUAL_MILLIS = 1500;
+/** Smoothing time of an upstream's usual load, and the time in which, without reports, the usual load of its zone replaces it. */
+const USUAL_SMOOTHING_MILLIS = 5000;
+const USUAL_DECAY_MILLIS = 10_000;
+/** Maximum load of others per slot that is taken into account: an upstream that reports more isn't fuller, or its report is wrong. */
+const MAX_LOAD_PER_SLOT = 4;
 
 export class ReportedLoad {
   #foreign = 0;
   #usual = 0;
-  #at = Number.NEGATIVE_INFINITY;
+  #reportedAt = Number.NEGATIVE_INFINITY;
 
-  /** Decayed outstanding work of others, in requests. */
+  /** Decayed number of outstanding requests of other routers. */
   foreign(now: number): number {
-    return this.#foreign * Math.exp((this.#at - now) / DECAY_MILLIS);
+    return this.#foreign * Math.exp((this.#reportedAt - now) / DECAY_MILLIS);
   }
 
-  /** Weight of what was reported last, from 1 when it came to 0. */
+  /** Weight of the last report, which decays from 1 to 0. */
   freshness(now: number): number {
-    return Math.exp((this.#at - now) / DECAY_MILLIS);
+    return Math.exp((this.#reportedAt - now) / DECAY_MILLIS);
   }
 
   /**
-   * What others have outstanding there by now, in requests. Without news it is taken to be as usual there, and in the end as usual
-   * in the zone (`zoneUsual`): taken to be gone, the upstream heard of least would look best to every router.
+   * Estimated number of outstanding requests of other routers. Without new reports the estimate moves to the usual load of the upstream, and in the
+   * end to that of the zone (`zoneUsual`). If it decayed to 0, the upstream with the fewest reports would look best to every router.
    */
   expected(zoneUsual: number, now: number): number {
-    const age = now - this.#at;
-    const latest = Math.exp(-age / USUAL_AGAIN_MILLIS);
-    const own = Math.exp(-age / USUAL_LASTS_MILLIS);
+    const age = now - this.#reportedAt;
+    const latest = Math.exp(-age / RETURN_TO_USUAL_MILLIS);
+    const own = Math.exp(-age / USUAL_DECAY_MILLIS);
     const usual = this.#usual * own + zoneUsual * (1 - own);
     return this.#foreign * latest + usual * (1 - latest);
   }
 
-  /** An answer or a probe reported `load` outstanding requests, this router's own `inFlight` among them. */
+  /** Records a report of `load` outstanding requests, which include this router's own `inFlight`. */
   report(load: number, inFlight: number, slots: number, now: number): void {
-    const weight = 1 - Math.exp((this.#at - now) / AVERAGE_MILLIS);
+    const weight = 1 - Math.exp((this.#reportedAt - now) / AVERAGING_MILLIS);
     const before = this.foreign(now);
-    const reported = foreignOf(load, inFlight, slots);
+    const reported = foreignLoadOf(load, inFlight, slots);
     this.#foreign = before + weight * (reported - before);
-    this.#usual += (1 - Math.exp((this.#at - now) / USUAL_MILLIS)) * (reported - this.#usual);
-    this.#at = now;
+    this.#usual +=
+      (1 - Math.exp((this.#reportedAt - now) / USUAL_SMOOTHING_MILLIS)) * (reported - this.#usual);
+    this.#reportedAt = now;
   }
 
-  /** It turned work away for want of room; `load` is `Infinity` if it didn't say how much is outstanding. */
+  /** Records a rejection for lack of capacity; `load` is `Infinity` if the upstream didn't report its load. */
   refusedAsFull(load: number, inFlight: number, slots: number, now: number): void {
-    this.#foreign = foreignOf(load, inFlight, slots);
-    this.#at = now;
+    this.#foreign = foreignLoadOf(load, inFlight, slots);
+    this.#reportedAt = now;
   }
 
-  /** Milliseconds until the work of others has decayed below `most`; 0 if it has. */
-  millisUntilBelow(most: number, now: number): number {
+  /** Milliseconds until the load of other routers has decayed below `threshold`; 0 if it has already. */
+  millisUntilBelow(threshold: number, now: number): number {
     const foreign = this.foreign(now);
-    return foreign < most ? 0 : DECAY_MILLIS * Math.log(foreign / most);
+    return foreign < threshold ? 0 : DECAY_MILLIS * Math.log(foreign / threshold);
   }
 
-  /** Another run: what was reported of the one before says nothing. */
+  /** Discards the reports, which were about an earlier run. */
   forget(): void {
-    this.#at = Number.NEGATIVE_INFINITY;
+    this.#reportedAt = Number.NEGATIVE_INFINITY;
   }
 }
 
-function foreignOf(load: number, inFlight: number, slots: number): number {
-  return Math.min(slots * MOST_PER_SLOT, Math.max(0, load - inFlight));
+function foreignLoadOf(load: number, inFlight: number, slots: number): number {
+  return Math.min(slots * MAX_LOAD_PER_SLOT, Math.max(0, load - inFlight));
 }
--- a/src/routing/upstream/service-times.ts
+++ b/src/routing/upstream/service-times.ts
@@ -1,39 +1,39 @@
-/** How long one upstream takes for requests, from this router's own attempts. */
+/** Response times of one upstream, measured by this router's own attempts. */
 
 /** Assumed until the first answer. */
-const FIRST_MILLIS = 10;
-/** Weight of the latest answer in a smoothed time. */
-const SMOOTHING = 0.2;
+const INITIAL_MILLIS = 10;
+/** Weight of the latest answer in the moving average. */
+const SMOOTHING_FACTOR = 0.2;
 
 export class ServiceTimes {
   #smoothed: number | null = null;
-  #unhindered: number | null = null;
+  #unqueued: number | null = null;
 
-  /** Smoothed time from dispatch to answer, in milliseconds; assumed while no answer came. */
+  /** Smoothed time from dispatch to answer, in milliseconds; an assumed value before the first answer. */
   get millis(): number {
-    return this.#smoothed ?? FIRST_MILLIS;
+    return this.#smoothed ?? INITIAL_MILLIS;
   }
 
-  /** The same; `null` while no answer came. */
+  /** Like `millis`, but `null` before the first answer. */
   get measuredMillis(): number | null {
     return this.#smoothed;
   }
 
-  /** Smoothed time of attempts that found a free slot, in milliseconds; `null` while there was none. */
+  /** Smoothed time of attempts that found a free slot, in milliseconds; `null` before the first one. */
   get unhinderedMillis(): number | null {
-    return this.#unhindered;
+    return this.#unqueued;
   }
 
   answered(tookMillis: number): void {
     this.#smoothed = smooth(this.#smoothed, tookMillis);
   }
 
-  /** An attempt that found a free slot was answered. */
+  /** Records the answer to an attempt that found a free slot. */
   answeredUnhindered(tookMillis: number): void {
-    this.#unhindered = smooth(this.#unhindered, tookMillis);
+    this.#unqueued = smooth(this.#unqueued, tookMillis);
   }
 }
 
 function smooth(before: number | null, latest: number): number {
-  return before === null ? latest : before + SMOOTHING * (latest - before);
+  return before === null ? latest : before + SMOOTHING_FACTOR * (latest - before);
 }
--- a/src/routing/upstream/upstream-state.ts
+++ b/src/routing/upstream/upstream-state.ts
@@ -1,4 +1,4 @@
-/** What a router knows of one upstream from its own requests, with hints from others kept apart. */
+/** A router's state of one upstream from its own requests; hints from other sources are kept separately. */
 import type { Incarnation, ServiceName, UpstreamId } from '../../model/identifiers.js';
 import type { UpstreamRecord } from '../../registry/types.js';
 import type { RunNotices } from '../notices/run-notices.js';
@@ -12,10 +12,10 @@
 import { ServiceTimes } from './service-times.js';
 import { Warmth } from './warmth.js';
 
-/** How much of a turn a free slot's neighbour counts. */
-const TIE_SHARE = 0.05;
+/** Part of a service time added to the cost in proportion to the used slots, so that ties go to the less loaded upstream. */
+const TIE_BREAK_SHARE = 0.05;
 const SLOW_START_MILLIS = 10_000;
-/** Share of its part that a cold upstream gets at first. */
+/** Fraction of its normal traffic that an upstream gets at the beginning of slow start. */
 const SLOW_START_FLOOR = 0.1;
 
 export class UpstreamState {
@@ -24,60 +24,60 @@
   ejection = new OutlierEjection();
   readonly slotLimit: SlotLimit;
   inFlight = 0;
-  /** What its service keeps free for more important work; `null`: nothing. */
+  /** Headroom that the service keeps free for more important requests; `null` if none. */
   rankRoom: RankRoom | null = null;
-  /** What its present run said of itself; `null`: nothing. */
+  /** Notices of the current run; `null` if it has sent none. */
   notices: RunNotices | null = null;
-  /** It asked for a pause with a refusal. */
+  /** End of the pause that the upstream requested with a refusal. */
   pausedUntil = Number.NEGATIVE_INFINITY;
-  /** A connection failed since the last success. */
+  /** Whether a connection has failed startedAt the last success. */
   private wasUnreachable = false;
   readonly warmth: Warmth;
-  readonly #times = new ServiceTimes();
-  readonly #load = new ReportedLoad();
+  readonly #serviceTimes = new ServiceTimes();
+  readonly #reportedLoad = new ReportedLoad();
   #isEvacuated = false;
-  #fleet: FleetView | null = null;
+  #fleetView: FleetView | null = null;
 
-  /** `coldSince`: when it came up; `-Infinity` for one that was there when the router started. */
+  /** `coldSince`: start of the upstream; `-Infinity` if it was there when the router started. */
   constructor(
     public record: UpstreamRecord,
     slots: number,
     private coldSince: number,
-    /** Its place in this router's order of preference, the lowest first. */
+    /** Position in this router's order of preference; lower values are preferred. */
     readonly affinity = 0,
   ) {
     this.id = record.definition.id;
     this.slotLimit = new SlotLimit(slots);
     this.warmth = new Warmth(this.id);
-    this.#judgeLeaving();
+    this.#updateOperatorLeaving();
   }
 
-  /** Its zone is out of use, or may be used again. */
+  /** Sets whether the upstream's zone is evacuated. */
   evacuated(isEvacuated: boolean, now: number): void {
     if (this.#isEvacuated && !isEvacuated) {
-      // It had nothing to do meanwhile.
+      // The upstream was idle during the evacuation.
       this.warmth.idled(now);
     }
     this.#isEvacuated = isEvacuated;
-    this.#judgeLeaving();
+    this.#updateOperatorLeaving();
   }
 
-  /** What control heard from it last. */
+  /** Applies the warm-up time that the upstream last announced to control. */
   hearWarmth(now: number): void {
     this.warmth.announced(this.record.definition.announced?.warmupMillis ?? 0, now);
   }
 
-  /** What all routers together know of it. */
+  /** Sets the source of the fleet's measurements of this upstream. */
   useFleetView(view: FleetView): void {
-    this.#fleet = view;
+    this.#fleetView = view;
   }
 
-  /** Speed as the fleet measured it, 1 for the mean of its service; `null`: not known to differ. */
+  /** Speed as measured by the fleet, 1 for the mean of its service; `null` if no difference is known. */
   fleetSpeed(now: number): number | null {
-    return this.#fleet?.speedOf(this.id, now) ?? null;
+    return this.#fleetView?.speedOf(this.id, now) ?? null;
   }
 
-  /** Whether its zone is out of use. */
+  /** Whether the upstream's zone is evacuated. */
   get isEvacuated(): boolean {
     return this.#isEvacuated;
   }
@@ -94,132 +94,132 @@
     return this.record.incarnation;
   }
 
-  /** Smoothed time from dispatch to answer, in milliseconds; assumed while no answer came. */
+  /** Smoothed time from dispatch to answer, in milliseconds; an assumed value before the first answer. */
   get serviceMillis(): number {
-    return this.#times.millis;
+    return this.#serviceTimes.millis;
   }
 
-  /** The same; `null` while no answer came. */
+  /** Like `serviceMillis`, but `null` before the first answer. */
   get measuredMillis(): number | null {
-    return this.#times.measuredMillis;
+    return this.#serviceTimes.measuredMillis;
   }
 
-  /** How long a request takes there that finds a free slot, in milliseconds; `null` while none was seen. */
+  /** Smoothed time of requests that found a free slot, in milliseconds; `null` before the first one. */
   get unhinderedMillis(): number | null {
-    return this.#times.unhinderedMillis;
+    return this.#serviceTimes.unhinderedMillis;
   }
 
-  /** Whether one more request would be worked on at once, as far as reported loads tell. */
+  /** Whether one more request would find a free slot, according to the reported loads. */
   hasFreeSlot(now: number): boolean {
     return this.inFlight + this.load(now) < this.slotLimit.most;
   }
 
-  /** Takes over a changed record. A new incarnation starts cold and with a clean sheet. */
+  /** Applies a changed record. A new incarnation starts cold and without earlier evidence. */
   update(record: UpstreamRecord, now: number): void {
-    const restarted = record.incarnation !== null && record.incarnation !== this.record.incarnation;
-    if (restarted && this.record.incarnation !== null) {
+    const isRestarted = record.incarnation !== null && record.incarnation !== this.record.incarnation;
+    if (isRestarted && this.record.incarnation !== null) {
       this.evidence.forget();
       this.ejection = new OutlierEjection();
       this.pausedUntil = Number.NEGATIVE_INFINITY;
       this.wasUnreachable = false;
       this.coldSince = now;
-      this.#load.forget();
+      this.#reportedLoad.forget();
     }
-    const isNews = record.revision !== this.record.revision;
+    const isNewRevision = record.revision !== this.record.revision;
     this.record = record;
-    this.#judgeLeaving();
-    if (isNews) {
+    this.#updateOperatorLeaving();
+    if (isNewRevision) {
       this.warmth.heard();
       this.hearWarmth(now);
     }
   }
 
-  /** Its present run said this of itself, or nothing (`null`). */
+  /** Sets the notices of the current run; `null` if it has sent none. */
   useNotices(notices: RunNotices | null): void {
     this.notices = notices;
     this.evidence.saysLeaving = notices?.isLeaving ?? false;
   }
 
-  /** Whether what it said of itself lets this router send it one more request now, whatever it has room for. */
+  /** Whether the upstream's notices admit one more request from this router now, regardless of capacity. */
   admits(now: number): boolean {
     return this.notices === null || this.notices.admits(now);
   }
 
-  /** When it may be sent something again, as far as pauses go. */
+  /** End of the pause or back-off that the upstream requested. */
   get opensAt(): number {
     return Math.max(this.pausedUntil, this.notices?.rest.until ?? Number.NEGATIVE_INFINITY);
   }
 
-  /** Whether it named a limit for all routers together. */
+  /** Whether the upstream has set a rate limit for all routers together. */
   get isLimited(): boolean {
     return this.notices?.limit.isInForce ?? false;
   }
 
-  /** Whether it may be sent one more request of a rank now. `waitedShare`: how much of its wait is over, from 0 to 1. */
+  /** Whether one more request of a rank may be sent now. `waitedShare`: fraction of its allowed wait that has passed, from 0 to 1. */
   hasSlot(now: number, rank: number, waitedShare = 0): boolean {
     if (now < this.pausedUntil || !this.admits(now)) {
       return false;
     }
     const above = this.rankRoom?.ranksAbove(rank, now) ?? 0;
-    if (above > 0 && this.rankRoom?.admits(rank, above, waitedShare, this.#knownUse(now)) === false) {
+    if (above > 0 && this.rankRoom?.admits(rank, above, waitedShare, this.#reportedUse(now)) === false) {
       return false;
     }
     return this.isAnnounced ? hasRoom(this.#use(now)) : this.inFlight < this.slotLimit.slots;
   }
 
-  /** Whether a slot is probably free there. */
+  /** Whether the upstream probably has a free slot. */
   isClear(now: number): boolean {
-    return this.rankRoom?.isClear(this.#knownUse(now)) ?? true;
+    return this.rankRoom?.isClear(this.#reportedUse(now)) ?? true;
   }
 
-  /** Whether requests probably wait there. */
+  /** Whether requests are probably queued at the upstream. */
   isCrowded(now: number): boolean {
-    return this.rankRoom?.isCrowded(this.#knownUse(now)) ?? false;
+    return this.rankRoom?.isCrowded(this.#reportedUse(now)) ?? false;
   }
 
   dispatched(): void {
     this.inFlight += 1;
   }
 
-  /** An answer came after `tookMillis`; `load` is the outstanding work that it reported. */
+  /** Records an answer after `tookMillis`; `load` is the number of outstanding requests that it reported. */
   answered(tookMillis: number, load: number | null, now: number): void {
-    this.#times.answered(tookMillis);
-    // It is counted out by now, but was one of those that used the limit.
+    this.#serviceTimes.answered(tookMillis);
+    // The answered request no longer counts as in flight, but it had used a slot of the limit.
     this.slotLimit.answered(load, this.inFlight + 1, now);
     if (load !== null) {
-      const turns = (load + 1) / (this.slotLimit.most * (this.fleetSpeed(now) ?? 1));
-      this.#fleet?.noteTurns(this.service, this.zone, turns, now);
+      const relativeLoad = (load + 1) / (this.slotLimit.most * (this.fleetSpeed(now) ?? 1));
+      this.#fleetView?.noteTurns(this.service, this.zone, relativeLoad, now);
       this.hintLoad(load, now);
     }
   }
 
-  /** An attempt that found a free slot was answered. */
+  /** Records the answer to an attempt that found a free slot. */
   answeredUnhindered(tookMillis: number): void {
-    this.#times.answeredUnhindered(tookMillis);
+    this.#serviceTimes.answeredUnhindered(tookMillis);
   }
 
-  /** Load from an answer or a probe. */
+  /** Records the load that an answer or a probe reported. */
   hintLoad(load: number, now: number): void {
     this.rankRoom?.reported(load, this.slotLimit.most, now);
-    this.#load.report(load, this.inFlight, this.slotLimit.most, now);
+    this.#reportedLoad.report(load, this.inFlight, this.slotLimit.most, now);
   }
 
-  /** It turned work away for want of room; `load`: outstanding work there, `Infinity` if that isn't known. */
+  /** Records a rejection for lack of capacity; `load` is the number of outstanding requests, `Infinity` if unknown. */
   refusedAsFull(load: number, now: number): void {
     this.rankRoom?.reported(load, this.slotLimit.most, now);
-    this.#load.refusedAsFull(load, this.inFlight, this.slotLimit.most, now);
+    this.#reportedLoad.refusedAsFull(load, this.inFlight, this.slotLimit.most, now);
   }
 
-  /** Milliseconds until it may have room for one more request, as far as others' load tells; 0 if it may now. */
+  /** Estimated milliseconds until there is capacity for one more request, by the load of other routers; 0 if there may be now. */
   roomInMillis(now: number): number {
     const pause = Math.max(0, this.pausedUntil - now);
     if (!this.isAnnounced || this.inFlight > this.slotLimit.most) {
       return pause;
     }
-    return Math.max(pause, this.#load.millisUntilBelow(mostForeignLoad(this.#use(now)), now));
+    return Math.max(pause, this.#reportedLoad.millisUntilBelow(mostForeignLoad(this.#use(now)), now));
   }
 
-  /** No connection was made: it may have stopped, and be cold when it is back. */
+  /** Records a failed connection: the upstream may have stopped, and be cold when it is back. */
   connectionFailed(now: number): void {
     this.evidence.connectionFailed(now);
     this.wasUnreachable = true;
@@ -235,54 +235,54 @@
     this.ejection.succeeded(now);
   }
 
-  /** Decayed outstanding work of others, in requests. */
+  /** Decayed number of outstanding requests of other routers. */
   load(now: number): number {
-    return this.#load.foreign(now);
+    return this.#reportedLoad.foreign(now);
   }
 
   /**
-   * Estimated milliseconds until one more request would be done, were it served alone in turn. A cold upstream looks
-   * dearer than it is, so it gets a growing part.
+   * Estimated milliseconds until one more request would be done if requests were served in order. The cost of a cold upstream
+   * is raised, so that its share of the requests grows gradually.
    */
   cost(now: number): number {
-    const byFleet = this.#expectedByFleet(now);
-    if (byFleet !== null) {
-      return byFleet / this.#slowStartShare(now);
+    const fleetCost = this.#costByFleet(now);
+    if (fleetCost !== null) {
+      return fleetCost / this.#slowStartShare(now);
     }
     const outstanding = this.inFlight + 1 + this.load(now);
-    // Where turns are counted, the time of one must not hold the wait for others.
-    const oneTurn = this.isAnnounced ? (this.unhinderedMillis ?? this.serviceMillis) : this.serviceMillis;
-    const turns = this.isAnnounced ? this.turnsOf(outstanding) : outstanding;
-    return (turns * oneTurn) / this.#slowStartShare(now);
+    // Queueing is counted in rounds below, so the time of one round must not include waiting for other requests.
+    const roundMillis = this.isAnnounced ? (this.unhinderedMillis ?? this.serviceMillis) : this.serviceMillis;
+    const rounds = this.isAnnounced ? this.roundsOf(outstanding) : outstanding;
+    return (rounds * roundMillis) / this.#slowStartShare(now);
   }
 
-  /** The same by what the fleet knows; `null` where it knows of no difference, or nothing any more. */
-  #expectedByFleet(now: number): number | null {
-    const turnMillis = this.#fleet?.unevenMillis(this.service, this.zone, now) ?? null;
-    if (turnMillis === null || !this.isAnnounced) {
+  /** The same by the fleet's measurements; `null` if they show no difference or have expired. */
+  #costByFleet(now: number): number | null {
+    const fleetRoundMillis = this.#fleetView?.unevenMillis(this.service, this.zone, now) ?? null;
+    if (fleetRoundMillis === null || !this.isAnnounced) {
       return null;
     }
     const speed = this.fleetSpeed(now) ?? 1;
     const { most } = this.slotLimit;
-    const zoneUsual = (this.#fleet?.usualTurns(this.service, this.zone) ?? 0) * speed * most;
-    const others = this.#load.expected(Math.max(0, zoneUsual - this.inFlight - 1), now);
-    return (this.turnsOf(this.inFlight + 1 + others) * turnMillis) / speed;
+    const zoneUsual = (this.#fleetView?.usualTurns(this.service, this.zone) ?? 0) * speed * most;
+    const others = this.#reportedLoad.expected(Math.max(0, zoneUsual - this.inFlight - 1), now);
+    return (this.roundsOf(this.inFlight + 1 + others) * fleetRoundMillis) / speed;
   }
 
-  /** It said itself how many requests it works on at once. */
+  /** Whether the upstream announced how many requests it serves at once. */
   get isAnnounced(): boolean {
     return this.record.definition.announced !== undefined;
   }
 
-  /** Times of service until so many requests are done: those in slots run side by side. Ties go to the less loaded. */
-  private turnsOf(outstanding: number): number {
+  /** Number of service times until this many requests are done, as the slots work in parallel. Ties go to the less loaded upstream. */
+  private roundsOf(outstanding: number): number {
     const { most } = this.slotLimit;
-    return Math.max(1, outstanding / most) + (TIE_SHARE * outstanding) / most;
+    return Math.max(1, outstanding / most) + (TIE_BREAK_SHARE * outstanding) / most;
   }
 
   #slowStartShare(now: number): number {
-    const since = Math.max(this.coldSince, this.ejection.ejectedUntil);
-    const share = (now - since) / SLOW_START_MILLIS;
+    const startedAt = Math.max(this.coldSince, this.ejection.ejectedUntil);
+    const share = (now - startedAt) / SLOW_START_MILLIS;
     return Math.min(1, Math.max(SLOW_START_FLOOR, share));
   }
 
@@ -290,11 +290,11 @@
     return { slots: this.slotLimit.most, inFlight: this.inFlight, foreignLoad: this.load(now) };
   }
 
-  #knownUse(now: number): KnownUse {
-    return { ...this.#use(now), freshness: this.#load.freshness(now) };
+  #reportedUse(now: number): KnownUse {
+    return { ...this.#use(now), freshness: this.#reportedLoad.freshness(now) };
   }
 
-  #judgeLeaving(): void {
+  #updateOperatorLeaving(): void {
     this.evidence.operatorLeaving = this.record.definition.leaving || this.#isEvacuated;
   }
 }
--- a/src/routing/upstream/warmth.ts
+++ b/src/routing/upstream/warmth.ts
@@ -1,4 +1,4 @@
-/** Whether one upstream is cold, and the turns that routers take at it meanwhile. */
+/** Whether one upstream is cold, and this router's time slots at it during that time. */
 import type { UpstreamId } from '../../model/identifiers.js';
 import type { RoundPlace, RouterTurn } from '../../model/router-turn.js';
 import type { WarmupTerms } from '../../model/service.js';
@@ -7,74 +7,74 @@
 
 export class Warmth {
   #terms: WarmupTerms | null = null;
-  /** It is cold until then, as it said itself or as must be feared. */
+  /** End of the warm-up that the upstream announced or that the router assumes. */
   #coldUntil = Number.NEGATIVE_INFINITY;
-  /** It could not be reached, so it may be another process that answers next. */
+  /** The upstream was unreachable, so the next answer may come from a new process. */
   #mayHaveRestarted = false;
-  #turns: WarmupTurns | null = null;
+  #timeSlots: WarmupTurns | null = null;
 
   constructor(private readonly upstream: UpstreamId) {}
 
-  /** What its service says upstreams bear while they are cold; `null`: nothing. */
+  /** Sets the service's limits for cold upstreams; `null` if it declares none. */
   useTerms(terms: WarmupTerms | null): void {
     this.#terms = terms;
   }
 
-  /** Whether it is cold, as it said itself or as must be feared. */
+  /** Whether the upstream is cold, as announced or assumed. */
   isCold(now: number): boolean {
     return this.#terms !== null && now < this.#coldUntil;
   }
 
-  /** Whether routers take turns there with what any upstream could serve: it is cold, or may be. */
+  /** Whether routers use time slots there for requests that any upstream can serve: the upstream is cold, or may be. */
   takesTurns(now: number): boolean {
     return this.#terms !== null && (this.#mayHaveRestarted || now < this.#coldUntil);
   }
 
-  /** Whether this router's turn has come at an upstream that takes turns. */
+  /** Whether this router has a time slot now at an upstream that is or may be cold. */
   isTurn({ inZone }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
     const terms = this.#terms;
-    return terms !== null && this.#turnsFrom(now).isDue(inZone, turnsPerSecond(terms, bounds), now);
+    return terms !== null && this.#timeSlotsFrom(now).isDue(inZone, turnsPerSecond(terms, bounds), now);
   }
 
-  /** Whether this router may send a cold owner one more request for its keys. */
+  /** Whether this router may send one more request for its keys to a cold owner. */
   isOwnerTurn({ inAll }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
     const terms = this.#terms;
-    return terms === null || this.#turnsFrom(now).isLeft(inAll, turnsPerSecond(terms, bounds), now);
+    return terms === null || this.#timeSlotsFrom(now).isLeft(inAll, turnsPerSecond(terms, bounds), now);
   }
 
-  /** A request goes there. `place`: the one by which its turn had come. */
+  /** Records a sent request. `place`: the router's place from which the time slot was derived. */
   useTurn(place: RoundPlace, bounds: WarmupBounds, now: number): void {
     if (this.#terms !== null) {
-      this.#turnsFrom(now).use(place, turnsPerSecond(this.#terms, bounds), now);
+      this.#timeSlotsFrom(now).use(place, turnsPerSecond(this.#terms, bounds), now);
     }
   }
 
-  /** It said that it stays cold for so many milliseconds; 0: it is warm. */
+  /** Records the upstream's announcement that it stays cold for `millis`; 0 if it is warm. */
   announced(millis: number, now: number): void {
     if (millis > 0) {
-      this.#turnedCold(now, millis);
+      this.#becomeCold(now, millis);
     } else {
       this.#coldUntil = Number.NEGATIVE_INFINITY;
     }
   }
 
-  /** It had nothing to do for long. */
+  /** Records that the upstream was idle for long and may have cooled down. */
   idled(now: number): void {
-    this.#turnedCold(now, this.#terms?.millis ?? 0);
+    this.#becomeCold(now, this.#terms?.millis ?? 0);
   }
 
-  /** Control has news of it: which run lives there is known again. */
+  /** Records an update from control, after which the run at the upstream's address is known again. */
   heard(): void {
     this.#mayHaveRestarted = false;
   }
 
   /**
-   * Nothing listens there. Until control has heard of it, whoever answers next may be cold: an upstream that comes back is tried by all
-   * routers that avoided it, in the same moment.
+   * Records a refused connection. Until the next update from control, the process that answers next may be cold, and all routers that avoided
+   * the upstream would try it at the same moment.
    */
   notListening(now: number): void {
     if (!this.#mayHaveRestarted) {
-      this.#turnedCold(now, 0);
+      this.#becomeCold(now, 0);
       this.#mayHaveRestarted = true;
     }
   }
@@ -86,14 +86,14 @@
     }
   }
 
-  #turnsFrom(now: number): WarmupTurns {
-    this.#turns ??= new WarmupTurns(this.upstream, now);
-    return this.#turns;
+  #timeSlotsFrom(now: number): WarmupTurns {
+    this.#timeSlots ??= new WarmupTurns(this.upstream, now);
+    return this.#timeSlots;
   }
 
-  #turnedCold(now: number, millis: number): void {
+  #becomeCold(now: number, millis: number): void {
     if (now >= this.#coldUntil && !this.#mayHaveRestarted) {
-      this.#turns = new WarmupTurns(this.upstream, now);
+      this.#timeSlots = new WarmupTurns(this.upstream, now);
     }
     this.#coldUntil = Math.max(this.#coldUntil, now + millis);
   }
--- a/src/routing/zones/fleet-knowledge.ts
+++ b/src/routing/zones/fleet-knowledge.ts
@@ -1,31 +1,30 @@
 /**
- * What control last said of the speeds of upstreams and the room of zones. It lapses by itself: without word the router goes by its own
- * evidence alone.
+ * The latest update from control about the speeds of upstreams and the capacity of zones. It expires: without updates the router decides by its
+ * own measurements alone.
  */
-
 import type { FleetNews } from '../../control/messages.js';
 import { type FleetVersion, UNTOLD_VERSION, type ZoneRoom } from '../../model/fleet-view.js';
 import type { MonotonicMillis, ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
 import type { FleetView } from '../upstream/fleet-view.js';
 
-/** Word is renewed about once a second; a lost message or a new leader may take a few. */
-const LAPSE_MILLIS = 5000;
-/** What is usual in a zone is smoothed over this time. */
-const USUAL_MILLIS = 5000;
+/** Updates come about once per second; a lost message or a new leader may delay them by a few seconds. */
+const EXPIRY_MILLIS = 5000;
+/** Smoothing time of the usual relative load of a zone. */
+const USUAL_LOAD_SMOOTHING_MILLIS = 5000;
 
-interface UsualTurns {
-  turns: number;
+interface UsualLoad {
+  relativeLoad: number;
   at: MonotonicMillis;
 }
 
 export class FleetKnowledge implements FleetView {
   #version: FleetVersion = UNTOLD_VERSION;
-  #heardAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  #receivedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   readonly #speeds = new Map<UpstreamId, number>();
-  readonly #usual = new Map<string, UsualTurns>();
-  readonly #rooms = new Map<ServiceName, Map<Zone, ZoneRoom>>();
+  readonly #usualLoads = new Map<string, UsualLoad>();
+  readonly #capacities = new Map<ServiceName, Map<Zone, ZoneRoom>>();
 
-  /** What the router holds, for control to say what changed since. */
+  /** Version that the router has, so that control can send the changes since then. */
   get version(): FleetVersion {
     return this.#version;
   }
@@ -36,20 +35,20 @@
     }
     if (isWhole) {
       this.#speeds.clear();
-      this.#rooms.clear();
+      this.#capacities.clear();
     }
     for (const { upstream, speed } of speeds) {
       this.#speeds.set(upstream, speed);
     }
     for (const room of zones) {
-      const rooms = this.#rooms.get(room.service) ?? new Map<Zone, ZoneRoom>();
-      this.#rooms.set(room.service, rooms.set(room.zone, room));
+      const rooms = this.#capacities.get(room.service) ?? new Map<Zone, ZoneRoom>();
+      this.#capacities.set(room.service, rooms.set(room.zone, room));
     }
     this.#version = version;
-    this.#heardAt = now;
+    this.#receivedAt = now;
   }
 
-  /** An upstream is gone: another run under its id may have another speed. */
+  /** Removes an upstream: another run under its id may have another speed. */
   forget(upstream: UpstreamId): void {
     this.#speeds.delete(upstream);
   }
@@ -58,9 +57,9 @@
     return this.#isFresh(now) ? (this.#speeds.get(upstream) ?? null) : null;
   }
 
-  /** Demand and room of a zone; `null`: nothing is known, or no more. */
+  /** Demand and capacity of a zone; `null` if they are unknown or expired. */
   roomOf(service: ServiceName, zone: Zone, now: MonotonicMillis): ZoneRoom | null {
-    return this.#isFresh(now) ? (this.#rooms.get(service)?.get(zone) ?? null) : null;
+    return this.#isFresh(now) ? (this.#capacities.get(service)?.get(zone) ?? null) : null;
   }
 
   unevenMillis(service: ServiceName, zone: Zone, now: MonotonicMillis): number | null {
@@ -68,23 +67,23 @@
     return room?.isUneven === true ? room.meanMillis : null;
   }
 
-  /** An answer from a zone came when its upstream had work for so many turns of an upstream of speed 1. */
-  noteTurns(service: ServiceName, zone: Zone, turns: number, now: MonotonicMillis): void {
+  noteTurns(service: ServiceName, zone: Zone, relativeLoad: number, now: MonotonicMillis): void {
     const name = `${service} ${zone}`;
-    const usual = this.#usual.get(name);
+    const usual = this.#usualLoads.get(name);
     if (usual === undefined) {
-      this.#usual.set(name, { turns, at: now });
+      this.#usualLoads.set(name, { relativeLoad, at: now });
       return;
     }
-    usual.turns += (1 - Math.exp((usual.at - now) / USUAL_MILLIS)) * (turns - usual.turns);
+    usual.relativeLoad +=
+      (1 - Math.exp((usual.at - now) / USUAL_LOAD_SMOOTHING_MILLIS)) * (relativeLoad - usual.relativeLoad);
     usual.at = now;
   }
 
   usualTurns(service: ServiceName, zone: Zone): number | null {
-    return this.#usual.get(`${service} ${zone}`)?.turns ?? null;
+    return this.#usualLoads.get(`${service} ${zone}`)?.relativeLoad ?? null;
   }
 
   #isFresh(now: MonotonicMillis): boolean {
-    return now - this.#heardAt < LAPSE_MILLIS;
+    return now - this.#receivedAt < EXPIRY_MILLIS;
   }
 }
--- a/src/routing/zones/fleet-reports.ts
+++ b/src/routing/zones/fleet-reports.ts
@@ -1,22 +1,26 @@
-/** What a router tells control of upstreams without keys, with its load reports. */
+/** The part of a router's load reports to control that covers upstreams without keys. */
 import type { FleetReport } from '../../model/fleet-view.js';
 import type { RouterContext } from '../router-context.js';
 import type { RefusalReason, RouterEffect } from '../types.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
 
-/** Refusals that more room would have spared. */
-const WANTS_ROOM: ReadonlySet<RefusalReason> = new Set(['queue-full', 'gave-way', 'would-miss-deadline']);
+/** Refusals that more capacity would have prevented. */
+const CAPACITY_REFUSALS: ReadonlySet<RefusalReason> = new Set([
+  'queue-full',
+  'gave-way',
+  'would-miss-deadline',
+]);
 
 export class FleetReports {
   #number = 0;
 
   constructor(private readonly context: RouterContext) {}
 
-  /** What was refused for want of room was asked for all the same. */
+  /** Counts requests that were refused for lack of capacity as demand. */
   refused(effects: readonly RouterEffect[]): void {
     const { services, fleetSums } = this.context;
     for (const effect of effects) {
-      if (effect.type === 'refuse' && effect.facts !== null && WANTS_ROOM.has(effect.reason)) {
+      if (effect.type === 'refuse' && effect.facts !== null && CAPACITY_REFUSALS.has(effect.reason)) {
         const { service, route } = effect.facts;
         if (services.get(service)?.definition.keyed === false) {
           fleetSums.asked(service, route ?? service);
@@ -25,7 +29,7 @@
     }
   }
 
-  /** The next report; `null` without services whose requests any upstream can serve that says how many slots it has. */
+  /** Builds the next report; `null` if no service without keys has an upstream that announces its slots. */
   take(): FleetReport | null {
     const { services, config, fleet, fleetSums, now } = this.context;
     const upstreams = [...services.values()]
@@ -34,13 +38,13 @@
     if (upstreams.length === 0) {
       return null;
     }
-    const out = upstreams.filter((upstream) => isOutOfOrder(upstream, now)).map(({ id }) => id);
+    const outOfService = upstreams.filter((upstream) => isOutOfService(upstream, now)).map(({ id }) => id);
     this.#number += 1;
-    return { zone: config.zone, number: this.#number, have: fleet.version, ...fleetSums.take(out) };
+    return { zone: config.zone, number: this.#number, have: fleet.version, ...fleetSums.take(outOfService) };
   }
 }
 
-/** Whether this router sends nothing there because of how it fared, not because it was told to. */
-function isOutOfOrder({ evidence, ejection }: UpstreamState, now: number): boolean {
+/** Whether this router avoids the upstream because of its own evidence, rather than because the upstream is declared to be draining. */
+function isOutOfService({ evidence, ejection }: UpstreamState, now: number): boolean {
   return ejection.isEjected(now) || (!evidence.isToldLeaving && evidence.standing(now) !== 'usable');
 }
--- a/src/routing/zones/spill-turns.ts
+++ b/src/routing/zones/spill-turns.ts
@@ -3,44 +3,47 @@
 import type { Zone } from '../../model/identifiers.js';
 import type { Random } from '../random.js';
 
-/** Requests that went there out of turn make up for so many turns at most. */
-const MOST_AHEAD = 50;
-/** Turns that couldn't be taken, since nobody there was reached, are made up for by so many at most. */
-const MOST_OWED = 2;
+/** Limit of a zone's negative credit, in requests, from requests that were sent there before their time. */
+const MAX_DEBT = 50;
+/** Limit of a zone's credit, in requests, which grows while no upstream there is reachable. */
+const MAX_CREDIT = 2;
 
 export class SpillTurns {
-  /** What each zone is owed, in requests. */
-  readonly #owed = new Map<Zone, number>();
+  /** Credit of each zone, in requests. */
+  readonly #credits = new Map<Zone, number>();
 
-  /** Zone that the next request goes to; `null`: none of the others. Routers begin at different places, so that few requests of each add up. */
+  /**
+   * Returns the zone that the next request goes to; `null` for the router's own zone. Credits start at random values, so that the shares are kept
+   * over many routers with few requests each.
+   */
   next(parts: readonly SpillPart[], random: Random): Zone | null {
-    for (const zone of this.#owed.keys()) {
+    for (const zone of this.#credits.keys()) {
       if (!parts.some((part) => part.zone === zone)) {
-        this.#owed.delete(zone);
+        this.#credits.delete(zone);
       }
     }
-    let most: Zone | null = null;
+    let largest: Zone | null = null;
     for (const { zone, share } of parts) {
-      this.#owed.set(zone, Math.min(MOST_OWED, (this.#owed.get(zone) ?? random.share()) + share));
-      most = most === null || this.owedTo(zone) > this.owedTo(most) ? zone : most;
+      this.#credits.set(zone, Math.min(MAX_CREDIT, (this.#credits.get(zone) ?? random.share()) + share));
+      largest = largest === null || this.creditOf(zone) > this.creditOf(largest) ? zone : largest;
     }
-    return most !== null && this.owedTo(most) >= 1 ? most : null;
+    return largest !== null && this.creditOf(largest) >= 1 ? largest : null;
   }
 
-  /** A request went to a zone, in its turn or not. */
+  /** Records a request that was sent to a zone, whether or not `next` returned that zone. */
   sent(zone: Zone): void {
-    const owed = this.#owed.get(zone);
-    if (owed !== undefined) {
-      this.#owed.set(zone, Math.max(-MOST_AHEAD, owed - 1));
+    const credit = this.#credits.get(zone);
+    if (credit !== undefined) {
+      this.#credits.set(zone, Math.max(-MAX_DEBT, credit - 1));
     }
   }
 
-  /** Whether one may go to a zone before its turn, which is then left out. */
+  /** Whether a request may be sent to a zone before its credit is due; a later one is then left out. */
   mayGoAhead(zone: Zone): boolean {
-    return this.owedTo(zone) > -MOST_AHEAD && this.#owed.has(zone);
+    return this.creditOf(zone) > -MAX_DEBT && this.#credits.has(zone);
   }
 
-  private owedTo(zone: Zone): number {
-    return this.#owed.get(zone) ?? 0;
+  private creditOf(zone: Zone): number {
+    return this.#credits.get(zone) ?? 0;
   }
 }
