--- a/src/routing/picker/least-work-picker.ts
+++ b/src/routing/picker/least-work-picker.ts
@@ -47,9 +47,9 @@
   pick(context: PickContext): UpstreamState {
     this.#countPick(context.now);
     const local = context.candidates.filter((upstream) => upstream.zone === context.zone);
-    const { room = null } = context;
-    if (room !== null && (room.isUneven || room.spill.length > 0)) {
-      return this.#pickByCapacity(local, context, room);
+    const { room: capacity = null } = context;
+    if (capacity !== null && (capacity.isUneven || capacity.spill.length > 0)) {
+      return this.#pickByCapacity(local, context, capacity);
     }
     if (local.length === 0) {
       return cheaperOfTwo(context.candidates, context).upstream;
@@ -65,9 +65,9 @@
   }
 
   /** Picks by demand and capacity as reported by control: the planned share of the requests leaves the zone, and few others do. */
-  #pickByCapacity(local: readonly UpstreamState[], context: PickContext, room: ZoneRoom): UpstreamState {
+  #pickByCapacity(local: readonly UpstreamState[], context: PickContext, capacity: ZoneRoom): UpstreamState {
     const remote = context.candidates.filter((upstream) => upstream.zone !== context.zone);
-    const spillZone = this.#spillCredits.next(room.spill, context.random);
+    const spillZone = this.#spillCredits.next(capacity.spill, context.random);
     const inSpillZone = remote.filter(({ zone }) => zone === spillZone);
     const chosen =
       inSpillZone.length > 0
@@ -97,14 +97,14 @@
 
   /** Whether a request leaves the zone because of the present cost there. */
   #leavesZone(near: Choice, far: Choice, context: PickContext): boolean {
-    const { room = null } = context;
+    const { room: capacity = null } = context;
     const inTimeMillis = context.inTimeMillis ?? 0;
     if (near.cost <= inTimeMillis || near.cost <= far.cost * SPILL_FACTOR + ZONE_HOP_MILLIS) {
       return false;
     }
     const isPlanned = this.#spillCredits.mayGoAhead(far.upstream.zone);
     if (
-      room === null ||
+      capacity === null ||
       (isPlanned && near.cost > inTimeMillis * PLANNED_LATE_SHARE) ||
       near.cost > inTimeMillis * HOPELESS_LATE_SHARE
     ) {
--- a/src/routing/upstream/fleet-sums.ts
+++ b/src/routing/upstream/fleet-sums.ts
@@ -2,7 +2,7 @@
 import type { DemandSample, UpstreamSample } from '../../model/fleet-view.js';
 import type { ServiceName, UpstreamId } from '../../model/identifiers.js';
 
-/** Maximum rows in one report, which bounds the leader's work for many routers. Rows with the count requests are kept. */
+/** Maximum rows in one report, which bounds the leader's work for many routers. Rows with the most requests are kept. */
 const MAX_REPORTED_UPSTREAMS = 24;
 const MAX_REPORTED_DEMANDS = 24;
 /** A character that can't occur in names. */
--- a/src/routing/zones/fleet-knowledge.ts
+++ b/src/routing/zones/fleet-knowledge.ts
@@ -40,9 +40,9 @@
     for (const { upstream, speed } of speeds) {
       this.#speeds.set(upstream, speed);
     }
-    for (const room of zones) {
-      const rooms = this.#capacities.get(room.service) ?? new Map<Zone, ZoneRoom>();
-      this.#capacities.set(room.service, rooms.set(room.zone, room));
+    for (const capacity of zones) {
+      const byZone = this.#capacities.get(capacity.service) ?? new Map<Zone, ZoneRoom>();
+      this.#capacities.set(capacity.service, byZone.set(capacity.zone, capacity));
     }
     this.#version = version;
     this.#receivedAt = now;
@@ -63,8 +63,8 @@
   }
 
   unevenMillis(service: ServiceName, zone: Zone, now: MonotonicMillis): number | null {
-    const room = this.roomOf(service, zone, now);
-    return room?.isUneven === true ? room.meanMillis : null;
+    const capacity = this.roomOf(service, zone, now);
+    return capacity?.isUneven === true ? capacity.meanMillis : null;
   }
 
   noteTurns(service: ServiceName, zone: Zone, relativeLoad: number, now: MonotonicMillis): void {
--- a/test/routing/announced-picking.test.ts
+++ b/test/routing/announced-picking.test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that say how many slots they have: what is spent on which, and when requests leave their zone. */
+/** Upstreams that announce their slots: their cost, and when requests leave the zone. */
 import { expect } from 'chai';
 import { UpstreamState } from '../../src/routing/index.js';
 import { LeastWorkPicker } from '../../src/routing/picker/least-work-picker.js';
@@ -17,7 +17,7 @@
   }
 }
 
-/** Upstreams of one zone as a router orders them. */
+/** Creates the upstreams of one zone with a router's order of preference. */
 function zoneOf(count: number, router: string): UpstreamState[] {
   return Array.from({ length: count }, (_, index) => {
     const id = `i-${(7919 * index).toString(16)}`;
@@ -26,7 +26,7 @@
   });
 }
 
-/** Ids that a picker picks in `count` picks, `gapMillis` apart. */
+/** Returns the ids of `count` picks, `gapMillis` apart. */
 function picksOf(candidates: UpstreamState[], count: number, gapMillis: number, seed = 1): string[] {
   const picker = new LeastWorkPicker();
   const random = new Random(seed);
@@ -36,16 +36,16 @@
   });
 }
 
-describe('a router that knows many upstreams', () => {
-  it('keeps to few of its zone while it has few requests', () => {
+describe('a router with many upstreams', () => {
+  it('uses few of its zone while it has few requests', () => {
     expect(new Set(picksOf(zoneOf(30, 'r1'), 200, 600)).size).to.be.at.most(8);
   });
 
-  it('takes all of them once it has many requests', () => {
+  it('uses all of them once it has many requests', () => {
     expect(new Set(picksOf(zoneOf(30, 'r1'), 2000, 1)).size).to.equal(30);
   });
 
-  it('goes on to the next ones of its order where some have no room', () => {
+  it('uses the next ones of its order if some have no capacity', () => {
     const all = zoneOf(30, 'r1');
     const preferred = new Set(picksOf(all, 200, 600));
     const rest = all.filter(({ id }) => !preferred.has(id));
@@ -61,7 +61,7 @@
     expect(new Set(picksOf(rest, 200, 600)).size).to.be.within(2, 8);
   });
 
-  it('loads them evenly together with others', () => {
+  it('loads them evenly together with other routers', () => {
     const counts = new Map<string, number>();
     for (let router = 0; router < 171; router += 1) {
       for (const id of picksOf(zoneOf(30, `edge-col-a-${router}`), 100, 600, 1 + router)) {
@@ -76,7 +76,7 @@
 });
 
 describe('announced upstreams', () => {
-  it('cost a turn while a slot is free, and more as work queues', () => {
+  it('cost one service time while a slot is free, and more as requests queue', () => {
     const state = announced('u1', 'a');
     const free = state.cost(0);
     occupy(state, 2);
@@ -85,7 +85,7 @@
     expect(state.cost(0)).to.be.above(free * 2);
   });
 
-  it('take one more than they have slots before they are asked, and more only if their load is low', () => {
+  it('accept one request more than they have slots, and no more if their reported load is high', () => {
     const state = announced('u1', 'a', 2);
     occupy(state, 2);
     expect(state.hasSlot(0, 0)).to.equal(true);
@@ -106,7 +106,7 @@
     return new LeastWorkPicker().pick(context).zone;
   }
 
-  it('of the own zone are kept to while they have a free slot, and left once they queue', () => {
+  it('of the own zone are picked while they have a free slot, and others once requests queue', () => {
     const near = announced('u1', 'a');
     const far = announced('u2', 'b');
     occupy(near, 2);
@@ -115,7 +115,7 @@
     expect(zoneOfPick(near, far)).to.equal('b');
   });
 
-  it('of the own zone are kept to, however slow, while they are expected to be in time', () => {
+  it('of the own zone are picked, however slow, while they are expected to answer in time', () => {
     const near = announced('u1', 'a');
     const far = announced('u2', 'b');
     near.answeredUnhindered(200);
--- a/test/routing/cold-upstreams.test.ts
+++ b/test/routing/cold-upstreams.test.ts
@@ -1,4 +1,4 @@
-/** Cold upstreams get few requests from all routers together, and their part once they are warm. */
+/** Cold upstreams get few requests from all routers together, and their normal share once they are warm. */
 import { expect } from 'chai';
 import type { ServiceDefinition } from '../../src/model/service.js';
 import type { RegistryChange, UpstreamRecord } from '../../src/registry/types.js';
@@ -31,62 +31,62 @@
   return harness;
 }
 
-/** Requests that went to an upstream while `count` came, one every 20 ms, each answered 100 ms after it was sent there. */
+/** Sends `count` requests, one every 20 ms, each answered 100 ms after its dispatch; returns how many went to an upstream. */
 function countAt(harness: RouterHarness, id: string, count: number): number {
-  const underWay: { readonly attempt: number; readonly endsAt: number }[] = [];
+  const inFlight: { readonly attempt: number; readonly endsAt: number }[] = [];
   let there = 0;
-  const note = (effects: readonly RouterEffect[]): void => {
+  const recordDispatches = (effects: readonly RouterEffect[]): void => {
     for (const { attempt, upstream: target } of only(effects, 'dispatch')) {
-      underWay.push({ attempt, endsAt: harness.now + 100 });
+      inFlight.push({ attempt, endsAt: harness.now + 100 });
       there += target === id ? 1 : 0;
     }
   };
-  for (let sent = 0; sent < count || underWay.length > 0; sent += 1) {
-    note(sent < count ? harness.request('menu') : []);
-    note(harness.run(20));
-    while (underWay[0] !== undefined && harness.now >= underWay[0].endsAt) {
-      note(harness.ended(underWay.shift()?.attempt ?? 0, ANSWERED));
+  for (let sent = 0; sent < count || inFlight.length > 0; sent += 1) {
+    recordDispatches(sent < count ? harness.request('menu') : []);
+    recordDispatches(harness.run(20));
+    while (inFlight[0] !== undefined && harness.now >= inFlight[0].endsAt) {
+      recordDispatches(harness.ended(inFlight.shift()?.attempt ?? 0, ANSWERED));
     }
   }
   return there;
 }
 
-describe('an upstream that says that it is cold', () => {
-  it('gets a request in this router’s turn and no other', () => {
+describe('an upstream that announces that it is cold', () => {
+  it('gets requests only in this router’s time slots', () => {
     const harness = started([announced('u1', 3000), announced('u2', 0)]);
     // 100 requests in 2 s; a round of 40 routers takes 10 s.
     expect(countAt(harness, 'u1', 100)).to.be.at.most(1);
   });
 
-  it('gets its turn once a round', () => {
+  it('gets one request per round', () => {
     const harness = started([announced('u1', 60_000), announced('u2', 0)]);
     expect(countAt(harness, 'u1', 1500)).to.be.within(2, 4);
   });
 
-  it('gets its part once control has heard that it is warm', () => {
+  it('gets its normal share once control reports that it is warm', () => {
     const harness = started([announced('u1', 60_000), announced('u2', 0)]);
     harness.change([changed(announced('u1', 0, 7))]);
     expect(countAt(harness, 'u1', 60)).to.be.above(15);
   });
 
-  it('gets its part once its time is over, whatever control says', () => {
+  it('gets its normal share once its warm-up time is over, without an update from control', () => {
     const harness = started([announced('u1', 500), announced('u2', 0)]);
     harness.run(600);
     expect(countAt(harness, 'u1', 60)).to.be.above(15);
   });
 
-  it('is held back again when it turns cold later', () => {
+  it('is limited again when it becomes cold later', () => {
     const harness = started([announced('u1', 0), announced('u2', 0)]);
     harness.change([changed(announced('u1', 3000, 7))]);
     expect(countAt(harness, 'u1', 100)).to.be.at.most(1);
   });
 
-  it('is left alone by routers of other zones', () => {
+  it('gets no requests from routers of other zones', () => {
     const harness = started([announced('u1', 60_000, 1, 'b'), announced('u2', 0, 1, 'b')]);
     expect(countAt(harness, 'u1', 600)).to.equal(0);
   });
 
-  it('gets requests that are tried again, and that waited, in turn only', () => {
+  it('gets retries and queued requests only in time slots', () => {
     const harness = started([announced('u1', 60_000), announced('u2', 0)]);
     let there = 0;
     for (let sent = 0; sent < 40; sent += 1) {
@@ -98,7 +98,7 @@
     expect(there).to.be.at.most(1);
   });
 
-  it('is of no concern to services that don’t declare what their upstreams bear', () => {
+  it('is not limited if its service declares no warm-up limits', () => {
     const { warmup: _warmup, ...definition } = service('menu').definition;
     const harness = new RouterHarness(CONFIGURED).start(
       [{ definition, revision: 1, generation: 1 }],
@@ -109,19 +109,19 @@
 });
 
 describe('an upstream that may be cold', () => {
-  it('is tried in turn after nothing listened at its address, and until it had time to warm up', () => {
+  it('gets requests only in time slots after a refused connection, until the warm-up time has passed', () => {
     const harness = started([announced('u1', 0), announced('u2', 0)]);
     const dispatches = Array.from({ length: 6 }, () => only(harness.request('menu'), 'dispatch')[0]);
     expect(dispatches.some((dispatch) => dispatch?.upstream === 'u1')).to.equal(true);
     for (const dispatch of dispatches) {
-      const isThere = dispatch?.upstream === 'u1';
-      harness.ended(dispatch?.attempt ?? 0, isThere ? { type: 'connect-failed', refused: true } : ANSWERED);
+      const isAtU1 = dispatch?.upstream === 'u1';
+      harness.ended(dispatch?.attempt ?? 0, isAtU1 ? { type: 'connect-failed', refused: true } : ANSWERED);
     }
     harness.run(1200);
     expect(countAt(harness, 'u1', 100)).to.be.at.most(1);
   });
 
-  it('is used again at once when control has news of it', () => {
+  it('is used again at once after an update from control', () => {
     const harness = started([announced('u1', 0)]);
     const [dispatch] = only(harness.request('menu'), 'dispatch');
     harness.ended(dispatch?.attempt ?? 0, { type: 'connect-failed', refused: true });
@@ -130,7 +130,7 @@
     expect(countAt(harness, 'u1', 20)).to.be.above(15);
   });
 
-  it('is held back after its zone was out of use', () => {
+  it('is limited after its zone was evacuated', () => {
     const harness = started([announced('u1', 0), announced('u2', 0, 1, 'b')]);
     harness.change([{ type: 'evacuation', zone: 'a', record: { zone: 'a', since: 0, revision: 2 } }]);
     expect(countAt(harness, 'u1', 20)).to.equal(0);
@@ -140,7 +140,7 @@
     expect(countAt(harness, 'u1', 60)).to.be.above(15);
   });
 
-  it('owns keys: it gets requests for them in turn, and the others are refused', () => {
+  it('gets requests for its keys only in time slots', () => {
     const harness = new RouterHarness(CONFIGURED).start(
       [service('menu', { warmup: WARMUP, keyed: true })],
       [announced('u1', 3000)],
--- a/test/routing/evacuation.test.ts
+++ b/test/routing/evacuation.test.ts
@@ -1,16 +1,16 @@
-/** Zones out of use: routers send nothing new to their upstreams, and what nobody may serve is refused at once. */
+/** Evacuated zones: their upstreams get no new requests, and requests that no upstream may serve are refused at once. */
 import { expect } from 'chai';
 import type { EvacuationRecord } from '../../src/model/evacuation.js';
 import type { RegistryChange } from '../../src/registry/types.js';
 import { only, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
 
-const out = (zone: string): RegistryChange => {
+const evacuate = (zone: string): RegistryChange => {
   const record: EvacuationRecord = { zone, since: 0, revision: 9 };
   return { type: 'evacuation', zone, record };
 };
-const back = (zone: string): RegistryChange => ({ type: 'evacuation', zone, record: null });
+const restore = (zone: string): RegistryChange => ({ type: 'evacuation', zone, record: null });
 
-function plain(): RouterHarness {
+function startTwoZones(): RouterHarness {
   const upstreams = [upstream('u1', 'menu'), upstream('u2', 'menu', { zone: 'b' })];
   return new RouterHarness().start([service('menu', { slotsPerUpstream: 1 })], upstreams);
 }
@@ -26,38 +26,38 @@
   });
 }
 
-describe('upstreams of a zone out of use', () => {
-  it('get nothing new, and are used again afterwards', () => {
-    const harness = plain();
-    harness.change([out('a')]);
+describe('upstreams of an evacuated zone', () => {
+  it('get no new requests, and are used again afterwards', () => {
+    const harness = startTwoZones();
+    harness.change([evacuate('a')]);
     expect(new Set(targetsOf(harness, 10))).to.deep.equal(new Set(['u2']));
-    harness.change([back('a'), out('b')]);
+    harness.change([restore('a'), evacuate('b')]);
     expect(new Set(targetsOf(harness, 10))).to.deep.equal(new Set(['u1']));
   });
 
-  it('get nothing new that join meanwhile, or change', () => {
-    const harness = plain();
-    harness.change([out('a')]);
+  it('get no new requests if they join or change meanwhile', () => {
+    const harness = startTwoZones();
+    harness.change([evacuate('a')]);
     const record = upstream('u3', 'menu');
     harness.change([{ type: 'upstream', id: 'u3', record }]);
     harness.change([{ type: 'upstream', id: 'u3', record: { ...record, revision: 5 } }]);
     expect(new Set(targetsOf(harness, 10))).to.deep.equal(new Set(['u2']));
   });
 
-  it('may finish what they have', () => {
-    const harness = plain();
+  it('may finish their requests', () => {
+    const harness = startTwoZones();
     const [dispatch] = only(harness.request('menu'), 'dispatch');
-    const effects = harness.change([out('a'), out('b')]);
+    const effects = harness.change([evacuate('a'), evacuate('b')]);
     expect(only(effects, 'cancel-attempt')).to.deep.equal([]);
     expect(only(harness.ended(dispatch?.attempt ?? 0), 'deliver')).to.have.length(1);
   });
 
-  it('refuse at once what waits and what comes while no zone is left', () => {
-    const harness = plain();
+  it('cause queued and new requests to be refused at once while no zone is left', () => {
+    const harness = startTwoZones();
     harness.request('menu');
     harness.request('menu');
     harness.request('menu');
-    const refused = only(harness.change([out('a'), out('b')]), 'refuse');
+    const refused = only(harness.change([evacuate('a'), evacuate('b')]), 'refuse');
     expect(refused.map(({ reason, outcome, status }) => [reason, outcome, status])).to.deep.equal([
       ['no-upstream', 'not-run', 503],
     ]);
@@ -66,23 +66,23 @@
     expect(later).to.include({ reason: 'no-upstream', outcome: 'not-run' });
   });
 
-  it('are not sent what failed elsewhere and is tried again', () => {
-    const harness = plain();
-    harness.change([out('a')]);
+  it('get no retries of requests that failed elsewhere', () => {
+    const harness = startTwoZones();
+    harness.change([evacuate('a')]);
     const [first] = only(harness.request('menu'), 'dispatch');
-    harness.change([out('b')]);
+    harness.change([evacuate('b')]);
     const effects = harness.ended(first?.attempt ?? 0, { type: 'connect-failed' });
     expect(only(effects, 'dispatch')).to.deep.equal([]);
     expect(only(effects, 'refuse')[0]).to.include({ reason: 'no-upstream', outcome: 'not-run' });
   });
 
-  it('get no keyed work; it waits for the next owner, and goes there', () => {
+  it('get no keyed requests, which wait for the next owner and are sent there', () => {
     const harness = new RouterHarness().start(
       [service('menu', { keyed: true })],
       [upstream('u1', 'menu'), upstream('u2', 'menu', { zone: 'b' })],
       [onlyShard('menu', 'u1', 3)],
     );
-    harness.change([out('a')]);
+    harness.change([evacuate('a')]);
     const effects = harness.request('menu', { key: 'k' });
     expect(only(effects, 'dispatch')).to.deep.equal([]);
     const moved = harness.change([
--- a/test/routing/fleet-picking.test.ts
+++ b/test/routing/fleet-picking.test.ts
@@ -1,4 +1,4 @@
-/** Picks by what control says of speeds and room, and by own evidence where it says nothing. */
+/** Picks by the speeds and capacities that control reports, and by the router's own measurements without such reports. */
 import { expect } from 'chai';
 import type { FleetNews } from '../../src/control/messages.js';
 import type { ZoneRoom } from '../../src/model/fleet-view.js';
@@ -13,7 +13,7 @@
 
 const ROOM: ZoneRoom = { service: 'menu', zone: 'a', meanMillis: 100, isUneven: true, use: 0.5, spill: [] };
 
-function news(changes: Partial<FleetNews> = {}): FleetNews {
+function updateOf(changes: Partial<FleetNews> = {}): FleetNews {
   const version = { term: 1, number: 1 };
   return { type: 'fleet-news', version, isWhole: true, speeds: [], zones: [ROOM], ...changes };
 }
@@ -33,38 +33,38 @@
   return { candidates, zone: 'a', now: 0, random, inTimeMillis: 1000, weigh: () => 1, ...changes };
 }
 
-describe('what control says', () => {
-  it('lapses once it isn’t renewed for some seconds', () => {
+describe('a fleet update from control', () => {
+  it('expires if it isn’t renewed for some seconds', () => {
     const fleet = new FleetKnowledge();
-    fleet.take(news({ speeds: [{ upstream: 'u1', speed: 0.7 }] }), 1000);
+    fleet.take(updateOf({ speeds: [{ upstream: 'u1', speed: 0.7 }] }), 1000);
     expect(fleet.speedOf('u1', 5900)).to.equal(0.7);
     expect(fleet.speedOf('u1', 6100)).to.equal(null);
     expect(fleet.roomOf('menu', 'a', 6100)).to.equal(null);
-    fleet.take(news({ isWhole: false, zones: [] }), 6200);
+    fleet.take(updateOf({ isWhole: false, zones: [] }), 6200);
     expect(fleet.speedOf('u1', 6300)).to.equal(0.7);
   });
 
-  it('of another leader replaces what one said before', () => {
+  it('of another leader replaces earlier data', () => {
     const fleet = new FleetKnowledge();
-    fleet.take(news({ speeds: [{ upstream: 'u1', speed: 0.7 }] }), 0);
-    fleet.take(news({ version: { term: 2, number: 0 }, zones: [] }), 100);
+    fleet.take(updateOf({ speeds: [{ upstream: 'u1', speed: 0.7 }] }), 0);
+    fleet.take(updateOf({ version: { term: 2, number: 0 }, zones: [] }), 100);
     expect(fleet.speedOf('u1', 200)).to.equal(null);
   });
 
-  it('is passed over where it is older than what is known', () => {
+  it('is ignored if it is older than the present data', () => {
     const fleet = new FleetKnowledge();
-    fleet.take(news({ version: { term: 1, number: 5 } }), 0);
-    fleet.take(news({ isWhole: false, speeds: [{ upstream: 'u1', speed: 3 }] }), 100);
+    fleet.take(updateOf({ version: { term: 1, number: 5 } }), 0);
+    fleet.take(updateOf({ isWhole: false, speeds: [{ upstream: 'u1', speed: 3 }] }), 100);
     expect(fleet.speedOf('u1', 200)).to.equal(null);
   });
 });
 
 describe('picks', () => {
-  it('come out as without word of control while speeds are alike and no zone is short', () => {
+  it('are the same as without an update while speeds are equal and no zone lacks capacity', () => {
     const picksWith = (room: ZoneRoom | null): string[] => {
       const fleet = new FleetKnowledge();
       if (room !== null) {
-        fleet.take(news({ zones: [room] }), 0);
+        fleet.take(updateOf({ zones: [room] }), 0);
       }
       const candidates = [...upstreamsOf(30, fleet), ...upstreamsOf(30, fleet, 'r1', 'b')];
       const picker = new LeastWorkPicker();
@@ -80,7 +80,7 @@
     expect(picksWith({ ...ROOM, isUneven: false })).to.deep.equal(picksWith(null));
   });
 
-  it('give each upstream its part by speed where nobody knows how busy any is', () => {
+  it('distribute requests in proportion to speed while no loads are known', () => {
     const counts = [0, 0];
     for (let router = 0; router < 200; router += 1) {
       const fleet = new FleetKnowledge();
@@ -89,8 +89,8 @@
         upstream: id,
         speed: index % 2 === 0 ? 0.5 : 1.5,
       }));
-      fleet.take(news({ speeds }), 0);
-      // All have usually work for two turns of an upstream of speed 1: the fast ones aren't free.
+      fleet.take(updateOf({ speeds }), 0);
+      // The usual load is twice the capacity of an upstream of speed 1, so the fast ones aren't free.
       fleet.noteTurns('menu', 'a', 2, 0);
       const picker = new LeastWorkPicker();
       const random = new Random(router);
@@ -103,11 +103,11 @@
     expect(fast / slow).to.be.within(2, 5);
   });
 
-  it('take the fast ones while they have room, and never leave one to idle', () => {
+  it('go to the fast upstream while it has capacity', () => {
     const fleet = new FleetKnowledge();
     const candidates = upstreamsOf(6, fleet);
     const speeds = candidates.map(({ id }, index) => ({ upstream: id, speed: index === 0 ? 1.6 : 0.8 }));
-    fleet.take(news({ speeds }), 0);
+    fleet.take(updateOf({ speeds }), 0);
     const [first] = candidates;
     const random = new Random(1);
     let fastFirst = 0;
@@ -118,31 +118,31 @@
     expect(fastFirst / 1000).to.be.above(0.95);
   });
 
-  it('leave the zone as control plans it, whatever the router has few of', () => {
+  it('leave the zone in the planned share even if each router has few requests', () => {
     const fleet = new FleetKnowledge();
     const spill = [{ zone: 'b', share: 0.25 }];
     const random = new Random(1);
-    let far = 0;
+    let remotePicks = 0;
     for (let router = 0; router < 400; router += 1) {
       const candidates = [...upstreamsOf(4, fleet), ...upstreamsOf(4, fleet, 'r1', 'b')];
       const picker = new LeastWorkPicker();
       for (let pick = 0; pick < 3; pick += 1) {
         const picked = picker.pick(contextOf(candidates, { random, room: { ...ROOM, spill } }));
-        far += picked.zone === 'b' ? 1 : 0;
+        remotePicks += picked.zone === 'b' ? 1 : 0;
       }
     }
-    expect(far / 1200).to.be.closeTo(0.25, 0.04);
+    expect(remotePicks / 1200).to.be.closeTo(0.25, 0.04);
   });
 });
 
-describe('turns of zones', () => {
-  it('owe nothing any more to a zone that leaves the plan', () => {
-    const turns = new SpillTurns();
+describe('spill credits', () => {
+  it('are dropped for a zone that is removed from the plan', () => {
+    const credits = new SpillTurns();
     const random = new Random(1);
     for (let turn = 0; turn < 10; turn += 1) {
-      turns.next([{ zone: 'b', share: 0.9 }], random);
+      credits.next([{ zone: 'b', share: 0.9 }], random);
     }
-    expect(turns.next([], random)).to.equal(null);
-    expect(turns.mayGoAhead('b')).to.equal(false);
+    expect(credits.next([], random)).to.equal(null);
+    expect(credits.mayGoAhead('b')).to.equal(false);
   });
 });
--- a/test/routing/leaving-words.test.ts
+++ b/test/routing/leaving-words.test.ts
@@ -1,11 +1,11 @@
-/** Upstreams that say in their answers that they leave: nothing new goes there, from no choice, whatever they answer and whoever is out of touch. */
+/** Upstreams that report in an answer that they are draining get no new requests, whatever they answer later and even without contact to control. */
 import { expect } from 'chai';
 import { SILENT_NOTICE } from '../../src/model/upstream-notice.js';
 import type { UpstreamRecord } from '../../src/registry/types.js';
 import type { RouterEffect } from '../../src/routing/types.js';
 import { ANSWERED, only, onlyShard, RouterHarness, sent, service, upstream } from './router-harness.js';
 
-const LEAVING = { ...SILENT_NOTICE, isLeaving: true };
+const DRAINING_NOTICE = { ...SILENT_NOTICE, isLeaving: true };
 const HOLD_MILLIS = 100;
 
 function announced(id: string, warmupMillis = 0): UpstreamRecord {
@@ -21,20 +21,20 @@
   );
 }
 
-/** Has a request answered with the word; gives what went out for it, and what followed. */
-function hearLeaving(harness: RouterHarness, key: string | null = 'k'): RouterEffect[] {
+/** Has a request answered with a draining notice; returns the resulting effects. */
+function answerAsDraining(harness: RouterHarness, key: string | null = 'k'): RouterEffect[] {
   const [dispatch] = only(harness.request('menu', { key }), 'dispatch');
   const attempt = dispatch?.attempt ?? 0;
   return [
-    ...harness.step({ type: 'upstream-notice', attempt, notice: LEAVING }),
+    ...harness.step({ type: 'upstream-notice', attempt, notice: DRAINING_NOTICE }),
     ...harness.ended(attempt, ANSWERED),
   ];
 }
 
-describe('an owner that says in its answers that it leaves', () => {
-  it('gets nothing more, and its keys are refused while nobody else has them', () => {
+describe('an owner that reports in its answers that it is draining', () => {
+  it('gets no more requests, and those for its keys are refused while they have no other owner', () => {
     const harness = startOwner();
-    expect(only(hearLeaving(harness), 'deliver')).to.have.length(1);
+    expect(only(answerAsDraining(harness), 'deliver')).to.have.length(1);
     const effects = harness.request('menu', { key: 'k' });
     effects.push(...harness.run(HOLD_MILLIS + 30));
     expect(only(effects, 'dispatch')).to.have.length(0);
@@ -45,39 +45,39 @@
     expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
   });
 
-  it('isn’t freed by successes of what it had', () => {
+  it('stays draining after successes of earlier requests', () => {
     const harness = startOwner();
-    const [early] = only(harness.request('menu', { key: 'k' }), 'dispatch');
-    hearLeaving(harness);
-    harness.step({ type: 'upstream-notice', attempt: early?.attempt ?? 0, notice: SILENT_NOTICE });
-    harness.ended(early?.attempt ?? 0, ANSWERED);
+    const [earlyDispatch] = only(harness.request('menu', { key: 'k' }), 'dispatch');
+    answerAsDraining(harness);
+    harness.step({ type: 'upstream-notice', attempt: earlyDispatch?.attempt ?? 0, notice: SILENT_NOTICE });
+    harness.ended(earlyDispatch?.attempt ?? 0, ANSWERED);
     expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
   });
 
-  it('has its keys served by the next owner, for those that wait too', () => {
+  it('has its keys served by the next owner, also for queued requests', () => {
     const harness = startOwner();
-    hearLeaving(harness);
+    answerAsDraining(harness);
     harness.request('menu', { key: 'k' });
     const { shard } = onlyShard('menu', 'u2', 9);
     const effects = harness.change([{ type: 'shard', shard, record: onlyShard('menu', 'u2', 9) }]);
     expect(only(effects, 'dispatch').map(({ upstream: id }) => id)).to.deep.equal(['u2']);
   });
 
-  it('is told to control until that shows it', () => {
+  it('is reported to control until control marks it as draining', () => {
     const harness = startOwner();
-    const first = sent([...hearLeaving(harness), ...harness.run(20)], 'upstream-report');
+    const first = sent([...answerAsDraining(harness), ...harness.run(20)], 'upstream-report');
     expect(first[0]?.upstreams[0]).to.include({ upstream: 'u1', run: 'u1', isLeaving: true });
     expect(sent(harness.run(3000), 'upstream-report').length).to.be.within(1, 4);
-    const shown = { ...announced('u1'), revision: 8 };
-    const record = { ...shown, definition: { ...shown.definition, leaving: true } };
+    const marked = { ...announced('u1'), revision: 8 };
+    const record = { ...marked, definition: { ...marked.definition, leaving: true } };
     harness.change([{ type: 'upstream', id: 'u1', record }]);
     harness.run(100);
     expect(sent(harness.run(3000), 'upstream-report')).to.have.length(0);
   });
 
-  it('leaves though control drops it and shows it again; another run of it serves', () => {
+  it('stays draining when control removes and adds it again; another run serves', () => {
     const harness = startOwner();
-    hearLeaving(harness);
+    answerAsDraining(harness);
     harness.change([{ type: 'upstream', id: 'u1', record: null }]);
     harness.change([{ type: 'upstream', id: 'u1', record: announced('u1') }]);
     expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
@@ -87,40 +87,43 @@
     expect(only([...effects, ...harness.request('menu', { key: 'k' })], 'dispatch').length).to.be.above(0);
   });
 
-  it('gets back what waited for a connection there', () => {
+  it('has attempts that wait for a connection recalled', () => {
     const harness = startOwner();
     const [waiting] = only(harness.request('menu', { key: 'k' }), 'dispatch');
-    expect(only(hearLeaving(harness), 'recall-unsent')).to.have.length(1);
-    const back = harness.ended(waiting?.attempt ?? 0, { type: 'connect-failed', recalled: true });
-    expect(only(back, 'dispatch')).to.have.length(0);
+    expect(only(answerAsDraining(harness), 'recall-unsent')).to.have.length(1);
+    const recalled = harness.ended(waiting?.attempt ?? 0, { type: 'connect-failed', recalled: true });
+    expect(only(recalled, 'dispatch')).to.have.length(0);
   });
 
-  it('is an earlier run: its late answer says nothing of the one that is there now', () => {
+  it('doesn’t affect the current run by a late answer of an earlier run', () => {
     const harness = startOwner();
-    const [early] = only(harness.request('menu', { key: 'k' }), 'dispatch');
+    const [earlyDispatch] = only(harness.request('menu', { key: 'k' }), 'dispatch');
     const next = upstream('u1', 'menu', { announced: { slots: 50, warmupMillis: 0, born: 7 } });
     const record = { ...next, revision: 9, incarnation: 'u1@7' };
     harness.change([{ type: 'upstream', id: 'u1', record }]);
-    harness.step({ type: 'upstream-notice', attempt: early?.attempt ?? 0, notice: LEAVING });
+    harness.step({ type: 'upstream-notice', attempt: earlyDispatch?.attempt ?? 0, notice: DRAINING_NOTICE });
     expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(1);
   });
 });
 
-describe('an upstream of several that says that it leaves', () => {
+describe('one of several upstreams, which reports that it is draining', () => {
   function countAt(harness: RouterHarness, id: string): number {
-    let there = 0;
+    let countAtUpstream = 0;
     for (let count = 0; count < 60; count += 1) {
       const [dispatch] = only(harness.request('menu'), 'dispatch');
       const isFailing = count % 3 === 0;
-      const again = harness.ended(dispatch?.attempt ?? 0, isFailing ? { type: 'connect-failed' } : ANSWERED);
-      const sentTo = [...(dispatch === undefined ? [] : [dispatch]), ...only(again, 'dispatch')];
-      there += sentTo.filter(({ upstream: target }) => target === id).length;
+      const retries = harness.ended(
+        dispatch?.attempt ?? 0,
+        isFailing ? { type: 'connect-failed' } : ANSWERED,
+      );
+      const dispatches = [...(dispatch === undefined ? [] : [dispatch]), ...only(retries, 'dispatch')];
+      countAtUpstream += dispatches.filter(({ upstream: target }) => target === id).length;
       harness.run(20);
     }
-    return there;
+    return countAtUpstream;
   }
 
-  it('gets no first try, no second one and no turn of a cold one', () => {
+  it('gets no first attempts, no retries and no time slots for cold upstreams', () => {
     const warmup = { perSecond: 40, millis: 60_000 };
     const harness = new RouterHarness().start(
       [service('menu', { warmup })],
@@ -135,36 +138,36 @@
       attempt = dispatch?.upstream === 'u1' ? dispatch.attempt : 0;
       harness.run(20);
     }
-    harness.step({ type: 'upstream-notice', attempt, notice: LEAVING });
+    harness.step({ type: 'upstream-notice', attempt, notice: DRAINING_NOTICE });
     expect(countAt(harness, 'u1')).to.equal(0);
   });
 
-  it('is one of all that leave: requests are refused, none goes there', () => {
+  it('gets no requests even if all upstreams are draining; they are refused', () => {
     const definition = service('menu', { holdLimitMillis: HOLD_MILLIS });
     const harness = new RouterHarness().start([definition], [announced('u1'), announced('u2')]);
-    hearLeaving(harness, null);
-    hearLeaving(harness, null);
+    answerAsDraining(harness, null);
+    answerAsDraining(harness, null);
     const effects = [...harness.request('menu'), ...harness.run(HOLD_MILLIS + 30)];
     expect(only(effects, 'dispatch')).to.have.length(0);
     expect(only(effects, 'refuse').map(({ reason }) => reason)).to.deep.equal(['no-upstream']);
   });
 
-  it('has a session, in which it says so: its keys are served', () => {
+  it('has its keys served if it has a session with control to report it in', () => {
     const definition = service('menu', { keyed: true, holdLimitMillis: HOLD_MILLIS });
     const shards = [onlyShard('menu', 'u1', 3)];
     const harness = new RouterHarness().start([definition], [upstream('u1', 'menu')], shards);
-    hearLeaving(harness);
+    answerAsDraining(harness);
     expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(1);
   });
 
-  it('is used again where runs have no names once its health is well a while later, and by no change of an operator', () => {
+  it('is used again after a later successful health check if runs have no names, and not after an operator’s change', () => {
     const record = { ...upstream('u1', 'menu'), incarnation: null };
     const isUsed = (harness: RouterHarness): boolean =>
       only([...harness.request('menu'), ...harness.run(HOLD_MILLIS + 30)], 'dispatch').length > 0;
     const probe = { type: 'probe-result', upstream: 'u1', healthy: true, load: 0 } as const;
     const definition = service('menu', { holdLimitMillis: HOLD_MILLIS });
     const harness = new RouterHarness().start([definition], [record]);
-    hearLeaving(harness, null);
+    answerAsDraining(harness, null);
     harness.change([{ type: 'upstream', id: 'u1', record: { ...record, revision: 5 } }]);
     harness.run(14_000);
     harness.step(probe);
--- a/test/routing/limited-fleet.ts
+++ b/test/routing/limited-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Router cores, an issuer of permits and one limited owner of all keys on one virtual clock. What is counted are arrivals at the upstream and
- * answers to callers, never what routers think.
+ * Simulates router cores, a permit issuer and one upstream with a rate limit that owns all keys, on a virtual clock. Results are counted from
+ * arrivals at the upstream and answers to callers, not from the state of the routers.
  */
 
 import type { ControlToRouter, UpstreamPermits } from '../../src/control/messages.js';
@@ -17,49 +17,49 @@
 const WINDOW_MILLIS = 4000;
 const DEPOSED_MILLIS = 600;
 const MEMBER_COUNT = 3;
-/** From then on a limit that was named counts. */
-const CONTACT_MILLIS = 3000;
-/** An answer that a router passed on counts against it from then on. */
-const TOLD_MILLIS = 500;
+/** A limit is checked from this long after an answer first reported one. */
+const SPREAD_MILLIS = 3000;
+/** A router's requests are checked from this long after it first received a limit. */
+const ROUTER_GRACE_MILLIS = 500;
 const DEADLINE_MILLIS = 800;
 
 export type FleetSabotage =
   | 'none'
-  /** Each router takes the whole limit for its own. */
+  /** Each router uses the whole limit. */
   | 'whole-limit-each'
-  /** Permits are good for ever. */
-  | 'permits-never-lapse'
-  /** A new leader issues at once, while the one before still does. */
+  /** Permits never expire. */
+  | 'permits-never-expire'
+  /** A new leader issues permits at once, while the previous one still does. */
   | 'two-issuers'
-  /** Answers to requests that aren't served say nothing of a limit. */
-  | 'word-unread';
+  /** Routers don't receive the notices in answers. */
+  | 'notices-unread';
 
 export interface FleetOptions {
   readonly routers: number;
   readonly seed: number;
-  /** Requests a second over all routers. */
+  /** Requests per second over all routers. */
   readonly demand: number;
-  /** Another demand from a time on. */
+  /** Replaces `demand` from this time on. */
   readonly laterDemand?: { readonly from: number; readonly demand: number };
-  /** Share of the demand that comes to one router; the others have equal parts of the rest. */
+  /** Share of the demand at the first router; the others have equal parts of the rest. */
   readonly hotShare?: number;
-  /** Limit named at a time; `null`: none. */
+  /** Returns the limit at a time; `null` for none. */
   readonly limitAt: (millis: number) => number | null;
   readonly millis: number;
   readonly sabotage?: FleetSabotage;
-  /** Pace of the even turns, as a factor on what it is; 1 if left out. */
+  /** Factor on the rate of the time slots; 1 if left out. */
   readonly turnFactor?: number;
-  /** No member leads. */
+  /** Whether control has no leader. */
   readonly isLeaderless?: boolean;
-  /** Router cores that are cut off from control in this span. */
+  /** Cuts a share of the routers off from control during this span. */
   readonly cut?: { readonly from: number; readonly to: number; readonly share: number };
-  /** Times at which a new leader takes over at once; the one before goes on for a while if `isSplit`. */
+  /** Times at which a new leader takes over; if `isSplit`, the previous one continues for a while. */
   readonly elections?: readonly { readonly at: number; readonly isSplit: boolean }[];
-  /** Times at which a router starts again without memory. */
+  /** Times at which a router restarts and loses its state. */
   readonly restarts?: readonly { readonly at: number; readonly router: number }[];
-  /** One way between routers and control; the usual network if left out. */
+  /** One-way delay between routers and control; the usual network delay if left out. */
   readonly controlMillis?: number;
-  /** Callers leave so soon after they came, in this span. */
+  /** During this span, callers cancel their requests after `millis`. */
   readonly impatience?: { readonly from: number; readonly to: number; readonly millis: number };
   /** Share of answers that take ten times as long. */
   readonly slowShare?: number;
@@ -72,20 +72,20 @@
 
 export interface FleetResult {
   readonly arrivals: readonly Arrival[];
-  /** Worst arrivals in a window beyond what the limit allows there; 0 or less: none. */
+  /** Largest number of arrivals in a window above what the limit allows; 0 or less if the limit is always kept. */
   readonly worstExcess: number;
-  /** Share of what the limit lets through that was used, once routers knew of it. */
+  /** Used share of the limit, once routers have received it. */
   readonly usedShare: number;
   readonly served: number;
   readonly refused: number;
-  /** Permits that were issued, and messages between routers and the leader. */
+  /** Messages between routers and the leader, including those with permits. */
   readonly messages: number;
 }
 
 class FleetRouter {
   readonly harness: RouterHarness;
-  /** When it passed on the first answer that named a limit. */
-  toldAt = Number.POSITIVE_INFINITY;
+  /** Time of the first answer with a limit. */
+  limitReceivedAt = Number.POSITIVE_INFINITY;
   isCut = false;
 
   constructor(
@@ -102,14 +102,14 @@
       [record],
       [onlyShard('menu', 'u1', 3)],
     );
-    // Three members number a third of the routers each.
-    const group = Math.ceil(routers / MEMBER_COUNT);
+    // Each of the three members numbers a third of the routers.
+    const routersPerMember = Math.ceil(routers / MEMBER_COUNT);
     const place =
       sabotage === 'whole-limit-each'
         ? { phaseShare: 0, routers: 1 }
         : {
-            phaseShare: Math.floor(index / MEMBER_COUNT) / group,
-            routers: (group * MEMBER_COUNT) / turnFactor,
+            phaseShare: Math.floor(index / MEMBER_COUNT) / routersPerMember,
+            routers: (routersPerMember * MEMBER_COUNT) / turnFactor,
           };
     this.harness.respond(this.harness.now, { turn: { inZone: place, inAll: place } });
   }
@@ -122,7 +122,7 @@
   readonly #routers: FleetRouter[];
   readonly #arrivals: Arrival[] = [];
   #issuers: { readonly issuer: PermitIssuer; endsAt: number }[] = [];
-  #latestNamedFrom: number | null = null;
+  #firstLimitAt: number | null = null;
   #served = 0;
   #refused = 0;
   #messages = 0;
@@ -216,7 +216,7 @@
     const { harness } = router;
     this.#arrivals.push({ at: this.#time.now, router: router.index });
     const factor = this.#random.share() < slowShare ? 10 : 1;
-    // The head says what holds when work begins: a slow answer carries an old word.
+    // The response head has the limit from the start of the request, so a slow answer carries an old limit.
     const perSecond = this.#options.limitAt(this.#time.now);
     this.#time.after(WORK_MILLIS * factor, () => {
       if (this.#routers[router.index]?.harness === harness) {
@@ -228,13 +228,13 @@
   #answer(router: FleetRouter, attempt: number, perSecond: number | null): void {
     const { harness } = router;
     harness.now = this.#time.now;
-    if (perSecond !== null && this.#latestNamedFrom === null) {
-      this.#latestNamedFrom = this.#time.now;
+    if (perSecond !== null && this.#firstLimitAt === null) {
+      this.#firstLimitAt = this.#time.now;
     }
-    if (perSecond !== null && router.toldAt === Number.POSITIVE_INFINITY) {
-      router.toldAt = this.#time.now;
+    if (perSecond !== null && router.limitReceivedAt === Number.POSITIVE_INFINITY) {
+      router.limitReceivedAt = this.#time.now;
     }
-    if (this.#options.sabotage !== 'word-unread') {
+    if (this.#options.sabotage !== 'notices-unread') {
       const notice: UpstreamNotice = {
         ...SILENT_NOTICE,
         limit: perSecond === null ? { type: 'none' } : { type: 'named', perSecond },
@@ -266,12 +266,12 @@
     if (message.type === 'upstream-report') {
       this.#messages += 1;
       const connection = { connection: `c${router.index}`, router: `r${router.index}` };
-      const living = this.#issuers.filter(({ endsAt }) => this.#time.now < endsAt);
-      // Where two take themselves for the leader, routers are divided between them.
-      const heardBy = living[router.index % Math.max(1, living.length)];
+      const acting = this.#issuers.filter(({ endsAt }) => this.#time.now < endsAt);
+      // If two members act as the leader, the routers are divided between them.
+      const target = acting[router.index % Math.max(1, acting.length)];
       this.#time.after(this.#controlMillis, () => {
-        heardBy?.issuer.take(message as never, connection, this.#time.now);
-        heardBy?.issuer.run(this.#time.now);
+        target?.issuer.take(message as never, connection, this.#time.now);
+        target?.issuer.run(this.#time.now);
       });
     }
   }
@@ -294,7 +294,7 @@
     const send = (connection: string, message: UpstreamPermits): void => {
       this.#messages += 1;
       const router = this.#routers[Number(connection.slice(1))] as FleetRouter;
-      const isEndless = this.#options.sabotage === 'permits-never-lapse';
+      const isEndless = this.#options.sabotage === 'permits-never-expire';
       this.#toRouter(router, isEndless ? { ...message, waitedMillis: 1_000_000 } : message);
     };
     const issuer = new PermitIssuer({ send, log: () => {}, deposedMillis }, this.#time.now);
@@ -305,8 +305,8 @@
     const { sabotage } = this.#options;
     const isSabotaged = sabotage === 'two-issuers';
     for (const issuer of this.#issuers) {
-      const goesOnMillis = isSabotaged ? Number.POSITIVE_INFINITY : DEPOSED_MILLIS / 2;
-      issuer.endsAt = Math.min(issuer.endsAt, this.#time.now + (isSplit ? goesOnMillis : 0));
+      const overlapMillis = isSabotaged ? Number.POSITIVE_INFINITY : DEPOSED_MILLIS / 2;
+      issuer.endsAt = Math.min(issuer.endsAt, this.#time.now + (isSplit ? overlapMillis : 0));
     }
     this.#elect(isSabotaged ? -1000 : DEPOSED_MILLIS);
   }
@@ -322,14 +322,14 @@
   }
 
   #result(): FleetResult {
-    const namedFrom = this.#latestNamedFrom ?? Number.POSITIVE_INFINITY;
+    const firstLimitAt = this.#firstLimitAt ?? Number.POSITIVE_INFINITY;
     const counted = this.#arrivals.filter(
-      ({ at, router }) => at >= namedFrom + CONTACT_MILLIS && this.#knew(router, at),
+      ({ at, router }) => at >= firstLimitAt + SPREAD_MILLIS && this.#hadReceivedLimit(router, at),
     );
     const times = counted.map(({ at }) => at);
     const { millis, limitAt } = this.#options;
     let allowedSum = 0;
-    const from = namedFrom + CONTACT_MILLIS;
+    const from = firstLimitAt + SPREAD_MILLIS;
     for (let at = from; at < millis; at += 1) {
       allowedSum += (limitAt(at) ?? 0) / 1000;
     }
@@ -344,11 +344,11 @@
     };
   }
 
-  #knew(router: number, at: number): boolean {
-    return at >= (this.#routers[router]?.toldAt ?? Number.POSITIVE_INFINITY) + TOLD_MILLIS;
+  #hadReceivedLimit(router: number, at: number): boolean {
+    return at >= (this.#routers[router]?.limitReceivedAt ?? Number.POSITIVE_INFINITY) + ROUTER_GRACE_MILLIS;
   }
 
-  /** The largest limit that was named in a window, or a moment before, is what counts there. */
+  /** Checks each window against the largest limit in force during it or shortly before. */
   #worstExcess(times: readonly number[]): number {
     let worst = Number.NEGATIVE_INFINITY;
     let first = 0;
@@ -365,7 +365,7 @@
     return worst;
   }
 
-  /** `null`: for some time there was none, and nothing is counted. */
+  /** Returns `null` if there was no limit for some of the time; such windows aren't checked. */
   #largestLimit(from: number, to: number): number | null {
     let largest = 0;
     for (let at = Math.max(0, from); at <= to; at += 50) {
--- a/test/routing/limited-upstreams.test.ts
+++ b/test/routing/limited-upstreams.test.ts
@@ -1,4 +1,4 @@
-/** Where requests go, and what callers are told, once an upstream names a limit: nothing goes past it. */
+/** Routing and refusals once an upstream sets a rate limit, which is never exceeded. */
 import { expect } from 'chai';
 import type { ServiceDefinition } from '../../src/model/service.js';
 import { type LimitNotice, SILENT_NOTICE } from '../../src/model/upstream-notice.js';
@@ -18,11 +18,11 @@
   return new RouterHarness().start([service('menu', definition)], ids.map(announced), shards);
 }
 
-function named(perSecond: number): LimitNotice {
+function limitOf(perSecond: number): LimitNotice {
   return { type: 'named', perSecond };
 }
 
-/** Sends a request and gives its attempt; the answer's head says this of the upstream. */
+/** Sends a request whose response head carries this limit, and returns its attempt. */
 function answered(harness: RouterHarness, limit: LimitNotice, key: string | null = 'k'): number {
   const [dispatch] = only(harness.request('menu', { key }), 'dispatch');
   const attempt = dispatch?.attempt ?? 0;
@@ -51,29 +51,29 @@
   });
 }
 
-describe('an owner that names a limit', () => {
+describe('an owner with a rate limit', () => {
   let harness: RouterHarness;
 
   beforeEach(() => {
     harness = started(['u1'], { keyed: true });
-    answered(harness, named(5));
+    answered(harness, limitOf(5));
     harness.run(20);
   });
 
-  it('gets what waits when control issues permits, and no more', () => {
-    const arrived = [1, 2, 3].flatMap(() => harness.request('menu', { key: 'k' }));
-    expect(only(arrived, 'dispatch')).to.have.length(0);
-    const asked = sent([...arrived, ...harness.run(12)], 'upstream-report');
-    expect(asked.at(-1)?.upstreams[0]).to.include({ upstream: 'u1', run: 'u1', wanted: 3 });
+  it('gets as many queued requests as control issues permits for', () => {
+    const queued = [1, 2, 3].flatMap(() => harness.request('menu', { key: 'k' }));
+    expect(only(queued, 'dispatch')).to.have.length(0);
+    const reports = sent([...queued, ...harness.run(12)], 'upstream-report');
+    expect(reports.at(-1)?.upstreams[0]).to.include({ upstream: 'u1', run: 'u1', wanted: 3 });
     expect(only(permits(harness, 2), 'dispatch')).to.have.length(2);
   });
 
-  it('what can’t be had in time is refused at once, with a time that isn’t early', () => {
-    const arrived = [1, 2].flatMap(() => harness.request('menu', { key: 'k' }));
-    expect(refusals(arrived)).to.have.length(0);
-    const told = permits(harness, 0, 700);
+  it('has requests that can’t be sent in time refused at once, with a retry time that isn’t too early', () => {
+    const queued = [1, 2].flatMap(() => harness.request('menu', { key: 'k' }));
+    expect(refusals(queued)).to.have.length(0);
+    const atOnce = permits(harness, 0, 700);
     const next = harness.request('menu', { key: 'k' });
-    for (const { reason, status, outcome, retryAfterMillis } of refusals([...told, ...next])) {
+    for (const { reason, status, outcome, retryAfterMillis } of refusals([...atOnce, ...next])) {
       expect({ reason, status, outcome }).to.deep.equal({
         reason: 'upstream-limited',
         status: 503,
@@ -81,17 +81,17 @@
       });
       expect(retryAfterMillis).to.be.at.least(700);
     }
-    expect(refusals([...told, ...next])).to.have.length(3);
+    expect(refusals([...atOnce, ...next])).to.have.length(3);
   });
 
-  it('a request that waits for nothing is refused when its wait is over', () => {
+  it('has a request without a permit refused at the end of its wait', () => {
     harness.request('menu', { key: 'k' });
     const [refusal] = refusals(harness.run(HOLD_MILLIS + 30));
     expect(refusal?.reason).to.equal('upstream-limited');
     expect(refusal?.facts?.limit?.perSecond).to.equal(5);
   });
 
-  it('gets everything again once an answer names none', () => {
+  it('gets all requests again once an answer has no limit', () => {
     harness.request('menu', { key: 'k' });
     const [last] = only(permits(harness, 1), 'dispatch');
     const attempt = last?.attempt ?? 0;
@@ -101,7 +101,7 @@
     expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(1);
   });
 
-  it('keeps its limit when a header makes no sense, which is logged', () => {
+  it('keeps its limit when a header is unreadable, which is logged', () => {
     harness.request('menu', { key: 'k' });
     const [last] = only(permits(harness, 1), 'dispatch');
     const limit: LimitNotice = { type: 'unreadable' };
@@ -115,7 +115,7 @@
     expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
   });
 
-  it('keeps it while control drops and shows it again, and another run has none', () => {
+  it('keeps its limit while control removes and adds it again; another run has none', () => {
     harness.change([{ type: 'upstream', id: 'u1', record: null }]);
     harness.change([{ type: 'upstream', id: 'u1', record: announced('u1') }]);
     expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
@@ -126,16 +126,16 @@
     expect(only(effects, 'dispatch')).to.have.length(1);
   });
 
-  it('isn’t freed by a late answer of an attempt from before', () => {
+  it('keeps its limit after a late answer to an earlier attempt', () => {
     const fresh = started(['u1'], { keyed: true });
     const [early] = only(fresh.request('menu', { key: 'k' }), 'dispatch');
-    answered(fresh, named(5));
+    answered(fresh, limitOf(5));
     fresh.step({ type: 'upstream-notice', attempt: early?.attempt ?? 0, notice: SILENT_NOTICE });
     fresh.ended(early?.attempt ?? 0, ANSWERED);
     expect(only(fresh.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
   });
 
-  it('of which the most important and most urgent requests go first', () => {
+  it('gets the most important and most urgent requests first', () => {
     const low = harness.request('menu', { key: 'k', deadlineMillis: 900 });
     const high = harness.request('menu', { key: 'k', deadlineMillis: 300 });
     expect(only([...low, ...high], 'dispatch')).to.have.length(0);
@@ -143,7 +143,7 @@
     expect(first?.deadlineMillis).to.be.below(301);
   });
 
-  it('is asked for again at whoever leads', () => {
+  it('has permits requested again from a new leader', () => {
     harness.request('menu', { key: 'k' });
     const reply = {
       type: 'upstream-permits',
@@ -154,37 +154,37 @@
     } as const;
     harness.fromControl(reply);
     harness.request('menu', { key: 'k' });
-    const asked = only(harness.run(30), 'send-control').filter(
+    const reports = only(harness.run(30), 'send-control').filter(
       ({ message }) => message.type === 'upstream-report',
     );
-    expect(asked.at(-1)?.to).to.equal('127.0.0.3:1');
+    expect(reports.at(-1)?.to).to.equal('127.0.0.3:1');
   });
 });
 
-describe('an upstream of several that names a limit', () => {
-  it('is left alone while others have room, by first tries and by second ones', () => {
+describe('one of several upstreams, with a rate limit', () => {
+  it('gets neither first attempts nor retries while others have capacity', () => {
     const harness = started(['u1', 'u2']);
-    let said = false;
+    let isLimited = false;
     let toLimited = 0;
     for (let count = 0; count < 60; count += 1) {
       const [dispatch] = only(harness.request('menu'), 'dispatch');
       const attempt = dispatch?.attempt ?? 0;
-      if (said && dispatch?.upstream === 'u1') {
+      if (isLimited && dispatch?.upstream === 'u1') {
         toLimited += 1;
       }
       if (dispatch?.upstream === 'u1') {
-        harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit: named(1) } });
-        said = true;
+        harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit: limitOf(1) } });
+        isLimited = true;
       }
-      const again = harness.ended(attempt, count % 3 === 0 ? { type: 'connect-failed' } : ANSWERED);
-      toLimited += said ? only(again, 'dispatch').filter(({ upstream: id }) => id === 'u1').length : 0;
+      const retries = harness.ended(attempt, count % 3 === 0 ? { type: 'connect-failed' } : ANSWERED);
+      toLimited += isLimited ? only(retries, 'dispatch').filter(({ upstream: id }) => id === 'u1').length : 0;
       harness.run(20);
     }
-    expect(said).to.equal(true);
+    expect(isLimited).to.equal(true);
     expect(toLimited).to.equal(0);
   });
 
-  it('that is cold too gets no request in a turn of cold upstreams alone', () => {
+  it('gets no request by a time slot for cold upstreams alone while it is also cold', () => {
     const warmup = { perSecond: 4, millis: 60_000 };
     const cold = upstream('u1', 'menu', { announced: { slots: 50, warmupMillis: 60_000 } });
     const harness = new RouterHarness().start([service('menu', { warmup })], [cold, announced('u2')]);
@@ -197,13 +197,15 @@
       harness.run(20);
       attempt = dispatch?.upstream === 'u1' ? dispatch.attempt : 0;
     }
-    harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit: named(1) } });
-    let there = 0;
+    harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit: limitOf(1) } });
+    let countAtLimited = 0;
     for (let count = 0; count < 200; count += 1) {
-      there += only(harness.request('menu'), 'dispatch').filter(({ upstream: id }) => id === 'u1').length;
+      countAtLimited += only(harness.request('menu'), 'dispatch').filter(
+        ({ upstream: id }) => id === 'u1',
+      ).length;
       harness.run(20);
     }
     expect(attempt).to.be.above(0);
-    expect(there).to.equal(0);
+    expect(countAtLimited).to.equal(0);
   });
 });
--- a/test/routing/request-limit.test.ts
+++ b/test/routing/request-limit.test.ts
@@ -1,4 +1,4 @@
-/** What begins, changes and ends a limit at one router, and how many requests it lets through. */
+/** Start, change and end of a rate limit at one router, and the number of requests it admits. */
 import { expect } from 'chai';
 import { PERMIT_MILLIS } from '../../src/model/limit-shares.js';
 import { RequestLimit } from '../../src/routing/notices/request-limit.js';
@@ -9,7 +9,7 @@
   return new RequestLimit(() => ({ phaseShare, routers }), 0);
 }
 
-/** Requests let through while one wants to go every ten milliseconds. */
+/** Number of admitted requests if one is tried every ten milliseconds. */
 function countSent(limit: RequestLimit, from: number, millis: number): number {
   let sent = 0;
   for (let now = from; now < from + millis; now += 10) {
@@ -21,19 +21,19 @@
   return sent;
 }
 
-describe('a limit at one router', () => {
-  it('holds back nothing before it is named', () => {
+describe('a rate limit at one router', () => {
+  it('admits everything before a limit is received', () => {
     expect(countSent(makeLimit(), 0, 1000)).to.equal(100);
   });
 
-  it('lets this router’s even part through while control says nothing', () => {
+  it('admits this router’s even share while control issues no permits', () => {
     const limit = makeLimit();
     limit.hear(50, { attempt: 1, latest: 1 }, 0);
-    // A fifth of 50 a second, a tenth of which is this router's: one a second.
+    // A fifth of 50 per second is shared evenly; a tenth of that is this router's: one per second.
     expect(countSent(limit, 0, 20_000)).to.be.within(19, 21);
   });
 
-  it('lets as many through as control issued, for as long as they are good', () => {
+  it('admits as many requests as control issued permits, while the permits are valid', () => {
     const limit = makeLimit();
     limit.hear(1, { attempt: 1, latest: 1 }, 0);
     limit.take(3, PERMIT_MILLIS);
@@ -42,7 +42,7 @@
     expect(countSent(limit, 101 + PERMIT_MILLIS, 1000)).to.equal(0);
   });
 
-  it('loses turns that aren’t used', () => {
+  it('drops unused time slots', () => {
     const limit = makeLimit();
     limit.hear(50, { attempt: 1, latest: 1 }, 0);
     for (let now = 0; now < 10_000; now += 10) {
@@ -51,7 +51,7 @@
     expect(countSent(limit, 10_000, 50)).to.be.at.most(1);
   });
 
-  it('gives no turns for a time without a limit', () => {
+  it('has no time slots for a time without a limit', () => {
     const limit = makeLimit(0.1);
     limit.hear(50, { attempt: 1, latest: 1 }, 0);
     limit.hear(null, { attempt: 2, latest: 2 }, 100);
@@ -59,7 +59,7 @@
     expect(countSent(limit, 60_000, 500)).to.equal(0);
   });
 
-  it('is over with an answer without it, if its attempt began after the limit was heard last', () => {
+  it('ends with an answer without a limit if its attempt started after the limit was last received', () => {
     const limit = makeLimit();
     limit.hear(5, { attempt: 4, latest: 9 }, 0);
     expect(limit.hear(null, { attempt: 9, latest: 20 }, 50)).to.equal(false);
@@ -77,7 +77,7 @@
     expect(limit.perSecond).to.equal(8);
   });
 
-  it('takes control’s word where that was heard later than its own', () => {
+  it('applies a limit from control only if it is newer than its own', () => {
     const limit = makeLimit();
     limit.hear(5, { attempt: 1, latest: 1 }, 1000);
     expect(limit.hearFromControl({ perSecond: null, heardAgoMillis: 300 }, 1200)).to.equal(false);
@@ -86,7 +86,7 @@
     expect(limit.isInForce).to.equal(false);
   });
 
-  it('of nothing lets one request in a while through, by which its end is heard', () => {
+  it('of 0 admits an occasional request, so that its end is noticed', () => {
     const limit = makeLimit(0.5, 1);
     limit.hear(0, { attempt: 1, latest: 1 }, 0);
     expect(countSent(limit, 0, 60_000)).to.be.within(2, 4);
--- a/test/routing/resting-upstreams.test.ts
+++ b/test/routing/resting-upstreams.test.ts
@@ -1,30 +1,30 @@
 /**
- * What users saw: upstreams that turned a router away with 503 and asked it for 3 s of rest got three and four requests from it in that time, two of
- * which are allowed, and turned each away again. In order: an owner refused and said when to come again; its router's next request for its keys came a
- * second later, several more with it; some 50 to 118 requests were turned away at each of five upstreams in eight seconds. Cause: whatever rest was
- * asked for was cut to one second, and when that was over as many requests went as there was room for, before the first was answered.
- * Evidence: an owner that always asks for 3 s, here, gets requests 1.05 s after it refused, three in 15 ms, and again 1.1 s later.
+ * Guards against requests during a back-off. Upstreams that rejected a request with 503 and requested a back-off of 3 s got three and four
+ * requests from the same router in that time, of which two are allowed, and rejected each. Some 50 to 118 requests were rejected at each of five
+ * upstreams in eight seconds. The cause was that the router cut each back-off to one second, and then sent as many requests as there was
+ * capacity for before the first was answered. An owner that always requests 3 s then got three requests within 15 ms, 1.05 s after its first
+ * rejection, and more 1.1 s later.
  */
 import { expect } from 'chai';
 import { SILENT_NOTICE } from '../../src/model/upstream-notice.js';
 import type { AttemptResult, RouterEffect } from '../../src/routing/types.js';
 import { ANSWERED, only, onlyShard, RouterHarness, sent, service, upstream } from './router-harness.js';
 
-const REST_MILLIS = 3000;
-/** What was under way when an upstream refused may still arrive for so long. */
+const BACKOFF_MILLIS = 3000;
+/** Requests in flight at the time of a rejection may still arrive during this time. */
 const GRACE_MILLIS = 500;
-const MOST_IN_REST = 2;
+const MAX_IN_BACKOFF = 2;
 const ANSWER_MILLIS = 60;
 const STEP_MILLIS = 5;
 
-/** Arrivals at an owner that turns away whatever comes and asks for rest, and when it did. */
-function play(perSecond: number, millis: number): { arrivals: number[]; refusedAt: number[] } {
+/** Arrivals at an owner that rejects every request and requests a back-off, and the times of its rejections. */
+function runRejectingOwner(perSecond: number, millis: number): { arrivals: number[]; refusedAt: number[] } {
   const record = upstream('u1', 'menu', { announced: { slots: 3, warmupMillis: 0 } });
   const definition = service('menu', { keyed: true, holdLimitMillis: 105, queueLimit: 100 });
   const harness = new RouterHarness().start([definition], [record], [onlyShard('menu', 'u1', 3)]);
   const arrivals: number[] = [];
   const refusedAt: number[] = [];
-  const underWay: { readonly attempt: number; readonly endsAt: number }[] = [];
+  const inFlight: { readonly attempt: number; readonly endsAt: number }[] = [];
   const end = harness.now + millis;
   let nextAt = harness.now;
   while (harness.now < end) {
@@ -33,31 +33,31 @@
       nextAt += 1000 / perSecond;
       effects.push(...harness.request('menu', { key: 'k', deadlineMillis: 800 }));
     }
-    while (underWay[0] !== undefined && underWay[0].endsAt <= harness.now) {
+    while (inFlight[0] !== undefined && inFlight[0].endsAt <= harness.now) {
       refusedAt.push(harness.now);
-      const attempt = underWay.shift()?.attempt ?? 0;
+      const attempt = inFlight.shift()?.attempt ?? 0;
       const refusal: AttemptResult = {
         type: 'refused',
         refusal: 'overloaded',
-        retryAfterMillis: REST_MILLIS,
+        retryAfterMillis: BACKOFF_MILLIS,
       };
       effects.push(...harness.ended(attempt, refusal));
     }
     for (const { attempt } of only(effects, 'dispatch')) {
       arrivals.push(harness.now);
-      underWay.push({ attempt, endsAt: harness.now + ANSWER_MILLIS });
+      inFlight.push({ attempt, endsAt: harness.now + ANSWER_MILLIS });
     }
   }
   return { arrivals, refusedAt };
 }
 
-describe('an upstream that turns a router away and asks for rest', () => {
+describe('an upstream that rejects a request and requests a back-off', () => {
   for (const perSecond of [4, 20, 40, 200]) {
-    it(`gets two requests at most from half a second later to its end: ${perSecond} a second for its keys`, () => {
-      const { arrivals, refusedAt } = play(perSecond, 12_000);
+    it(`gets at most two requests from half a second later to the end of the back-off: ${perSecond} per second for its keys`, () => {
+      const { arrivals, refusedAt } = runRejectingOwner(perSecond, 12_000);
       for (const at of refusedAt) {
-        const inRest = arrivals.filter((time) => time >= at + GRACE_MILLIS && time < at + REST_MILLIS);
-        expect(inRest.length).to.be.at.most(MOST_IN_REST);
+        const inBackoff = arrivals.filter((time) => time >= at + GRACE_MILLIS && time < at + BACKOFF_MILLIS);
+        expect(inBackoff.length).to.be.at.most(MAX_IN_BACKOFF);
       }
       expect(refusedAt.length).to.be.above(3);
     });
@@ -65,8 +65,8 @@
 
   let harness: RouterHarness;
 
-  /** Sends a request that is turned away with this rest, and gives what followed. */
-  function turnAway(retryAfterMillis = REST_MILLIS, key: string | null = 'k'): RouterEffect[] {
+  /** Sends a request that is rejected with this back-off, and returns the resulting effects. */
+  function rejectRequest(retryAfterMillis = BACKOFF_MILLIS, key: string | null = 'k'): RouterEffect[] {
     const [dispatch] = only(harness.request('menu', { key }), 'dispatch');
     const refusal: AttemptResult = { type: 'refused', refusal: 'overloaded', retryAfterMillis };
     return harness.ended(dispatch?.attempt ?? 0, refusal);
@@ -78,114 +78,114 @@
     harness = new RouterHarness().start([definition], [record], [onlyShard('menu', 'u1', 3)]);
   }
 
-  /** Requests for its key that went out while so many came at once. */
-  function sentOf(count: number): number[] {
+  /** Sends `count` requests for one key at once, and returns the dispatched attempts. */
+  function dispatchedOf(count: number): number[] {
     const effects = Array.from({ length: count }, () => harness.request('menu', { key: 'k' })).flat();
     return only(effects, 'dispatch').map(({ attempt }) => attempt);
   }
 
-  it('has its requests refused at once, with a time that isn’t before the end of its rest', () => {
+  it('has its requests refused at once, with a retry time not before the end of the back-off', () => {
     startOwner();
-    const told = turnAway();
+    const rejected = rejectRequest();
     harness.run(1000);
     const later = harness.request('menu', { key: 'k' });
-    const refusals = only([...told, ...later], 'refuse');
+    const refusals = only([...rejected, ...later], 'refuse');
     expect(refusals.map(({ reason }) => reason)).to.deep.equal(['upstream-resting', 'upstream-resting']);
-    expect(refusals[0]?.retryAfterMillis).to.be.at.least(REST_MILLIS);
-    expect(refusals[1]?.retryAfterMillis).to.be.within(REST_MILLIS - 1000, (REST_MILLIS - 1000) * 1.6);
-    expect(refusals[1]?.facts?.restMillis).to.be.within(1, REST_MILLIS - 1000);
+    expect(refusals[0]?.retryAfterMillis).to.be.at.least(BACKOFF_MILLIS);
+    expect(refusals[1]?.retryAfterMillis).to.be.within(BACKOFF_MILLIS - 1000, (BACKOFF_MILLIS - 1000) * 1.6);
+    expect(refusals[1]?.facts?.restMillis).to.be.within(1, BACKOFF_MILLIS - 1000);
     expect(refusals[1]?.outcome).to.equal('not-run');
   });
 
-  it('gets one request when its rest is over, and the others once that was answered', () => {
+  it('gets one request after the back-off, and the others once that is answered', () => {
     startOwner();
-    turnAway();
-    harness.run(REST_MILLIS);
-    const [first = 0, ...others] = sentOf(3);
+    rejectRequest();
+    harness.run(BACKOFF_MILLIS);
+    const [first = 0, ...others] = dispatchedOf(3);
     expect(others).to.have.length(0);
     const effects = harness.ended(first, ANSWERED);
     expect(only(effects, 'dispatch')).to.have.length(2);
   });
 
-  it('gets another one in the place of the first if that came to nothing', () => {
+  it('gets another trial request if the first one fails', () => {
     startOwner();
-    turnAway();
-    harness.run(REST_MILLIS);
-    const [first = 0] = sentOf(2);
+    rejectRequest();
+    harness.run(BACKOFF_MILLIS);
+    const [first = 0] = dispatchedOf(2);
     const effects = harness.ended(first, { type: 'connect-failed' });
     expect(only([...effects, ...harness.run(100)], 'dispatch')).to.have.length(1);
   });
 
-  it('has the longer rest that it asked for, whichever came last', () => {
+  it('gets the longer of two back-offs, whichever is requested last', () => {
     startOwner();
-    const [one = 0, other = 0] = sentOf(2);
+    const [one = 0, other = 0] = dispatchedOf(2);
     harness.ended(one, { type: 'refused', refusal: 'overloaded', retryAfterMillis: 5000 });
     harness.ended(other, { type: 'refused', refusal: 'overloaded', retryAfterMillis: 1000 });
     harness.run(4800);
-    expect(sentOf(1)).to.have.length(0);
+    expect(dispatchedOf(1)).to.have.length(0);
     harness.run(300);
-    expect(sentOf(1)).to.have.length(1);
+    expect(dispatchedOf(1)).to.have.length(1);
   });
 
-  it('is believed up to ten minutes', () => {
+  it('gets a back-off of at most ten minutes', () => {
     startOwner();
-    turnAway(1e12);
+    rejectRequest(1e12);
     harness.run(599_000);
-    expect(sentOf(1)).to.have.length(0);
+    expect(dispatchedOf(1)).to.have.length(0);
     harness.run(2000);
-    expect(sentOf(1)).to.have.length(1);
+    expect(dispatchedOf(1)).to.have.length(1);
   });
 
-  it('is left alone too when its 503 doesn’t say that the request has not run', () => {
+  it('gets a back-off also if its 503 doesn’t say that the request has not run', () => {
     startOwner();
-    const [attempt = 0] = sentOf(1);
-    const notice = { ...SILENT_NOTICE, restMillis: REST_MILLIS };
-    const taken = harness.step({ type: 'upstream-notice', attempt, notice });
-    expect(only(taken, 'recall-unsent')).to.have.length(1);
+    const [attempt = 0] = dispatchedOf(1);
+    const notice = { ...SILENT_NOTICE, restMillis: BACKOFF_MILLIS };
+    const effects = harness.step({ type: 'upstream-notice', attempt, notice });
+    expect(only(effects, 'recall-unsent')).to.have.length(1);
     const delivered = harness.ended(attempt, { ...ANSWERED, status: 503 } as AttemptResult);
     expect(only(delivered, 'deliver')).to.have.length(1);
-    harness.run(REST_MILLIS - 100);
-    expect(sentOf(1)).to.have.length(0);
+    harness.run(BACKOFF_MILLIS - 100);
+    expect(dispatchedOf(1)).to.have.length(0);
   });
 
-  it('is left alone though control drops it and shows it again; another run of it isn’t', () => {
+  it('keeps its back-off when control removes and adds it again; another run has none', () => {
     startOwner();
-    turnAway();
+    rejectRequest();
     const record = upstream('u1', 'menu', { announced: { slots: 3, warmupMillis: 0 } });
     harness.change([{ type: 'upstream', id: 'u1', record: null }]);
     harness.change([{ type: 'upstream', id: 'u1', record }]);
-    expect(sentOf(1)).to.have.length(0);
+    expect(dispatchedOf(1)).to.have.length(0);
     const next = upstream('u1', 'menu', { announced: { slots: 3, warmupMillis: 0, born: 7 } });
     harness.change([{ type: 'upstream', id: 'u1', record: { ...next, revision: 9, incarnation: 'u1@7' } }]);
     harness.run(50);
-    expect(sentOf(1)).to.have.length(1);
+    expect(dispatchedOf(1)).to.have.length(1);
   });
 
-  it('gets back what waited for a connection there', () => {
+  it('has attempts that wait for a connection recalled', () => {
     startOwner();
-    const [one = 0, waiting = 0] = sentOf(2);
-    const told = harness.ended(one, {
+    const [one = 0, waiting = 0] = dispatchedOf(2);
+    const rejected = harness.ended(one, {
       type: 'refused',
       refusal: 'overloaded',
-      retryAfterMillis: REST_MILLIS,
+      retryAfterMillis: BACKOFF_MILLIS,
     });
-    expect(only(told, 'recall-unsent').map(({ upstream: id }) => id)).to.deep.equal(['u1']);
-    const back = harness.ended(waiting, { type: 'connect-failed', recalled: true });
-    expect(only(back, 'refuse').map(({ reason }) => reason)).to.deep.equal(['upstream-resting']);
-    harness.run(REST_MILLIS);
-    expect(sentOf(1)).to.have.length(1);
+    expect(only(rejected, 'recall-unsent').map(({ upstream: id }) => id)).to.deep.equal(['u1']);
+    const recalled = harness.ended(waiting, { type: 'connect-failed', recalled: true });
+    expect(only(recalled, 'refuse').map(({ reason }) => reason)).to.deep.equal(['upstream-resting']);
+    harness.run(BACKOFF_MILLIS);
+    expect(dispatchedOf(1)).to.have.length(1);
   });
 
-  it('has control told, again for each rest', () => {
+  it('has each back-off reported to control', () => {
     startOwner();
-    const first = sent([...turnAway(), ...harness.run(20)], 'upstream-report');
-    expect(first.at(-1)?.upstreams[0]).to.include({ upstream: 'u1', restMillis: REST_MILLIS, wanted: 0 });
-    harness.run(REST_MILLIS);
-    const again = sent([...turnAway(), ...harness.run(20)], 'upstream-report');
-    expect(again.at(-1)?.upstreams[0]?.restMillis).to.be.above(REST_MILLIS - 50);
+    const first = sent([...rejectRequest(), ...harness.run(20)], 'upstream-report');
+    expect(first.at(-1)?.upstreams[0]).to.include({ upstream: 'u1', restMillis: BACKOFF_MILLIS, wanted: 0 });
+    harness.run(BACKOFF_MILLIS);
+    const again = sent([...rejectRequest(), ...harness.run(20)], 'upstream-report');
+    expect(again.at(-1)?.upstreams[0]?.restMillis).to.be.above(BACKOFF_MILLIS - 50);
   });
 
-  it('is passed over while others have room, also in its turn as a cold one', () => {
+  it('is not picked while others have capacity, even in a time slot for cold upstreams', () => {
     const warmup = { perSecond: 4, millis: 60_000 };
     const cold = upstream('u1', 'menu', { announced: { slots: 3, warmupMillis: 60_000 } });
     const warm = upstream('u2', 'menu', { announced: { slots: 50, warmupMillis: 0 } });
@@ -204,14 +204,14 @@
       const refusal: AttemptResult = {
         type: 'refused',
         refusal: 'overloaded',
-        retryAfterMillis: REST_MILLIS,
+        retryAfterMillis: BACKOFF_MILLIS,
       };
       harness.ended(dispatch?.attempt ?? 0, isCold ? refusal : ANSWERED);
       harness.run(20);
     }
     expect(refusals.length).to.be.within(1, 3);
     for (const at of refusals) {
-      expect(arrivals.filter((time) => time > at && time < at + REST_MILLIS)).to.deep.equal([]);
+      expect(arrivals.filter((time) => time > at && time < at + BACKOFF_MILLIS)).to.deep.equal([]);
     }
   });
 });
--- a/test/routing/shared-limit.test.ts
+++ b/test/routing/shared-limit.test.ts
@@ -1,21 +1,21 @@
 /**
- * What a fleet of routers sends an upstream that names a limit for all of them together: in any four seconds no more than one and a half times
- * that and five, whatever happens to control, routers and callers; and how much of the limit is used. Arrivals are counted at the upstream.
+ * A fleet of routers shares an upstream's rate limit. In any four seconds it sends at most one and a half times the limit plus five requests,
+ * whatever happens to control, routers and callers, and it uses most of the limit. Arrivals are counted at the upstream.
  */
 import { expect } from 'chai';
 import { type FleetOptions, type FleetResult, LimitedFleet } from './limited-fleet.js';
 
-const NAMED_FROM = 2000;
+const LIMIT_FROM = 2000;
 const MILLIS = 16_000;
 const SEEDS = Array.from({ length: 4 }, (_, index) => index + 1);
 
 function limitOf(perSecond: number): (millis: number) => number | null {
-  return (millis) => (millis < NAMED_FROM ? null : perSecond);
+  return (millis) => (millis < LIMIT_FROM ? null : perSecond);
 }
 
 const LOW = { limitAt: limitOf(2.3), millis: MILLIS, demand: 20 };
 
-function play(options: Omit<FleetOptions, 'seed'>): FleetResult[] {
+function runSeeds(options: Omit<FleetOptions, 'seed'>): FleetResult[] {
   return SEEDS.map((seed) => new LimitedFleet({ ...options, seed }).run());
 }
 
@@ -27,11 +27,11 @@
   return results.reduce((sum, { usedShare }) => sum + usedShare, 0) / results.length;
 }
 
-const DAYS: Readonly<Record<string, Partial<FleetOptions>>> = {
+const SCENARIOS: Readonly<Record<string, Partial<FleetOptions>>> = {
   'even demand': {},
   'one router with nine tenths of the demand': { hotShare: 0.9 },
-  'slow answers that carry an old word': { slowShare: 0.2 },
-  'a new leader, while the one before goes on': {
+  'slow answers that carry an old limit': { slowShare: 0.2 },
+  'a new leader, while the previous one continues': {
     elections: [
       { at: 6000, isSplit: true },
       { at: 10_000, isSplit: true },
@@ -42,11 +42,11 @@
     restarts: Array.from({ length: 20 }, (_, index) => ({ at: 5000 + 200 * index, router: index % 11 })),
   },
   'a limit that changes': {
-    limitAt: (millis) => (millis < NAMED_FROM ? null : ([20, 2, 8, 0.5][Math.floor(millis / 2500) % 4] ?? 0)),
+    limitAt: (millis) => (millis < LIMIT_FROM ? null : ([20, 2, 8, 0.5][Math.floor(millis / 2500) % 4] ?? 0)),
     demand: 60,
   },
   'a limit of nothing': { limitAt: limitOf(0) },
-  'callers that leave before their permit comes, then many': {
+  'callers that cancel before their permit arrives, then many': {
     controlMillis: 40,
     impatience: { from: 4000, to: 11_000, millis: 30 },
     demand: 10,
@@ -54,47 +54,47 @@
   },
 };
 
-describe('a limit that routers share', () => {
+describe('a rate limit shared by routers', () => {
   for (const routers of [11, 76, 300]) {
-    for (const [name, day] of Object.entries(DAYS)) {
+    for (const [name, scenario] of Object.entries(SCENARIOS)) {
       it(`is kept by ${routers} routers: ${name}`, () => {
-        expect(worstOf(play({ routers, ...LOW, ...day }))).to.be.at.most(0);
+        expect(worstOf(runSeeds({ routers, ...LOW, ...scenario }))).to.be.at.most(0);
       });
     }
   }
 
   it('is used to nine tenths under even demand, to seven tenths by one busy router and by 300', () => {
-    expect(meanUse(play({ routers: 11, ...LOW }))).to.be.above(0.85);
-    expect(meanUse(play({ routers: 11, ...LOW, hotShare: 0.9 }))).to.be.above(0.7);
-    expect(meanUse(play({ routers: 300, ...LOW }))).to.be.above(0.65);
-    expect(meanUse(play({ routers: 300, ...LOW, hotShare: 0.9 }))).to.be.above(0.7);
+    expect(meanUse(runSeeds({ routers: 11, ...LOW }))).to.be.above(0.85);
+    expect(meanUse(runSeeds({ routers: 11, ...LOW, hotShare: 0.9 }))).to.be.above(0.7);
+    expect(meanUse(runSeeds({ routers: 300, ...LOW }))).to.be.above(0.65);
+    expect(meanUse(runSeeds({ routers: 300, ...LOW, hotShare: 0.9 }))).to.be.above(0.7);
   });
 
-  it('lets nearly all through that stays below it', () => {
-    for (const { served, refused } of play({ routers: 11, ...LOW, limitAt: limitOf(20), demand: 10 })) {
+  it('admits nearly all of a demand below it', () => {
+    for (const { served, refused } of runSeeds({ routers: 11, ...LOW, limitAt: limitOf(20), demand: 10 })) {
       expect(refused).to.be.below((served + refused) * 0.05);
     }
   });
 
-  it('is caught where each router takes the whole for its own', () => {
-    expect(worstOf(play({ routers: 11, ...LOW, sabotage: 'whole-limit-each' }))).to.be.above(0);
+  it('is seen to be exceeded if each router uses the whole limit', () => {
+    expect(worstOf(runSeeds({ routers: 11, ...LOW, sabotage: 'whole-limit-each' }))).to.be.above(0);
   });
 
-  it('is caught where permits never lapse', () => {
-    const day = DAYS['callers that leave before their permit comes, then many'];
+  it('is seen to be exceeded if permits never expire', () => {
+    const scenario = SCENARIOS['callers that cancel before their permit arrives, then many'];
     const laterDemand = { from: 11_000, demand: 3000 };
-    const hoarding = { routers: 300, ...LOW, ...day, limitAt: limitOf(8), demand: 80, laterDemand };
-    expect(worstOf(play(hoarding))).to.be.at.most(0);
-    expect(worstOf(play({ ...hoarding, sabotage: 'permits-never-lapse' }))).to.be.above(0);
+    const hoarding = { routers: 300, ...LOW, ...scenario, limitAt: limitOf(8), demand: 80, laterDemand };
+    expect(worstOf(runSeeds(hoarding))).to.be.at.most(0);
+    expect(worstOf(runSeeds({ ...hoarding, sabotage: 'permits-never-expire' }))).to.be.above(0);
   });
 
-  it('is caught where a new leader issues while the one before still does', () => {
+  it('is seen to be exceeded if a new leader issues permits while the previous one still does', () => {
     const elections = [5000, 6000, 7000].map((at) => ({ at, isSplit: true }));
-    const results = play({ routers: 11, ...LOW, demand: 40, elections, sabotage: 'two-issuers' });
+    const results = runSeeds({ routers: 11, ...LOW, demand: 40, elections, sabotage: 'two-issuers' });
     expect(worstOf(results)).to.be.above(0);
   });
 
-  it('is caught where nobody reads the word', () => {
-    expect(worstOf(play({ routers: 11, ...LOW, sabotage: 'word-unread' }))).to.be.above(0);
+  it('is seen to be exceeded if routers don’t read the notices', () => {
+    expect(worstOf(runSeeds({ routers: 11, ...LOW, sabotage: 'notices-unread' }))).to.be.above(0);
   });
 });
--- a/test/routing/shared-service.test.ts
+++ b/test/routing/shared-service.test.ts
@@ -1,4 +1,4 @@
-/** A kind that goes in parts to a service of others, short of room. */
+/** A route whose traffic split sends part of its requests to another route's service, which lacks capacity. */
 import { expect } from 'chai';
 import type { RouteDefinition } from '../../src/model/declaration.js';
 import { CONFIG, RouterHarness, service, upstream } from './router-harness.js';
@@ -25,8 +25,8 @@
   return { type: 'route' as const, name, record: { definition, revision: 1 } };
 }
 
-/** Sends one request of each kind in the time that one takes; gives what became of them by kind and service. */
-function playBoth(bulkRank: number) {
+/** Sends one request of each route per service time; returns the outcomes by route and service. */
+function runBothRoutes(bulkRank: number) {
   const terms = { queueLimit: 20, holdLimitMillis: 5000, slotsPerUpstream: 1 };
   const services = [service('bundles', terms), service('reads', terms)];
   const harness = new RouterHarness(BY_RANK).start(services, [
@@ -38,64 +38,67 @@
     { service: 'reads', weight: 25 },
   ];
   harness.change([routeOf('bulk', { priority: bulkRank, targetMillis: 3000, split }), routeOf('own', {})]);
-  const kindOf = new Map<number, string>();
-  const went: Record<string, number> = {};
+  const routeNameOf = new Map<number, string>();
+  const outcomes: Record<string, number> = {};
   const served: Record<string, number> = { bulk: 0, own: 0 };
-  let seen = 0;
-  const look = (): void => {
-    for (const effect of harness.effects.slice(seen)) {
+  let collected = 0;
+  const collect = (): void => {
+    for (const effect of harness.effects.slice(collected)) {
       if (effect.type === 'dispatch') {
-        count(went, `${kindOf.get(effect.request)} at ${effect.upstream === 'u1' ? 'bundles' : 'reads'}`);
+        count(
+          outcomes,
+          `${routeNameOf.get(effect.request)} at ${effect.upstream === 'u1' ? 'bundles' : 'reads'}`,
+        );
         pending.push({ attempt: effect.attempt, at: harness.now + WORK_MILLIS });
       } else if (effect.type === 'refuse') {
-        count(went, `${kindOf.get(effect.request)} at ${effect.facts?.service}`);
+        count(outcomes, `${routeNameOf.get(effect.request)} at ${effect.facts?.service}`);
       } else if (effect.type === 'deliver') {
-        count(served, kindOf.get(effect.request) as string);
+        count(served, routeNameOf.get(effect.request) as string);
       }
     }
-    seen = harness.effects.length;
+    collected = harness.effects.length;
   };
   const pending: { readonly attempt: number; readonly at: number }[] = [];
-  const pass = (millis: number): void => {
+  const advance = (millis: number): void => {
     const end = harness.now + millis;
     while (pending[0] !== undefined && pending[0].at <= end) {
       harness.run(Math.max(0, pending[0].at - harness.now));
       harness.ended((pending.shift() as { readonly attempt: number }).attempt);
-      look();
+      collect();
     }
     harness.run(end - harness.now);
-    look();
+    collect();
   };
   for (let sent = 0; sent < REQUESTS; sent += 1) {
     for (const name of ['bulk', 'own']) {
-      kindOf.set(harness.nextRequest, name);
+      routeNameOf.set(harness.nextRequest, name);
       harness.request('', { place: { host: HOST, path: `/${name}/` } });
-      look();
+      collect();
     }
-    pass(WORK_MILLIS);
+    advance(WORK_MILLIS);
   }
-  pass(6000);
-  return { went, served };
+  advance(6000);
+  return { outcomes, served };
 }
 
 function count(counts: Record<string, number>, name: string): void {
   counts[name] = (counts[name] ?? 0) + 1;
 }
 
-describe('a kind that goes in parts to a service of others', () => {
-  it('keeps its shares exact, whatever is refused there', () => {
-    const { went } = playBoth(2);
-    expect((went['bulk at reads'] ?? 0) / REQUESTS).to.be.within(0.245, 0.255);
-    expect((went['bulk at bundles'] ?? 0) / REQUESTS).to.be.within(0.745, 0.755);
+describe('a route with a traffic split to another route’s service', () => {
+  it('keeps exact shares even if requests are refused there', () => {
+    const { outcomes } = runBothRoutes(2);
+    expect((outcomes['bulk at reads'] ?? 0) / REQUESTS).to.be.within(0.245, 0.255);
+    expect((outcomes['bulk at bundles'] ?? 0) / REQUESTS).to.be.within(0.745, 0.755);
   });
 
-  it("can't push out the service's own where it is less important", () => {
-    // The own kind asks for all that its service can do.
-    expect((playBoth(2).served.own ?? 0) / REQUESTS).to.be.at.least(0.97);
+  it("can't displace the service's own requests if it is less important", () => {
+    // The demand of the service's own route equals the capacity of the service.
+    expect((runBothRoutes(2).served.own ?? 0) / REQUESTS).to.be.at.least(0.97);
   });
 
-  it('shares by slack with the own of its rank', () => {
-    const { own = 0, bulk = 0 } = playBoth(0).served;
+  it('shares by slack with the service’s own requests of the same rank', () => {
+    const { own = 0, bulk = 0 } = runBothRoutes(0).served;
     expect(own).to.be.above(0.7 * REQUESTS);
     expect(bulk).to.be.above(0.7 * REQUESTS);
   });
--- a/test/routing/slow-start.test.ts
+++ b/test/routing/slow-start.test.ts
@@ -3,7 +3,7 @@
 import { upstream } from './router-harness.js';
 
 describe('slow start', () => {
-  it('begins when an upstream that took no connections answers again', () => {
+  it('begins when an upstream answers again after a failed connection', () => {
     const state = new UpstreamState(upstream('u1', 'board'), 2, Number.NEGATIVE_INFINITY);
     state.succeeded(1000);
     const warm = state.cost(1000);
@@ -13,7 +13,7 @@
     expect(state.cost(20_000)).to.equal(warm);
   });
 
-  it('does not begin anew with each failure that others know of already', () => {
+  it('does not begin again with each success after a failed connection', () => {
     const state = new UpstreamState(upstream('u1', 'board'), 2, Number.NEGATIVE_INFINITY);
     state.connectionFailed(1000);
     state.succeeded(2000);
--- a/test/routing/unreachable-upstream.test.ts
+++ b/test/routing/unreachable-upstream.test.ts
@@ -23,8 +23,8 @@
   return picked;
 }
 
-describe('an upstream that took no connection', () => {
-  it('gets no request for a while, if another one takes them', () => {
+describe('an upstream with a failed connection', () => {
+  it('gets no requests for a while if another upstream is usable', () => {
     const harness = start();
     const failed = failConnection(harness);
     const others = ['u1', 'u2'].filter((id) => id !== failed);
@@ -33,7 +33,7 @@
     expect([...upstreamsPicked(harness, 40)]).to.include(failed);
   });
 
-  it('is tried ever more rarely while it takes none', () => {
+  it('is tried less and less often while connections fail', () => {
     const harness = start();
     const first = failConnection(harness);
     const failAgain = (): void => {
@@ -54,7 +54,7 @@
     expect([...upstreamsPicked(harness, 40)]).to.include(first);
   });
 
-  it('is judged anew once another run is there', () => {
+  it('is treated as new once another run is there', () => {
     const evidence = new StandingEvidence();
     for (const now of [0, 1000, 3000]) {
       evidence.connectionFailed(now);
@@ -66,7 +66,7 @@
     expect(evidence.standing(11_100)).to.equal('usable');
   });
 
-  it('is not avoided as one that is gone where it only had too many connections', () => {
+  it('is not avoided as unreachable if it only had too many connections', () => {
     const record = service('board', { slotsPerUpstream: 50 });
     const harness = new RouterHarness().start([record], [upstream('u1', 'board'), upstream('u2', 'board')]);
     const [dispatch] = only(harness.request('board'), 'dispatch');
@@ -75,7 +75,7 @@
     expect([...upstreamsPicked(harness, 40)]).to.have.members(['u1', 'u2']);
   });
 
-  it('is tried all the same if there is no other', () => {
+  it('is tried anyway if there is no other', () => {
     const record = service('board', { slotsPerUpstream: 50 });
     const harness = new RouterHarness().start([record], [upstream('u1', 'board')]);
     failConnection(harness);
--- a/test/routing/upstream-load.test.ts
+++ b/test/routing/upstream-load.test.ts
@@ -7,7 +7,7 @@
 }
 
 describe('load that an upstream reports', () => {
-  it('counts at once when it is the first word for a long time', () => {
+  it('counts at once if it is the first report for a long time', () => {
     const state = makeState();
     state.hintLoad(8, 1000);
     expect(state.load(1000)).to.equal(8);
@@ -23,7 +23,7 @@
     expect(state.load(1000)).to.be.within(3, 5);
   });
 
-  it('counts for no more than an upstream can have, however much it says', () => {
+  it('is capped at the maximum load of an upstream', () => {
     const state = makeState();
     state.hintLoad(10_000, 1000);
     expect(state.load(1000)).to.equal(8);
@@ -31,7 +31,7 @@
     expect(state.load(2000)).to.be.below(1);
   });
 
-  it('is forgotten with time', () => {
+  it('decays over time', () => {
     const state = makeState();
     state.hintLoad(8, 1000);
     expect(state.load(6000)).to.be.below(0.1);
