--- a/src/routing/notices/rest.ts
+++ b/src/routing/notices/rest.ts
@@ -12,7 +12,7 @@
   #until: MonotonicMillis = Number.NEGATIVE_INFINITY;
   /** The attempt whose answer last requested a back-off. */
   #requestedBy: AttemptNumber | null = null;
-  /** Whether no attempt has been answered since the last back-off request. */
+  /** Whether no trial request has been answered since the back-off was requested. */
   #isUnconfirmed = false;
   /** The attempt in flight that tests whether the back-off is over; `null` if there is none. */
   #trialAttempt: AttemptNumber | null = null;
--- a/src/routing/upstream/upstream-state.ts
+++ b/src/routing/upstream/upstream-state.ts
@@ -30,7 +30,7 @@
   notices: RunNotices | null = null;
   /** End of the pause that the upstream requested with a refusal. */
   pausedUntil = Number.NEGATIVE_INFINITY;
-  /** Whether a connection has failed startedAt the last success. */
+  /** Whether a connection has failed since the last success. */
   private wasUnreachable = false;
   readonly warmth: Warmth;
   readonly #serviceTimes = new ServiceTimes();
