--- a/src/routing/notices/notice-table.ts
+++ b/src/routing/notices/notice-table.ts
@@ -74,14 +74,14 @@
   /** Records that an answer asks for a back-off. Returns the run's notices, or `null` if this answer's request is already recorded. */
   restAsked(restMillis: number, from: HeardFrom, now: MonotonicMillis): RunNotices | null {
     const notices = this.#runs.get(from.run) ?? this.#addRun(from);
-    const { upstream, run, rest } = notices;
+    const { upstream, run, rest: backoff } = notices;
     const { attempt } = from;
-    if (!rest.ask(restMillis, attempt, now)) {
+    if (!backoff.ask(restMillis, attempt, now)) {
       return null;
     }
     this.untold.add(notices);
     const answerMillis = Math.round(now - from.startedAt);
-    const leftMillis = Math.round(rest.waitMillis(now));
+    const leftMillis = Math.round(backoff.waitMillis(now));
     this.#parts.log('upstream-rest-asked', { upstream, run, restMillis, leftMillis, attempt, answerMillis });
     return notices;
   }
--- a/src/routing/notices/upstream-reports.ts
+++ b/src/routing/notices/upstream-reports.ts
@@ -21,7 +21,7 @@
 /** The last report about one run. */
 interface LastReport {
   perSecond: number | null;
-  restUntil: MonotonicMillis;
+  backoffUntil: MonotonicMillis;
   isLeaving: boolean;
   at: MonotonicMillis;
   /** Requested permits without an answer yet. */
@@ -37,7 +37,7 @@
 
 const NO_REPORT: LastReport = {
   perSecond: null,
-  restUntil: Number.NEGATIVE_INFINITY,
+  backoffUntil: Number.NEGATIVE_INFINITY,
   isLeaving: false,
   at: Number.NEGATIVE_INFINITY,
   pendingPermits: 0,
@@ -122,8 +122,8 @@
       if (report !== null) {
         due.push(report);
       }
-      const { limit, rest } = notices;
-      const hasNoticeInForce = limit.isInForce || rest.isInForce(now) || this.#isDrainingUnshown(notices);
+      const { limit, rest: backoff } = notices;
+      const hasNoticeInForce = limit.isInForce || backoff.isInForce(now) || this.#isDrainingUnshown(notices);
       if (!hasNoticeInForce || this.#stateOf(notices) === null) {
         untold.delete(notices);
         this.#lastReports.delete(notices);
@@ -135,10 +135,10 @@
   /** Returns `null` if nothing about this run is due to be reported. */
   #reportOf(notices: RunNotices): HeardUpstream | null {
     const { now } = this.#context;
-    const { limit, rest, upstream, run } = notices;
+    const { limit, rest: backoff, upstream, run } = notices;
     const last = this.#lastReports.get(notices) ?? NO_REPORT;
-    const restMillis = rest.waitMillis(now);
-    const isNewBackoff = restMillis > 0 && rest.until !== last.restUntil;
+    const restMillis = backoff.waitMillis(now);
+    const isNewBackoff = restMillis > 0 && backoff.until !== last.backoffUntil;
     const isLeaving = this.#isDrainingUnshown(notices);
     const isChanged = limit.perSecond !== last.perSecond || isNewBackoff || isLeaving !== last.isLeaving;
     const isRepeatDue =
@@ -153,7 +153,7 @@
     const { perSecond } = limit;
     this.#lastReports.set(notices, {
       perSecond,
-      restUntil: rest.until,
+      backoffUntil: backoff.until,
       isLeaving,
       at: now,
       pendingPermits: wanted,
--- a/src/routing/zones/spill-turns.ts
+++ b/src/routing/zones/spill-turns.ts
@@ -30,7 +30,7 @@
     return largest !== null && this.creditOf(largest) >= 1 ? largest : null;
   }
 
-  /** Records a request that was sent to a zone, whether or not `next` returned that zone. */
+  /** Records a request that was sent to a zone, whether or not `nextZone` returned that zone. */
   sent(zone: Zone): void {
     const credit = this.#credits.get(zone);
     if (credit !== undefined) {
