--- a/src/routing/notices/run-notices.ts
+++ b/src/routing/notices/run-notices.ts
@@ -7,10 +7,10 @@
 import { RequestLimit } from './request-limit.js';
 import { Rest } from './rest.js';
 
-/** Values of `affinityOf`. */
-const HASHES = 2 ** 32;
+/** Number of different values of `affinityOf`. */
+const AFFINITY_RANGE = 2 ** 32;
 /** Any fixed name works, provided that all routers use the same one. */
-const COMMON_NAME = 'limits';
+const SHIFT_HASH_KEY = 'limits';
 
 /** Where runs have no names, a successful health check this long after the last draining notice is attributed to the next run. */
 const NEXT_RUN_MILLIS = 15_000;
@@ -29,7 +29,7 @@
     private readonly isNamed: boolean,
     place: () => RoundPlace,
   ) {
-    this.limit = new RequestLimit(place, affinityOf(COMMON_NAME, run) / HASHES);
+    this.limit = new RequestLimit(place, affinityOf(SHIFT_HASH_KEY, run) / AFFINITY_RANGE);
   }
 
   /** Whether the run reported that it is draining and accepts no new requests. For a run with a name this is final. */
--- a/src/routing/picker/least-work-picker.ts
+++ b/src/routing/picker/least-work-picker.ts
@@ -22,19 +22,19 @@
  * If upstreams differ in speed, the best of this many draws is picked. With two draws, a slow upstream is picked too often while a fast one is
  * free. With all upstreams drawn, routers with the same data would pick the same upstream.
  */
-const DRAWS = 12;
+const DRAW_COUNT = 12;
+/** If control reports enough capacity in the zone, a request leaves it beyond the plan only above this multiple of the in-time limit. */
+const UNPLANNED_LATE_FACTOR = 1.2;
+/** The same multiple if some requests have to leave the zone anyway. */
+const PLANNED_LATE_FACTOR = 1.1;
 /**
- * If control reports enough capacity in the zone, a request leaves the zone beyond the plan only if its cost there exceeds this multiple of the
- * time that counts as in time. At most this share of a router's requests does, and at most this many in a row: a burst is over before the requests
- * that it sent to other zones are answered.
+ * Share of a router's requests that may leave the zone beyond the plan, and how many in a row: a burst is over before the requests that it sent to
+ * other zones are answered.
  */
-const UNPLANNED_LATE_SHARE = 1.2;
-/** Multiple of the in-time limit above which a request leaves the zone ahead of the plan, if some requests have to leave anyway. */
-const PLANNED_LATE_SHARE = 1.1;
 const UNPLANNED_SHARE = 0.01;
 const UNPLANNED_BURST = 3;
-/** Above this multiple any request may leave: control detects a failing zone a few seconds later than the routers do. */
-const HOPELESS_LATE_SHARE = 2;
+/** Multiple of the in-time limit above which any request may leave: control detects a failing zone a few seconds later than the routers do. */
+const UNRESTRICTED_LATE_FACTOR = 2;
 
 export class LeastWorkPicker implements Picker {
   /** Exponentially decayed number of picks in about the last `REVISIT_MILLIS`. */
@@ -59,9 +59,9 @@
       return cheaperOfTwo(preferred, context).upstream;
     }
     const remote = context.candidates.filter((upstream) => upstream.zone !== context.zone);
-    const near = cheaperOfTwo(preferred, context);
-    const far = cheaperOfTwo(remote, context);
-    return this.#leavesZone(near, far, context) ? far.upstream : near.upstream;
+    const bestLocal = cheaperOfTwo(preferred, context);
+    const bestRemote = cheaperOfTwo(remote, context);
+    return this.#leavesZone(bestLocal, bestRemote, context) ? bestRemote.upstream : bestLocal.upstream;
   }
 
   /** Picks by demand and capacity as reported by control: the planned share of the requests leaves the zone, and few others do. */
@@ -71,7 +71,7 @@
     const inSpillZone = remote.filter(({ zone }) => zone === spillZone);
     const chosen =
       inSpillZone.length > 0
-        ? this.#best(inSpillZone, context).upstream
+        ? this.#bestOfDraws(inSpillZone, context).upstream
         : this.#pickUnplanned(local, remote, context);
     if (chosen.zone !== context.zone) {
       this.#spillCredits.sent(chosen.zone);
@@ -85,42 +85,45 @@
     context: PickContext,
   ): UpstreamState {
     if (local.length === 0) {
-      return this.#best(remote, context).upstream;
+      return this.#bestOfDraws(remote, context).upstream;
     }
-    const near = this.#best(local, context);
+    const bestLocal = this.#bestOfDraws(local, context);
     if (remote.length === 0) {
-      return near.upstream;
+      return bestLocal.upstream;
     }
-    const far = this.#best(remote, context);
-    return this.#leavesZone(near, far, context) ? far.upstream : near.upstream;
+    const bestRemote = this.#bestOfDraws(remote, context);
+    return this.#leavesZone(bestLocal, bestRemote, context) ? bestRemote.upstream : bestLocal.upstream;
   }
 
   /** Whether a request leaves the zone because of the present cost there. */
-  #leavesZone(near: Choice, far: Choice, context: PickContext): boolean {
+  #leavesZone(bestLocal: Choice, bestRemote: Choice, context: PickContext): boolean {
     const { room: capacity = null } = context;
     const inTimeMillis = context.inTimeMillis ?? 0;
-    if (near.cost <= inTimeMillis || near.cost <= far.cost * SPILL_FACTOR + ZONE_HOP_MILLIS) {
+    if (
+      bestLocal.cost <= inTimeMillis ||
+      bestLocal.cost <= bestRemote.cost * SPILL_FACTOR + ZONE_HOP_MILLIS
+    ) {
       return false;
     }
-    const isPlanned = this.#spillCredits.mayGoAhead(far.upstream.zone);
+    const isPlanned = this.#spillCredits.mayGoAhead(bestRemote.upstream.zone);
     if (
       capacity === null ||
-      (isPlanned && near.cost > inTimeMillis * PLANNED_LATE_SHARE) ||
-      near.cost > inTimeMillis * HOPELESS_LATE_SHARE
+      (isPlanned && bestLocal.cost > inTimeMillis * PLANNED_LATE_FACTOR) ||
+      bestLocal.cost > inTimeMillis * UNRESTRICTED_LATE_FACTOR
     ) {
       return true;
     }
-    if (near.cost <= inTimeMillis * UNPLANNED_LATE_SHARE || this.#unplannedAllowance < 1) {
+    if (bestLocal.cost <= inTimeMillis * UNPLANNED_LATE_FACTOR || this.#unplannedAllowance < 1) {
       return false;
     }
     this.#unplannedAllowance -= 1;
     return true;
   }
 
-  #best(from: readonly UpstreamState[], context: PickContext): Choice {
+  #bestOfDraws(from: readonly UpstreamState[], context: PickContext): Choice {
     const draw = new CapacityDraw(from, this.#preferredCount, context);
     let best = choiceOf(draw.next(), context);
-    for (let drawn = 1; drawn < DRAWS; drawn += 1) {
+    for (let drawn = 1; drawn < DRAW_COUNT; drawn += 1) {
       const next = choiceOf(draw.next(), context);
       best = next.cost < best.cost ? next : best;
     }
--- a/src/routing/upstream/leaving-table.ts
+++ b/src/routing/upstream/leaving-table.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether an upstream may be picked and when it counts as draining. The operator's declaration has priority, then this router's own recent
- * observations. The platform's list and health checks lag or mislead, so they are hints which expire.
+ * Decides whether an upstream may be picked and when it counts as draining. The operator's declaration is final. This router's own recent
+ * observations come next; the platform's list and health checks lag or mislead, so they are hints which expire.
  */
 
 /**
--- a/src/routing/upstream/reported-load.ts
+++ b/src/routing/upstream/reported-load.ts
@@ -13,13 +13,13 @@
 const MAX_LOAD_PER_SLOT = 4;
 
 export class ReportedLoad {
-  #foreign = 0;
-  #usual = 0;
+  #foreignLoad = 0;
+  #usualLoad = 0;
   #reportedAt = Number.NEGATIVE_INFINITY;
 
   /** Decayed number of outstanding requests of other routers. */
   foreign(now: number): number {
-    return this.#foreign * Math.exp((this.#reportedAt - now) / DECAY_MILLIS);
+    return this.#foreignLoad * Math.exp((this.#reportedAt - now) / DECAY_MILLIS);
   }
 
   /** Weight of the last report, which decays from 1 to 0. */
@@ -33,26 +33,26 @@
    */
   expected(zoneUsual: number, now: number): number {
     const age = now - this.#reportedAt;
-    const latest = Math.exp(-age / RETURN_TO_USUAL_MILLIS);
-    const own = Math.exp(-age / USUAL_DECAY_MILLIS);
-    const usual = this.#usual * own + zoneUsual * (1 - own);
-    return this.#foreign * latest + usual * (1 - latest);
+    const latestWeight = Math.exp(-age / RETURN_TO_USUAL_MILLIS);
+    const ownWeight = Math.exp(-age / USUAL_DECAY_MILLIS);
+    const usual = this.#usualLoad * ownWeight + zoneUsual * (1 - ownWeight);
+    return this.#foreignLoad * latestWeight + usual * (1 - latestWeight);
   }
 
   /** Records a report of `load` outstanding requests, which include this router's own `inFlight`. */
   report(load: number, inFlight: number, slots: number, now: number): void {
     const weight = 1 - Math.exp((this.#reportedAt - now) / AVERAGING_MILLIS);
-    const before = this.foreign(now);
+    const previous = this.foreign(now);
     const reported = foreignLoadOf(load, inFlight, slots);
-    this.#foreign = before + weight * (reported - before);
-    this.#usual +=
-      (1 - Math.exp((this.#reportedAt - now) / USUAL_SMOOTHING_MILLIS)) * (reported - this.#usual);
+    this.#foreignLoad = previous + weight * (reported - previous);
+    this.#usualLoad +=
+      (1 - Math.exp((this.#reportedAt - now) / USUAL_SMOOTHING_MILLIS)) * (reported - this.#usualLoad);
     this.#reportedAt = now;
   }
 
   /** Records a rejection for lack of capacity; `load` is `Infinity` if the upstream didn't report its load. */
   refusedAsFull(load: number, inFlight: number, slots: number, now: number): void {
-    this.#foreign = foreignLoadOf(load, inFlight, slots);
+    this.#foreignLoad = foreignLoadOf(load, inFlight, slots);
     this.#reportedAt = now;
   }
 
