--- a/src/routing/queue/admission.ts
+++ b/src/routing/queue/admission.ts
@@ -1,4 +1,4 @@
-/** Whether work may wait, for how long, and what it is told if it may not. */
+/** Decides whether a request group may wait, for how long, and with which reason and retry delay it is rejected otherwise. */
 import type { Answers } from '../answers.js';
 import { noticeWaitOf } from '../notices/notice-wait.js';
 import type { RouterContext } from '../router-context.js';
@@ -12,19 +12,19 @@
 import { WaitEstimate } from './wait-estimate.js';
 import { latestStartOf } from './waiting-class.js';
 
-/** Requests that a router keeps waiting over all services; beyond it, less important ones give way. */
-const WAITING_LIMIT = 10_000;
-/** Share of a service's queue that one shard may fill. */
-const LANE_SHARE = 0.5;
-/** Work that may have run is tried once more, however little time is left. */
-const LEAST_WAIT_MILLIS = 1;
-/** Work that may have run is given up when this share of its deadline is left. */
-const RESERVED_SHARE = 0.1;
+/** Maximum number of requests waiting in this router over all services; beyond it, less important ones are rejected. */
+const MAX_WAITING_REQUESTS = 10_000;
+/** Share of a service's queue limit that one shard may use. */
+const MAX_SHARD_QUEUE_SHARE = 0.5;
+/** A request group that may have run gets one more attempt, however little of its deadline is left. */
+const MIN_WAIT_MILLIS = 1;
+/** Waiting for a group that may have run ends when this share of its deadline is left. */
+const RESERVED_DEADLINE_SHARE = 0.1;
 /**
- * Work is let in while its estimated wait is below this share of its limit, so that a lane which then drains a little
- * slower than estimated serves it all the same.
+ * A group is admitted only while its estimated wait is below this share of its limit. The margin covers queues that drain slightly more
+ * slowly than estimated.
  */
-const ADMITTED_SHARE = 0.75;
+const MAX_ADMITTED_WAIT_SHARE = 0.75;
 
 export class Admission {
   private readonly estimate: WaitEstimate;
@@ -38,73 +38,78 @@
     this.returns = new ReturnPromises(context, this.estimate);
   }
 
-  /** Why a work may not wait, if it may not. */
-  refusalOf(work: Work): RefusalReason | undefined {
-    const { service } = work;
+  /** Returns why a group may not wait, or `undefined` if it may. */
+  refusalOf(group: Work): RefusalReason | undefined {
+    const { service } = group;
     if (service.isOutOfUse) {
       return 'no-upstream';
     }
-    const longest = Math.min(work.deadline - this.context.now, this.longestWait(work));
-    const held = noticeWaitOf(work, this.context);
+    const longest = Math.min(group.deadline - this.context.now, this.longestWait(group));
+    const held = noticeWaitOf(group, this.context);
     if (held !== null) {
-      return held.millis > longest ? held.reason : this.noPlaceFor(work);
+      return held.millis > longest ? held.reason : this.enforceLimits(group);
     }
-    const margin = this.isMixed(service) ? 1 : ADMITTED_SHARE;
-    const wait = this.estimate.untilDispatch(work);
-    const kept = this.returns.keptMillis(work, wait);
-    return wait + kept > longest * margin ? 'would-miss-deadline' : this.noPlaceFor(work);
+    const margin = this.isMixed(service) ? 1 : MAX_ADMITTED_WAIT_SHARE;
+    const wait = this.estimate.untilDispatch(group);
+    const reserved = this.returns.reservedMillis(group, wait);
+    return wait + reserved > longest * margin ? 'would-miss-deadline' : this.enforceLimits(group);
   }
 
-  /** Others give way only for work that is let in. */
-  private noPlaceFor(work: Work): RefusalReason | undefined {
-    return this.makePlace(work) && this.makeRoom(work) ? undefined : 'queue-full';
+  /**
+   * Enforces the queue limits and returns the reason if a group doesn't fit. It may evict less important groups, so it is called only for a
+   * group that is admitted otherwise.
+   */
+  private enforceLimits(group: Work): RefusalReason | undefined {
+    return this.evictForService(group) && this.evictForRouter(group) ? undefined : 'queue-full';
   }
 
-  /** The limit counts from the first wait; retries don't extend it. */
-  boundWait(work: Work): void {
-    if (work.holdTimer === null) {
-      const end = this.context.now + this.longestWait(work);
-      work.holdUntil = work.mayHaveRun ? work.holdUntil : Math.min(work.holdUntil, end);
-      work.holdTimer = this.context.schedule(work.holdUntil, { type: 'hold-end', work });
+  /** Starts the timer that bounds the wait. The limit counts from the first wait; retries don't extend it. */
+  boundWait(group: Work): void {
+    if (group.holdTimer === null) {
+      const end = this.context.now + this.longestWait(group);
+      group.holdUntil = group.mayHaveRun ? group.holdUntil : Math.min(group.holdUntil, end);
+      group.holdTimer = this.context.schedule(group.holdUntil, { type: 'hold-end', work: group });
     }
   }
 
   /**
-   * A work that may have run is worth a longer wait than its service's limit: given up, it leaves its callers with
-   * `unknown`. It is answered some time before its deadline all the same.
+   * Replaces the service's wait limit for a group that may have run: giving up early would leave its callers with the outcome `unknown`.
+   * The wait still ends some time before the deadline.
    */
-  extendWait(work: Work): void {
-    const end = work.firstDeadline - work.terms.deadlineMillis * RESERVED_SHARE;
-    work.holdUntil = Math.max(end, this.context.now + LEAST_WAIT_MILLIS);
-    this.context.cancelTimer(work.holdTimer);
-    work.holdTimer = null;
+  extendWait(group: Work): void {
+    const end = group.firstDeadline - group.terms.deadlineMillis * RESERVED_DEADLINE_SHARE;
+    group.holdUntil = Math.max(end, this.context.now + MIN_WAIT_MILLIS);
+    this.context.cancelTimer(group.holdTimer);
+    group.holdTimer = null;
   }
 
-  /** The bounded wait of a work is over. */
-  giveUpWaiting(work: Work): void {
-    if (this.mayWaitLate(work)) {
-      work.holdUntil = work.deadline - work.service.expectedMillis(this.context.now);
-      work.holdTimer = this.context.schedule(work.holdUntil, { type: 'hold-end', work });
+  /** Handles the end of a group's bounded wait. */
+  giveUpWaiting(group: Work): void {
+    if (this.mayWaitLate(group)) {
+      group.holdUntil = group.deadline - group.service.expectedMillis(this.context.now);
+      group.holdTimer = this.context.schedule(group.holdUntil, { type: 'hold-end', work: group });
       return;
     }
-    const reason = noticeWaitOf(work, this.context)?.reason ?? this.reasonForWaiting(work);
+    const reason = noticeWaitOf(group, this.context)?.reason ?? this.expiryReason(group);
     const measured =
       reason === 'would-miss-deadline' || reason === 'upstream-limited' || reason === 'upstream-resting';
-    const wait = measured ? this.returnAfter(work) : this.unmeasuredRetryAfter();
-    this.answers.refuseWork(work, reason, wait);
+    const wait = measured ? this.returnAfter(group) : this.unmeasuredRetryAfter();
+    this.answers.refuseWork(group, reason, wait);
   }
 
   /**
-   * Answers the last ones of lanes that have become slower than they were when these were let in: they would only wait
-   * for their limit. A lane without an owner waits for news, not for its turn.
+   * Rejects the last groups of queues that now drain more slowly than they did when the groups were admitted, since they would wait until
+   * their limit in vain. A queue whose shard has no owner is skipped: it waits for a configuration update, not for free slots.
    */
   refuseHopeless(service: ServiceState): void {
-    for (const lane of service.lanes.allWaiting()) {
-      this.refuseHopelessOf(service, lane);
+    for (const shardQueue of service.lanes.allWaiting()) {
+      this.refuseExpectedLateIn(service, shardQueue);
     }
   }
 
-  /** Answers what waits for an upstream and can't be sent there in its time, as what that said, or control, tells. */
+  /**
+   * Rejects the groups that wait for an upstream and can't be sent there in time because of its own notices or the control plane's.
+   */
   refuseHeldBackFor(upstream: UpstreamState): void {
     const service = this.context.services.get(upstream.record.definition.service);
     if (service === undefined) {
@@ -112,45 +117,45 @@
     }
     const { lanes, definition } = service;
     const waiting = definition.keyed ? lanes.waitingFor(upstream.id) : lanes.allWaiting();
-    for (const work of waiting.flatMap(({ queue }) => queue.toArray())) {
-      this.refuseHeldBack(work);
+    for (const group of waiting.flatMap(({ queue }) => queue.toArray())) {
+      this.refuseHeldBack(group);
     }
   }
 
-  /** Answers a work that can't be sent in its time, as its upstreams said; `true` if so. */
-  refuseHeldBack(work: Work): boolean {
+  /** Rejects a group that can't be sent in time because of upstream notices; returns whether it did. */
+  refuseHeldBack(group: Work): boolean {
     const { now } = this.context;
-    const held = noticeWaitOf(work, this.context);
-    const hold = Number.isFinite(work.holdUntil) ? work.holdUntil : now + this.longestWait(work);
-    const until = Math.min(hold, work.deadline);
+    const held = noticeWaitOf(group, this.context);
+    const hold = Number.isFinite(group.holdUntil) ? group.holdUntil : now + this.longestWait(group);
+    const until = Math.min(hold, group.deadline);
     if (held === null || now + held.millis <= until) {
       return false;
     }
-    this.answers.refuseWork(work, held.reason, this.retryAfter(work));
+    this.answers.refuseWork(group, held.reason, this.retryAfter(group));
     return true;
   }
 
   /**
-   * When a work that is refused for want of room may come back; `null`: no time is of use to it. At a time of its own where times are
-   * reserved, else spread around the time at which there is room.
+   * Returns when a group that is rejected for lack of capacity may come back, or `null` if no time is useful to it. In mode `reserved`
+   * each caller gets a time of its own; otherwise the times are spread around the moment at which capacity is expected.
    */
-  returnAfter(work: Work): number | null {
+  returnAfter(group: Work): number | null {
     if (this.context.config.returnTimes !== 'reserved') {
-      return this.retryAfter(work);
+      return this.retryAfter(group);
     }
-    const wait = this.estimate.untilDispatch(work);
-    return wait > 0 && noticeWaitOf(work, this.context) === null
-      ? this.returns.promise(work, wait)
-      : this.retryAfter(work);
+    const wait = this.estimate.untilDispatch(group);
+    return wait > 0 && noticeWaitOf(group, this.context) === null
+      ? this.returns.reserve(group, wait)
+      : this.retryAfter(group);
   }
 
-  /** Jittered time in which what waits before a work drains. */
-  retryAfter(work: Work): number {
-    const held = noticeWaitOf(work, this.context);
+  /** Returns the jittered time in which the queue ahead of a group drains. */
+  retryAfter(group: Work): number {
+    const held = noticeWaitOf(group, this.context);
     if (held !== null) {
       return retryAfterAtLeast(held.againMillis, this.context.random);
     }
-    const wait = this.estimate.untilDispatch(work);
+    const wait = this.estimate.untilDispatch(group);
     return retryAfterMillis(wait > 0 ? wait : UNMEASURED_RETRY_MILLIS, this.context.random);
   }
 
@@ -158,19 +163,24 @@
     return retryAfterMillis(UNMEASURED_RETRY_MILLIS, this.context.random);
   }
 
-  private refuseHopelessOf(service: ServiceState, lane: Lane): void {
+  private refuseExpectedLateIn(service: ServiceState, shardQueue: Lane): void {
     const { now } = this.context;
-    const isServed = lane.shard === null || this.context.ownerOf(lane.shard) !== undefined;
-    const head = lane.queue.peek(service.turnOrder(now));
+    const isServed = shardQueue.shard === null || this.context.ownerOf(shardQueue.shard) !== undefined;
+    const head = shardQueue.queue.peek(service.turnOrder(now));
     const isHeldBack = head !== undefined && noticeWaitOf(head, this.context) !== null;
-    if (!isServed || isHeldBack || lane.isPaused(now)) {
+    if (!isServed || isHeldBack || shardQueue.isPaused(now)) {
       return;
     }
-    for (const rank of lane.queue.ranks.filter((candidate) => lane.drainRateOf(candidate).isMeasured)) {
-      let last = lane.queue.lastOf(rank);
-      while (last !== undefined && now + this.estimate.ofLast(service, lane, rank) > last.holdUntil) {
+    for (const rank of shardQueue.queue.ranks.filter(
+      (candidate) => shardQueue.drainRateOf(candidate).isMeasured,
+    )) {
+      let last = shardQueue.queue.lastOf(rank);
+      while (
+        last !== undefined &&
+        now + this.estimate.untilLast(service, shardQueue, rank) > last.holdUntil
+      ) {
         this.answers.refuseWork(last, 'would-miss-deadline', this.returnAfter(last));
-        last = lane.queue.lastOf(rank);
+        last = shardQueue.queue.lastOf(rank);
       }
     }
   }
@@ -180,44 +190,50 @@
   }
 
   /**
-   * How long a work may wait: where ranks compete, as long as its answer still comes in time; elsewhere as its terms say, since there all
-   * wait alike.
+   * Returns how long a group may wait. Where ranks compete, it may wait while it can still be answered within its target; elsewhere its
+   * terms decide, since all groups wait alike there.
    */
-  private longestWait(work: Work): number {
-    const { service, terms } = work;
+  private longestWait(group: Work): number {
+    const { service, terms } = group;
     if (terms.targetMillis === null || !this.isMixed(service)) {
       return terms.holdMillis;
     }
     const { now } = this.context;
-    const inTime = latestStartOf(work, service.expectedMillis(this.context.now)) - now;
-    return Math.max(LEAST_WAIT_MILLIS, Math.min(inTime, service.definition.holdLimitMillis));
+    const latestStartMillis = latestStartOf(group, service.expectedMillis(this.context.now)) - now;
+    return Math.max(MIN_WAIT_MILLIS, Math.min(latestStartMillis, service.definition.holdLimitMillis));
   }
 
-  /** Whether a work that can't be answered in time any more gets what others leave: nothing waits that can be. */
-  private mayWaitLate(work: Work): boolean {
-    const { service, lane, holdUntil, deadline } = work;
-    if (lane === null || work.terms.targetMillis === null || !this.isMixed(service)) {
+  /**
+   * Returns whether a group that can't be answered within its target any more may use spare capacity: only if no group is waiting that
+   * can still be on time.
+   */
+  private mayWaitLate(group: Work): boolean {
+    const { service, lane: shardQueue, holdUntil, deadline } = group;
+    if (shardQueue === null || group.terms.targetMillis === null || !this.isMixed(service)) {
       return false;
     }
     const isExtended = holdUntil >= deadline - service.expectedMillis(this.context.now);
-    lane.queue.heads(service.turnOrder(this.context.now));
-    return !isExtended && !service.isOutOfUse && lane.queue.countAhead(Number.POSITIVE_INFINITY) === 0;
+    shardQueue.queue.heads(service.turnOrder(this.context.now));
+    return !isExtended && !service.isOutOfUse && shardQueue.queue.countAhead(Number.POSITIVE_INFINITY) === 0;
   }
 
-  /** Keeps the bounds of the service and of the lane: the least important work that waits gives way to what is more important. */
-  private makePlace(work: Work): boolean {
-    const { service, shard } = work;
+  /** Enforces the queue limits of the service and of the shard by evicting the least important waiting group. */
+  private evictForService(group: Work): boolean {
+    const { service, shard } = group;
     const { queueLimit } = service.definition;
-    const lane = service.lanes.find(shard);
-    const laneLimit = shard === null ? queueLimit : Math.ceil(queueLimit * LANE_SHARE);
-    if ((lane?.queue.length ?? 0) >= laneLimit && !this.giveWay(lane?.queue.leastBelow(work.rank))) {
+    const shardQueue = service.lanes.find(shard);
+    const shardLimit = shard === null ? queueLimit : Math.ceil(queueLimit * MAX_SHARD_QUEUE_SHARE);
+    if (
+      (shardQueue?.queue.length ?? 0) >= shardLimit &&
+      !this.evict(shardQueue?.queue.leastBelow(group.rank))
+    ) {
       return false;
     }
-    return service.waitingLength < queueLimit || this.giveWay(service.lanes.leastBelow(work.rank));
+    return service.waitingLength < queueLimit || this.evict(service.lanes.leastBelow(group.rank));
   }
 
-  /** Refuses waiting work for the sake of more important work. What was sent doesn't wait, so it is never taken back. */
-  private giveWay(victim: Work | undefined): boolean {
+  /** Rejects a waiting group in favour of a more important one. A group that was sent isn't waiting, so it is never evicted. */
+  private evict(victim: Work | undefined): boolean {
     if (victim === undefined || victim.mayHaveRun) {
       return false;
     }
@@ -225,32 +241,32 @@
     return true;
   }
 
-  /** Keeps the router's own bound: the least important work that waits gives way. */
-  private makeRoom(work: Work): boolean {
-    if (this.context.waitingLength() < WAITING_LIMIT) {
+  /** Enforces the router's own limit by evicting the least important waiting group of any service. */
+  private evictForRouter(group: Work): boolean {
+    if (this.context.waitingLength() < MAX_WAITING_REQUESTS) {
       return true;
     }
     let victim: Work | undefined;
     for (const { lanes } of this.context.services.values()) {
-      const candidate = lanes.leastBelow(victim?.rank ?? work.rank);
+      const candidate = lanes.leastBelow(victim?.rank ?? group.rank);
       victim = candidate ?? victim;
     }
-    return this.giveWay(victim);
+    return this.evict(victim);
   }
 
-  private reasonForWaiting(work: Work): RefusalReason {
+  private expiryReason(group: Work): RefusalReason {
     const { now } = this.context;
-    if (work.service.isOutOfUse) {
+    if (group.service.isOutOfUse) {
       return 'no-upstream';
     }
-    if (work.shard !== null) {
-      const owner = this.context.ownerOf(work.shard);
+    if (group.shard !== null) {
+      const owner = this.context.ownerOf(group.shard);
       const owned = owner !== undefined && !owner.upstream.evidence.isToldLeaving;
       return owned ? 'would-miss-deadline' : 'no-owner';
     }
-    const takesWork = work.service.upstreams.some(
+    const isAnyAvailable = group.service.upstreams.some(
       (upstream) => upstream.evidence.standing(now) !== 'leaving' && !upstream.ejection.isEjected(now),
     );
-    return takesWork ? 'would-miss-deadline' : 'no-upstream';
+    return isAnyAvailable ? 'would-miss-deadline' : 'no-upstream';
   }
 }
--- a/src/routing/queue/drain-rate.ts
+++ b/src/routing/queue/drain-rate.ts
@@ -1,59 +1,59 @@
 /**
- * How fast a queue drains, measured only while something waits in it: a quiet time says nothing about the speed of what
- * serves it. Older measurements decay; until there are some, an assumed rate stands in.
+ * Measures how fast a queue drains, only while items are waiting in it: an idle period gives no information about the speed of the
+ * upstream. Older measurements decay; until there are enough, an assumed rate is blended in.
  */
 
 const DECAY_MILLIS = 2000;
-/** The assumed rate counts as much as a measurement over this time. */
+/** The assumed rate has the weight of a measurement over this time. */
 const ASSUMED_WEIGHT_MILLIS = 100;
-/** Items that must have been taken lately for a rate to count as measured. */
-const LEAST_TAKEN = 3;
+/** Minimum number of recently dequeued items for the rate to count as measured. */
+const MIN_DEQUEUED = 3;
 
 export class DrainRate {
-  private taken = 0;
+  private dequeued = 0;
   private busyMillis = 0;
-  /** When the last item was taken, or the first one came to an empty queue; `null`: nothing waits. */
+  /** When the last item was dequeued, or the first one was added to the empty queue; `null` if nothing is waiting. */
   private since: number | null = null;
 
-  /** Something waits from now on. */
-  began(now: number): void {
+  /** Starts measuring: an item is waiting. */
+  start(now: number): void {
     this.since ??= now;
   }
 
-  /** Nothing waits any more, or nothing may be taken. */
-  paused(): void {
+  /** Stops measuring: nothing is waiting, or dispatching is paused. */
+  stop(): void {
     this.since = null;
   }
 
-  /** Something else serves the queue from now on. */
+  /** Discards all measurements, since another upstream serves the queue from now on. */
   forget(): void {
-    this.taken = 0;
+    this.dequeued = 0;
     this.busyMillis = 0;
     this.since = null;
   }
 
-  /** An item was taken for dispatch. */
+  /** Records that an item was dequeued for dispatch. */
   took(now: number): void {
     if (this.since === null) {
       this.since = now;
       return;
     }
     const elapsed = now - this.since;
-    const kept = Math.exp(-elapsed / DECAY_MILLIS);
-    this.taken = this.taken * kept + 1;
-    this.busyMillis = this.busyMillis * kept + elapsed;
+    const decay = Math.exp(-elapsed / DECAY_MILLIS);
+    this.dequeued = this.dequeued * decay + 1;
+    this.busyMillis = this.busyMillis * decay + elapsed;
     this.since = now;
   }
 
-  /** Whether enough was measured to go by it alone. */
+  /** Whether there are enough measurements to rely on them alone. */
   get isMeasured(): boolean {
-    return this.taken >= LEAST_TAKEN;
+    return this.dequeued >= MIN_DEQUEUED;
   }
 
-  /** Items a millisecond; `assumed` is the rate to go by while little is measured. */
+  /** Returns items per millisecond; `assumed` is the rate used while there are few measurements. */
   perMilli(now: number, assumed: number): number {
-    const open = this.since === null ? 0 : now - this.since;
-    const weighed = this.taken + assumed * ASSUMED_WEIGHT_MILLIS;
-    return weighed / (this.busyMillis + open + ASSUMED_WEIGHT_MILLIS);
+    const elapsed = this.since === null ? 0 : now - this.since;
+    const weighted = this.dequeued + assumed * ASSUMED_WEIGHT_MILLIS;
+    return weighted / (this.busyMillis + elapsed + ASSUMED_WEIGHT_MILLIS);
   }
 }
--- a/src/routing/queue/lane-table.ts
+++ b/src/routing/queue/lane-table.ts
@@ -1,40 +1,40 @@
 /**
- * Waiting work of one service. A keyed service has a lane for each shard with work waiting, filed under the shard's owner;
- * one that isn't keyed has a single lane.
+ * Waiting request groups of one service. A keyed service has one queue for each shard with waiting groups, indexed by the shard's owner;
+ * a service without keys has a single queue.
  */
 import type { ShardId, UpstreamId } from '../../model/identifiers.js';
 import type { Work } from '../work.js';
 import { DrainRate } from './drain-rate.js';
 import { RankedQueue, type TurnOrder } from './ranked-queue.js';
 
-/** First and longest pause of a lane whose owner turned a request away. */
-const FIRST_PAUSE_MILLIS = 20;
-const LONGEST_PAUSE_MILLIS = 200;
+/** Initial and maximum pause of a queue whose owner rejected a request. */
+const INITIAL_PAUSE_MILLIS = 20;
+const MAX_PAUSE_MILLIS = 200;
 
 export class Lane {
   readonly queue = new RankedQueue();
   readonly #drainRates = new Map<number, DrainRate>();
   owner: UpstreamId | null = null;
   private pausedUntil = Number.NEGATIVE_INFINITY;
-  private nextPause = FIRST_PAUSE_MILLIS;
+  private nextPauseMillis = INITIAL_PAUSE_MILLIS;
 
-  /** `shard`: `null` for the single lane of a service that isn't keyed. */
+  /** `shard`: `null` for the single queue of a service without keys. */
   constructor(readonly shard: ShardId | null) {}
 
   isPaused(now: number): boolean {
     return now < this.pausedUntil;
   }
 
-  /** The owner turned a request away or can't be reached: wait a little longer each time. */
+  /** Pauses dispatching because the owner rejected a request or is unreachable; the pause doubles each time. */
   pause(now: number): void {
-    this.pausedUntil = now + this.nextPause;
+    this.pausedUntil = now + this.nextPauseMillis;
     for (const rate of this.#drainRates.values()) {
-      rate.paused();
+      rate.stop();
     }
-    this.nextPause = Math.min(LONGEST_PAUSE_MILLIS, this.nextPause * 2);
+    this.nextPauseMillis = Math.min(MAX_PAUSE_MILLIS, this.nextPauseMillis * 2);
   }
 
-  /** How fast work of one rank drains: what the more important leave it is what it gets. */
+  /** Returns the drain rate of one rank: more important ranks are served first, so each rank drains at its own rate. */
   drainRateOf(rank: number): DrainRate {
     let rate = this.#drainRates.get(rank);
     if (rate === undefined) {
@@ -44,155 +44,158 @@
     return rate;
   }
 
-  /** Something else serves it from now on. */
+  /** Discards the drain rates because another upstream serves the queue from now on. */
   forgetRates(): void {
     this.#drainRates.clear();
   }
 
-  /** The owner changed or served a request. */
+  /** Ends the pause: the owner changed or served a request. */
   resume(): void {
     this.pausedUntil = Number.NEGATIVE_INFINITY;
-    this.nextPause = FIRST_PAUSE_MILLIS;
+    this.nextPauseMillis = INITIAL_PAUSE_MILLIS;
   }
 }
 
-/** Lanes without an owner are filed under this. */
-const NO_OWNER = '';
+/** Index key of queues whose shard has no owner. */
+const NO_OWNER_KEY = '';
 
 export class LaneTable {
-  private readonly lanes = new Map<ShardId | null, Lane>();
+  private readonly byShard = new Map<ShardId | null, Lane>();
   private readonly waiting = new Map<UpstreamId, Set<Lane>>();
   private count = 0;
 
-  /** Work that waits in all lanes. */
+  /** Number of groups waiting in all queues. */
   get length(): number {
     return this.count;
   }
 
-  /** The lane of a shard, if it has one. */
+  /** Returns the queue of a shard, if there is one. */
   find(shard: ShardId | null): Lane | undefined {
-    return this.lanes.get(shard);
+    return this.byShard.get(shard);
   }
 
-  /** The lane of a shard, made if need be. `owner` counts for a new lane. */
+  /** Returns the queue of a shard and creates it if necessary. `owner` applies only to a new queue. */
   obtain(shard: ShardId | null, owner: UpstreamId | null): Lane {
-    let lane = this.lanes.get(shard);
-    if (lane === undefined) {
-      lane = new Lane(shard);
-      lane.owner = owner;
-      this.lanes.set(shard, lane);
+    let shardQueue = this.byShard.get(shard);
+    if (shardQueue === undefined) {
+      shardQueue = new Lane(shard);
+      shardQueue.owner = owner;
+      this.byShard.set(shard, shardQueue);
     }
-    return lane;
+    return shardQueue;
   }
 
-  /** Number of lanes with work waiting for one owner. */
+  /** Number of non-empty queues of one owner. */
   countFor(owner: UpstreamId | null): number {
-    return this.waiting.get(owner ?? NO_OWNER)?.size ?? 0;
+    return this.waiting.get(owner ?? NO_OWNER_KEY)?.size ?? 0;
   }
 
-  enqueue(lane: Lane, work: Work, place: 'front' | 'back', now: number): void {
-    lane.drainRateOf(work.rank).began(now);
-    work.lane = lane;
-    work.node = lane.queue.push(work, place);
-    work.tally.waiting += 1;
+  enqueue(shardQueue: Lane, group: Work, place: 'front' | 'back', now: number): void {
+    shardQueue.drainRateOf(group.rank).start(now);
+    group.lane = shardQueue;
+    group.node = shardQueue.queue.push(group, place);
+    group.tally.waiting += 1;
     this.count += 1;
-    if (lane.queue.length === 1) {
-      this.waitingSet(lane.owner).add(lane);
+    if (shardQueue.queue.length === 1) {
+      this.waitingOf(shardQueue.owner).add(shardQueue);
     }
   }
 
-  remove(work: Work): void {
-    const { lane, node } = work;
-    if (lane === null || node === null) {
+  remove(group: Work): void {
+    const { lane: shardQueue, node } = group;
+    if (shardQueue === null || node === null) {
       return;
     }
-    lane.queue.remove(node);
-    work.lane = null;
-    work.node = null;
-    work.tally.waiting -= 1;
+    shardQueue.queue.remove(node);
+    group.lane = null;
+    group.node = null;
+    group.tally.waiting -= 1;
     this.count -= 1;
-    if (lane.queue.countOf(work.rank) === 0) {
-      lane.drainRateOf(work.rank).paused();
+    if (shardQueue.queue.countOf(group.rank) === 0) {
+      shardQueue.drainRateOf(group.rank).stop();
     }
-    if (lane.queue.length === 0) {
-      this.waitingSet(lane.owner).delete(lane);
+    if (shardQueue.queue.length === 0) {
+      this.waitingOf(shardQueue.owner).delete(shardQueue);
     }
   }
 
-  /** Files a lane under its shard's new owner. */
-  reassign(lane: Lane, owner: UpstreamId | null): void {
-    if (lane.owner !== owner) {
-      lane.forgetRates();
+  /** Moves a queue to its shard's new owner. */
+  reassign(shardQueue: Lane, owner: UpstreamId | null): void {
+    if (shardQueue.owner !== owner) {
+      shardQueue.forgetRates();
     }
-    if (lane.queue.length > 0) {
-      this.waitingSet(lane.owner).delete(lane);
-      this.waitingSet(owner).add(lane);
+    if (shardQueue.queue.length > 0) {
+      this.waitingOf(shardQueue.owner).delete(shardQueue);
+      this.waitingOf(owner).add(shardQueue);
     }
-    lane.owner = owner;
+    shardQueue.owner = owner;
   }
 
-  /** Drops empty lanes that aren't paused. */
+  /** Drops empty queues that aren't paused. */
   prune(now: number): void {
-    for (const lane of this.lanes.values()) {
-      if (lane.queue.length === 0 && !lane.isPaused(now)) {
-        this.lanes.delete(lane.shard);
+    for (const shardQueue of this.byShard.values()) {
+      if (shardQueue.queue.length === 0 && !shardQueue.isPaused(now)) {
+        this.byShard.delete(shardQueue.shard);
       } else {
-        lane.queue.prune();
+        shardQueue.queue.prune();
       }
     }
   }
 
-  /** Lanes of one owner with work waiting, the one that was served longest ago first. */
+  /** Returns the non-empty queues of one owner, least recently served first. */
   waitingFor(owner: UpstreamId | null): Lane[] {
-    return [...this.waitingSet(owner)];
+    return [...this.waitingOf(owner)];
   }
 
-  /** Those of them whose first work is on the most important rank, that aren't paused. */
+  /** Returns the unpaused queues of one owner whose first group has the most important rank among them. */
   inTurn(owner: UpstreamId | null, order: TurnOrder): Lane[] {
-    const open = this.waitingFor(owner).filter((lane) => !lane.isPaused(order.now));
-    const firsts = open.map(({ queue }) => queue.peek(order)?.rank ?? Number.POSITIVE_INFINITY);
-    const best = Math.min(...firsts);
-    return open.filter((_, index) => firsts[index] === best);
+    const open = this.waitingFor(owner).filter((shardQueue) => !shardQueue.isPaused(order.now));
+    const firstRanks = open.map(({ queue }) => queue.peek(order)?.rank ?? Number.POSITIVE_INFINITY);
+    const mostImportant = Math.min(...firstRanks);
+    return open.filter((_, index) => firstRanks[index] === mostImportant);
   }
 
-  /** Moves a lane behind the others of its owner. */
-  rotate(lane: Lane): void {
-    const set = this.waitingSet(lane.owner);
-    if (set.delete(lane)) {
-      set.add(lane);
+  /** Moves a queue behind the others of its owner. */
+  rotate(shardQueue: Lane): void {
+    const set = this.waitingOf(shardQueue.owner);
+    if (set.delete(shardQueue)) {
+      set.add(shardQueue);
     }
   }
 
-  /** All lanes with work waiting. */
+  /** Returns all non-empty queues. */
   allWaiting(): Lane[] {
-    return [...this.lanes.values()].filter((lane) => lane.queue.length > 0);
+    return [...this.byShard.values()].filter((shardQueue) => shardQueue.queue.length > 0);
   }
 
-  /** Whether more important work waits than that of a rank. */
+  /** Whether a group more important than `rank` is waiting. */
   hasAbove(rank: number): boolean {
     return this.count > 0 && this.allWaiting().some(({ queue }) => (queue.ranks[0] ?? rank) < rank);
   }
 
-  /** What gives way first of all lanes, on ranks below `rank`; looked for only where a bound is reached. */
+  /**
+   * Returns the group to evict first over all queues, among ranks less important than `rank`. It scans every queue, so it is called only
+   * when a limit is reached.
+   */
   leastBelow(rank: number): Work | undefined {
-    let least: Work | undefined;
-    for (const { queue } of this.lanes.values()) {
-      least = queue.leastBelow(least?.rank ?? rank) ?? least;
+    let victim: Work | undefined;
+    for (const { queue } of this.byShard.values()) {
+      victim = queue.leastBelow(victim?.rank ?? rank) ?? victim;
     }
-    return least;
+    return victim;
   }
 
-  /** All work that waits, lane by lane. */
+  /** Returns all waiting groups, queue by queue. */
   allWork(): Work[] {
-    return this.allWaiting().flatMap((lane) => lane.queue.toArray());
+    return this.allWaiting().flatMap((shardQueue) => shardQueue.queue.toArray());
   }
 
-  private waitingSet(owner: UpstreamId | null): Set<Lane> {
-    const name = owner ?? NO_OWNER;
-    let set = this.waiting.get(name);
+  private waitingOf(owner: UpstreamId | null): Set<Lane> {
+    const key = owner ?? NO_OWNER_KEY;
+    let set = this.waiting.get(key);
     if (set === undefined) {
       set = new Set();
-      this.waiting.set(name, set);
+      this.waiting.set(key, set);
     }
     return set;
   }
--- a/src/routing/queue/linked-queue.ts
+++ b/src/routing/queue/linked-queue.ts
@@ -1,4 +1,4 @@
-/** A queue with constant-time removal from any place: requests leave it when they are cancelled. */
+/** A doubly linked queue with constant-time removal from any position, since cancelled requests leave from the middle. */
 
 export interface QueueNode<Item> {
   readonly item: Item;
@@ -48,7 +48,7 @@
     return node;
   }
 
-  /** Removes a node; one that left already is ignored. */
+  /** Removes a node; does nothing if it was already removed. */
   remove(node: QueueNode<Item>): void {
     if (node.queue !== this) {
       return;
@@ -69,7 +69,7 @@
     this.count -= 1;
   }
 
-  /** Items from front to back, as they stand now. */
+  /** Returns the items from front to back. */
   toArray(): Item[] {
     const items: Item[] = [];
     for (let node = this.head; node !== null; node = node.next) {
--- a/src/routing/queue/ranked-queue.ts
+++ b/src/routing/queue/ranked-queue.ts
@@ -1,23 +1,24 @@
 /**
- * Waiting work of one lane in the order of its turns: the most important rank first, within it the least slack; then, by rank, what can't be
- * answered in time any more. Work on like terms waits in the order of arrival, so each look compares a few heads, however much waits.
+ * Waiting request groups of one shard queue in dispatch order: groups that can still be answered within their target come first, by rank
+ * and then by least slack; late ones follow by rank. Groups with similar terms wait in arrival order, so choosing the next one compares
+ * only the heads of a few classes, whatever the length of the queue.
  */
 import type { Work } from '../work.js';
 import type { QueueNode } from './linked-queue.js';
 import { classTermsOf, WaitingClass } from './waiting-class.js';
 
-/** What the order goes by besides rank. */
+/** Parameters of the dispatch order other than rank. */
 export interface TurnOrder {
   readonly now: number;
-  /** Time that work is expected to take; `null`: nobody is put behind others for being late. */
+  /** Expected service time; `null` if late groups aren't moved behind the others. */
   readonly expectedMillis: number | null;
-  /** Whether the nearest deadline goes first within a rank, whatever the targets. */
+  /** Whether the nearest deadline goes first within a rank, regardless of targets. */
   readonly byDeadline?: boolean;
 }
 
-/** A head with its turn: of two, the one with the lower step, then rank, then instant goes first. */
-interface Turn {
-  readonly work: Work;
+/** The head of a class. Heads are ordered by lateness, then rank, then slack. */
+interface Head {
+  readonly group: Work;
   readonly isLate: boolean;
 }
 
@@ -29,18 +30,20 @@
     return this.#count;
   }
 
-  push(work: Work, place: 'front' | 'back'): QueueNode<Work> {
-    const terms = classTermsOf(work);
-    let group = this.#classes.find((candidate) => candidate.has(terms));
-    if (group === undefined) {
-      group = new WaitingClass(terms);
-      this.#classes = [...this.#classes, group].sort((one, other) => one.terms.rank - other.terms.rank);
+  push(group: Work, place: 'front' | 'back'): QueueNode<Work> {
+    const terms = classTermsOf(group);
+    let waitingClass = this.#classes.find((candidate) => candidate.matches(terms));
+    if (waitingClass === undefined) {
+      waitingClass = new WaitingClass(terms);
+      this.#classes = [...this.#classes, waitingClass].sort(
+        (one, other) => one.terms.rank - other.terms.rank,
+      );
     }
     this.#count += 1;
-    return group.push(work, place);
+    return waitingClass.push(group, place);
   }
 
-  /** Removes a node; one that left already is ignored. */
+  /** Removes a node; does nothing if it was already removed. */
   remove(node: QueueNode<Work>): void {
     if (node.queue !== null) {
       node.queue.remove(node);
@@ -48,32 +51,32 @@
     }
   }
 
-  /** First works of all classes, in the order of their turns. */
+  /** Returns the first groups of all classes, in dispatch order. */
   heads(order: TurnOrder): Work[] {
-    const turns: Turn[] = [];
-    for (const { timely, late } of this.#inOrder(order)) {
+    const heads: Head[] = [];
+    for (const { timely, late } of this.#classesWithLateSplit(order)) {
       const head = timely.peek();
       const lateHead = late.peek();
       if (head !== undefined) {
-        turns.push({ work: head, isLate: false });
+        heads.push({ group: head, isLate: false });
       }
       if (lateHead !== undefined) {
-        turns.push({ work: lateHead, isLate: true });
+        heads.push({ group: lateHead, isLate: true });
       }
     }
-    return turns.length < 2
-      ? turns.map(({ work }) => work)
-      : turns.sort((one, other) => compareTurns(one, other, order)).map(({ work }) => work);
+    return heads.length < 2
+      ? heads.map(({ group }) => group)
+      : heads.sort((one, other) => compareTurns(one, other, order)).map(({ group }) => group);
   }
 
-  /** Whose turn it is. */
+  /** Returns the group to dispatch next. */
   peek(order: TurnOrder): Work | undefined {
     return this.#classes.length === 1 && order.expectedMillis === null
       ? (this.#classes[0]?.timely.peek() ?? this.#classes[0]?.late.peek())
       : this.heads(order)[0];
   }
 
-  /** The last one of a rank that can still be answered in time. */
+  /** Returns the last group of a rank that can still be answered within its target. */
   lastOf(rank: number): Work | undefined {
     let last: Work | undefined;
     for (const { terms, timely } of this.#classes) {
@@ -85,7 +88,10 @@
     return last;
   }
 
-  /** What gives way first: late work of the least important rank, then the last of it; only of ranks below `rank`. */
+  /**
+   * Returns the group to evict first among ranks less important than `rank`: a late group of the least important rank, else the last
+   * group of that rank.
+   */
   leastBelow(rank: number): Work | undefined {
     const below = this.#classes.filter(({ terms, length }) => terms.rank > rank && length > 0);
     const least = below.at(-1)?.terms.rank;
@@ -93,7 +99,7 @@
     return late?.late.peekLast() ?? (least === undefined ? undefined : this.lastOf(least));
   }
 
-  /** The first and the last work of each kind of terms. */
+  /** The first and last waiting groups of each class. */
   get ends(): Work[] {
     return this.#classes.flatMap(({ timely, late }) => [
       ...(timely.peek() === undefined ? [] : [timely.peek() as Work, timely.peekLast() as Work]),
@@ -101,51 +107,51 @@
     ]);
   }
 
-  /** Ranks of which something waits, the most important first. */
+  /** Ranks with waiting groups, the most important first. */
   get ranks(): number[] {
     const ranks = this.#classes.filter(({ length }) => length > 0).map(({ terms }) => terms.rank);
     return [...new Set(ranks)];
   }
 
-  /** Works that wait and have their turn before one that comes now on this rank. */
+  /** Returns how many waiting groups are dispatched before one that arrives now with this rank. */
   countAhead(rank: number): number {
-    return this.#sum((group) => (group.terms.rank <= rank ? group.timely.length : 0));
+    return this.#sum((waitingClass) => (waitingClass.terms.rank <= rank ? waitingClass.timely.length : 0));
   }
 
   countOf(rank: number): number {
-    return this.#sum((group) => (group.terms.rank === rank ? group.length : 0));
+    return this.#sum((waitingClass) => (waitingClass.terms.rank === rank ? waitingClass.length : 0));
   }
 
-  /** Drops what is known of terms on which nothing waits. */
+  /** Drops the classes without waiting groups. */
   prune(): void {
     this.#classes = this.#classes.filter(({ length }) => length > 0);
   }
 
   toArray(): Work[] {
-    return this.#classes.flatMap((group) => group.toArray());
+    return this.#classes.flatMap((waitingClass) => waitingClass.toArray());
   }
 
-  #inOrder({ now, expectedMillis }: TurnOrder): readonly WaitingClass[] {
+  #classesWithLateSplit({ now, expectedMillis }: TurnOrder): readonly WaitingClass[] {
     if (expectedMillis !== null) {
-      for (const group of this.#classes) {
-        group.setApartLate(now, expectedMillis);
+      for (const waitingClass of this.#classes) {
+        waitingClass.moveLate(now, expectedMillis);
       }
     }
     return this.#classes;
   }
 
-  #sum(count: (group: WaitingClass) => number): number {
-    return this.#classes.reduce((sum, group) => sum + count(group), 0);
+  #sum(count: (waitingClass: WaitingClass) => number): number {
+    return this.#classes.reduce((sum, waitingClass) => sum + count(waitingClass), 0);
   }
 }
 
-function compareTurns(one: Turn, other: Turn, { byDeadline = false }: TurnOrder): number {
+function compareTurns(one: Head, other: Head, { byDeadline = false }: TurnOrder): number {
   const byStanding = Number(one.isLate) - Number(other.isLate);
-  const byRank = one.work.rank - other.work.rank;
-  return byStanding || byRank || compareSlack(one.work, other.work, byDeadline);
+  const byRank = one.group.rank - other.group.rank;
+  return byStanding || byRank || compareSlack(one.group, other.group, byDeadline);
 }
 
-/** Expected times are alike within a service, so they don't tell apart. */
+/** Expected times are alike within a service, so they don't affect the comparison. */
 export function compareSlack(one: Work, other: Work, byDeadline: boolean): number {
   const difference = byDeadline
     ? one.deadline - other.deadline
--- a/src/routing/queue/return-promises.ts
+++ b/src/routing/queue/return-promises.ts
@@ -1,16 +1,16 @@
-/** What refused work of a router is told of its return, and whether what comes was told to. */
+/** Reserves return times for rejected request groups, and matches arriving groups with these reservations. */
 import type { RouterContext } from '../router-context.js';
 import type { Work } from '../work.js';
-import { LONGEST_MILLIS, SHORTEST_MILLIS } from './retry-after.js';
-import { type ReturnCounts, type ReturnPlace, ReturnTimes } from './return-times.js';
+import { MAX_RETRY_MILLIS, MIN_RETRY_MILLIS } from './retry-after.js';
+import { type ReturnCounts, ReturnSchedules, type ReturnTarget } from './return-times.js';
 import type { WaitEstimate } from './wait-estimate.js';
 import { latestStartOf } from './waiting-class.js';
 
-/** Callers keep to a time that they are told up to this share of what they have left; a later one is of no use to them. */
-const HEEDED_SHARE = 1 / 3;
+/** Callers follow a retry delay up to this share of the time left until their deadline; a later time is of no use to them. */
+const MAX_DELAY_SHARE = 1 / 3;
 
 export class ReturnPromises {
-  readonly #times = new ReturnTimes();
+  readonly #schedules = new ReturnSchedules();
   readonly #context: RouterContext;
   readonly #estimate: WaitEstimate;
 
@@ -20,89 +20,89 @@
   }
 
   get counts(): ReturnCounts {
-    return this.#times.counts;
+    return this.#schedules.counts;
   }
 
-  /** Notes whether a work that has just come was told to come now; its target then counts from when it came first. */
-  matchPromise(work: Work): void {
-    if (this.#times.isEmpty) {
+  /** Marks an arriving group if a reservation for it is due; its target then counts from the first arrival of its caller. */
+  matchPromise(group: Work): void {
+    if (this.#schedules.isEmpty) {
       return;
     }
-    const arrival = { ...this.#placeOf(work), deadline: this.#deadlineOf(work) };
-    const taken = this.#times.take(arrival, this.#context.now);
-    if (taken !== null) {
-      work.isExpected = true;
-      work.askedAt = Math.min(work.askedAt, taken.cameAt);
+    const arrival = { ...this.#targetOf(group), deadline: this.#deadlineOf(group) };
+    const reservation = this.#schedules.claim(arrival, this.#context.now);
+    if (reservation !== null) {
+      group.isExpected = true;
+      group.askedAt = Math.min(group.askedAt, reservation.firstArrivedAt);
     }
   }
 
   /**
-   * Milliseconds by which a work that comes first waits longer, for the sake of those who were told to come. None where nothing waits: no
-   * slot is to idle because those who were told don't come.
+   * Returns how much longer a newly arrived group waits because of reservations; 0 if nothing is waiting, so that no slot stays idle for
+   * callers who may not return.
    */
-  keptMillis(work: Work, waitMillis: number): number {
-    const isFirst = (work.service.lanes.find(work.shard)?.queue.length ?? 0) === 0;
-    if (work.isExpected || isFirst || this.#times.isEmpty) {
+  reservedMillis(group: Work, waitMillis: number): number {
+    const isQueueEmpty = (group.service.lanes.find(group.shard)?.queue.length ?? 0) === 0;
+    if (group.isExpected || isQueueEmpty || this.#schedules.isEmpty) {
       return 0;
     }
-    const places = this.#times.placesKept(this.#placeOf(work), waitMillis, this.#context.now);
-    return places === 0 ? 0 : places / this.#estimate.perMilli(work);
+    const places = this.#schedules.reservedPlaces(this.#targetOf(group), waitMillis, this.#context.now);
+    return places === 0 ? 0 : places / this.#estimate.perMilli(group);
   }
 
-  /** Time after which a work refused for want of room is to come back; `null`: none is of use to it. */
-  promise(work: Work, waitMillis: number): number | null {
+  /** Returns the delay after which a group rejected for lack of capacity may come back, or `null` if no time is useful to it. */
+  reserve(group: Work, waitMillis: number): number | null {
     const { now } = this.#context;
-    if (work.isExpected) {
-      work.isExpected = false;
-      this.#times.countBroken();
+    if (group.isExpected) {
+      group.isExpected = false;
+      this.#schedules.countBroken();
     }
-    const deadline = this.#deadlineOf(work);
-    const latestMillis = this.#latestMillis(work, deadline - now);
-    const { targetMillis } = work.terms;
-    const expectedMillis = work.service.expectedMillis(now);
-    const ask = {
-      ...this.#placeOf(work),
-      soonestMillis: Math.max(SHORTEST_MILLIS, waitMillis + this.keptMillis(work, waitMillis)),
+    const deadline = this.#deadlineOf(group);
+    const latestMillis = this.#latestMillis(group, deadline - now);
+    const { targetMillis } = group.terms;
+    const expectedMillis = group.service.expectedMillis(now);
+    const request = {
+      ...this.#targetOf(group),
+      earliestMillis: Math.max(MIN_RETRY_MILLIS, waitMillis + this.reservedMillis(group, waitMillis)),
       latestMillis,
-      // Without a target an answer is worth as much at any time before the deadline.
-      keptMillis: targetMillis === null ? latestMillis : latestStartOf(work, expectedMillis) - now,
-      perMilli: this.#estimate.perMilli(work),
+      // Without a target, an answer is worth the same at any time before the deadline.
+      reservedMillis: targetMillis === null ? latestMillis : latestStartOf(group, expectedMillis) - now,
+      perMilli: this.#estimate.perMilli(group),
       deadline,
-      cameAt: work.askedAt,
+      firstArrivedAt: group.askedAt,
     };
-    const millis = this.#times.promise(ask, now);
-    work.returnWord = millis === null ? 'none-in-time' : 'promised';
-    if (work.shard === null) {
-      work.service.returnsPromised(now);
+    const millis = this.#schedules.reserve(request, now);
+    group.returnWord = millis === null ? 'none-in-time' : 'promised';
+    if (group.shard === null) {
+      group.service.returnsPromised(now);
     }
     return millis === null ? null : Math.ceil(millis);
   }
 
-  /** One that says nothing of its deadline may heed any time. */
-  #latestMillis(work: Work, leftMillis: number): number {
-    return deadlineMillisOf(work) === null
-      ? LONGEST_MILLIS
+  /** A caller that sends no deadline may follow any delay. */
+  #latestMillis(group: Work, leftMillis: number): number {
+    return deadlineMillisOf(group) === null
+      ? MAX_RETRY_MILLIS
       : Math.min(
-          LONGEST_MILLIS,
-          leftMillis * HEEDED_SHARE,
-          leftMillis - work.service.expectedMillis(this.#context.now),
+          MAX_RETRY_MILLIS,
+          leftMillis * MAX_DELAY_SHARE,
+          leftMillis - group.service.expectedMillis(this.#context.now),
         );
   }
 
-  /** When the caller gives up, by its own word; its route may give up sooner. */
-  #deadlineOf(work: Work): number {
-    const deadlineMillis = deadlineMillisOf(work);
-    return deadlineMillis === null ? work.deadline : work.arrivedAt + deadlineMillis;
+  /** Returns the deadline that the caller sent, if any; the deadline of its route may be earlier. */
+  #deadlineOf(group: Work): number {
+    const deadlineMillis = deadlineMillisOf(group);
+    return deadlineMillis === null ? group.deadline : group.arrivedAt + deadlineMillis;
   }
 
-  #placeOf({ service, shard, rank }: Work): ReturnPlace {
+  #targetOf({ service, shard, rank }: Work): ReturnTarget {
     const owner = shard === null ? undefined : this.#context.ownerOf(shard);
-    const lane = owner === undefined ? service.name : `${service.name}/${owner.upstream.id}`;
-    return { lane, rank };
+    const schedule = owner === undefined ? service.name : `${service.name}/${owner.upstream.id}`;
+    return { schedule, rank };
   }
 }
 
-/** What its first caller says that it has left; `null`: nothing. */
+/** Returns the time left that the first caller sent, or `null` if it sent none. */
 function deadlineMillisOf({ members }: Work): number | null {
   return members[0]?.request.deadlineMillis ?? null;
 }
--- a/src/routing/queue/return-times.ts
+++ b/src/routing/queue/return-times.ts
@@ -1,230 +1,234 @@
 /**
- * When refused callers are told to come back: each gets a place of its own in one schedule, at the rate at which work of its rank drains
- * here, and the room of that moment is kept from those who come first, for a short time. Callers carry no mark of an earlier try, so one
- * that comes is taken for one that was told if a promise is due and as much of its time has passed as of the one who was told.
+ * Schedules the return of rejected callers. Each caller gets its own place in a schedule, at the rate at which requests of its rank drain
+ * here, and the capacity at that time is reserved against new arrivals for a short time. A returning request carries no mark of the
+ * earlier try, so an arrival is matched with a reservation that is due if as much of its time has passed as of the reservation's caller.
  */
 
-/** The room of a promised moment is kept for this long after it: a caller needs a new connection, and its clock isn't ours. */
+/** Reserved capacity is held for this long after the return time: the caller needs a new connection, and its clock runs independently. */
 export const GRACE_MILLIS = 200;
-/** Who comes a little sooner than told is taken in all the same. */
-const EARLY_MILLIS = 20;
-/** Callers of different ranks are told times that differ by this at least. */
-const APART_MILLIS = 1;
+/** A caller may return this much earlier than its return time. */
+const EARLY_TOLERANCE_MILLIS = 20;
+/** Minimum gap between the return times of callers of different ranks. */
+const MIN_GAP_MILLIS = 1;
 /**
- * Waits are estimates that may be off by this factor. One whose place is later than is of use to it, but not by more, comes as late as it
- * can, without room that is kept: callers who are told none stay away, though room may open sooner.
+ * Wait estimates may be off by this factor. A caller whose place is later than is useful to it, but within this factor, is scheduled as
+ * late as it can come, without reserved capacity: a caller without a return time stays away, though capacity may become available sooner.
+ */
+const ESTIMATE_ERROR_FACTOR = 1.5;
+/**
+ * Share of the time before the latest return time over which such callers are spread, and the step of the spread. The step is the golden
+ * ratio's fraction, whose multiples never coincide.
  */
-const ESTIMATE_FACTOR = 1.5;
-/** Over which share of the time before the latest such callers are spread, and by which step: its multiples never fall together. */
 const SPREAD_SHARE = 0.25;
 const SPREAD_STEP = (Math.sqrt(5) - 1) / 2;
-/** Promises that stand for one lane at most; whoever is refused beyond that is told no time. */
-const MOST_PROMISES = 512;
-/** Share of those told that are taken to come to this router, before any was seen, and the weight of each one. */
-const FIRST_COMING_SHARE = 0.25;
-const COMING_WEIGHT = 0.05;
-
-/** What callers wait for: a service, or an owner of its keys; and their rank. */
-export interface ReturnPlace {
-  readonly lane: string;
+/** Maximum number of reservations in one schedule; further callers get no return time. */
+const MAX_RESERVATIONS = 512;
+/** Initially assumed share of callers that return to this router, and the weight of each observation. */
+const INITIAL_RETURN_SHARE = 0.25;
+const RETURN_SHARE_WEIGHT = 0.05;
+
+/** A schedule (of a service, or of an owner of its keys) and a rank in it. */
+export interface ReturnTarget {
+  readonly schedule: string;
   readonly rank: number;
 }
 
-/** What a refused caller needs. */
-export interface ReturnAsk extends ReturnPlace {
-  /** Time until there is room that nobody waits for. */
-  readonly soonestMillis: number;
-  /** The latest time that is of use to it. */
+/** Parameters of a reservation for a rejected caller. */
+export interface ReturnRequest extends ReturnTarget {
+  /** Delay until capacity is available that no waiting request needs. */
+  readonly earliestMillis: number;
+  /** The longest delay that is useful to the caller. */
   readonly latestMillis: number;
-  /** Up to then room is kept for it; later it goes before others, but they aren't refused for it. */
-  readonly keptMillis: number;
-  /** What of its rank drains here. */
+  /** Capacity is reserved up to this delay. After a longer one the caller still goes before others, but they aren't rejected for it. */
+  readonly reservedMillis: number;
+  /** Rate at which requests of its rank drain here. */
   readonly perMilli: number;
-  /** When it gives up. */
+  /** When the caller gives up. */
   readonly deadline: number;
-  /** When it came first. */
-  readonly cameAt: number;
+  /** When the caller's first request arrived. */
+  readonly firstArrivedAt: number;
 }
 
-/** One that comes. */
-export interface Arrival extends ReturnPlace {
+/** An arriving request. */
+export interface Arrival extends ReturnTarget {
   readonly deadline: number;
 }
 
-/** A promise that somebody came for. */
-export interface TakenPromise {
-  /** When the one who was told came first. */
-  readonly cameAt: number;
+/** A reservation whose caller has returned. */
+export interface ClaimedReservation {
+  /** When the first request of the caller arrived. */
+  readonly firstArrivedAt: number;
 }
 
-/** Since this router started. */
+/** Counts since this router started. */
 export interface ReturnCounts {
-  /** Callers who were told a time of their own. */
+  /** Callers who got a return time of their own. */
   readonly made: number;
-  /** Callers who came when told, and weren't refused again. */
+  /** Callers who returned on time and weren't rejected again. */
   readonly kept: number;
-  /** Callers who came when told, and were refused again. */
+  /** Callers who returned on time and were rejected again. */
   readonly broken: number;
-  /** Callers who were told no time, since none was of use to them. */
+  /** Callers who got no return time, since none was useful to them. */
   readonly hopeless: number;
 }
 
-interface Promised extends TakenPromise {
+interface Reservation extends ClaimedReservation {
   /** Its place in the schedule. */
   readonly at: number;
-  /** When its caller was told to come: then, or sooner. */
-  readonly toldAt: number;
-  /** Whether its room is kept from those who come first. */
-  readonly isKept: boolean;
+  /** When the caller was asked to return; at `at` or earlier. */
+  readonly returnAt: number;
+  /** Whether its capacity is reserved against new arrivals. */
+  readonly isCapacityReserved: boolean;
   readonly rank: number;
-  /** The latest deadline with which a caller is taken for the one who was told. */
+  /** The latest deadline with which an arrival is matched with this reservation. */
   readonly latestDeadline: number;
 }
 
-interface ReturnLane {
-  /** By time. */
-  readonly promises: Promised[];
-  /** Share of those told who came here. */
-  comingShare: number;
+interface Schedule {
+  /** Ordered by time. */
+  readonly reservations: Reservation[];
+  /** Share of the scheduled callers who returned to this router. */
+  returnShare: number;
 }
 
-export class ReturnTimes {
-  readonly #lanes = new Map<string, ReturnLane>();
+export class ReturnSchedules {
+  readonly #schedules = new Map<string, Schedule>();
   readonly #counts = { made: 0, kept: 0, broken: 0, hopeless: 0 };
 
   get counts(): ReturnCounts {
     return this.#counts;
   }
 
-  /** Whether nothing is promised: nothing is looked up then. */
+  /** Whether there are no reservations; lookups can be skipped then. */
   get isEmpty(): boolean {
-    return this.#lanes.size === 0;
+    return this.#schedules.size === 0;
   }
 
-  /** Time after which a refused caller is to come back; `null`: none is of use to it. */
-  promise(ask: ReturnAsk, now: number): number | null {
-    const lane = this.#obtain(ask.lane, now);
-    const place = freePlace(lane, ask, now);
-    const isHopeless = place - now > ask.latestMillis * ESTIMATE_FACTOR;
-    if (isHopeless || lane.promises.length >= MOST_PROMISES) {
+  /** Returns the delay after which a rejected caller may come back, or `null` if no time is useful to it. */
+  reserve(request: ReturnRequest, now: number): number | null {
+    const schedule = this.#obtain(request.schedule, now);
+    const place = findFreePlace(schedule, request, now);
+    const isHopeless = place - now > request.latestMillis * ESTIMATE_ERROR_FACTOR;
+    if (isHopeless || schedule.reservations.length >= MAX_RESERVATIONS) {
       this.#counts.hopeless += 1;
       return null;
     }
     this.#counts.made += 1;
-    const isInTime = place - now <= ask.latestMillis;
-    const toldMillis = isInTime ? place - now : ask.latestMillis * this.#spread();
-    lane.promises.splice(placeAfter(lane.promises, place), 0, {
+    const isInTime = place - now <= request.latestMillis;
+    const delayMillis = isInTime ? place - now : request.latestMillis * this.#spread();
+    schedule.reservations.splice(indexAfter(schedule.reservations, place), 0, {
       at: place,
-      toldAt: now + toldMillis,
-      rank: ask.rank,
-      isKept: isInTime && toldMillis <= ask.keptMillis,
-      cameAt: ask.cameAt,
-      // One that comes first has as much more time left as this one waits; halfway between tells them apart.
-      latestDeadline: ask.deadline + toldMillis / 2,
+      returnAt: now + delayMillis,
+      rank: request.rank,
+      isCapacityReserved: isInTime && delayMillis <= request.reservedMillis,
+      firstArrivedAt: request.firstArrivedAt,
+      // A new arrival has more time left, by as much as this caller waits; the midpoint separates the two.
+      latestDeadline: request.deadline + delayMillis / 2,
     });
-    return toldMillis;
+    return delayMillis;
   }
 
-  /** Another share for each one that is told, near to all. */
+  /** Returns a different share for each caller, just below 1. */
   #spread(): number {
     return 1 - SPREAD_SHARE * ((this.#counts.made * SPREAD_STEP) % 1);
   }
 
-  /** The promise that is due and that an arrival is taken to have come for; it is done with then. `null`: there is none. */
-  take({ lane: name, rank, deadline }: Arrival, now: number): TakenPromise | null {
-    const lane = this.#find(name, now);
-    const promises = lane?.promises ?? [];
-    const position = promises.findIndex(
-      (promised) =>
-        promised.toldAt - EARLY_MILLIS <= now &&
-        promised.rank === rank &&
-        deadline <= promised.latestDeadline,
+  /** Removes and returns the reservation that is due and matches an arrival, or `null` if there is none. */
+  claim({ schedule: name, rank, deadline }: Arrival, now: number): ClaimedReservation | null {
+    const schedule = this.#find(name, now);
+    const reservations = schedule?.reservations ?? [];
+    const position = reservations.findIndex(
+      (reservation) =>
+        reservation.returnAt - EARLY_TOLERANCE_MILLIS <= now &&
+        reservation.rank === rank &&
+        deadline <= reservation.latestDeadline,
     );
-    const [taken] = position < 0 ? [] : promises.splice(position, 1);
-    if (lane === undefined || taken === undefined) {
+    const [claimed] = position < 0 ? [] : reservations.splice(position, 1);
+    if (schedule === undefined || claimed === undefined) {
       return null;
     }
-    noteComing(lane, true);
+    recordReturn(schedule, true);
     this.#counts.kept += 1;
-    return taken;
+    return claimed;
   }
 
-  /** One that came when told had to be refused again. */
+  /** Records that a caller who returned on time was rejected again. */
   countBroken(): void {
     this.#counts.kept -= 1;
     this.#counts.broken += 1;
   }
 
   /**
-   * Places that are kept from one that comes first on a rank, among those that are due within a time: as many as were promised to its rank
-   * and to more important ones, as far as those told come to this router.
+   * Returns how many places within a time are reserved against a new arrival of a rank: the reservations of its rank and of more
+   * important ones, weighted with the share of callers that return to this router.
    */
-  placesKept({ lane: name, rank }: ReturnPlace, withinMillis: number, now: number): number {
-    const lane = this.#find(name, now);
-    const promises = lane?.promises ?? [];
-    const due = promises.slice(0, placeAfter(promises, now + withinMillis));
+  reservedPlaces({ schedule: name, rank }: ReturnTarget, withinMillis: number, now: number): number {
+    const schedule = this.#find(name, now);
+    const reservations = schedule?.reservations ?? [];
+    const due = reservations.slice(0, indexAfter(reservations, now + withinMillis));
     return (
-      due.filter((promised) => promised.isKept && promised.rank <= rank).length * (lane?.comingShare ?? 0)
+      due.filter((reservation) => reservation.isCapacityReserved && reservation.rank <= rank).length *
+      (schedule?.returnShare ?? 0)
     );
   }
 
-  #obtain(name: string, now: number): ReturnLane {
-    const known = this.#find(name, now);
-    const lane = known ?? { promises: [], comingShare: FIRST_COMING_SHARE };
-    this.#lanes.set(name, lane);
-    return lane;
+  #obtain(name: string, now: number): Schedule {
+    const existing = this.#find(name, now);
+    const schedule = existing ?? { reservations: [], returnShare: INITIAL_RETURN_SHARE };
+    this.#schedules.set(name, schedule);
+    return schedule;
   }
 
-  /** Drops promises whose time is over, and a lane in which none is left. */
-  #find(name: string, now: number): ReturnLane | undefined {
-    const lane = this.#lanes.get(name);
-    if (lane === undefined) {
+  /** Drops expired reservations, and the schedule if it is empty then. */
+  #find(name: string, now: number): Schedule | undefined {
+    const schedule = this.#schedules.get(name);
+    if (schedule === undefined) {
       return undefined;
     }
-    for (const _ of lane.promises.splice(0, placeAfter(lane.promises, now - GRACE_MILLIS))) {
-      noteComing(lane, false);
+    for (const _ of schedule.reservations.splice(0, indexAfter(schedule.reservations, now - GRACE_MILLIS))) {
+      recordReturn(schedule, false);
     }
-    const isOver = lane.promises.length === 0;
-    if (isOver) {
-      this.#lanes.delete(name);
+    const isEmpty = schedule.reservations.length === 0;
+    if (isEmpty) {
+      this.#schedules.delete(name);
     }
-    return isOver ? undefined : lane;
+    return isEmpty ? undefined : schedule;
   }
 }
 
-function noteComing(lane: ReturnLane, hasCome: boolean): void {
-  lane.comingShare += (Number(hasCome) - lane.comingShare) * COMING_WEIGHT;
+function recordReturn(schedule: Schedule, hasReturned: boolean): void {
+  schedule.returnShare += (Number(hasReturned) - schedule.returnShare) * RETURN_SHARE_WEIGHT;
 }
 
 /**
- * The first time from the soonest on that is a place away from all that stand, as wide as places are now. Those of less important ranks go
- * behind when both come, so they only aren't told the same time.
+ * Returns the first time, from the earliest on, that is a place away from all reservations, at the current width of a place. Less
+ * important callers go behind if both return, so their reservations only need the minimum gap.
  */
-function freePlace(
-  { promises }: ReturnLane,
-  { rank, soonestMillis, perMilli }: ReturnAsk,
+function findFreePlace(
+  { reservations }: Schedule,
+  { rank, earliestMillis, perMilli }: ReturnRequest,
   now: number,
 ): number {
   const placeMillis = 1 / perMilli;
-  let at = now + soonestMillis;
-  for (const promised of promises) {
-    const apartMillis = promised.rank <= rank ? placeMillis : APART_MILLIS;
-    if (promised.at - at < apartMillis) {
-      at = Math.max(at, promised.at + apartMillis);
-    } else if (promised.at - at >= placeMillis) {
+  let at = now + earliestMillis;
+  for (const reservation of reservations) {
+    const gapMillis = reservation.rank <= rank ? placeMillis : MIN_GAP_MILLIS;
+    if (reservation.at - at < gapMillis) {
+      at = Math.max(at, reservation.at + gapMillis);
+    } else if (reservation.at - at >= placeMillis) {
       break;
     }
   }
   return at;
 }
 
-/** Place behind all promises up to a time. */
-function placeAfter(promises: readonly Promised[], at: number): number {
+/** Returns the index behind all reservations up to a time. */
+function indexAfter(reservations: readonly Reservation[], at: number): number {
   let low = 0;
-  let high = promises.length;
+  let high = reservations.length;
   while (low < high) {
     const middle = (low + high) >> 1;
-    if ((promises[middle] as Promised).at <= at) {
+    if ((reservations[middle] as Reservation).at <= at) {
       low = middle + 1;
     } else {
       high = middle;
--- a/src/routing/queue/waiting-class.ts
+++ b/src/routing/queue/waiting-class.ts
@@ -1,17 +1,17 @@
-/** Waiting work on like terms, in the order of its arrival, so that the first one always has the least slack. */
+/** Waiting request groups with similar terms in arrival order, so that the first one always has the least slack. */
 import type { RequestTerms } from '../request-terms.js';
 import type { Work } from '../work.js';
 import { LinkedQueue, type QueueNode } from './linked-queue.js';
 
-/** Deadlines are alike within this factor. */
+/** Deadlines within this factor are similar. */
 const DEADLINE_FACTOR = 2;
 
-/** Terms that decide the turn of a work. */
+/** Terms that decide the dispatch order of a group. */
 export interface ClassTerms {
   readonly rank: number;
-  /** `null`: it has none. */
+  /** `null` if there is no target. */
   readonly targetMillis: number | null;
-  /** Its time until the deadline when it came, coarsely. */
+  /** The time from arrival to the deadline, in powers of `DEADLINE_FACTOR`. */
   readonly deadlineStep: number;
 }
 
@@ -21,19 +21,19 @@
   return { rank, targetMillis: terms.targetMillis, deadlineStep };
 }
 
-/** When work must begin for an answer in time; for work without a target, as soon as it came. */
+/** Returns when a group must be started to be answered within its target; without a target, when it arrived. */
 export function latestStartOf(
-  work: { readonly terms: RequestTerms; readonly askedAt: number },
+  group: { readonly terms: RequestTerms; readonly askedAt: number },
   expectedMillis: number,
 ) {
-  const { targetMillis } = work.terms;
-  return targetMillis === null ? work.askedAt : work.askedAt + targetMillis - expectedMillis;
+  const { targetMillis } = group.terms;
+  return targetMillis === null ? group.askedAt : group.askedAt + targetMillis - expectedMillis;
 }
 
 export class WaitingClass {
-  /** Work that can still be answered in time, as far as was looked. */
+  /** Groups that can still be answered within their target, as of the last `moveLate`. */
   readonly timely = new LinkedQueue<Work>();
-  /** Work that can't. */
+  /** Groups that can't be answered within their target any more. */
   readonly late = new LinkedQueue<Work>();
 
   constructor(readonly terms: ClassTerms) {}
@@ -42,17 +42,17 @@
     return this.timely.length + this.late.length;
   }
 
-  has({ rank, targetMillis, deadlineStep }: ClassTerms): boolean {
+  matches({ rank, targetMillis, deadlineStep }: ClassTerms): boolean {
     const { terms } = this;
     return terms.rank === rank && terms.targetMillis === targetMillis && terms.deadlineStep === deadlineStep;
   }
 
-  push(work: Work, place: 'front' | 'back'): QueueNode<Work> {
-    return place === 'front' ? this.timely.pushFront(work) : this.timely.pushBack(work);
+  push(group: Work, place: 'front' | 'back'): QueueNode<Work> {
+    return place === 'front' ? this.timely.pushFront(group) : this.timely.pushBack(group);
   }
 
-  /** Moves work that can't be answered in time any more behind all that can. */
-  setApartLate(now: number, expectedMillis: number): void {
+  /** Moves groups that can't be answered within their target any more behind the others. */
+  moveLate(now: number, expectedMillis: number): void {
     if (this.terms.targetMillis === null) {
       return;
     }
--- a/src/routing/room/answer-sizes.ts
+++ b/src/routing/room/answer-sizes.ts
@@ -1,14 +1,14 @@
-/** How large the answers of each route are, from those that came. */
+/** Estimates the size of each route's answers from those received. */
 
 /** Weight of the latest answer in the smoothed size. */
 const SMOOTHING = 0.1;
-/** Routes whose sizes are kept; the one whose answer came longest ago is let go of. */
-const MOST_ROUTES = 1000;
+/** Number of routes whose sizes are kept; beyond it, the route whose last answer is oldest is dropped. */
+const MAX_ROUTES = 1000;
 
 export class AnswerSizes {
   readonly #bytes = new Map<string, number>();
 
-  /** An answer of a route came. */
+  /** Records the size of an answer of a route. */
   add(route: string, bytes: number): void {
     const before = this.#bytes.get(route) ?? bytes;
     this.#bytes.delete(route);
@@ -16,14 +16,14 @@
     this.#dropOldest();
   }
 
-  /** Smoothed bytes of a route's answers; 0 while none came. */
+  /** Returns the smoothed size of a route's answers in bytes; 0 if none was received. */
   expected(route: string): number {
     return this.#bytes.get(route) ?? 0;
   }
 
   #dropOldest(): void {
     const [oldest] = this.#bytes.keys();
-    if (this.#bytes.size > MOST_ROUTES && oldest !== undefined) {
+    if (this.#bytes.size > MAX_ROUTES && oldest !== undefined) {
       this.#bytes.delete(oldest);
     }
   }
--- a/src/routing/room/hot-keys.ts
+++ b/src/routing/room/hot-keys.ts
@@ -1,26 +1,27 @@
 /**
- * Keys of one service that ask an owner for more than it can do. Their requests go behind those of the owner's other keys and leave room
- * for them, so that the surplus of one key takes no slot, place or retry of the others.
+ * Detects keys of one service whose requests exceed the capacity of their owner. Requests of such a hot key are ranked behind those of
+ * the owner's other keys and leave headroom for them, so that the surplus of one key takes no slot, queue position or retry of the
+ * others.
  */
 import type { UpstreamId } from '../../model/identifiers.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
 
-/** Older requests count for less: long enough for a router that meets a hot key about once a second. */
-const MEMORY_MILLIS = 10_000;
-/** Counts of an owner that nothing came for are dropped after this. */
-const FORGOTTEN_MILLIS = 60_000;
-/** A key with more than this share of the requests for its owner may be too much for it. */
+/** Counts are halved at this interval: long enough for a router that receives a request of a hot key about once a second. */
+const HALVING_INTERVAL_MILLIS = 10_000;
+/** An owner's counts are dropped after this time without requests. */
+const OWNER_EXPIRY_MILLIS = 60_000;
+/** A key with more than this share of its owner's requests may exceed its capacity. */
 const HOT_SHARE = 2 / 3;
-/** Fewer requests say nothing of shares. */
-const LEAST_REQUESTS = 3;
-/** A key stays hot for so long after its requests were last too many. */
+/** With fewer requests, shares aren't meaningful. */
+const MIN_REQUESTS = 3;
+/** A key stays hot for this long after its requests last exceeded the capacity. */
 const HOT_MILLIS = 5000;
-/** Added to the rank of requests of a hot key: behind all others of their rank, before the next one. */
-const HOT_STEP = 0.5;
+/** Added to the rank of requests of a hot key: behind all others of their rank, before the next rank. */
+const HOT_RANK_OFFSET = 0.5;
 
 export interface KeyedArrival {
   readonly key: string;
-  /** That of its terms. */
+  /** Rank of its terms. */
   readonly rank: number;
   readonly owner: UpstreamState;
 }
@@ -28,10 +29,10 @@
 interface OwnerCounts {
   total: number;
   at: number;
-  readonly ofKey: Map<string, number>;
+  readonly byKey: Map<string, number>;
 }
 
-/** Whether requests on a rank are those of a hot key. */
+/** Whether a rank is that of a hot key's requests. */
 export function isOfHotKey(rank: number): boolean {
   return !Number.isInteger(rank);
 }
@@ -40,66 +41,67 @@
   readonly #owners = new Map<UpstreamId, OwnerCounts>();
   readonly #hotUntil = new Map<string, number>();
 
-  /** `isOn`: whether a hot key's requests are to go behind the others of its owner. */
+  /** `isOn`: whether requests of a hot key go behind the others of its owner. */
   constructor(private readonly isOn: boolean) {}
 
-  /** The rank of a request that came. */
+  /** Returns the rank of an arrived request. */
   rankOf({ key, rank, owner }: KeyedArrival, now: number): number {
     if (!this.isOn) {
       return rank;
     }
     const share = this.#count(owner.id, key, now);
     const isHot = now < (this.#hotUntil.get(key) ?? Number.NEGATIVE_INFINITY);
-    // Once its surplus is held back it crowds nobody: then it is hot as long as it finds no room behind the others.
-    const isTooMuch = isHot ? !owner.hasSlot(now, rank + HOT_STEP) : owner.isCrowded(now);
-    if (isTooMuch && share > HOT_SHARE) {
+    // While the surplus of a hot key is held back, its owner isn't crowded; the key then stays hot while there is no slot behind the
+    // other keys.
+    const exceedsCapacity = isHot ? !owner.hasSlot(now, rank + HOT_RANK_OFFSET) : owner.isCrowded(now);
+    if (exceedsCapacity && share > HOT_SHARE) {
       this.#hotUntil.set(key, now + HOT_MILLIS);
-      return rank + HOT_STEP;
+      return rank + HOT_RANK_OFFSET;
     }
     if (!isHot) {
       this.#hotUntil.delete(key);
     }
-    return isHot ? rank + HOT_STEP : rank;
+    return isHot ? rank + HOT_RANK_OFFSET : rank;
   }
 
-  /** Drops keys that are no longer hot, and owners that nothing came for. */
-  #forget(now: number): void {
+  /** Drops keys that are no longer hot, and owners without recent requests. */
+  #prune(now: number): void {
     for (const [key, until] of this.#hotUntil) {
       if (now >= until) {
         this.#hotUntil.delete(key);
       }
     }
     for (const [owner, { at }] of this.#owners) {
-      if (now >= at + FORGOTTEN_MILLIS) {
+      if (now >= at + OWNER_EXPIRY_MILLIS) {
         this.#owners.delete(owner);
       }
     }
   }
 
-  /** Counts a request; gives its key's share of those for the owner, 0 while they are few. */
+  /** Counts a request and returns its key's share of the owner's requests, or 0 while there are too few. */
   #count(owner: UpstreamId, key: string, now: number): number {
-    const counts = this.#owners.get(owner) ?? { total: 0, at: now, ofKey: new Map<string, number>() };
+    const counts = this.#owners.get(owner) ?? { total: 0, at: now, byKey: new Map<string, number>() };
     this.#owners.set(owner, counts);
-    if (now - counts.at >= MEMORY_MILLIS) {
+    if (now - counts.at >= HALVING_INTERVAL_MILLIS) {
       halve(counts);
       counts.at = now;
-      this.#forget(now);
+      this.#prune(now);
     }
-    const ofKey = (counts.ofKey.get(key) ?? 0) + 1;
-    counts.ofKey.set(key, ofKey);
+    const byKey = (counts.byKey.get(key) ?? 0) + 1;
+    counts.byKey.set(key, byKey);
     counts.total += 1;
-    return counts.total < LEAST_REQUESTS ? 0 : ofKey / counts.total;
+    return counts.total < MIN_REQUESTS ? 0 : byKey / counts.total;
   }
 }
 
-/** Forgets half of what was counted, and the keys of which little is left. */
+/** Halves all counts and drops keys with a low count. */
 function halve(counts: OwnerCounts): void {
   counts.total = 0;
-  for (const [key, count] of counts.ofKey) {
+  for (const [key, count] of counts.byKey) {
     if (count < 2) {
-      counts.ofKey.delete(key);
+      counts.byKey.delete(key);
     } else {
-      counts.ofKey.set(key, count / 2);
+      counts.byKey.set(key, count / 2);
       counts.total += count / 2;
     }
   }
--- a/src/routing/room/link-room.ts
+++ b/src/routing/room/link-room.ts
@@ -1,25 +1,28 @@
 /**
- * The pace at which a router starts requests for large answers, so that its link carries them beside the short ones. Answers the load in
- * which large answers are asked for faster than the link carries them, and all others stand behind them.
+ * Paces requests for large answers to the width of the router's link, so that short answers aren't delayed behind large ones. Guards
+ * against loads in which large answers are requested faster than the link carries them.
  */
 import { LinkWidth } from './link-width.js';
 
-/** An answer is large if the link carries it for so long: short ones behind it would be late by as much. */
+/** An answer is large if it occupies the link for this long, because short answers behind it are late by as much. */
 const LARGE_MILLIS = 100;
-/** Share of the link that is planned for; the rest takes what comes in clumps. */
+/** Share of the link that is planned for; the rest absorbs bursts. */
 const PLANNED_SHARE = 0.9;
-/** Share of the link's width that large answers get whatever short ones take, so that none starves. */
-const LEAST_LARGE_SHARE = 0.1;
-/** Large answers are started so much ahead of the link: about the time in which an upstream begins to answer. */
+/** Minimum share of the link's width for large answers, whatever short ones need, so that they aren't starved. */
+const MIN_LARGE_SHARE = 0.1;
+/** Large answers are requested this far ahead of the link: about the time in which an upstream begins to answer. */
 const AHEAD_MILLIS = 150;
-/** What was started and didn't end in this time is taken to have failed. */
-const LONGEST_OPEN_MILLIS = 5000;
-/** A link this much narrower than it was taken for has not carried what was started by then. */
+/** A request for a large answer that hasn't ended after this time is considered failed. */
+const MAX_OPEN_MILLIS = 5000;
+/**
+ * If the link's width falls below this share of the previous estimate, the open answers are counted again, since they weren't carried at
+ * the expected pace.
+ */
 const NARROWED_SHARE = 0.75;
-/** Short answers of this time make up the traffic that is left room for. */
+/** Averaging window of the traffic of short answers, which is reserved for them. */
 const SHORT_WINDOW_MILLIS = 1000;
 
-/** A large answer that was started and hasn't come whole. */
+/** A large answer that was requested and hasn't been received completely. */
 export interface OpenAnswer {
   bytes: number;
   readonly startedAt: number;
@@ -29,34 +32,34 @@
   readonly #width: LinkWidth;
   #shortBytes = 0;
   #shortAt = 0;
-  /** When all large answers that were started will have been carried. */
+  /** When all requested large answers will have been carried. */
   #freeAt = 0;
-  /** The earliest first. */
+  /** In order of their start. */
   readonly #open = new Set<OpenAnswer>();
-  #believedBytesPerMilli: number;
+  #lastBytesPerMilli: number;
 
-  /** `bytesPerMilli`: width of the link, each way, as the settings say. */
+  /** `bytesPerMilli`: configured width of the link, each way. */
   constructor(bytesPerMilli: number) {
     this.#width = new LinkWidth(bytesPerMilli);
-    this.#believedBytesPerMilli = bytesPerMilli;
+    this.#lastBytesPerMilli = bytesPerMilli;
   }
 
   isLarge(bytes: number): boolean {
-    return bytes >= LARGE_MILLIS * this.#width.mostBytesPerMilli;
+    return bytes >= LARGE_MILLIS * this.#width.configuredBytesPerMilli;
   }
 
-  /** Milliseconds until a large answer may be started behind `aheadBytes` that wait; 0: now. */
+  /** Returns milliseconds until a large answer may be requested behind `aheadBytes` that are waiting; 0 if it may be requested now. */
   waitMillis(aheadBytes: number, now: number): number {
     const carriedAt = Math.max(this.#freeAt, now) + aheadBytes / this.#largeBytesPerMilli(now);
     return Math.max(0, carriedAt - now - AHEAD_MILLIS);
   }
 
-  /** Milliseconds for which the link carries an answer of this size by itself. */
+  /** Returns how long the link takes to carry an answer of this size alone. */
   carryMillis(bytes: number, now: number): number {
     return bytes / this.#width.bytesPerMilli(now);
   }
 
-  /** A large answer was started that is expected to have so many bytes. */
+  /** Records the request for a large answer with an expected size. */
   started(bytes: number, now: number): OpenAnswer {
     this.#freeAt = Math.max(this.#freeAt, now) + bytes / this.#largeBytesPerMilli(now);
     this.#dropFailed(now);
@@ -65,7 +68,7 @@
     return answer;
   }
 
-  /** An answer that was started turned out to have another size. */
+  /** Corrects the size of a requested answer. */
   sized(answer: OpenAnswer, bytes: number, now: number): void {
     this.#freeAt += (bytes - answer.bytes) / this.#largeBytesPerMilli(now);
     answer.bytes = bytes;
@@ -74,46 +77,46 @@
     }
   }
 
-  /** An answer that was started doesn't come. */
+  /** Records that a requested answer failed. */
   failed(answer: OpenAnswer, now: number): void {
     this.sized(answer, 0, now);
   }
 
-  /** A short answer came. */
+  /** Records a received short answer. */
   short(bytes: number, now: number): void {
-    this.#shortBytes = this.#decayed(now) + bytes;
+    this.#shortBytes = this.#decayedShortBytes(now) + bytes;
     this.#shortAt = now;
   }
 
-  /** A large answer came in, from its first byte to its last in `tookMillis`. */
+  /** Records a received large answer; `tookMillis` is the time from its first to its last byte. */
   carried(bytes: number, tookMillis: number, now: number): void {
-    this.#width.carried(bytes, tookMillis, now);
+    this.#width.addSample(bytes, tookMillis, now);
     const [earliest] = this.#open;
     if (earliest !== undefined) {
       this.#open.delete(earliest);
     }
-    this.#recount(now);
+    this.#adjustToWidth(now);
   }
 
-  /** Bytes a millisecond that the link carries now, as far as is known. */
+  /** Returns the currently estimated width of the link. */
   widthBytesPerMilli(now: number): number {
     return this.#width.bytesPerMilli(now);
   }
 
-  /** Where the link turns out to be narrower, what was started for the wider one is carried first. */
-  #recount(now: number): void {
+  /** Reserves the link for the open answers if it is narrower than when they were requested. */
+  #adjustToWidth(now: number): void {
     const width = this.#width.bytesPerMilli(now);
-    if (width < this.#believedBytesPerMilli * NARROWED_SHARE) {
+    if (width < this.#lastBytesPerMilli * NARROWED_SHARE) {
       this.#dropFailed(now);
       const openBytes = [...this.#open].reduce((sum, { bytes }) => sum + bytes, 0);
       this.#freeAt = Math.max(this.#freeAt, now + openBytes / this.#largeBytesPerMilli(now));
     }
-    this.#believedBytesPerMilli = width;
+    this.#lastBytesPerMilli = width;
   }
 
   #dropFailed(now: number): void {
     for (const answer of this.#open) {
-      if (now - answer.startedAt < LONGEST_OPEN_MILLIS) {
+      if (now - answer.startedAt < MAX_OPEN_MILLIS) {
         return;
       }
       this.#open.delete(answer);
@@ -122,11 +125,11 @@
 
   #largeBytesPerMilli(now: number): number {
     const width = this.#width.bytesPerMilli(now);
-    const short = this.#decayed(now) / SHORT_WINDOW_MILLIS;
-    return Math.max(width * LEAST_LARGE_SHARE, width * PLANNED_SHARE - short);
+    const short = this.#decayedShortBytes(now) / SHORT_WINDOW_MILLIS;
+    return Math.max(width * MIN_LARGE_SHARE, width * PLANNED_SHARE - short);
   }
 
-  #decayed(now: number): number {
+  #decayedShortBytes(now: number): number {
     return this.#shortBytes * Math.exp((this.#shortAt - now) / SHORT_WINDOW_MILLIS);
   }
 }
--- a/src/routing/room/link-width.ts
+++ b/src/routing/room/link-width.ts
@@ -1,13 +1,13 @@
-/** How wide a router's link is at present: at most what the settings say, less if large answers arrive more slowly. */
+/** Estimates the current width of a router's link: the configured width, or less if large answers arrive more slowly. */
 
-/** The fastest arrival of this time counts: a slow upstream, or answers side by side, don't make a narrow link. */
+/** The fastest arrival in this window counts, since slow upstreams or parallel answers don't mean that the link is narrow. */
 const WINDOW_MILLIS = 1000;
-/** Fewer arrivals say too little: each may be slow by its upstream. */
-const LEAST_SAMPLES = 2;
-/** What was found holds this long while fewer arrive: a narrow link carries few. */
-const KEPT_MILLIS = 2000;
-/** Share of the settings' width that is the least believed: slow upstreams must not stop large answers. */
-const LEAST_SHARE = 0.25;
+/** With fewer samples, low rates aren't meaningful: each may come from a slow upstream. */
+const MIN_SAMPLES = 2;
+/** An estimate stays valid for this long without enough samples, since a narrow link carries few large answers. */
+const ESTIMATE_TTL_MILLIS = 2000;
+/** Minimum estimate as a share of the configured width: slow upstreams must not stop large answers. */
+const MIN_WIDTH_SHARE = 0.25;
 
 interface Sample {
   readonly at: number;
@@ -15,32 +15,32 @@
 }
 
 export class LinkWidth {
-  /** Of the last `WINDOW_MILLIS`. */
+  /** Samples of the last `WINDOW_MILLIS`. */
   #samples: Sample[] = [];
-  #found: Sample;
+  #estimate: Sample;
 
-  /** `mostBytesPerMilli`: as the settings say. */
-  constructor(readonly mostBytesPerMilli: number) {
-    this.#found = { at: Number.NEGATIVE_INFINITY, bytesPerMilli: mostBytesPerMilli };
+  /** `configuredBytesPerMilli`: width according to the settings. */
+  constructor(readonly configuredBytesPerMilli: number) {
+    this.#estimate = { at: Number.NEGATIVE_INFINITY, bytesPerMilli: configuredBytesPerMilli };
   }
 
-  /** A large answer came in, from its first byte to its last in `tookMillis`. */
-  carried(bytes: number, tookMillis: number, now: number): void {
-    const bytesPerMilli = tookMillis > 0 ? bytes / tookMillis : this.mostBytesPerMilli;
+  /** Records a received large answer; `tookMillis` is the time from its first to its last byte. */
+  addSample(bytes: number, tookMillis: number, now: number): void {
+    const bytesPerMilli = tookMillis > 0 ? bytes / tookMillis : this.configuredBytesPerMilli;
     this.#samples = this.#samples.filter(({ at }) => now - at < WINDOW_MILLIS);
     this.#samples.push({ at: now, bytesPerMilli });
     const fastest = Math.max(...this.#samples.map((sample) => sample.bytesPerMilli));
-    if (this.#samples.length >= LEAST_SAMPLES || fastest > this.#found.bytesPerMilli) {
-      this.#found = { at: now, bytesPerMilli: fastest };
+    if (this.#samples.length >= MIN_SAMPLES || fastest > this.#estimate.bytesPerMilli) {
+      this.#estimate = { at: now, bytesPerMilli: fastest };
     }
   }
 
-  /** Bytes a millisecond that the link carries now, as far as is known. */
+  /** Returns the currently estimated width of the link. */
   bytesPerMilli(now: number): number {
-    if (now - this.#found.at >= KEPT_MILLIS) {
-      return this.mostBytesPerMilli;
+    if (now - this.#estimate.at >= ESTIMATE_TTL_MILLIS) {
+      return this.configuredBytesPerMilli;
     }
-    const least = this.mostBytesPerMilli * LEAST_SHARE;
-    return Math.min(this.mostBytesPerMilli, Math.max(this.#found.bytesPerMilli, least));
+    const minimum = this.configuredBytesPerMilli * MIN_WIDTH_SHARE;
+    return Math.min(this.configuredBytesPerMilli, Math.max(this.#estimate.bytesPerMilli, minimum));
   }
 }
--- a/src/routing/room/retry-budget.ts
+++ b/src/routing/room/retry-budget.ts
@@ -1,27 +1,27 @@
-/** Bounds retries to a share of first attempts, so that a failing service isn't hit by a multiple of its load. */
+/** Limits retries to a share of first attempts, so that a failing service doesn't receive a multiple of its load. */
 
-/** Retries that may be saved up, so that a quiet service may still retry, unless its definition says otherwise. */
-const SAVED_RETRIES = 10;
+/** Default number of retries that may be saved up, so that a service with little traffic can still retry. */
+const DEFAULT_SAVED_RETRIES = 10;
 
 export interface RetryBudget {
-  /** A first attempt was made. */
+  /** Records a first attempt. */
   firstAttempt(): void;
-  /** Takes one retry out of the budget; `false` if there is none. */
+  /** Takes one retry from the budget; returns `false` if it is empty. */
   tryRetry(): boolean;
 }
 
 export class TokenRetryBudget implements RetryBudget {
   private tokens: number;
 
-  /** `ratio`: retries as a share of first attempts. `saved`: how many may be saved up. */
+  /** `ratio`: retries as a share of first attempts. `saved`: maximum number of saved retries. */
   constructor(
     private ratio: number,
-    private readonly saved: number = SAVED_RETRIES,
+    private readonly saved: number = DEFAULT_SAVED_RETRIES,
   ) {
     this.tokens = ratio > 0 ? saved : 0;
   }
 
-  /** Takes over a new ratio from the configuration. */
+  /** Applies a new ratio from the configuration. */
   resize(ratio: number): void {
     this.ratio = ratio;
     this.tokens = ratio > 0 ? this.tokens : 0;
--- a/src/routing/room/served-shares.ts
+++ b/src/routing/room/served-shares.ts
@@ -1,58 +1,58 @@
-/** Which share of the requests of each rank a router started lately, so that no rank is starved. */
+/** Tracks the share of each rank's requests that a router has started recently, so that no rank is starved. */
 
-/** Older requests count for less: what a rank is owed is owed over minutes, so that a short rush is left to the more important. */
-const MEMORY_MILLIS = 300_000;
-/** A rank is owed this part of the share that all ranks together have: a quarter, with a margin for what is sent and not served. */
-const OWED_PART = 0.27;
+/** Time constant with which counts decay. It spans minutes, so that capacity goes to the more important ranks during a short burst. */
+const DECAY_MILLIS = 300_000;
+/** A rank is starved below this part of the share over all ranks: a quarter, plus a margin for requests that are sent but not served. */
+const MIN_RELATIVE_SHARE = 0.27;
 
 interface Counts {
-  came: number;
+  arrived: number;
   started: number;
 }
 
 export class ServedShares {
-  readonly #ofRank = new Map<number, Counts>();
-  readonly #ofAll: Counts = { came: 0, started: 0 };
-  #at = Number.NEGATIVE_INFINITY;
+  readonly #byRank = new Map<number, Counts>();
+  readonly #total: Counts = { arrived: 0, started: 0 };
+  #decayedAt = Number.NEGATIVE_INFINITY;
 
-  /** Somebody asked for the first time. */
+  /** Records the first arrival of a request. */
   came(rank: number, now: number): void {
     this.#decay(now);
-    this.#countsOf(rank).came += 1;
-    this.#ofAll.came += 1;
+    this.#countsOf(rank).arrived += 1;
+    this.#total.arrived += 1;
   }
 
-  /** A request was sent for the first time. */
+  /** Records that a request was sent for the first time. */
   started(rank: number, now: number): void {
     this.#decay(now);
     this.#countsOf(rank).started += 1;
-    this.#ofAll.started += 1;
+    this.#total.started += 1;
   }
 
-  /** Whether a rank got less than it is owed. */
+  /** Whether a rank gets less than its minimum share. */
   isStarved(rank: number): boolean {
-    return shareOf(this.#countsOf(rank)) < OWED_PART * shareOf(this.#ofAll);
+    return shareOf(this.#countsOf(rank)) < MIN_RELATIVE_SHARE * shareOf(this.#total);
   }
 
   #countsOf(rank: number): Counts {
-    let counts = this.#ofRank.get(rank);
+    let counts = this.#byRank.get(rank);
     if (counts === undefined) {
-      counts = { came: 0, started: 0 };
-      this.#ofRank.set(rank, counts);
+      counts = { arrived: 0, started: 0 };
+      this.#byRank.set(rank, counts);
     }
     return counts;
   }
 
   #decay(now: number): void {
-    const kept = Math.exp((this.#at - now) / MEMORY_MILLIS);
-    this.#at = now;
-    for (const counts of [this.#ofAll, ...this.#ofRank.values()]) {
-      counts.came *= kept;
+    const kept = Math.exp((this.#decayedAt - now) / DECAY_MILLIS);
+    this.#decayedAt = now;
+    for (const counts of [this.#total, ...this.#byRank.values()]) {
+      counts.arrived *= kept;
       counts.started *= kept;
     }
   }
 }
 
-function shareOf({ came, started }: Counts): number {
-  return came > 0 ? Math.min(1, started / came) : 1;
+function shareOf({ arrived, started }: Counts): number {
+  return arrived > 0 ? Math.min(1, started / arrived) : 1;
 }
--- a/src/routing/room/upstream-room.ts
+++ b/src/routing/room/upstream-room.ts
@@ -1,29 +1,32 @@
-/** Whether an upstream that announced its slots has room for one more request of this router. */
+/** Decides whether an upstream that announced its slots has capacity for one more request of this router. */
 
-/** Outstanding requests, for each slot, at which one more waits in the router rather than at the upstream. */
-const MOST_OUTSTANDING_PER_SLOT = 1.75;
-/** The same for a router that has none there: it would learn nothing otherwise, yet all routers together must not flood it. */
-const FIRST_OUTSTANDING_PER_SLOT = 2;
+/** Outstanding requests per slot from which on further ones wait in the router rather than at the upstream. */
+const MAX_OUTSTANDING_PER_SLOT = 1.75;
+/**
+ * The same limit for a router without requests there. It is higher because the router would get no reports otherwise, but bounded because
+ * all routers together must not flood the upstream.
+ */
+const MAX_OUTSTANDING_PER_SLOT_FOR_FIRST = 2;
 
 export interface UpstreamUse {
-  /** Slots that all routers share. */
+  /** Slots shared by all routers. */
   readonly slots: number;
   /** Requests of this router there. */
   readonly inFlight: number;
-  /** Outstanding requests of other routers, as reported. */
+  /** Reported outstanding requests of other routers. */
   readonly foreignLoad: number;
 }
 
 /**
- * An upstream says how much is outstanding there, from all routers, and has a short queue of its own. Requests wait there while that
- * queue is shorter than its slots and a half, so that no slot idles.
+ * Whether an upstream has capacity for one more request. It reports its outstanding requests from all routers and has a short queue of its
+ * own; requests are sent there up to the limits above, so that some wait in that queue and no slot is idle.
  */
 export function hasRoom({ slots, inFlight, foreignLoad }: UpstreamUse): boolean {
-  const perSlot = inFlight === 0 ? FIRST_OUTSTANDING_PER_SLOT : MOST_OUTSTANDING_PER_SLOT;
+  const perSlot = inFlight === 0 ? MAX_OUTSTANDING_PER_SLOT_FOR_FIRST : MAX_OUTSTANDING_PER_SLOT;
   return inFlight <= slots && inFlight + foreignLoad < slots * perSlot;
 }
 
-/** Outstanding work of others below which a router that has requests there may send one more. */
+/** Returns the outstanding requests of others below which a router that has requests there may send one more. */
 export function mostForeignLoad({ slots, inFlight }: UpstreamUse): number {
-  return slots * MOST_OUTSTANDING_PER_SLOT - inFlight;
+  return slots * MAX_OUTSTANDING_PER_SLOT - inFlight;
 }
--- a/src/routing/room/warmup-turns.ts
+++ b/src/routing/room/warmup-turns.ts
@@ -1,11 +1,11 @@
 /**
- * When a router may send to an upstream that is cold. It bears a few requests a second from all routers together and falls over at well
- * above that, while routers don't talk to each other; so they take turns. A round has one turn for each router of the zone, evenly
- * spread, and lasts as long as the upstream needs for a request of each. A turn that isn't used is lost after a while: were it kept, all
- * routers together could spend theirs in the same moment.
+ * Decides when a router may send to a cold upstream. A cold upstream bears a few requests per second from all routers together and fails
+ * well above that. Since routers don't communicate with each other, they take turns in time slots: a round has one time slot for each
+ * router of the zone, evenly spread, and lasts as long as the upstream needs for one request of each router. An unused time slot expires,
+ * since otherwise all routers together could use theirs at the same moment.
  *
- * Load answered: a zone of 23 to 27 upstreams that comes back cold, at once, under the requests of the whole zone; an upstream that joins
- * while every router looks for one with no load.
+ * Guards against two loads: a zone of 23 to 27 upstreams that restarts cold, at once, under the requests of the whole zone; and a new
+ * upstream that every router selects because it has no load.
  */
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import type { RoundPlace } from '../../model/router-turn.js';
@@ -13,66 +13,69 @@
 import type { WarmupBounds } from '../../model/warmup-bounds.js';
 import { affinityOf } from '../upstream/affinity.js';
 
-/** An unused turn is good for this long. In any second that many turns beyond those that begin in it may be spent. */
-const TURN_MILLIS = 1000;
-/** Share of the bound that turns may fill: routers that are out of touch or just started know nothing of them. */
+/**
+ * An unused time slot is valid for this long. In any second, as many time slots as begin in this time may be used in addition to those
+ * that begin in that second.
+ */
+const TIME_SLOT_MILLIS = 1000;
+/** Share of the bound that time slots may fill: routers that are disconnected or have just started don't follow them. */
 const BOUND_SHARE = 0.8;
-/** Beyond the rate itself, each member that numbers routers of a zone may begin one turn more in a second. */
+/** Each member that numbers routers of a zone may start one time slot per second beyond the rate. */
 const NUMBERING_MEMBERS = 3;
-const LEAST_PER_SECOND = 0.1;
+const MIN_PER_SECOND = 0.1;
 const MILLIS_PER_SECOND = 1000;
-/** Values of `affinityOf`. */
+/** Number of values of `affinityOf`. */
 const HASHES = 2 ** 32;
-/** Any name will do, as long as it is the same one at all routers. */
-const COMMON_NAME = 'turns';
+/** Any name works as long as all routers use the same one. */
+const HASH_NAME = 'turns';
 
-/** Requests a second that all routers of a zone together send to a cold upstream of it. */
+/** Returns the requests per second that all routers of a zone together send to a cold upstream. */
 export function turnsPerSecond(terms: WarmupTerms, bounds: WarmupBounds): number {
-  const most = terms.perSecond * bounds.overrunFactor + bounds.marginRequests;
-  const room = most * BOUND_SHARE - NUMBERING_MEMBERS;
-  const byBound = room / (1 + TURN_MILLIS / MILLIS_PER_SECOND);
-  return Math.max(LEAST_PER_SECOND, Math.min(terms.perSecond, byBound));
+  const maxRequests = terms.perSecond * bounds.overrunFactor + bounds.marginRequests;
+  const maxSlotsAndCarryOver = maxRequests * BOUND_SHARE - NUMBERING_MEMBERS;
+  const maxByBound = maxSlotsAndCarryOver / (1 + TIME_SLOT_MILLIS / MILLIS_PER_SECOND);
+  return Math.max(MIN_PER_SECOND, Math.min(terms.perSecond, maxByBound));
 }
 
-/** The turns of one router at one cold upstream. */
+/** The time slots of one router at one cold upstream. */
 export class WarmupTurns {
-  /** Number of the latest turn that was used. */
-  #used = Number.NEGATIVE_INFINITY;
-  readonly #shift: number;
+  /** Number of the latest time slot that was used. */
+  #lastUsed = Number.NEGATIVE_INFINITY;
+  readonly #phaseShift: number;
 
-  /** `coldFrom`: when this router heard that the upstream is cold; all in touch hear of it within a moment. */
+  /** `coldFrom`: when this router learned that the upstream is cold; all connected routers learn it at almost the same time. */
   constructor(
     upstream: UpstreamId,
     private readonly coldFrom: MonotonicMillis,
   ) {
-    // Turns at many upstreams that turn cold together don't fall into one moment.
-    this.#shift = affinityOf(COMMON_NAME, upstream) / HASHES;
+    // Spreads the time slots at upstreams that become cold together.
+    this.#phaseShift = affinityOf(HASH_NAME, upstream) / HASHES;
   }
 
-  /** Whether one more request may go there now that any other upstream could take as well. */
+  /** Whether a request that any other upstream could take as well may be sent now. */
   isDue(place: RoundPlace, perSecond: number, now: MonotonicMillis): boolean {
     const { number, age } = this.#latest(place, perSecond, now);
-    return number > this.#used && number >= 0 && age < TURN_MILLIS;
+    return number > this.#lastUsed && number >= 0 && age < TIME_SLOT_MILLIS;
   }
 
   /**
-   * Whether one more request may go there that nobody else can take. Such a one comes when it comes, so a turn that isn't used stays
-   * good until the next one; within the seconds for which an upstream is cold that adds up to about what it bears.
+   * Whether a request that no other upstream can take may be sent now. Its arrival can't be planned, so an unused time slot stays valid
+   * until the next one; over the few seconds for which an upstream is cold, this adds up to about what it bears.
    */
   isLeft(place: RoundPlace, perSecond: number, now: MonotonicMillis): boolean {
     const { number } = this.#latest(place, perSecond, now);
-    return number > this.#used && number >= 0;
+    return number > this.#lastUsed && number >= 0;
   }
 
-  /** A request goes there. */
+  /** Uses the current time slot for a request. */
   use(place: RoundPlace, perSecond: number, now: MonotonicMillis): void {
-    this.#used = this.#latest(place, perSecond, now).number;
+    this.#lastUsed = this.#latest(place, perSecond, now).number;
   }
 
-  /** The turn that began last, and how long ago that was. */
+  /** Returns the time slot that began last, and its age. */
   #latest({ phaseShare, routers }: RoundPlace, perSecond: number, now: MonotonicMillis) {
     const roundMillis = (routers / perSecond) * MILLIS_PER_SECOND;
-    const phase = (phaseShare + this.#shift) % 1;
+    const phase = (phaseShare + this.#phaseShift) % 1;
     const rounds = (now - this.coldFrom) / roundMillis - phase;
     const number = Math.floor(rounds);
     return { number, age: (rounds - number) * roundMillis };
--- a/test/routing/admission.test.ts
+++ b/test/routing/admission.test.ts
@@ -3,7 +3,7 @@
 
 const SHARD_KEYS = ['key0', 'key1', 'key2', 'key3', 'key4', 'key5', 'key6', 'key7'];
 
-/** A keyed service of two shards with one owner that works on one request at a time. */
+/** Starts a keyed service of two shards with one owner that serves one request at a time. */
 function startTwoShards(): { harness: RouterHarness; hot: string; cold: string } {
   const keyspaces = [{ name: 'all', kind: 'prefix' as const, match: '', shards: 2 }];
   const record = service('menus', {
@@ -49,7 +49,7 @@
     expect(only(effects, 'refuse')).to.deep.equal([]);
   });
 
-  it('answers what can no longer be served in time before its hold limit', () => {
+  it('refuses requests that can no longer be served in time before their hold limit', () => {
     const record = service('board', { slotsPerUpstream: 1, holdLimitMillis: 1000, queueLimit: 100 });
     const harness = new RouterHarness().start([record], [upstream('u1', 'board')]);
     const first = harness.request('board');
@@ -71,7 +71,7 @@
     ).to.equal(true);
   });
 
-  it('tells refused callers to come back after the time that the queue takes to drain', () => {
+  it('sets the retry delay of refused callers to the time that the queue takes to drain', () => {
     const record = service('board', { slotsPerUpstream: 1, holdLimitMillis: 1000, queueLimit: 100 });
     const harness = new RouterHarness().start([record], [upstream('u1', 'board')]);
     let attempt = only(harness.request('board'), 'dispatch')[0]?.attempt as number;
@@ -83,7 +83,7 @@
       attempt = only(harness.ended(attempt, ANSWERED), 'dispatch')[0]?.attempt as number;
     }
     while (only(harness.request('board'), 'refuse').length === 0) {
-      // Fills the queue up to where waiting longer is hopeless.
+      // Fills the queue up to the point where a further request would miss its deadline.
     }
     const [refusal] = only(harness.effects, 'refuse').slice(-1);
     expect(refusal?.retryAfterMillis).to.be.within(600, 1800);
--- a/test/routing/coming-back.test.ts
+++ b/test/routing/coming-back.test.ts
@@ -1,9 +1,11 @@
-/** Callers who are refused for want of room and come back when told, in virtual time with the cores of several routers. */
+/**
+ * Callers that are refused for lack of capacity and return after their retry delay, in virtual time with the cores of several routers.
+ */
 import { expect } from 'chai';
 import { type KindResult, type RankLoad, RankLoadWorld } from './rank-load.js';
 import { ANSWERED, CONFIG, only, RouterHarness, service, upstream } from './router-harness.js';
 
-const RESERVED = { ...CONFIG, returnTimes: 'reserved' } as const;
+const RESERVED_CONFIG = { ...CONFIG, returnTimes: 'reserved' } as const;
 
 const LOAD: RankLoad = {
   seed: 1,
@@ -16,8 +18,8 @@
 };
 const SEEDS = [1, 2, 3];
 
-/** Callers of one rank, or of two, who come back twice; demand as parts of what all slots can do. */
-function played(urgent: number, other: number): Record<string, KindResult> {
+/** Plays callers of one or two ranks that return up to twice; demand is a share of the capacity of all slots. */
+function play(urgent: number, other: number): Record<string, KindResult> {
   const kinds = [
     { name: 'urgent', rank: 0, targetMillis: 800, deadlineMillis: 5500, demand: urgent, returns: 2 },
     { name: 'other', rank: 2, targetMillis: 2500, deadlineMillis: 8700, demand: other, returns: 2 },
@@ -37,34 +39,34 @@
   return sums;
 }
 
-function refusalsForEachServed({ refusals, inTime, late }: KindResult): number {
+function refusalsPerServed({ refusals, inTime, late }: KindResult): number {
   return refusals / (inTime + late);
 }
 
-describe('refused callers who come back when told', () => {
+describe('refused callers that return after their retry delay', () => {
   for (const demand of [1.2, 1.5]) {
-    it(`are refused less often than requests are wanted, at ${demand} of the capacity`, () => {
-      const { urgent } = played(demand, 0) as { urgent: KindResult };
-      expect(refusalsForEachServed(urgent)).to.be.at.most(demand);
-      // Nobody loses a slot for it: about as many are served as there is room for.
+    it(`are refused less often than the demand ratio, at ${demand} of the capacity`, () => {
+      const { urgent } = play(demand, 0) as { urgent: KindResult };
+      expect(refusalsPerServed(urgent)).to.be.at.most(demand);
+      // No slot is lost by this: about as many callers are served as there is capacity for.
       expect(urgent.never / urgent.sent).to.be.at.most(1 - 1 / demand + 0.03);
       expect(urgent.inTime).to.be.at.least(urgent.late);
     });
   }
 
-  it('are told no time where there is none, and don’t come again', () => {
-    const { other } = played(0.6, 1.2) as { other: KindResult };
-    expect(other.toldNoTime).to.be.above(0);
-    // Of three tries that one has who isn't served, half are spared at least.
-    expect(refusalsForEachServed(other)).to.be.at.most(
+  it('get no retry delay if no time is useful, and don’t come again', () => {
+    const { other } = play(0.6, 1.2) as { other: KindResult };
+    expect(other.withoutRetryDelay).to.be.above(0);
+    // An unserved caller tries three times; at least half of these tries are spared.
+    expect(refusalsPerServed(other)).to.be.at.most(
       ((3 / 2) * other.never) / (other.sent - other.never) + 0.5,
     );
   });
 });
 
-describe('a router that refuses nobody', () => {
-  it('promises nothing, and sends what comes as it came', () => {
-    const harness = new RouterHarness(RESERVED).start(
+describe('a router that refuses no caller', () => {
+  it('reserves no return times, and sends requests as they arrive', () => {
+    const harness = new RouterHarness(RESERVED_CONFIG).start(
       [service('web')],
       [upstream('u1', 'web'), upstream('u2', 'web')],
     );
@@ -75,8 +77,8 @@
     expect(harness.core.status().returns).to.deep.equal({ made: 0, kept: 0, broken: 0, hopeless: 0 });
   });
 
-  it('promises nothing where a try failed and not for want of room', () => {
-    const harness = new RouterHarness(RESERVED).start(
+  it('reserves no return time if an attempt failed for another reason than lack of capacity', () => {
+    const harness = new RouterHarness(RESERVED_CONFIG).start(
       [service('web', { retryBudget: 0 })],
       [upstream('u1', 'web')],
     );
@@ -86,11 +88,14 @@
   });
 });
 
-describe('a caller who is refused for want of room', () => {
-  /** A router with one slot that is taken, and one that waits for it. */
-  function crowded(): { readonly harness: RouterHarness; readonly attempt: number } {
+describe('a caller that is refused for lack of capacity', () => {
+  /** A router whose only slot is taken, and one request that waits for it. */
+  function startCrowded(): { readonly harness: RouterHarness; readonly attempt: number } {
     const terms = { slotsPerUpstream: 1, holdLimitMillis: 1000, queueLimit: 4 };
-    const harness = new RouterHarness(RESERVED).start([service('board', terms)], [upstream('u1', 'board')]);
+    const harness = new RouterHarness(RESERVED_CONFIG).start(
+      [service('board', terms)],
+      [upstream('u1', 'board')],
+    );
     let attempt = only(harness.request('board'), 'dispatch')[0]?.attempt as number;
     for (let round = 0; round < 6; round += 1) {
       harness.request('board');
@@ -100,33 +105,33 @@
     return { harness, attempt };
   }
 
-  /** Refusals of so many who come in one moment with this much time left. */
+  /** Returns the refusals of `count` requests that arrive at the same time with this much time left. */
   function refusals(harness: RouterHarness, count: number, deadlineMillis: number) {
     return Array.from({ length: count }, () => harness.request('board', { deadlineMillis })).flatMap(
       (effects) => only(effects, 'refuse'),
     );
   }
 
-  it('is told a time that nobody else was told, within a third of what it has left, or none', () => {
-    const told = refusals(crowded().harness, 30, 3000);
-    const times = told.flatMap(({ retryAfterMillis }) => retryAfterMillis ?? []);
+  it('gets a unique retry delay within a third of the time that it has left, or none', () => {
+    const refused = refusals(startCrowded().harness, 30, 3000);
+    const times = refused.flatMap(({ retryAfterMillis }) => retryAfterMillis ?? []);
     expect(times.length).to.be.above(1);
     expect(new Set(times).size).to.equal(times.length);
     expect(Math.max(...times)).to.be.at.most(1000);
-    expect(told.length).to.be.above(times.length);
+    expect(refused.length).to.be.above(times.length);
   });
 
-  it('finds in the record whether it was told a time', () => {
-    const told = refusals(crowded().harness, 30, 3000);
-    for (const { retryAfterMillis, facts } of told) {
+  it('gets a record of whether it got a return time', () => {
+    const refused = refusals(startCrowded().harness, 30, 3000);
+    for (const { retryAfterMillis, facts } of refused) {
       expect(facts?.returns).to.equal(retryAfterMillis === null ? 'none-in-time' : 'promised');
     }
   });
 
-  it('goes before those who come first when it comes as told', () => {
-    const { harness, attempt } = crowded();
-    const [told] = refusals(harness, 8, 10_000);
-    const waitMillis = told?.retryAfterMillis as number;
+  it('goes before new arrivals when it returns on time', () => {
+    const { harness, attempt } = startCrowded();
+    const [refused] = refusals(harness, 8, 10_000);
+    const waitMillis = refused?.retryAfterMillis as number;
     let running = attempt;
     for (let waited = 0; waited + 50 <= waitMillis; waited += 50) {
       harness.run(50);
@@ -145,7 +150,7 @@
       harness.ended(sent.at(-1)?.attempt as number, ANSWERED);
     }
     expect(harness.core.status().returns.kept).to.equal(1);
-    // One slot: of those who came first at most the one that found it free was sent before.
+    // Since there is only one slot, at most the new request that found it free is sent earlier.
     expect(order.indexOf(back)).to.be.within(0, order.indexOf(first + 1) - 1);
   });
 });
--- a/test/routing/competing-callers.test.ts
+++ b/test/routing/competing-callers.test.ts
@@ -1,4 +1,4 @@
-/** Callers of two ranks who compete for too little room: what each rank gets, whatever the number of routers, and under failure. */
+/** Callers of two ranks that compete for too few slots: what each rank gets for various numbers of routers, and during failures. */
 import { expect } from 'chai';
 import { RankRoom } from '../../src/routing/room/rank-room.js';
 import { type CallerKind, inTimeShare, type KindResult, type RankLoad, RankLoadWorld } from './rank-load.js';
@@ -6,7 +6,7 @@
 interface Row {
   readonly urgent: number;
   readonly other: number;
-  /** Share of the urgent that one queue of all slots would serve in time. */
+  /** Share of the urgent requests that a single queue for all slots would serve in time. */
   readonly oneQueue: number;
 }
 
@@ -17,10 +17,10 @@
 const FULL: Row = { urgent: 0.9, other: 0.9, oneQueue: 0.955 };
 const ROWS = [ALONE, LIGHT, EVEN, CROWDED, FULL];
 
-const MOST_URGENT_LOSS = 0.03;
-const MOST_OTHER_LOSS = 0.1;
-/** A kind must not be served less often than this part of how often all are. */
-const LEAST_SERVED_PART = 0.25;
+const MAX_URGENT_LOSS = 0.03;
+const MAX_OTHER_LOSS = 0.1;
+/** Minimum ratio of a kind's served share to the served share over all kinds. */
+const MIN_SERVED_RATIO = 0.25;
 
 interface Outcome {
   readonly urgent: KindResult;
@@ -40,18 +40,18 @@
   return row.oneQueue - inTimeShare(play(row, changes).urgent);
 }
 
-/** What is left for the others, less what they get of it in time. */
+/** Returns the share of the others' requests that the urgent ones leave capacity for, less the share answered in time. */
 function otherLoss(row: Row, changes: Partial<RankLoad> = {}): number {
   return Math.min(1, (1 - row.urgent) / row.other) - inTimeShare(play(row, changes).other);
 }
 
-/** By how much each row is beyond the bounds of the urgent or of the others, whichever is more. */
+/** Returns how far each row exceeds the bound of the urgent or of the others, whichever is more. */
 function beyondBounds(routers: number): number[] {
   return ROWS.map((row) => {
     const { urgent, other } = play(row, { routers });
-    const urgentBeyond = row.oneQueue - inTimeShare(urgent) - MOST_URGENT_LOSS;
+    const urgentBeyond = row.oneQueue - inTimeShare(urgent) - MAX_URGENT_LOSS;
     const left = Math.min(1, (1 - row.urgent) / Math.max(row.other, 1e-9));
-    const otherBeyond = row.other === 0 ? 0 : left - inTimeShare(other) - MOST_OTHER_LOSS;
+    const otherBeyond = row.other === 0 ? 0 : left - inTimeShare(other) - MAX_OTHER_LOSS;
     return Math.max(urgentBeyond, otherBeyond);
   });
 }
@@ -67,8 +67,8 @@
 
 describe('callers of two ranks at upstreams that 15 routers share', function () {
   this.timeout(60_000);
-  it('serves the urgent about as one queue would where nobody else comes', () => {
-    expect(urgentLoss(ALONE)).to.be.at.most(MOST_URGENT_LOSS);
+  it('serves the urgent about as one queue would where there are no others', () => {
+    expect(urgentLoss(ALONE)).to.be.at.most(MAX_URGENT_LOSS);
   });
   it('get about what one queue would give', () => {
     const beyond = beyondBounds(15);
@@ -76,12 +76,12 @@
   });
   for (const row of [CROWDED, FULL]) {
     it(`leaves the others nearly what is left: ${nameOf(row)}`, () => {
-      expect(otherLoss(row)).to.be.at.most(MOST_OTHER_LOSS);
+      expect(otherLoss(row)).to.be.at.most(MAX_OTHER_LOSS);
     });
   }
-  it('starves nobody: the others are served a quarter as often as all at the least', () => {
+  it('starves no rank: the others are served at least a quarter as often as all', () => {
     const { urgent, other } = play(FULL);
-    expect(servedShare(other) / servedShare(urgent, other)).to.be.at.least(LEAST_SERVED_PART);
+    expect(servedShare(other) / servedShare(urgent, other)).to.be.at.least(MIN_SERVED_RATIO);
   });
 });
 
@@ -89,12 +89,12 @@
   this.timeout(60_000);
   for (const row of ROWS) {
     it(`serves the urgent about as one queue would: ${nameOf(row)}`, () => {
-      expect(urgentLoss(row, { routers: 1 })).to.be.at.most(MOST_URGENT_LOSS);
+      expect(urgentLoss(row, { routers: 1 })).to.be.at.most(MAX_URGENT_LOSS);
     });
   }
   for (const row of ROWS.filter(({ other }) => other > 0)) {
     it(`leaves the others nearly what is left: ${nameOf(row)}`, () => {
-      expect(otherLoss(row, { routers: 1 })).to.be.at.most(MOST_OTHER_LOSS);
+      expect(otherLoss(row, { routers: 1 })).to.be.at.most(MAX_OTHER_LOSS);
     });
   }
 });
@@ -107,7 +107,7 @@
   });
 });
 
-/** Whatever fails, rank counts: the urgent fare no worse than the others, and nothing is taken back. */
+/** During any failure, the urgent requests fare no worse than the others, and no request is refused after it was sent. */
 const FAILURES: Readonly<Record<string, Partial<RankLoad>>> = {
   'with 76 routers': { routers: 76 },
   'with 300 routers': { routers: 300 },
@@ -125,7 +125,7 @@
 describe('rank at upstreams that routers share', function () {
   this.timeout(120_000);
   for (const [name, changes] of Object.entries(FAILURES)) {
-    it(`counts ${name}`, () => {
+    it(`has an effect ${name}`, () => {
       for (const row of [EVEN, CROWDED]) {
         const { urgent, other } = play(row, changes);
         expect(inTimeShare(urgent), nameOf(row)).to.be.above(inTimeShare(other));
@@ -134,12 +134,12 @@
     });
   }
 
-  it('no longer counts once the routes have one rank', () => {
+  it('has no effect once the routes have one rank', () => {
     const { other } = play(LIGHT, { ranksEndAt: 0 });
-    expect(inTimeShare(other)).to.be.at.least(1 - MOST_OTHER_LOSS);
+    expect(inTimeShare(other)).to.be.at.least(1 - MAX_OTHER_LOSS);
   });
 
-  it('no longer counts when it is taken away in use', () => {
+  it('has no effect after it is removed under load', () => {
     const { urgent, other } = play(LIGHT, { ranksEndAt: 15_000 });
     expect(urgent.never + other.never).to.be.at.most(0.03 * (urgent.sent + other.sent));
   });
@@ -147,9 +147,9 @@
 
 describe('the tests of competing callers', function () {
   this.timeout(60_000);
-  function sabotaged(room: Partial<RankRoom>, act: () => void): void {
+  function sabotaged(methods: Partial<RankRoom>, act: () => void): void {
     const { admits } = RankRoom.prototype;
-    Object.assign(RankRoom.prototype, room);
+    Object.assign(RankRoom.prototype, methods);
     try {
       act();
     } finally {
@@ -158,12 +158,12 @@
   }
 
   it('catch routers that ignore rank', () => {
-    expect(urgentLoss(LIGHT, { ranksEndAt: 0 })).to.be.above(MOST_URGENT_LOSS);
+    expect(urgentLoss(LIGHT, { ranksEndAt: 0 })).to.be.above(MAX_URGENT_LOSS);
   });
 
-  it('catch routers that keep no headroom', () => {
+  it('catch routers that leave no headroom', () => {
     sabotaged({ admits: () => true }, () => {
-      expect(urgentLoss(LIGHT)).to.be.above(MOST_URGENT_LOSS);
+      expect(urgentLoss(LIGHT)).to.be.above(MAX_URGENT_LOSS);
     });
   });
 });
--- a/test/routing/link-load.ts
+++ b/test/routing/link-load.ts
@@ -1,6 +1,6 @@
 /**
- * One router core behind a narrow link that carries answers in the order in which they come, with callers of short urgent answers and of
- * large ones, on a virtual clock. Upstreams have room for all; what is counted is when callers have their whole answers.
+ * Simulates one router core behind a narrow link that carries answers in order, with callers of short urgent answers and of large ones,
+ * on a virtual clock. The upstreams have capacity for all requests; the results show when callers have received their whole answers.
  */
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import type { RouteDefinition } from '../../src/model/declaration.js';
@@ -9,19 +9,19 @@
 import { CONFIG, RouterHarness, service, upstream } from './router-harness.js';
 
 const BYTES_PER_MILLI_OF_MEGABIT = 125;
-const WORK_MILLIS = 200;
+const SERVICE_MILLIS = 200;
 const TICK_MILLIS = 5;
-/** Answers up to this size are read whole before they are passed on. */
-const WHOLE_BYTES = 65_536;
+/** Answers up to this size are read completely before they are passed on. */
+const MAX_BUFFERED_BYTES = 65_536;
 
 export interface LinkLoad {
   readonly seed: number;
   readonly millis: number;
-  /** Width that the router's settings say; `null`: they say nothing. */
-  readonly toldMegabits: number | null;
-  /** Width of the link at a time. */
+  /** Width in the router's settings; `null` if it isn't set. */
+  readonly configuredMegabits: number | null;
+  /** Actual width of the link at a time. */
   readonly megabitsAt: (millis: number) => number;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly shortPerSecond: number;
   readonly largePerSecond: number;
   readonly largeBytes?: number;
@@ -30,7 +30,7 @@
 interface Outcome {
   readonly sentAt: number;
   readonly isLarge: boolean;
-  /** When the whole answer was there; `null`: it was refused. */
+  /** When the whole answer was received; `null` if the request was refused. */
   readonly doneAt: number | null;
   readonly endedAt: number;
   readonly retryAfterMillis: number | null;
@@ -59,7 +59,7 @@
 const SHORT_BYTES = 400;
 const LARGE_BYTES = 90_000;
 
-/** Carries what is put on it in that order. */
+/** Carries answers in the order in which they are sent. */
 class FifoLink {
   #freeAt = 0;
 
@@ -68,7 +68,7 @@
     private readonly megabitsAt: (millis: number) => number,
   ) {}
 
-  /** Times at which the first and the last byte are there. */
+  /** Returns when the first and the last byte arrive. */
   carry(bytes: number): { readonly from: number; readonly to: number } {
     const from = Math.max(this.queue.now, this.#freeAt);
     this.#freeAt = from + bytes / (this.megabitsAt(from) * BYTES_PER_MILLI_OF_MEGABIT);
@@ -90,34 +90,36 @@
     this.#random = new Random(load.seed);
     this.#inbound = new FifoLink(this.#queue, load.megabitsAt);
     this.#outbound = new FifoLink(this.#queue, load.megabitsAt);
-    const { toldMegabits } = load;
-    const told =
-      toldMegabits === null ? {} : { linkBytesPerMilli: toldMegabits * BYTES_PER_MILLI_OF_MEGABIT };
-    this.#harness = new RouterHarness({ ...CONFIG, seed: load.seed, ...told });
+    const { configuredMegabits } = load;
+    const linkSettings =
+      configuredMegabits === null
+        ? {}
+        : { linkBytesPerMilli: configuredMegabits * BYTES_PER_MILLI_OF_MEGABIT };
+    this.#harness = new RouterHarness({ ...CONFIG, seed: load.seed, ...linkSettings });
     this.#harness.now = 0;
     this.#start();
   }
 
   run(): this {
     const { millis, shortPerSecond, largePerSecond } = this.load;
-    this.#arrivals(shortPerSecond, false);
-    this.#arrivals(largePerSecond, true);
+    this.#scheduleArrivals(shortPerSecond, false);
+    this.#scheduleArrivals(largePerSecond, true);
     for (let at = TICK_MILLIS; at < millis + LARGE.timeoutMillis; at += TICK_MILLIS) {
-      this.#queue.at(at, () => this.#take(this.#harness.step({ type: 'tick' })));
+      this.#queue.at(at, () => this.#execute(this.#harness.step({ type: 'tick' })));
     }
     this.#queue.runUntil(millis + LARGE.timeoutMillis);
     return this;
   }
 
-  /** Share of the requests sent in a span that had their whole answer in their route's target. */
+  /** Returns the share of the requests sent in a span whose whole answer arrived within their route's target. */
   inTime(isLarge: boolean, from = 0, to = this.load.millis): number {
-    const asked = this.#askedIn(isLarge, from, to);
+    const outcomes = this.#sentIn(isLarge, from, to);
     const target = (isLarge ? LARGE : SHORT).targetMillis;
-    const good = asked.filter(({ doneAt, sentAt }) => doneAt !== null && doneAt - sentAt <= target);
-    return good.length / asked.length;
+    const inTarget = outcomes.filter(({ doneAt, sentAt }) => doneAt !== null && doneAt - sentAt <= target);
+    return inTarget.length / outcomes.length;
   }
 
-  /** Large answers that callers had whole in a span. */
+  /** Returns the number of large answers that callers received completely in a span. */
   largeServed(from = 0, to = this.load.millis): number {
     return this.outcomes.filter(
       ({ isLarge, doneAt }) => isLarge && doneAt !== null && doneAt >= from && doneAt < to,
@@ -128,12 +130,12 @@
     return this.outcomes.filter(({ doneAt }) => doneAt === null);
   }
 
-  #askedIn(isLarge: boolean, from: number, to: number): Outcome[] {
+  #sentIn(isLarge: boolean, from: number, to: number): Outcome[] {
     return this.outcomes.filter((one) => one.isLarge === isLarge && one.sentAt >= from && one.sentAt < to);
   }
 
   #start(): void {
-    const services = [service('desk', OPEN), service('files', OPEN)];
+    const services = [service('desk', SERVICE_TERMS), service('files', SERVICE_TERMS)];
     const upstreams = ['desk', 'files'].map((name, index) =>
       upstream(`u${index}`, name, { announced: { slots: 1000, warmupMillis: 0 } }),
     );
@@ -144,7 +146,7 @@
     ]);
   }
 
-  #arrivals(perSecond: number, isLarge: boolean): void {
+  #scheduleArrivals(perSecond: number, isLarge: boolean): void {
     for (let at = this.#gap(perSecond); at < this.load.millis; at += this.#gap(perSecond)) {
       this.#queue.at(at, () => this.#arrive(isLarge));
     }
@@ -158,14 +160,14 @@
     const { prefix } = isLarge ? LARGE : SHORT;
     this.#sent.set(this.#harness.nextRequest, { at: this.#queue.now, isLarge });
     this.#harness.now = this.#queue.now;
-    this.#take(this.#harness.request('', { place: { host: SHORT.host, path: `${prefix}x` } }));
+    this.#execute(this.#harness.request('', { place: { host: SHORT.host, path: `${prefix}x` } }));
   }
 
-  #take(effects: readonly RouterEffect[]): void {
+  #execute(effects: readonly RouterEffect[]): void {
     this.#harness.now = this.#queue.now;
     for (const effect of [...effects, ...this.#harness.answerSyncs(effects)]) {
       if (effect.type === 'dispatch') {
-        this.#queue.after(WORK_MILLIS, () => this.#answer(effect.request, effect.attempt));
+        this.#queue.after(SERVICE_MILLIS, () => this.#answer(effect.request, effect.attempt));
       } else if (effect.type === 'cancel-attempt') {
         this.#cancelled.add(effect.attempt);
       } else if (effect.type === 'refuse') {
@@ -182,17 +184,17 @@
       return;
     }
     const { from, to } = this.#inbound.carry(bytes);
-    const isStreamed = bytes > WHOLE_BYTES;
+    const isStreamed = bytes > MAX_BUFFERED_BYTES;
     this.#queue.at(isStreamed ? from : to, () => {
       this.#harness.now = this.#queue.now;
       const result = { type: 'answered', status: 200, load: null, stored: null, bytes } as const;
-      this.#take(this.#harness.ended(attempt, result));
+      this.#execute(this.#harness.ended(attempt, result));
       const end = Math.max(to, this.#outbound.carry(bytes).to);
       this.#queue.at(end, () => this.#end(request, end, null));
     });
     this.#queue.at(to, () => {
       this.#harness.now = this.#queue.now;
-      this.#take(this.#harness.step({ type: 'answer-carried', bytes, millis: to - from }));
+      this.#execute(this.#harness.step({ type: 'answer-carried', bytes, millis: to - from }));
     });
   }
 
@@ -207,4 +209,4 @@
   }
 }
 
-const OPEN = { queueLimit: 1000, holdLimitMillis: 5000, deadlineMillis: 8000 };
+const SERVICE_TERMS = { queueLimit: 1000, holdLimitMillis: 5000, deadlineMillis: 8000 };
--- a/test/routing/link-room.test.ts
+++ b/test/routing/link-room.test.ts
@@ -1,6 +1,6 @@
 /**
- * Large answers asked for faster than a router's link carries them: short urgent ones must not stand behind them, the link must not idle,
- * and who can't be served in time hears so at once.
+ * Guards against large answers that are requested faster than a router's link carries them: short urgent ones must not wait behind them,
+ * the link must not idle, and callers that can't be served in time must be refused at once.
  */
 import { expect } from 'chai';
 import { AnswerSizes } from '../../src/routing/room/answer-sizes.js';
@@ -20,7 +20,7 @@
 const LOAD: LinkLoad = {
   seed: 1,
   millis: SECONDS * 1000,
-  toldMegabits: WIDTH_MEGABITS,
+  configuredMegabits: WIDTH_MEGABITS,
   megabitsAt: () => WIDTH_MEGABITS,
   shortPerSecond: 17,
   largePerSecond: 7,
@@ -30,16 +30,16 @@
   for (const seed of SEEDS) {
     const world = new LinkWorld({ ...LOAD, seed }).run();
 
-    it(`leaves short urgent answers in time (seed ${seed})`, () => {
+    it(`keeps short urgent answers in time (seed ${seed})`, () => {
       expect(world.inTime(false)).to.be.at.least(1 - TOLERANCE);
     });
 
-    it(`carries large answers all the while (seed ${seed})`, () => {
-      const could = (SECONDS * 1000) / LARGE_MILLIS;
-      expect(world.largeServed()).to.be.at.least(0.8 * could);
+    it(`carries large answers meanwhile (seed ${seed})`, () => {
+      const possible = (SECONDS * 1000) / LARGE_MILLIS;
+      expect(world.largeServed()).to.be.at.least(0.8 * possible);
     });
 
-    it(`refuses what can't be in time at once, with a time to come back (seed ${seed})`, () => {
+    it(`refuses requests that can't be answered in time at once, with a retry delay (seed ${seed})`, () => {
       const refused = world.refused();
       expect(refused.length).to.be.above(0);
       for (const { sentAt, endedAt, retryAfterMillis } of refused) {
@@ -48,19 +48,19 @@
       }
     });
 
-    it(`serves large answers in time that it lets wait (seed ${seed})`, () => {
+    it(`serves admitted large answers in time (seed ${seed})`, () => {
       const served = world.outcomes.filter(({ isLarge, doneAt }) => isLarge && doneAt !== null);
       const late = served.filter(({ doneAt, sentAt }) => (doneAt ?? 0) - sentAt > 2500);
       expect(late.length).to.be.at.most(served.length * TOLERANCE);
     });
   }
 
-  it('is what makes short answers late where nobody counts it', () => {
-    const world = new LinkWorld({ ...LOAD, toldMegabits: null }).run();
+  it('makes short answers late if its width is not configured', () => {
+    const world = new LinkWorld({ ...LOAD, configuredMegabits: null }).run();
     expect(world.inTime(false)).to.be.below(0.5);
   });
 
-  it('that narrows leaves short answers in time once large ones have shown it', () => {
+  it('that narrows keeps short answers in time once large ones have revealed it', () => {
     const megabitsAt = (millis: number): number => (millis > 5000 && millis < 12_000 ? 1.5 : WIDTH_MEGABITS);
     for (const seed of SEEDS) {
       const world = new LinkWorld({ ...LOAD, seed, megabitsAt, largePerSecond: 4 }).run();
@@ -70,89 +70,89 @@
     }
   });
 
-  it('carries all large answers where they fit', () => {
+  it('carries all large answers if they fit', () => {
     const world = new LinkWorld({ ...LOAD, largePerSecond: 2 }).run();
     expect(world.refused()).to.have.length(0);
     expect(world.inTime(true)).to.be.at.least(1 - TOLERANCE);
   });
 });
 
-describe('a link that nobody fills', () => {
-  it('changes nothing for answers that are short for it', () => {
+describe('a link that is not filled', () => {
+  it('has no effect on answers that are short for it', () => {
     const short: LinkLoad = { ...LOAD, largeBytes: 2000, millis: 5000 };
-    const told = new LinkWorld(short).run();
-    const untold = new LinkWorld({ ...short, toldMegabits: null }).run();
-    expect(told.outcomes).to.deep.equal(untold.outcomes);
+    const withLimit = new LinkWorld(short).run();
+    const withoutLimit = new LinkWorld({ ...short, configuredMegabits: null }).run();
+    expect(withLimit.outcomes).to.deep.equal(withoutLimit.outcomes);
   });
 });
 
 describe('width of a link', () => {
-  it('is what the settings say while no large answer came', () => {
+  it('is the configured width while no large answer was received', () => {
     expect(new LinkWidth(500).bytesPerMilli(0)).to.equal(500);
   });
 
-  it('is that of the fastest arrival of the last seconds, and never wider than the settings say', () => {
+  it('is that of the fastest recent arrival, and at most the configured width', () => {
     const width = new LinkWidth(500);
-    width.carried(90_000, 600, 0);
+    width.addSample(90_000, 600, 0);
     expect(width.bytesPerMilli(0)).to.equal(500);
-    width.carried(90_000, 600, 100);
+    width.addSample(90_000, 600, 100);
     expect(width.bytesPerMilli(100)).to.equal(150);
-    width.carried(90_000, 300, 300);
+    width.addSample(90_000, 300, 300);
     expect(width.bytesPerMilli(300)).to.equal(300);
-    width.carried(90_000, 600, 900);
+    width.addSample(90_000, 600, 900);
     expect(width.bytesPerMilli(900)).to.equal(300);
-    width.carried(90_000, 600, 1400);
+    width.addSample(90_000, 600, 1400);
     expect(width.bytesPerMilli(1400)).to.equal(150);
-    width.carried(90_000, 10, 1500);
+    width.addSample(90_000, 10, 1500);
     expect(width.bytesPerMilli(1500)).to.equal(500);
   });
 
-  it('stays as it was found while too few answers come to judge it, for a while', () => {
+  it('is kept for a limited time while there are too few answers for an estimate', () => {
     const width = new LinkWidth(500);
-    width.carried(90_000, 600, 0);
-    width.carried(90_000, 600, 600);
-    width.carried(90_000, 900, 2000);
+    width.addSample(90_000, 600, 0);
+    width.addSample(90_000, 600, 600);
+    width.addSample(90_000, 900, 2000);
     expect(width.bytesPerMilli(2500)).to.equal(150);
     expect(width.bytesPerMilli(2600)).to.equal(500);
   });
 
-  it('is never taken for less than a quarter, so that slow upstreams stop nothing', () => {
+  it('is at least a quarter of the configured width, so that slow upstreams do not stop large answers', () => {
     const width = new LinkWidth(500);
-    width.carried(90_000, 60_000, 0);
-    width.carried(90_000, 60_000, 0);
+    width.addSample(90_000, 60_000, 0);
+    width.addSample(90_000, 60_000, 0);
     expect(width.bytesPerMilli(0)).to.equal(125);
   });
 });
 
-describe('room on a link', () => {
-  it('opens at the pace at which the link carries large answers', () => {
-    const room = new LinkRoom(500);
-    expect(room.waitMillis(0, 0)).to.equal(0);
-    room.started(90_000, 0);
-    expect(room.waitMillis(0, 0)).to.be.closeTo(50, 1);
-    expect(room.waitMillis(90_000, 0)).to.be.closeTo(250, 1);
-    expect(room.waitMillis(0, 100)).to.equal(0);
+describe('pacing of a link', () => {
+  it('follows the rate at which the link carries large answers', () => {
+    const pacer = new LinkRoom(500);
+    expect(pacer.waitMillis(0, 0)).to.equal(0);
+    pacer.started(90_000, 0);
+    expect(pacer.waitMillis(0, 0)).to.be.closeTo(50, 1);
+    expect(pacer.waitMillis(90_000, 0)).to.be.closeTo(250, 1);
+    expect(pacer.waitMillis(0, 100)).to.equal(0);
   });
 
-  it('is given back by an answer that was smaller, or never came', () => {
-    const room = new LinkRoom(500);
-    room.started(90_000, 0);
-    room.failed(room.started(90_000, 0), 0);
-    expect(room.waitMillis(0, 0)).to.be.closeTo(50, 1);
+  it('is corrected for an answer that was smaller or failed', () => {
+    const pacer = new LinkRoom(500);
+    pacer.started(90_000, 0);
+    pacer.failed(pacer.started(90_000, 0), 0);
+    expect(pacer.waitMillis(0, 0)).to.be.closeTo(50, 1);
   });
 
-  it('is less by what short answers take, and a tenth at least', () => {
-    const room = new LinkRoom(500);
-    room.short(200_000, 0);
-    room.started(90_000, 0);
-    expect(room.waitMillis(0, 0)).to.be.closeTo(90_000 / 250 - 150, 1);
-    room.short(10_000_000, 0);
-    expect(room.waitMillis(90_000, 0)).to.be.closeTo(360 + 90_000 / 50 - 150, 1);
+  it('subtracts the traffic of short answers, and leaves at least a tenth', () => {
+    const pacer = new LinkRoom(500);
+    pacer.short(200_000, 0);
+    pacer.started(90_000, 0);
+    expect(pacer.waitMillis(0, 0)).to.be.closeTo(90_000 / 250 - 150, 1);
+    pacer.short(10_000_000, 0);
+    expect(pacer.waitMillis(90_000, 0)).to.be.closeTo(360 + 90_000 / 50 - 150, 1);
   });
 });
 
 describe('sizes of answers', () => {
-  it('follow those of a route slowly, and are kept of the routes that answered last', () => {
+  it('are smoothed for each route, and are kept for the routes that answered last', () => {
     const sizes = new AnswerSizes();
     expect(sizes.expected('files')).to.equal(0);
     sizes.add('files', 1000);
--- a/test/routing/rank-load.ts
+++ b/test/routing/rank-load.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of several ranks who compete for the slots of one service, in virtual time: real router cores, modelled upstreams that report
- * their load, and callers who come back when told to. What is counted is what callers get.
+ * Simulates callers of several ranks that compete for the slots of one service, in virtual time: real router cores, modelled upstreams
+ * that report their load, and callers that come back after the retry delay. The results are counted from the callers' point of view.
  */
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import { RandomSource } from '../../src/dev/virtual/random-source.js';
@@ -13,8 +13,8 @@
 const SERVICE = 'menu';
 const HOST = 'menu.example';
 const QUEUE_LIMIT = 12;
-const IDLE_LOOK_MILLIS = 10;
-/** Callers who come while everything starts aren't counted. */
+const IDLE_SAMPLE_MILLIS = 10;
+/** Callers that arrive during this start-up time aren't counted. */
 const WARMUP_MILLIS = 10_000;
 const COUNTED_MILLIS = 30_000;
 
@@ -23,11 +23,11 @@
   readonly rank: number;
   readonly targetMillis: number;
   readonly deadlineMillis: number;
-  /** Demand as a part of what all slots can do. */
+  /** Demand as a share of the capacity of all slots. */
   readonly demand: number;
-  /** How often a caller comes back that is told to. */
+  /** How often a refused caller comes back. */
   readonly returns: number;
-  /** Its requests name one of so many keys of the one upstream; 0 or left out: none. */
+  /** Number of distinct keys in its requests, all owned by one upstream; 0 (the default) for requests without a key. */
   readonly keys?: number;
 }
 
@@ -38,21 +38,21 @@
   readonly upstreams: number;
   readonly slots: number;
   readonly workMillis: number;
-  /** Speed of each upstream in turn; 1 if left out. */
+  /** Speed of each upstream, assigned in rotation; 1 by default. */
   readonly speeds?: readonly number[];
-  /** Share of the upstreams that are three times slower at a time, by turns. */
+  /** Share of the upstreams that are three times slower at any time, in rotation. */
   readonly slowShare?: number;
-  /** Zones of routers and upstreams in turn. */
+  /** Zones of routers and upstreams, assigned in rotation. */
   readonly zones?: readonly string[];
-  /** Age of the loads that answers report; `null`: they report none. */
+  /** Age of the loads that answers report; `null` if they report none. */
   readonly reportAgeMillis?: number | null;
-  /** When a router starts again without memory. */
+  /** When a router restarts without memory. */
   readonly restarts?: readonly { readonly at: number; readonly router: number }[];
-  /** How long callers are counted; 30 s if left out. */
+  /** How long callers are counted; 30 s by default. */
   readonly countedMillis?: number;
-  /** When the kinds' routes get one rank. */
+  /** When the routes of all kinds get the same rank. */
   readonly ranksEndAt?: number;
-  /** What refused callers are told; `spread` if left out. */
+  /** How retry delays of refused callers are chosen; `spread` by default. */
   readonly returnTimes?: ReturnTimesMode;
 }
 
@@ -62,28 +62,28 @@
   late: number;
   never: number;
   refusals: number;
-  /** Refusals that name a work which was sent before. */
+  /** Refusals of a request that had been sent. */
   refusedAfterSent: number;
   sentAttempts: number;
-  /** Refusals of callers who came when they were told to. */
-  refusedAgain: number;
-  /** Refusals that told no time to come back. */
-  toldNoTime: number;
+  /** Refusals of callers that returned after their retry delay. */
+  refusedOnReturn: number;
+  /** Refusals without a retry delay. */
+  withoutRetryDelay: number;
 }
 
 export interface RankLoadResult {
   readonly kinds: Readonly<Record<string, KindResult>>;
-  /** Share of all slots that were free while something waited in a router. */
+  /** Share of all slots that were free while a request was waiting in a router. */
   readonly idleShare: number;
 }
 
 interface Call {
   readonly kind: CallerKind;
   readonly sentAt: number;
-  readonly counted: boolean;
+  readonly isCounted: boolean;
   returnsLeft: number;
   wasDispatched: boolean;
-  wasTold?: boolean;
+  hasReturned?: boolean;
 }
 
 class LoadRouter {
@@ -93,13 +93,13 @@
   constructor(
     readonly harness: RouterHarness,
     private readonly queue: EventQueue,
-    private readonly carryOut: (router: LoadRouter, effect: RouterEffect) => void,
+    private readonly execute: (router: LoadRouter, effect: RouterEffect) => void,
   ) {}
 
-  take(step: (harness: RouterHarness) => readonly RouterEffect[]): void {
+  handle(step: (harness: RouterHarness) => readonly RouterEffect[]): void {
     this.harness.now = this.queue.now;
     for (const effect of step(this.harness)) {
-      this.carryOut(this, effect);
+      this.execute(this, effect);
     }
     this.#schedule();
   }
@@ -111,7 +111,7 @@
       this.queue.at(at, () => {
         if (this.#tickAt === at) {
           this.#tickAt = Number.POSITIVE_INFINITY;
-          this.take((harness) => harness.step({ type: 'tick' }));
+          this.handle((harness) => harness.step({ type: 'tick' }));
         }
       });
     }
@@ -125,7 +125,7 @@
   readonly #routers: LoadRouter[];
   readonly #results: Record<string, KindResult> = {};
   #idleSlots = 0;
-  #looks = 0;
+  #samples = 0;
 
   constructor(private readonly load: RankLoad) {
     this.#random = new RandomSource(load.seed);
@@ -138,8 +138,8 @@
         refusals: 0,
         refusedAfterSent: 0,
         sentAttempts: 0,
-        refusedAgain: 0,
-        toldNoTime: 0,
+        refusedOnReturn: 0,
+        withoutRetryDelay: 0,
       };
     }
     const { speeds = [1], slowShare = 0, reportAgeMillis = 0 } = load;
@@ -170,12 +170,12 @@
     if (ranksEndAt !== undefined) {
       this.#queue.at(ranksEndAt, () => this.#endRanks());
     }
-    for (let at = WARMUP_MILLIS; at < this.#countedUntil; at += IDLE_LOOK_MILLIS) {
-      this.#queue.at(at, () => this.#lookForIdle());
+    for (let at = WARMUP_MILLIS; at < this.#countedUntil; at += IDLE_SAMPLE_MILLIS) {
+      this.#queue.at(at, () => this.#sampleIdleSlots());
     }
     this.#queue.runUntil(this.#countedUntil + 30_000);
     const slots = this.load.upstreams * this.load.slots;
-    return { kinds: this.#results, idleShare: this.#idleSlots / (this.#looks * slots) };
+    return { kinds: this.#results, idleShare: this.#idleSlots / (this.#samples * slots) };
   }
 
   #startRouter(index: number): LoadRouter {
@@ -189,7 +189,7 @@
       returnTimes: this.load.returnTimes ?? 'spread',
       roomByRank: true,
     });
-    const router = new LoadRouter(harness, this.#queue, (from, effect) => this.#carryOut(from, effect));
+    const router = new LoadRouter(harness, this.#queue, (from, effect) => this.#execute(from, effect));
     const announced = { slots, warmupMillis: 0 };
     const records = Array.from({ length: upstreams }, (_, number) =>
       upstream(`u${number}`, SERVICE, { announced, zone: zones[number % zones.length] as string }),
@@ -198,13 +198,13 @@
     const terms = { keyed, queueLimit: 1000, holdLimitMillis: 10_000, slotsPerUpstream: slots };
     harness.now = this.#queue.now;
     harness.start([service(SERVICE, terms)], records, keyed ? [onlyShard(SERVICE, 'u0', 3)] : []);
-    router.take(() => harness.change(this.load.kinds.map((kind) => routeChange(kind, kind.rank))));
+    router.handle(() => harness.change(this.load.kinds.map((kind) => routeChange(kind, kind.rank))));
     return router;
   }
 
   #endRanks(): void {
     for (const router of this.#routers) {
-      router.take((harness) => harness.change(this.load.kinds.map((kind) => routeChange(kind, 1))));
+      router.handle((harness) => harness.change(this.load.kinds.map((kind) => routeChange(kind, 1))));
     }
   }
 
@@ -216,9 +216,9 @@
       if (now >= this.#countedUntil + 2000) {
         return;
       }
-      const counted = now >= WARMUP_MILLIS && now < this.#countedUntil;
-      this.#resultOf(kind).sent += counted ? 1 : 0;
-      this.#send({ kind, sentAt: now, counted, returnsLeft: kind.returns, wasDispatched: false });
+      const isCounted = now >= WARMUP_MILLIS && now < this.#countedUntil;
+      this.#resultOf(kind).sent += isCounted ? 1 : 0;
+      this.#send({ kind, sentAt: now, isCounted, returnsLeft: kind.returns, wasDispatched: false });
       this.#callNext(kind);
     });
   }
@@ -232,10 +232,10 @@
     const key = keys === 0 ? null : `${name}-${Math.floor(this.#random.fraction() * keys)}`;
     call.wasDispatched = false;
     router.calls.set(router.harness.nextRequest, call);
-    router.take((harness) => harness.request('', { place, key, deadlineMillis }));
+    router.handle((harness) => harness.request('', { place, key, deadlineMillis }));
   }
 
-  #carryOut(router: LoadRouter, effect: RouterEffect): void {
+  #execute(router: LoadRouter, effect: RouterEffect): void {
     switch (effect.type) {
       case 'dispatch':
         this.#dispatch(router, effect);
@@ -248,7 +248,7 @@
         return;
       case 'send-control':
         for (const { stamp } of sent([effect], 'sync-request')) {
-          this.#queue.after(NETWORK_MILLIS, () => router.take((harness) => harness.respond(stamp)));
+          this.#queue.after(NETWORK_MILLIS, () => router.handle((harness) => harness.respond(stamp)));
         }
         return;
       default:
@@ -259,14 +259,14 @@
     const call = router.calls.get(effect.request);
     if (call !== undefined) {
       call.wasDispatched = true;
-      this.#resultOf(call.kind).sentAttempts += call.counted ? 1 : 0;
+      this.#resultOf(call.kind).sentAttempts += call.isCounted ? 1 : 0;
     }
     const target = this.#upstreams[Number(effect.upstream.slice(1))] as LoadedUpstream;
     const work: WorkToDo = {
       done: (result) => {
         this.#queue.after(NETWORK_MILLIS, () => {
           if (this.#routers.includes(router)) {
-            router.take((harness) => harness.ended(effect.attempt, result));
+            router.handle((harness) => harness.ended(effect.attempt, result));
           }
         });
       },
@@ -280,14 +280,14 @@
       return;
     }
     const result = this.#resultOf(call.kind);
-    result.refusals += call.counted ? 1 : 0;
-    result.refusedAfterSent += call.counted && call.wasDispatched && effect.reason === 'gave-way' ? 1 : 0;
+    result.refusals += call.isCounted ? 1 : 0;
+    result.refusedAfterSent += call.isCounted && call.wasDispatched && effect.reason === 'gave-way' ? 1 : 0;
     const { retryAfterMillis, outcome, request } = effect;
-    result.refusedAgain += call.counted && call.wasTold === true ? 1 : 0;
-    result.toldNoTime += call.counted && retryAfterMillis === null ? 1 : 0;
+    result.refusedOnReturn += call.isCounted && call.hasReturned === true ? 1 : 0;
+    result.withoutRetryDelay += call.isCounted && retryAfterMillis === null ? 1 : 0;
     if (call.returnsLeft > 0 && outcome === 'not-run' && retryAfterMillis !== null) {
       call.returnsLeft -= 1;
-      call.wasTold = true;
+      call.hasReturned = true;
       router.calls.delete(request);
       this.#queue.after(retryAfterMillis, () => this.#send(call));
       return;
@@ -298,7 +298,7 @@
   #end(router: LoadRouter, request: number, how: 'delivered' | 'refused'): void {
     const call = router.calls.get(request);
     router.calls.delete(request);
-    if (call === undefined || !call.counted) {
+    if (call === undefined || !call.isCounted) {
       return;
     }
     const result = this.#resultOf(call.kind);
@@ -319,10 +319,10 @@
     return this.#results[name] as KindResult;
   }
 
-  #lookForIdle(): void {
+  #sampleIdleSlots(): void {
     const waiting = this.#routers.reduce((sum, { harness }) => sum + harness.core.status().queued, 0);
     const free = this.#upstreams.reduce((sum, { freeSlots }) => sum + freeSlots, 0);
-    this.#looks += 1;
+    this.#samples += 1;
     this.#idleSlots += Math.min(waiting, free);
   }
 }
--- a/test/routing/ranked-order.test.ts
+++ b/test/routing/ranked-order.test.ts
@@ -1,4 +1,4 @@
-/** In which order waiting work gets slots, and what gives way to what. */
+/** The order in which waiting requests get slots, and which ones are evicted for which. */
 import { expect } from 'chai';
 import type { RouteDefinition } from '../../src/model/declaration.js';
 import { RankedQueue } from '../../src/routing/queue/ranked-queue.js';
@@ -6,10 +6,10 @@
 import type { ArrivedRequest, RouterEffect } from '../../src/routing/types.js';
 import { CONFIG, only, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
 
-const BY_RANK = { ...CONFIG, roomByRank: true };
+const RANKED_CONFIG = { ...CONFIG, roomByRank: true };
 
 const HOST = 'menu.example';
-const WORK_MILLIS = 100;
+const SERVICE_MILLIS = 100;
 
 interface Kind {
   readonly name: string;
@@ -24,7 +24,7 @@
   const { keyed = false, queueLimit = 50 } = options;
   const record = service('menu', { keyed, queueLimit, holdLimitMillis: 10_000, slotsPerUpstream: 1 });
   const shards = keyed ? [onlyShard('menu', 'u1', 3)] : [];
-  const harness = new RouterHarness(BY_RANK).start([record], [upstream('u1', 'menu')], shards);
+  const harness = new RouterHarness(RANKED_CONFIG).start([record], [upstream('u1', 'menu')], shards);
   harness.change(kinds.map((kind) => ({ type: 'route', name: kind.name, record: routeOf(kind) })));
   return harness;
 }
@@ -48,25 +48,25 @@
   return harness.request('', { place: { host: HOST, path: `/${name}/` }, ...changes });
 }
 
-/** Occupies the one slot and measures one request. */
+/** Occupies the only slot and measures one request. */
 function occupy(harness: RouterHarness, name: string, key: string | null = null): number {
   for (let round = 0; round < 2; round += 1) {
     const [first] = only(send(harness, name, { key }), 'dispatch');
     if (round === 1) {
       return first?.attempt as number;
     }
-    harness.run(WORK_MILLIS);
+    harness.run(SERVICE_MILLIS);
     harness.ended(first?.attempt as number);
   }
   return 0;
 }
 
-/** Frees the slot again and again; gives the requests in the order in which they were sent. */
+/** Frees the slot repeatedly and returns the requests in the order in which they were sent. */
 function drain(harness: RouterHarness, firstAttempt: number, count: number): number[] {
   const order: number[] = [];
   let attempt = firstAttempt;
   for (let round = 0; round < count; round += 1) {
-    harness.run(WORK_MILLIS);
+    harness.run(SERVICE_MILLIS);
     const [next] = only(harness.ended(attempt), 'dispatch');
     if (next === undefined) {
       return order;
@@ -91,7 +91,7 @@
     expect(drain(harness, attempt, 5)).to.deep.equal([0, 1, 2, 3, 4].map((step) => first + step));
   });
 
-  it('goes by rank first', () => {
+  it('is by rank first', () => {
     const harness = start([URGENT, OTHER]);
     const attempt = occupy(harness, 'other');
     const first = harness.nextRequest;
@@ -102,7 +102,7 @@
     expect(drain(harness, attempt, 4)).to.deep.equal([first + 1, first + 3, first, first + 2]);
   });
 
-  it('goes by the least slack within a rank', () => {
+  it('is by least slack within a rank', () => {
     const slow: Kind = { name: 'slow', priority: 0, targetMillis: 6000 };
     const harness = start([URGENT, slow]);
     const attempt = occupy(harness, 'slow');
@@ -112,19 +112,19 @@
     expect(drain(harness, attempt, 2)).to.deep.equal([first + 1, first]);
   });
 
-  it('gives a slot to one who can be answered in time before one who can not any more', () => {
+  it('puts requests that can be answered in time before those that can not any more', () => {
     const short: Kind = { name: 'short', priority: 0, targetMillis: 150 };
     const harness = start([short, OTHER]);
     const attempt = occupy(harness, 'other');
     const first = harness.nextRequest;
     send(harness, 'short');
-    harness.run(WORK_MILLIS);
+    harness.run(SERVICE_MILLIS);
     send(harness, 'other');
     const order = drain(harness, attempt, 2);
     expect(order[0]).to.equal(first + 1);
   });
 
-  it('goes by rank at the owner of keys, with the keys of a rank by turns', () => {
+  it('is by rank at the owner of keys', () => {
     const harness = start([URGENT, OTHER], { keyed: true });
     const attempt = occupy(harness, 'other', 'k');
     const first = harness.nextRequest;
@@ -134,14 +134,14 @@
   });
 });
 
-/** Requests that were refused after they were sent. */
-function takenBack(harness: RouterHarness): number[] {
+/** Returns the requests that were refused after they had been sent. */
+function refusedAfterSent(harness: RouterHarness): number[] {
   const dispatched = new Set(only(harness.effects, 'dispatch').map(({ request }) => request));
   const refused = only(harness.effects, 'refuse').map(({ request }) => request);
   return refused.filter((request) => dispatched.has(request));
 }
 
-describe('less important work that waits', () => {
+describe('a less important waiting request', () => {
   function full() {
     const harness = start([URGENT, OTHER], { queueLimit: 3 });
     const attempt = occupy(harness, 'other');
@@ -152,22 +152,22 @@
     return { harness, attempt, first };
   }
 
-  it('gives way at once, the last one first, with a true refusal', () => {
+  it('is evicted at once, the last one first, with an accurate refusal', () => {
     const { harness, first } = full();
     const [refusal] = only(send(harness, 'urgent'), 'refuse');
     expect(refusal).to.include({ request: first + 2, reason: 'gave-way', outcome: 'not-run', status: 503 });
     expect(refusal?.retryAfterMillis).to.be.above(0);
   });
 
-  it('is never taken back once it was sent', () => {
+  it('is never refused once it was sent', () => {
     const { harness } = full();
     for (let count = 0; count < 10; count += 1) {
       send(harness, 'urgent');
     }
-    expect(takenBack(harness)).to.deep.equal([]);
+    expect(refusedAfterSent(harness)).to.deep.equal([]);
   });
 
-  it('is seen to be taken back by the test before, were it so', () => {
+  it('fails the previous test if it is refused after it was sent (sabotage)', () => {
     const { leastBelow } = RankedQueue.prototype;
     const { harness } = full();
     const { attempts } = (harness.core as unknown as { readonly context: RouterContext }).context;
@@ -177,10 +177,10 @@
     } finally {
       RankedQueue.prototype.leastBelow = leastBelow;
     }
-    expect(takenBack(harness)).to.not.deep.equal([]);
+    expect(refusedAfterSent(harness)).to.not.deep.equal([]);
   });
 
-  it('is counted by route and rank, and the refusal says by what it was decided', () => {
+  it('is counted by route and rank, and its refusal holds the facts of the decision', () => {
     const { harness } = full();
     send(harness, 'urgent');
     harness.run(260);
@@ -199,13 +199,13 @@
     ]);
   });
 
-  it('does not give way to one that is refused itself', () => {
+  it('is not evicted for a request that is refused itself', () => {
     const { harness } = full();
     const hopeless = only(send(harness, 'urgent', { deadlineMillis: 1 }), 'refuse');
     expect(hopeless.map(({ reason }) => reason)).to.not.include('gave-way');
   });
 
-  it('does not give way to its like', () => {
+  it('is not evicted for a request of the same rank', () => {
     const { harness, first } = full();
     const refused = only(send(harness, 'other'), 'refuse');
     expect(refused.map(({ request, reason }) => [request, reason])).to.deep.equal([
@@ -213,7 +213,7 @@
     ]);
   });
 
-  it('is not refused because of what may wait: an urgent one waits behind urgent ones alone', () => {
+  it('does not count for the admission of an urgent request, which waits only behind urgent ones', () => {
     const harness = start([{ ...URGENT, targetMillis: 500 }, OTHER], { queueLimit: 100 });
     const attempt = occupy(harness, 'other');
     for (let count = 0; count < 40; count += 1) {
@@ -225,37 +225,37 @@
   });
 });
 
-describe('room at an upstream that announced its slots', () => {
+describe('capacity at an upstream that announced its slots', () => {
   const announced = { slots: 2, warmupMillis: 0 };
-  function roomAfter(kinds: readonly Kind[], load: number, config = BY_RANK): boolean {
+  function roomAfter(kinds: readonly Kind[], load: number, config = RANKED_CONFIG): boolean {
     const record = service('menu', { queueLimit: 50, holdLimitMillis: 10_000 });
     const harness = new RouterHarness(config).start([record], [upstream('u1', 'menu', { announced })]);
     harness.change(kinds.map((kind) => ({ type: 'route', name: kind.name, record: routeOf(kind) })));
     for (const { name } of kinds) {
       const [sent] = only(send(harness, name), 'dispatch');
-      harness.run(WORK_MILLIS);
+      harness.run(SERVICE_MILLIS);
       const result = { type: 'answered', status: 200, load, stored: null } as const;
       harness.ended(sent?.attempt as number, result);
     }
     return only(send(harness, 'other'), 'dispatch').length === 1;
   }
 
-  it('is as without ranks for the only rank that there is', () => {
+  it('is the same as without ranks if there is only one rank', () => {
     expect(roomAfter([OTHER], 2)).to.equal(true);
     expect(roomAfter([OTHER], 5)).to.equal(false);
   });
 
-  it('is as without ranks where only a few requests are more important', () => {
+  it('is the same as without ranks if only a few requests are more important', () => {
     const many = Array.from({ length: 60 }, () => OTHER);
     expect(roomAfter([...many, URGENT], 2)).to.equal(true);
     expect(roomAfter([...many, URGENT, URGENT], 2)).to.equal(true);
   });
 
-  it('is left to nobody without the setting', () => {
+  it('is not reserved for more important ranks without the setting', () => {
     expect(roomAfter([OTHER, URGENT, URGENT], 2, { ...CONFIG, roomByRank: false })).to.equal(true);
   });
 
-  it('is left to the more important where there are some', () => {
+  it('is reserved for more important requests if there are some', () => {
     expect(roomAfter([OTHER, URGENT, URGENT], 2)).to.equal(false);
     expect(roomAfter([OTHER, URGENT, URGENT], 0)).to.equal(true);
   });
--- a/test/routing/retry-budget.test.ts
+++ b/test/routing/retry-budget.test.ts
@@ -1,4 +1,4 @@
-/** Retries stay within their share, and routers together within what each may save up. */
+/** Retries stay within their share, and within the number of retries that may be saved up. */
 import { expect } from 'chai';
 import { TokenRetryBudget } from '../../src/routing/room/retry-budget.js';
 
@@ -11,13 +11,13 @@
 }
 
 describe('retry budget', () => {
-  it('saves up ten by itself, and as many as it is told to', () => {
+  it('saves up ten retries by default, or the configured number', () => {
     expect(spend(new TokenRetryBudget(0.2))).to.equal(10);
     expect(spend(new TokenRetryBudget(0.2, 2))).to.equal(2);
     expect(spend(new TokenRetryBudget(0, 2))).to.equal(0);
   });
 
-  it('gives a share of first attempts, and never saves more than that', () => {
+  it('grants a share of first attempts, and never saves more than its maximum', () => {
     const budget = new TokenRetryBudget(0.25, 2);
     spend(budget);
     for (let request = 0; request < 4; request += 1) {
--- a/test/routing/short-deadlines.test.ts
+++ b/test/routing/short-deadlines.test.ts
@@ -3,7 +3,7 @@
 
 const ATTEMPTS = 6;
 
-/** Lets requests pass their deadline on a fast upstream, and gives how often it was ejected for that. */
+/** Lets requests exceed their deadline on a fast upstream, and returns how often it was ejected for that. */
 function ejectionsBy(deadlineMillis: number | null, serviceDeadlineMillis: number): number {
   const record = service('board', { deadlineMillis: serviceDeadlineMillis, retryBudget: 0 });
   const harness = new RouterHarness().start([record], [upstream('u1', 'board'), upstream('u2', 'board')]);
@@ -24,13 +24,13 @@
   return only(harness.effects, 'log').filter(({ event }) => event === 'upstream-ejected').length;
 }
 
-describe('deadlines that pass', () => {
-  it("speak against an upstream when the time was the service's own", () => {
+describe('exceeded deadlines', () => {
+  it("count against an upstream if they are the service's own", () => {
     expect(ejectionsBy(null, 1000)).to.be.greaterThan(0);
     expect(ejectionsBy(null, 100)).to.be.greaterThan(0);
   });
 
-  it('say nothing of an upstream when a caller asked for next to no time', () => {
+  it('do not count against an upstream if a caller set a very short deadline', () => {
     expect(ejectionsBy(3, 1000)).to.equal(0);
     expect(ejectionsBy(3, 100)).to.equal(0);
   });
--- a/test/routing/slot-limit.test.ts
+++ b/test/routing/slot-limit.test.ts
@@ -3,13 +3,13 @@
 
 const SLOTS = 4;
 
-/** Attempts that a burst of requests starts at once, that is the slots that the router allows itself. */
+/** Starts a burst of requests and returns the attempts started at once, which are the slots that the router allows itself. */
 function burst(harness: RouterHarness): number[] {
   const effects = Array.from({ length: 2 * SLOTS }, () => harness.request('board')).flat();
   return only(effects, 'dispatch').map(({ attempt }) => attempt);
 }
 
-/** Answers all that is in flight until nothing waits, with the outstanding work that the upstream reports. */
+/** Answers everything in flight until nothing waits, with the outstanding work that the upstream reports. */
 function answerAll(harness: RouterHarness, attempts: readonly number[], load: number): void {
   const open = [...attempts];
   for (let attempt = open.shift(); attempt !== undefined; attempt = open.shift()) {
