--- a/src/routing/queue/admission.ts
+++ b/src/routing/queue/admission.ts
@@ -8,7 +8,7 @@
 import type { Work } from '../work.js';
 import type { Lane } from './lane-table.js';
 import { retryAfterAtLeast, retryAfterMillis, UNMEASURED_RETRY_MILLIS } from './retry-after.js';
-import { ReturnPromises } from './return-promises.js';
+import { ReturnReservations } from './return-promises.js';
 import { WaitEstimate } from './wait-estimate.js';
 import { latestStartOf } from './waiting-class.js';
 
@@ -28,14 +28,14 @@
 
 export class Admission {
   private readonly estimate: WaitEstimate;
-  readonly returns: ReturnPromises;
+  readonly returns: ReturnReservations;
 
   constructor(
     private readonly context: RouterContext,
     private readonly answers: Answers,
   ) {
     this.estimate = new WaitEstimate(context);
-    this.returns = new ReturnPromises(context, this.estimate);
+    this.returns = new ReturnReservations(context, this.estimate);
   }
 
   /** Returns why a group may not wait, or `undefined` if it may. */
@@ -44,15 +44,15 @@
     if (service.isOutOfUse) {
       return 'no-upstream';
     }
-    const longest = Math.min(group.deadline - this.context.now, this.longestWait(group));
+    const maxWait = Math.min(group.deadline - this.context.now, this.maxWaitMillis(group));
     const held = noticeWaitOf(group, this.context);
     if (held !== null) {
-      return held.millis > longest ? held.reason : this.enforceLimits(group);
+      return held.millis > maxWait ? held.reason : this.enforceLimits(group);
     }
     const margin = this.isMixed(service) ? 1 : MAX_ADMITTED_WAIT_SHARE;
     const wait = this.estimate.untilDispatch(group);
     const reserved = this.returns.reservedMillis(group, wait);
-    return wait + reserved > longest * margin ? 'would-miss-deadline' : this.enforceLimits(group);
+    return wait + reserved > maxWait * margin ? 'would-miss-deadline' : this.enforceLimits(group);
   }
 
   /**
@@ -66,7 +66,7 @@
   /** Starts the timer that bounds the wait. The limit counts from the first wait; retries don't extend it. */
   boundWait(group: Work): void {
     if (group.holdTimer === null) {
-      const end = this.context.now + this.longestWait(group);
+      const end = this.context.now + this.maxWaitMillis(group);
       group.holdUntil = group.mayHaveRun ? group.holdUntil : Math.min(group.holdUntil, end);
       group.holdTimer = this.context.schedule(group.holdUntil, { type: 'hold-end', work: group });
     }
@@ -126,7 +126,7 @@
   refuseHeldBack(group: Work): boolean {
     const { now } = this.context;
     const held = noticeWaitOf(group, this.context);
-    const hold = Number.isFinite(group.holdUntil) ? group.holdUntil : now + this.longestWait(group);
+    const hold = Number.isFinite(group.holdUntil) ? group.holdUntil : now + this.maxWaitMillis(group);
     const until = Math.min(hold, group.deadline);
     if (held === null || now + held.millis <= until) {
       return false;
@@ -193,7 +193,7 @@
    * Returns how long a group may wait. Where ranks compete, it may wait while it can still be answered within its target; elsewhere its
    * terms decide, since all groups wait alike there.
    */
-  private longestWait(group: Work): number {
+  private maxWaitMillis(group: Work): number {
     const { service, terms } = group;
     if (terms.targetMillis === null || !this.isMixed(service)) {
       return terms.holdMillis;
@@ -225,11 +225,11 @@
     const shardLimit = shard === null ? queueLimit : Math.ceil(queueLimit * MAX_SHARD_QUEUE_SHARE);
     if (
       (shardQueue?.queue.length ?? 0) >= shardLimit &&
-      !this.evict(shardQueue?.queue.leastBelow(group.rank))
+      !this.evict(shardQueue?.queue.evictionCandidate(group.rank))
     ) {
       return false;
     }
-    return service.waitingLength < queueLimit || this.evict(service.lanes.leastBelow(group.rank));
+    return service.waitingLength < queueLimit || this.evict(service.lanes.evictionCandidate(group.rank));
   }
 
   /** Rejects a waiting group in favour of a more important one. A group that was sent isn't waiting, so it is never evicted. */
@@ -248,7 +248,7 @@
     }
     let victim: Work | undefined;
     for (const { lanes } of this.context.services.values()) {
-      const candidate = lanes.leastBelow(victim?.rank ?? group.rank);
+      const candidate = lanes.evictionCandidate(victim?.rank ?? group.rank);
       victim = candidate ?? victim;
     }
     return this.evict(victim);
--- a/src/routing/queue/lane-table.ts
+++ b/src/routing/queue/lane-table.ts
@@ -177,10 +177,10 @@
    * Returns the group to evict first over all queues, among ranks less important than `rank`. It scans every queue, so it is called only
    * when a limit is reached.
    */
-  leastBelow(rank: number): Work | undefined {
+  evictionCandidate(rank: number): Work | undefined {
     let victim: Work | undefined;
     for (const { queue } of this.byShard.values()) {
-      victim = queue.leastBelow(victim?.rank ?? rank) ?? victim;
+      victim = queue.evictionCandidate(victim?.rank ?? rank) ?? victim;
     }
     return victim;
   }
--- a/src/routing/queue/rank-presence.ts
+++ b/src/routing/queue/rank-presence.ts
@@ -33,12 +33,12 @@
 
   /** Records an arrived request. */
   note({ route, priority, targetMillis }: RouteTerms, now: number): void {
-    const known = this.#presences.get(route);
-    if (known !== undefined && hasEqualTerms(known, { route, priority, targetMillis })) {
-      const before = countOf(known, now);
-      known.count = before + 1;
-      known.at = now;
-      if (before < MIN_DECAYED_REQUESTS && known.count >= MIN_DECAYED_REQUESTS) {
+    const existing = this.#presences.get(route);
+    if (existing !== undefined && hasEqualTerms(existing, { route, priority, targetMillis })) {
+      const before = countOf(existing, now);
+      existing.count = before + 1;
+      existing.at = now;
+      if (before < MIN_DECAYED_REQUESTS && existing.count >= MIN_DECAYED_REQUESTS) {
         this.#refreshedAt = Number.NEGATIVE_INFINITY;
       }
     } else {
@@ -48,8 +48,8 @@
 
   /** Handles a change of a route's terms, or its removal (`null`). */
   routeChanged(route: string, terms: RouteTerms | null): void {
-    const known = this.#presences.get(route);
-    if (known !== undefined && (terms === null || !hasEqualTerms(known, terms))) {
+    const existing = this.#presences.get(route);
+    if (existing !== undefined && (terms === null || !hasEqualTerms(existing, terms))) {
       this.#presences.delete(route);
       this.#refreshedAt = Number.NEGATIVE_INFINITY;
     }
--- a/src/routing/queue/ranked-queue.ts
+++ b/src/routing/queue/ranked-queue.ts
@@ -66,7 +66,7 @@
     }
     return heads.length < 2
       ? heads.map(({ group }) => group)
-      : heads.sort((one, other) => compareTurns(one, other, order)).map(({ group }) => group);
+      : heads.sort((one, other) => compareHeads(one, other, order)).map(({ group }) => group);
   }
 
   /** Returns the group to dispatch next. */
@@ -92,11 +92,16 @@
    * Returns the group to evict first among ranks less important than `rank`: a late group of the least important rank, else the last
    * group of that rank.
    */
-  leastBelow(rank: number): Work | undefined {
+  evictionCandidate(rank: number): Work | undefined {
     const below = this.#classes.filter(({ terms, length }) => terms.rank > rank && length > 0);
-    const least = below.at(-1)?.terms.rank;
-    const late = below.find(({ terms, late: waiting }) => terms.rank === least && waiting.length > 0);
-    return late?.late.peekLast() ?? (least === undefined ? undefined : this.lastOf(least));
+    const leastImportantRank = below.at(-1)?.terms.rank;
+    const late = below.find(
+      ({ terms, late: waiting }) => terms.rank === leastImportantRank && waiting.length > 0,
+    );
+    return (
+      late?.late.peekLast() ??
+      (leastImportantRank === undefined ? undefined : this.lastOf(leastImportantRank))
+    );
   }
 
   /** The first and last waiting groups of each class. */
@@ -145,7 +150,7 @@
   }
 }
 
-function compareTurns(one: Head, other: Head, { byDeadline = false }: TurnOrder): number {
+function compareHeads(one: Head, other: Head, { byDeadline = false }: TurnOrder): number {
   const byStanding = Number(one.isLate) - Number(other.isLate);
   const byRank = one.group.rank - other.group.rank;
   return byStanding || byRank || compareSlack(one.group, other.group, byDeadline);
--- a/src/routing/queue/return-promises.ts
+++ b/src/routing/queue/return-promises.ts
@@ -9,7 +9,7 @@
 /** Callers follow a retry delay up to this share of the time left until their deadline; a later time is of no use to them. */
 const MAX_DELAY_SHARE = 1 / 3;
 
-export class ReturnPromises {
+export class ReturnReservations {
   readonly #schedules = new ReturnSchedules();
   readonly #context: RouterContext;
   readonly #estimate: WaitEstimate;
--- a/src/routing/room/link-room.ts
+++ b/src/routing/room/link-room.ts
@@ -2,7 +2,7 @@
  * Paces requests for large answers to the width of the router's link, so that short answers aren't delayed behind large ones. Guards
  * against loads in which large answers are requested faster than the link carries them.
  */
-import { LinkWidth } from './link-width.js';
+import { LinkWidth } from '../capacity/link-width.js';
 
 /** An answer is large if it occupies the link for this long, because short answers behind it are late by as much. */
 const LARGE_MILLIS = 100;
--- a/src/routing/room/served-shares.ts
+++ b/src/routing/room/served-shares.ts
@@ -44,11 +44,11 @@
   }
 
   #decay(now: number): void {
-    const kept = Math.exp((this.#decayedAt - now) / DECAY_MILLIS);
+    const decay = Math.exp((this.#decayedAt - now) / DECAY_MILLIS);
     this.#decayedAt = now;
     for (const counts of [this.#total, ...this.#byRank.values()]) {
-      counts.arrived *= kept;
-      counts.started *= kept;
+      counts.arrived *= decay;
+      counts.started *= decay;
     }
   }
 }
--- a/test/routing/competing-callers.test.ts
+++ b/test/routing/competing-callers.test.ts
@@ -50,8 +50,8 @@
   return ROWS.map((row) => {
     const { urgent, other } = play(row, { routers });
     const urgentBeyond = row.oneQueue - inTimeShare(urgent) - MAX_URGENT_LOSS;
-    const left = Math.min(1, (1 - row.urgent) / Math.max(row.other, 1e-9));
-    const otherBeyond = row.other === 0 ? 0 : left - inTimeShare(other) - MAX_OTHER_LOSS;
+    const remaining = Math.min(1, (1 - row.urgent) / Math.max(row.other, 1e-9));
+    const otherBeyond = row.other === 0 ? 0 : remaining - inTimeShare(other) - MAX_OTHER_LOSS;
     return Math.max(urgentBeyond, otherBeyond);
   });
 }
--- a/test/routing/link-room.test.ts
+++ b/test/routing/link-room.test.ts
@@ -3,9 +3,9 @@
  * the link must not idle, and callers that can't be served in time must be refused at once.
  */
 import { expect } from 'chai';
+import { LinkWidth } from '../../src/routing/capacity/link-width.js';
 import { AnswerSizes } from '../../src/routing/room/answer-sizes.js';
 import { LinkRoom } from '../../src/routing/room/link-room.js';
-import { LinkWidth } from '../../src/routing/room/link-width.js';
 import { type LinkLoad, LinkWorld } from './link-load.js';
 
 const WIDTH_MEGABITS = 4.2;
--- a/test/routing/rank-load.ts
+++ b/test/routing/rank-load.ts
@@ -262,7 +262,7 @@
       this.#resultOf(call.kind).sentAttempts += call.isCounted ? 1 : 0;
     }
     const target = this.#upstreams[Number(effect.upstream.slice(1))] as LoadedUpstream;
-    const work: WorkToDo = {
+    const request: WorkToDo = {
       done: (result) => {
         this.#queue.after(NETWORK_MILLIS, () => {
           if (this.#routers.includes(router)) {
@@ -271,7 +271,7 @@
         });
       },
     };
-    this.#queue.after(NETWORK_MILLIS, () => target.take(work));
+    this.#queue.after(NETWORK_MILLIS, () => target.take(request));
   }
 
   #refused(router: LoadRouter, effect: Extract<RouterEffect, { type: 'refuse' }>): void {
--- a/test/routing/ranked-order.test.ts
+++ b/test/routing/ranked-order.test.ts
@@ -80,7 +80,7 @@
 const URGENT: Kind = { name: 'urgent', priority: 0, targetMillis: 2000 };
 const OTHER: Kind = { name: 'other', priority: 2, targetMillis: 9000 };
 
-describe('the order of waiting work', () => {
+describe('the order of waiting requests', () => {
   it('is that of arrival on one rank and one target', () => {
     const harness = start([OTHER]);
     const attempt = occupy(harness, 'other');
@@ -168,14 +168,14 @@
   });
 
   it('fails the previous test if it is refused after it was sent (sabotage)', () => {
-    const { leastBelow } = RankedQueue.prototype;
+    const { evictionCandidate } = RankedQueue.prototype;
     const { harness } = full();
     const { attempts } = (harness.core as unknown as { readonly context: RouterContext }).context;
-    RankedQueue.prototype.leastBelow = () => [...attempts.values()][0]?.work;
+    RankedQueue.prototype.evictionCandidate = () => [...attempts.values()][0]?.work;
     try {
       send(harness, 'urgent');
     } finally {
-      RankedQueue.prototype.leastBelow = leastBelow;
+      RankedQueue.prototype.evictionCandidate = evictionCandidate;
     }
     expect(refusedAfterSent(harness)).to.not.deep.equal([]);
   });
@@ -201,8 +201,8 @@
 
   it('is not evicted for a request that is refused itself', () => {
     const { harness } = full();
-    const hopeless = only(send(harness, 'urgent', { deadlineMillis: 1 }), 'refuse');
-    expect(hopeless.map(({ reason }) => reason)).to.not.include('gave-way');
+    const refused = only(send(harness, 'urgent', { deadlineMillis: 1 }), 'refuse');
+    expect(refused.map(({ reason }) => reason)).to.not.include('gave-way');
   });
 
   it('is not evicted for a request of the same rank', () => {
