--- a/src/placement/balancer.ts
+++ b/src/placement/balancer.ts
@@ -1,6 +1,6 @@
 /**
- * Moves shards off servers that carry too much. Each move takes the smallest shard that is enough, or else the largest
- * that the receiving server has room for, so that few moves and little load are involved.
+ * Moves shards off overloaded servers. Each move takes the smallest shard that is sufficient, or else the largest for which
+ * the target has capacity, so that few moves and little load are involved.
  */
 import type { MonotonicMillis } from '../model/identifiers.js';
 import { fairLevel, heatOf, type ServerHeat } from './fair-level.js';
@@ -14,26 +14,26 @@
   utilisation,
 } from './placement-state.js';
 
-/** A move has to take at least this share of the fair level off the higher of the two servers. */
-const LEAST_GAIN = 0.02;
+/** A move must lower the utilisation of the higher of the two servers by at least this share of the fair level. */
+const MIN_GAIN_SHARE = 0.02;
 
 /**
- * One server has to carry the hottest shard of all. Others are relieved only above this share of its load, since what
- * is below makes no difference to the most loaded server.
+ * One server has to carry the hottest shard. Other servers are relieved only above this share of its utilisation, since
+ * lower ones don't affect the maximum.
  */
-const BESIDE_HOTTEST = 0.8;
+const HOTTEST_LOAD_SHARE = 0.8;
 
-/** The owner of such a shard has this part of the tolerance: it is the most loaded server, and its limit is steady. */
+/** Share of the tolerance for the owner of such a shard: it is the most loaded server, and its limit is steady. */
 const HOT_TOLERANCE_SHARE = 0.25;
 
-/** A shard and the server that is to take it. */
+/** A shard and the target of its move. */
 export interface BalancingMove {
   readonly entry: ShardEntry;
   readonly to: ServerEntry;
 }
 
-/** A server that may have to be relieved. */
-interface Source {
+/** A server that may need to be relieved. */
+interface RelievedServer {
   readonly entry: ServerEntry;
   /** Utilisations above which relief begins and at which it ends. */
   readonly begin: number;
@@ -43,9 +43,9 @@
 interface Round {
   readonly takers: readonly ServerEntry[];
   readonly floor: number;
-  /** Utilisation of all servers if the load were spread evenly. */
+  /** Utilisation of every server if the load were spread evenly. */
   readonly level: number;
-  /** Utilisation that any server may have. */
+  /** Utilisation up to which no server needs relief. */
   readonly tolerable: number;
   readonly tolerance: Tolerance;
   readonly now: MonotonicMillis;
@@ -62,7 +62,7 @@
   const floor = state.floor();
   const heats = takers.map((entry) => heatOf(entry, floor));
   const level = fairLevel(heats, floor);
-  const tolerable = Math.max(level, hottestOf(heats) * BESIDE_HOTTEST);
+  const tolerable = Math.max(level, hottestOf(heats) * HOTTEST_LOAD_SHARE);
   const round: Round = { takers, floor, level, tolerable, tolerance, now };
   const overloaded = heats
     .map((heat) => limitsOf(heat, round))
@@ -75,15 +75,15 @@
   return moves;
 }
 
-/** What a server may have; one that a single shard loads more than that may have little beside it. */
-function limitsOf({ entry, hottest }: ServerHeat, { tolerable, tolerance }: Round): Source {
-  const own = hottest / capacityOf(entry);
-  const bound = Math.max(tolerable, own);
-  const share = own > tolerable ? HOT_TOLERANCE_SHARE : 1;
+/** Returns the limits of a server; one whose hottest shard alone exceeds the tolerable utilisation gets a smaller tolerance. */
+function limitsOf({ entry, hottest }: ServerHeat, { tolerable, tolerance }: Round): RelievedServer {
+  const hottestUse = hottest / capacityOf(entry);
+  const bound = Math.max(tolerable, hottestUse);
+  const share = hottestUse > tolerable ? HOT_TOLERANCE_SHARE : 1;
   return { entry, begin: bound * (1 + tolerance.begin * share), end: bound * (1 + tolerance.end * share) };
 }
 
-/** The highest utilisation that a single shard makes. */
+/** Returns the highest utilisation that a single shard causes. */
 function hottestOf(heats: readonly ServerHeat[]): number {
   return heats.reduce((most, { entry, hottest }) => Math.max(most, hottest / capacityOf(entry)), 0);
 }
@@ -91,7 +91,7 @@
 function relieve(
   state: PlacementState,
   round: Round,
-  source: Source,
+  source: RelievedServer,
   limit: number,
   moves: BalancingMove[],
 ): void {
@@ -106,9 +106,9 @@
   }
 }
 
-function bestMove(round: Round, source: ServerEntry, enough: number): BalancingMove | undefined {
+function bestMove(round: Round, source: ServerEntry, sufficient: number): BalancingMove | undefined {
   const { floor, tolerance, now } = round;
-  const excess = (utilisation(source, floor) - enough) * capacityOf(source);
+  const excess = (utilisation(source, floor) - sufficient) * capacityOf(source);
   const movable = [...source.shards]
     .filter((entry) => entry.target === null && now - entry.balancedAt >= tolerance.restMillis)
     .sort((left, right) => left.load - right.load || (left.id < right.id ? -1 : 1));
@@ -142,7 +142,7 @@
   return undefined;
 }
 
-/** Whether the higher of the two servers ends up clearly lower, and, if it must fit, the target isn't overloaded. */
+/** Returns whether the higher of the two utilisations falls clearly and, with `mustFit`, the target isn't overloaded. */
 function isWorthwhile(
   { floor, level, tolerable, tolerance }: Round,
   source: ServerEntry,
@@ -155,7 +155,7 @@
   const sourceAfter = before - weight / capacityOf(source);
   const targetAfter = utilisation(to, floor) + weight / capacityOf(to);
   const fits = targetAfter <= tolerable * (1 + tolerance.end);
-  return (fits || !mustFit) && Math.max(sourceAfter, targetAfter) <= before - LEAST_GAIN * level;
+  return (fits || !mustFit) && Math.max(sourceAfter, targetAfter) <= before - MIN_GAIN_SHARE * level;
 }
 
 function leastUtilised(round: Round, source: ServerEntry, keyspace: string): ServerEntry | undefined {
--- a/src/placement/baselines/bounded-load.ts
+++ b/src/placement/baselines/bounded-load.ts
@@ -1,13 +1,13 @@
 /**
  * Baseline: consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018). A shard goes to the first
- * server after it on the ring that stays below the bound: the fair share of the load times `1 + EXCESS`.
+ * server after it on the ring whose load stays within the bound: the fair share of the load times `1 + EXCESS`.
  */
 import type { UpstreamId } from '../../model/identifiers.js';
 import type { PlacementPlanner, PlacementServer, PlacementShard } from '../types.js';
 import { mayHoldShard, type OwnerRule, RecomputingPlanner } from './recomputing-planner.js';
 import { hashText, mixHashes } from './text-hash.js';
 
-/** What a server may have above its fair share. */
+/** Load that a server may have above its fair share, as a share of it. */
 const EXCESS = 0.25;
 const POINTS_PER_SERVER = 64;
 
@@ -16,7 +16,7 @@
   readonly server: PlacementServer;
 }
 
-/** Makes the baseline; it looks at loads once a second. */
+/** Creates the baseline; it considers changed loads once a second. */
 export function createBoundedLoadPlanner(): PlacementPlanner {
   return new RecomputingPlanner(ownersOnRing, true);
 }
@@ -31,7 +31,7 @@
   const owners = new Map<string, string>();
   for (const { shard, hash } of hashedInOrder(shards)) {
     const weight = shard.load + floor;
-    const server = firstWithRoom(ring, hash, shard, (candidate) => {
+    const server = firstWithCapacity(ring, hash, shard, (candidate) => {
       return ((loads.get(candidate.id) ?? 0) + weight) / candidate.capacity <= bound;
     });
     const owner = server ?? leastLoaded(servers, shard, loads);
@@ -54,23 +54,23 @@
   return points.sort((left, right) => left.hash - right.hash || (left.server.id < right.server.id ? -1 : 1));
 }
 
-/** The order in which shards take their places is the same at every look. */
+/** Shards are assigned in the same order in every plan. */
 function hashedInOrder(shards: readonly PlacementShard[]) {
   return shards
     .map((shard) => ({ shard, hash: hashText(shard.shard) }))
     .sort((left, right) => left.hash - right.hash || (left.shard.shard < right.shard.shard ? -1 : 1));
 }
 
-function firstWithRoom(
+function firstWithCapacity(
   ring: readonly RingPoint[],
   hash: number,
   shard: PlacementShard,
-  hasRoom: (server: PlacementServer) => boolean,
+  hasCapacity: (server: PlacementServer) => boolean,
 ): PlacementServer | undefined {
   const start = firstAtOrAfter(ring, hash);
   for (let step = 0; step < ring.length; step += 1) {
     const { server } = ring[(start + step) % ring.length] as RingPoint;
-    if (mayHoldShard(server, shard) && hasRoom(server)) {
+    if (mayHoldShard(server, shard) && hasCapacity(server)) {
       return server;
     }
   }
@@ -91,7 +91,7 @@
   return low;
 }
 
-/** For a shard that is above the bound by itself. */
+/** Returns the owner of a shard that exceeds the bound by itself. */
 function leastLoaded(
   servers: readonly PlacementServer[],
   shard: PlacementShard,
--- a/src/placement/baselines/greedy.ts
+++ b/src/placement/baselines/greedy.ts
@@ -1,7 +1,7 @@
 /**
- * Baseline: greedy least-loaded without hysteresis or budget. Once a second shards move from the most to the least
- * loaded server for as long as that lowers the higher of the two; then from the next one, since a shard that is hotter
- * than the mean of all servers leaves the most loaded server where it is.
+ * Baseline: greedy least-loaded placement without hysteresis or budget. Once a second, shards move from the most to the least
+ * loaded server as long as that lowers the higher of the two loads; then from the next server, since a shard hotter than
+ * the mean of all servers keeps its server the most loaded.
  */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import type { CandidateQueue } from '../candidate-queue.js';
@@ -9,40 +9,43 @@
 import { heaviestFirst, StatefulPlanner } from '../stateful-planner.js';
 import type { PlacementMove, PlacementPlanner } from '../types.js';
 
-const LOOK_MILLIS = 1000;
+const BALANCE_INTERVAL_MILLIS = 1000;
 
-/** `topOnly`: looks at the most loaded server alone, and stops once nothing can be moved off it. */
+/** With `topOnly`, shards move only off the most loaded server. */
 export function createGreedyPlanner(topOnly = false): PlacementPlanner {
   return new GreedyPlanner(topOnly);
 }
 
 class GreedyPlanner extends StatefulPlanner {
   readonly #topOnly: boolean;
-  #lookAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  #nextBalanceAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
   constructor(topOnly: boolean) {
     super();
     this.#topOnly = topOnly;
   }
 
-  /** It knows neither weights nor budgets. */
+  /** Greedy placement uses neither weights nor budgets. */
   configure(): void {}
 
   plan(now: MonotonicMillis): PlacementMove[] {
     const unplaced = [...this.state.unplaced.values()].flatMap((entries) => [...entries]);
-    const moves = [...this.#toLeast(unplaced, 'unowned'), ...this.#toLeast(this.state.misplaced, 'evacuate')];
-    if (now < this.#lookAt) {
+    const moves = [
+      ...this.#moveToLeastLoaded(unplaced, 'unowned'),
+      ...this.#moveToLeastLoaded(this.state.misplaced, 'evacuate'),
+    ];
+    if (now < this.#nextBalanceAt) {
       return moves;
     }
-    this.#lookAt = now + LOOK_MILLIS;
-    return [...moves, ...this.#level()];
+    this.#nextBalanceAt = now + BALANCE_INTERVAL_MILLIS;
+    return [...moves, ...this.#balance()];
   }
 
   nextDeadline(): MonotonicMillis {
-    return this.#lookAt;
+    return this.#nextBalanceAt;
   }
 
-  #toLeast(entries: Iterable<ShardEntry>, reason: PlacementMove['reason']): PlacementMove[] {
+  #moveToLeastLoaded(entries: Iterable<ShardEntry>, reason: PlacementMove['reason']): PlacementMove[] {
     const queues = new Map<string, CandidateQueue>();
     return heaviestFirst(entries).flatMap((entry) => {
       const queue = queues.get(entry.keyspace) ?? this.candidates(entry.keyspace);
@@ -52,7 +55,7 @@
     });
   }
 
-  #level(): PlacementMove[] {
+  #balance(): PlacementMove[] {
     const floor = this.state.floor();
     const takers = this.state.takers();
     const moves: PlacementMove[] = [];
@@ -85,13 +88,13 @@
   return undefined;
 }
 
-/** The heaviest shard whose move leaves the receiving server below what the giving one had. */
+/** Returns the heaviest shard whose move leaves the target below the previous utilisation of the source. */
 function bestShard(from: ServerEntry, to: ServerEntry, floor: number): ShardEntry | undefined {
   const before = utilisation(from, floor);
-  const room = (before - utilisation(to, floor)) * capacityOf(to);
+  const spareCapacity = (before - utilisation(to, floor)) * capacityOf(to);
   let best: ShardEntry | undefined;
   for (const entry of from.shards) {
-    const fits = entry.target === null && entry.load + floor < room && mayHold(to, entry.keyspace);
+    const fits = entry.target === null && entry.load + floor < spareCapacity && mayHold(to, entry.keyspace);
     const isHeavier = best === undefined || entry.load > best.load;
     best = fits && isHeavier ? entry : best;
   }
--- a/src/placement/baselines/recomputing-planner.ts
+++ b/src/placement/baselines/recomputing-planner.ts
@@ -1,15 +1,15 @@
-/** A planner that works out the owner of every shard anew and moves whatever stands elsewhere. */
+/** A planner that recomputes the owners of all shards and moves every shard with another owner. */
 import type { MonotonicMillis, ShardId, UpstreamId } from '../../model/identifiers.js';
 import type { PlacementMove, PlacementPlanner, PlacementServer, PlacementShard } from '../types.js';
 
-/** Gives the owner of each shard; shards that nobody may hold are left out. `servers` take shards, sorted by id. */
+/** Returns the owner of each shard that a server may own. `servers` are those that accept shards, sorted by id. */
 export type OwnerRule = (
   servers: readonly PlacementServer[],
   shards: readonly PlacementShard[],
 ) => ReadonlyMap<ShardId, UpstreamId>;
 
-/** Time between two looks that only changed loads give reason for. */
-const LOAD_MILLIS = 1000;
+/** Interval of plans if only loads have changed. */
+const LOAD_INTERVAL_MILLIS = 1000;
 
 export class RecomputingPlanner implements PlacementPlanner {
   readonly #ownersOf: OwnerRule;
@@ -17,14 +17,14 @@
   readonly #servers = new Map<UpstreamId, PlacementServer>();
   readonly #shards = new Map<ShardId, PlacementShard>();
   #isChanged = true;
-  #lookAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  #nextLoadPlanAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
   constructor(ownersOf: OwnerRule, usesLoad: boolean) {
     this.#ownersOf = ownersOf;
     this.#usesLoad = usesLoad;
   }
 
-  /** Baselines know neither weights nor budgets. */
+  /** Baselines use neither weights nor budgets. */
   configure(): void {}
 
   setServer(server: PlacementServer): void {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Idle shards are spread by their hashes. */
+  /** No minimum load is needed, since idle shards are spread by their hashes. */
   setLeastLoad(): void {}
 
   removeShard(shard: ShardId): void {
@@ -58,12 +58,12 @@
   }
 
   plan(now: MonotonicMillis): PlacementMove[] {
-    const isLoadDue = this.#usesLoad && now >= this.#lookAt;
+    const isLoadDue = this.#usesLoad && now >= this.#nextLoadPlanAt;
     if (!this.#isChanged && !isLoadDue) {
       return [];
     }
     this.#isChanged = false;
-    this.#lookAt = now + LOAD_MILLIS;
+    this.#nextLoadPlanAt = now + LOAD_INTERVAL_MILLIS;
     const servers = [...this.#servers.values()].filter(({ state }) => state === 'ready' || state === 'cold');
     const sorted = servers.sort((left, right) => (left.id < right.id ? -1 : 1));
     const owners = this.#ownersOf(sorted, [...this.#shards.values()]);
@@ -71,7 +71,7 @@
   }
 
   nextDeadline(): MonotonicMillis {
-    return this.#usesLoad ? this.#lookAt : Number.POSITIVE_INFINITY;
+    return this.#usesLoad ? this.#nextLoadPlanAt : Number.POSITIVE_INFINITY;
   }
 
   #moveOf(shard: PlacementShard, to: UpstreamId | undefined): PlacementMove[] {
@@ -87,14 +87,14 @@
     return [{ shard: shard.shard, from: owner, to, reason }];
   }
 
-  /** Whether a grant without handover is under way to a server that can take it. */
+  /** Returns whether a grant without handover is in progress to a server that accepts it. */
   #isGranted({ owner, target }: PlacementShard): boolean {
     const state = this.#servers.get(target ?? '')?.state;
     return owner === null && (state === 'ready' || state === 'cold');
   }
 }
 
-/** Whether the server's declaration lets it own the shard. */
+/** Returns whether the server's declaration allows it to own the shard. */
 export function mayHoldShard(server: PlacementServer, { keyspace }: PlacementShard): boolean {
   return server.mayHold.length === 0 || server.mayHold.includes(keyspace);
 }
--- a/src/placement/baselines/rendezvous.ts
+++ b/src/placement/baselines/rendezvous.ts
@@ -1,4 +1,4 @@
-/** Baseline: rendezvous hashing. Each shard belongs to the server whose hash together with it is highest. */
+/** Baseline: rendezvous hashing. Each shard goes to the server with the highest hash of the pair. */
 import type { PlacementPlanner, PlacementServer, PlacementShard } from '../types.js';
 import { mayHoldShard, type OwnerRule, RecomputingPlanner } from './recomputing-planner.js';
 import { hashText, mixHashes } from './text-hash.js';
@@ -8,7 +8,7 @@
   readonly hash: number;
 }
 
-/** Makes the baseline; it knows nothing of loads. */
+/** Creates the baseline; it doesn't use loads. */
 export function createRendezvousPlanner(): PlacementPlanner {
   return new RecomputingPlanner(ownersByHash, false);
 }
--- a/src/placement/baselines/text-hash.ts
+++ b/src/placement/baselines/text-hash.ts
@@ -3,7 +3,7 @@
 
 const hasher = await xxhash();
 
-/** A hash from 0 to 2^32 - 1. */
+/** Returns a hash from 0 to 2^32 - 1. */
 export function hashText(text: string): number {
   return hasher.h32(text);
 }
--- a/src/placement/candidate-queue.ts
+++ b/src/placement/candidate-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Servers in the order of their utilisation, as a binary heap. A server's place is put right when it comes to the top,
- * so servers may gain load between two calls, but not lose any.
+ * Binary heap of servers, ordered by utilisation. A server's position is corrected only when it reaches the top, so a
+ * server's load may grow between two calls, but must not shrink.
  */
 import { type ServerEntry, utilisation } from './placement-state.js';
 
@@ -21,7 +21,7 @@
     }
   }
 
-  /** The server with the least load for its capacity; it stays in the queue. */
+  /** Returns the server with the lowest utilisation, without removing it. */
   least(): ServerEntry | undefined {
     for (let top = this.#heap[0]; top !== undefined; top = this.#heap[0]) {
       const current = utilisation(top.entry, this.#floor);
@@ -34,7 +34,7 @@
     return undefined;
   }
 
-  /** Takes out the server that `least` gives. */
+  /** Removes the server that `least` returns. */
   removeLeast(): void {
     const last = this.#heap.pop();
     if (last !== undefined && this.#heap.length > 0) {
@@ -58,9 +58,9 @@
       if (first === index) {
         return;
       }
-      const kept = heap[first] as Candidate;
+      const swapped = heap[first] as Candidate;
       heap[first] = heap[index] as Candidate;
-      heap[index] = kept;
+      heap[index] = swapped;
       index = first;
     }
   }
--- a/src/placement/fair-level.ts
+++ b/src/placement/fair-level.ts
@@ -1,17 +1,17 @@
 /**
- * The utilisation that all servers would have if shards could be cut at will, except that the hottest shard of each
- * server can't be cut: a server whose hottest shard alone is above the level carries that one and the others share the
- * rest.
+ * Computes the utilisation that all servers would have if every shard except the hottest of each server could be divided
+ * freely. A server whose hottest shard alone exceeds the level carries that shard, and the other servers share the rest
+ * of the load.
  */
 import { capacityOf, type ServerEntry } from './placement-state.js';
 
-/** A server with the load of the hottest of its shards, floors included. */
+/** A server with the load of its hottest shard, including the floor. */
 export interface ServerHeat {
   readonly entry: ServerEntry;
   readonly hottest: number;
 }
 
-/** Looks through the shards of a server for the hottest. */
+/** Finds the hottest shard of a server with one pass over its shards. */
 export function heatOf(entry: ServerEntry, floor: number): ServerHeat {
   let hottest = 0;
   for (const shard of entry.shards) {
@@ -20,7 +20,7 @@
   return { entry, hottest: entry.shards.size === 0 ? 0 : hottest + floor };
 }
 
-/** Runs through the servers from the hottest shard down; each one above the level of the rest leaves the sharing. */
+/** Iterates over the servers in descending order of their hottest shard, and excludes each that is above the level of the remaining ones. */
 export function fairLevel(heats: readonly ServerHeat[], floor: number): number {
   let load = 0;
   let capacity = 0;
--- a/src/placement/hysteresis.ts
+++ b/src/placement/hysteresis.ts
@@ -1,42 +1,42 @@
-/** How much imbalance a service's weights let stand before shards are moved. */
+/** Derives from a service's weights how much imbalance is tolerated before shards are moved. */
 import type { PlacementWeights } from '../model/service.js';
 
-/** Tolerances of load above the level that is aimed at, as shares of it. */
+/** Tolerances above the target utilisation, as shares of it. */
 export interface Tolerance {
-  /** A server is relieved once it is above this. */
+  /** Relief of a server begins above this. */
   readonly begin: number;
-  /** It is relieved until it is below this. */
+  /** Relief of a server ends below this. */
   readonly end: number;
-  /** A shard that was moved for balance stays for this long. */
+  /** Cooldown: a shard that was moved for balance doesn't move again within this time. */
   readonly restMillis: number;
 }
 
-/** Tolerance when churn and unavailability together weigh as much as imbalance. */
+/** Tolerance if churn and unavailability together weigh as much as imbalance. */
 const EVEN_TOLERANCE = 0.1;
-const LEAST_TOLERANCE = 0.03;
-const GREATEST_TOLERANCE = 0.5;
-/** Relief ends at this share of the tolerance at which it began. */
+const MIN_TOLERANCE = 0.03;
+const MAX_TOLERANCE = 0.5;
+/** Relief ends at this share of the tolerance at which it begins. */
 const END_SHARE = 0.5;
-/** Rest of a moved shard when churn weighs as much as imbalance. */
-const EVEN_REST_MILLIS = 20_000;
-const LEAST_REST_MILLIS = 5000;
-const GREATEST_REST_MILLIS = 60_000;
+/** Cooldown of a moved shard if churn weighs as much as imbalance. */
+const EVEN_COOLDOWN_MILLIS = 20_000;
+const MIN_COOLDOWN_MILLIS = 5000;
+const MAX_COOLDOWN_MILLIS = 60_000;
 
-/** `undefined`: imbalance weighs nothing, so nothing is moved for its sake. */
+/** Returns `undefined` if imbalance has no weight, so that no shards are moved for balance. */
 export function toleranceOf({ unavailability, imbalance, churn }: PlacementWeights): Tolerance | undefined {
   if (imbalance <= 0) {
     return undefined;
   }
   const cost = (unavailability + churn) / imbalance;
-  const begin = clamp(EVEN_TOLERANCE * cost, LEAST_TOLERANCE, GREATEST_TOLERANCE);
-  const rest = (EVEN_REST_MILLIS * churn) / imbalance;
+  const begin = clamp(EVEN_TOLERANCE * cost, MIN_TOLERANCE, MAX_TOLERANCE);
+  const cooldown = (EVEN_COOLDOWN_MILLIS * churn) / imbalance;
   return {
     begin,
     end: begin * END_SHARE,
-    restMillis: clamp(rest, LEAST_REST_MILLIS, GREATEST_REST_MILLIS),
+    restMillis: clamp(cooldown, MIN_COOLDOWN_MILLIS, MAX_COOLDOWN_MILLIS),
   };
 }
 
-function clamp(value: number, least: number, greatest: number): number {
-  return Math.min(greatest, Math.max(least, value));
+function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
--- a/src/placement/index.ts
+++ b/src/placement/index.ts
@@ -1,4 +1,4 @@
-/** Which server should own which shard: the weighted planner, and the baselines that it is measured against. */
+/** Assigns shards to servers: the weighted planner and the baselines that it is compared with. */
 export { createBoundedLoadPlanner } from './baselines/bounded-load.js';
 export { createGreedyPlanner } from './baselines/greedy.js';
 export { createRendezvousPlanner } from './baselines/rendezvous.js';
--- a/src/placement/load-tracker.ts
+++ b/src/placement/load-tracker.ts
@@ -1,16 +1,16 @@
 /**
- * Loads of shards from the reports of many routers, averaged with exponential decay. Weights are kept on a scale that
- * grows with time, so that older work counts for less without being touched: only what is reported costs work.
+ * Loads of shards from the reports of many routers, averaged with exponential decay. Weights are stored on a scale that
+ * grows with time, so that older work decays without being updated: the cost is proportional to the reports alone.
  */
 import type { MonotonicMillis, ShardId } from '../model/identifiers.js';
 
-/** What is remembered of a load loses half its weight in this time. */
+/** Half-life of reported work in the average. */
 export const LOAD_HALF_LIFE_MILLIS = 10_000;
 const MILLIS_PER_SECOND = 1000;
-/** Half-lives after which the scale starts over at 1. */
+/** Half-lives after which the scale is reset to 1, so that it stays within the range of numbers. */
 const RESCALE_HALF_LIVES = 40;
-/** A weight below this after the scale started over is of work long ago. */
-const NO_WEIGHT = 1e-6;
+/** Weights below this after a reset of the scale come from old work and are dropped. */
+const NEGLIGIBLE_WEIGHT = 1e-6;
 
 /** Work reported for one shard. */
 export interface ReportedWork {
@@ -18,7 +18,7 @@
   readonly workMillis: number;
 }
 
-/** A shard with its weight: a load in a unit that all weights taken at one time share. */
+/** A shard with its weight: a load in a unit that is shared by all weights read at the same time. */
 export interface ShardWeight {
   readonly shard: ShardId;
   readonly load: number;
@@ -27,14 +27,14 @@
 export class LoadTracker {
   readonly #weights = new Map<ShardId, number>();
   readonly #changed = new Set<ShardId>();
-  /** Where the scale is 1. */
+  /** Time at which the scale is 1. */
   #origin: MonotonicMillis | undefined;
-  /** When the first report came. */
-  #since: MonotonicMillis = Number.POSITIVE_INFINITY;
+  /** Time of the first report. */
+  #firstReportAt: MonotonicMillis = Number.POSITIVE_INFINITY;
 
-  /** Adds one router's report of work done since the one before. */
+  /** Adds a router's report of the work done since its previous report. */
   report(works: Iterable<ReportedWork>, now: MonotonicMillis): void {
-    this.#since = Math.min(this.#since, now);
+    this.#firstReportAt = Math.min(this.#firstReportAt, now);
     const scale = this.#scale(now);
     for (const { shard, workMillis } of works) {
       this.#weights.set(shard, (this.#weights.get(shard) ?? 0) + workMillis * scale);
@@ -42,22 +42,21 @@
     }
   }
 
-  /** Weight of a shard. */
   weight(shard: ShardId): number {
     return this.#weights.get(shard) ?? 0;
   }
 
-  /** Weight of a steady load of so many milliseconds of work a second. */
+  /** Returns the weight of a steady load in milliseconds of work per second. */
   weightOf(load: number, now: MonotonicMillis): number {
     return (load / MILLIS_PER_SECOND) * this.#coveredMillis(now) * this.#scale(now);
   }
 
-  /** Load of a shard in milliseconds of work a second. */
+  /** Returns the load of a shard in milliseconds of work per second. */
   load(shard: ShardId, now: MonotonicMillis): number {
     return this.weight(shard) / this.weightOf(1, now);
   }
 
-  /** Weights that changed since the last call; all of them after the scale started over. */
+  /** Returns the weights that changed since the last call; after a reset of the scale, all of them. */
   takeChanged(): ShardWeight[] {
     const changed = [...this.#changed].map((shard) => ({ shard, load: this.weight(shard) }));
     this.#changed.clear();
@@ -84,7 +83,7 @@
     for (const [shard, weight] of this.#weights) {
       const rescaled = weight * factor;
       this.#changed.add(shard);
-      if (rescaled < NO_WEIGHT) {
+      if (rescaled < NEGLIGIBLE_WEIGHT) {
         this.#weights.delete(shard);
       } else {
         this.#weights.set(shard, rescaled);
@@ -92,10 +91,10 @@
     }
   }
 
-  /** Time that the decayed sum stands for: the integral of the decay, at least one second of it. */
+  /** Returns the time that the decayed sum represents: the integral of the decay since the first report, over at least one second. */
   #coveredMillis(now: MonotonicMillis): number {
-    const age = Math.max(MILLIS_PER_SECOND, now - this.#since);
-    const meanMillis = LOAD_HALF_LIFE_MILLIS / Math.LN2;
-    return meanMillis * (1 - 0.5 ** (age / LOAD_HALF_LIFE_MILLIS));
+    const age = Math.max(MILLIS_PER_SECOND, now - this.#firstReportAt);
+    const meanLifetimeMillis = LOAD_HALF_LIFE_MILLIS / Math.LN2;
+    return meanLifetimeMillis * (1 - 0.5 ** (age / LOAD_HALF_LIFE_MILLIS));
   }
 }
--- a/src/placement/move-budget.ts
+++ b/src/placement/move-budget.ts
@@ -1,26 +1,26 @@
-/** Counts moves within the last minute against a budget. */
+/** Limits the number of moves within any minute. */
 import type { MonotonicMillis } from '../model/identifiers.js';
 
 const MINUTE_MILLIS = 60_000;
 
 export class MoveBudget {
-  /** Times of moves within the last minute, oldest first from `#first` on. */
+  /** Times of moves, oldest first; the last minute begins at index `#first`. */
   #times: MonotonicMillis[] = [];
   #first = 0;
   movesPerMinute = 0;
 
-  /** Moves that the budget still allows now. */
+  /** Returns the number of moves that the budget currently allows. */
   available(now: MonotonicMillis): number {
     this.#forget(now);
     return Math.max(0, Math.floor(this.movesPerMinute) - (this.#times.length - this.#first));
   }
 
-  /** Counts a move; also one that goes beyond the budget. */
+  /** Records a move, even if it exceeds the budget. */
   take(now: MonotonicMillis): void {
     this.#times.push(now);
   }
 
-  /** When the oldest move leaves the count. */
+  /** Returns when the oldest move stops counting. */
   nextAt(): MonotonicMillis {
     return (this.#times[this.#first] ?? Number.POSITIVE_INFINITY) + MINUTE_MILLIS;
   }
--- a/src/placement/placement-state.ts
+++ b/src/placement/placement-state.ts
@@ -1,66 +1,66 @@
-/** Servers and shards of one service with sums of load that are kept up with each change. */
+/** Servers and shards of one service, with load sums that are updated incrementally. */
 import type { MonotonicMillis, ShardId, UpstreamId } from '../model/identifiers.js';
 import type { LoadSpread, PlacementServer, PlacementShard } from './types.js';
 
-/** Each shard counts for at least this share of the mean shard, so that idle shards are spread too. */
+/** Minimum load of each shard as a share of the mean shard, so that idle shards are spread too. */
 const FLOOR_SHARE = 0.02;
-/** Part of its capacity that a cold server counts with. */
+/** Share of its capacity with which a cold server counts. */
 const COLD_SHARE = 0.5;
 
-/** A server with what is placed on it: shards that it owns and keeps, and shards that move to it. */
+/** A server with the shards placed on it: those that it owns and keeps, and those moving to it. */
 export interface ServerEntry {
   server: PlacementServer;
   readonly shards: Set<ShardEntry>;
   /** Sum of the loads of `shards`. */
   load: number;
-  /** Number of shards that are on their way to it. */
+  /** Number of shards moving to it. */
   arriving: number;
-  /** Place among servers of equal load; neighbours are of different zones. */
+  /** Order among servers of equal load; neighbours are in different zones. */
   rank: number;
 }
 
-/** A shard and where it is placed. */
+/** A shard and its placement. */
 export interface ShardEntry {
   readonly id: ShardId;
   readonly keyspace: string;
   load: number;
   owner: UpstreamId | null;
   target: UpstreamId | null;
-  /** Server whose load it counts to; `undefined`: it is placed nowhere. */
+  /** Server to whose load it counts; `undefined` if it isn't placed. */
   holder: ServerEntry | undefined;
-  /** When it was last moved for the sake of balance. */
+  /** Time of its last balancing move. */
   balancedAt: MonotonicMillis;
 }
 
 export class PlacementState {
   readonly servers = new Map<UpstreamId, ServerEntry>();
   readonly shards = new Map<ShardId, ShardEntry>();
-  /** Shards without an owner and without a move under way, by keyspace. */
+  /** Shards without an owner and without a move in progress, by keyspace. */
   readonly unplaced = new Map<string, Set<ShardEntry>>();
-  /** Shards whose owner must give them up and which don't move yet. */
+  /** Shards that must leave their owner and aren't moving yet. */
   readonly misplaced = new Set<ShardEntry>();
-  /** What every shard counts for at least. */
+  /** Minimum load that each shard counts with. */
   leastLoad = 0;
   #totalLoad = 0;
-  /** Shard of the largest load; `undefined`: to be looked for. */
+  /** Shard with the highest load; `undefined` if it has to be searched for again. */
   #hottest: ShardEntry | undefined;
-  #ranksAreOld = false;
+  #areRanksStale = false;
 
   setServer(server: PlacementServer): void {
     const known = this.servers.get(server.id);
     if (known === undefined) {
       this.servers.set(server.id, { server, shards: new Set(), load: 0, arriving: 0, rank: 0 });
-      this.#ranksAreOld = true;
+      this.#areRanksStale = true;
       return;
     }
-    this.#ranksAreOld ||= known.server.zone !== server.zone;
+    this.#areRanksStale ||= known.server.zone !== server.zone;
     known.server = server;
     for (const entry of known.shards) {
       this.#index(entry);
     }
   }
 
-  /** Shards that were placed on it are placed nowhere until `setShard` says otherwise. */
+  /** Shards placed on the server aren't placed any more until `setShard` is called for them. */
   removeServer(id: UpstreamId): void {
     const known = this.servers.get(id);
     if (known === undefined) {
@@ -71,7 +71,7 @@
       this.#index(entry);
     }
     this.servers.delete(id);
-    this.#ranksAreOld = true;
+    this.#areRanksStale = true;
   }
 
   setShard({ shard, keyspace, load, owner, target }: PlacementShard): void {
@@ -108,27 +108,27 @@
     }
   }
 
-  /** Notes that a shard is on its way to a server. */
+  /** Records that a shard is moving to a server. */
   begin(entry: ShardEntry, to: ServerEntry): void {
     this.#place(entry, undefined);
     this.#moveTo(entry, to.server.id);
     this.#index(entry);
   }
 
-  /** What a shard without any load counts for. */
+  /** Returns the load that a shard counts with in addition to its own. */
   floor(): number {
     const share = (this.#totalLoad / Math.max(1, this.shards.size)) * FLOOR_SHARE;
     const floor = Math.max(share, this.leastLoad);
     return floor > 0 ? floor : 1;
   }
 
-  /** Servers that may take shards, in the order of their ranks. */
+  /** Returns the servers that accept shards, with up-to-date ranks. */
   takers(): ServerEntry[] {
     this.#rank();
     return [...this.servers.values()].filter(takesShards);
   }
 
-  /** How the load is spread over the servers that may take shards; `null`: none of them, or next to no load. */
+  /** Returns the spread of the load over the servers that accept shards; `null` if there are none, or the load is negligible. */
   spread(): LoadSpread | null {
     const loads = [...this.servers.values()].filter(takesShards).map(({ load }) => load);
     const sum = loads.reduce((total, load) => total + load, 0);
@@ -138,7 +138,7 @@
     return { most: Math.max(...loads), mean: sum / loads.length, hottest: this.#hottestShard()?.load ?? 0 };
   }
 
-  /** Loads mostly grow, so it is rarely looked for. */
+  /** Loads mostly grow, so the search is rarely needed. */
   #hottestShard(): ShardEntry | undefined {
     if (this.#hottest !== undefined) {
       return this.#hottest;
@@ -217,12 +217,12 @@
     return unplaced;
   }
 
-  /** Numbers the servers of each zone and takes the zones in turn. */
+  /** Numbers the servers within each zone, and interleaves the zones. */
   #rank(): void {
-    if (!this.#ranksAreOld) {
+    if (!this.#areRanksStale) {
       return;
     }
-    this.#ranksAreOld = false;
+    this.#areRanksStale = false;
     const sorted = [...this.servers.values()].sort((left, right) =>
       compareText(left.server.id, right.server.id),
     );
@@ -238,27 +238,27 @@
   }
 }
 
-/** Load against capacity. `floor` is what each shard counts for beside its load. */
+/** Returns the load relative to the capacity; `floor` is the load that each shard counts with in addition to its own. */
 export function utilisation(entry: ServerEntry, floor: number): number {
   return (entry.load + floor * entry.shards.size) / capacityOf(entry);
 }
 
-/** Share of the load that the server should carry now. */
+/** Returns the share of the load that the server should currently carry. */
 export function capacityOf({ server }: ServerEntry): number {
   return server.state === 'cold' ? server.capacity * COLD_SHARE : server.capacity;
 }
 
-/** Whether the declaration of the server lets it own shards of the keyspace. */
+/** Returns whether the server's declaration allows it to own shards of the keyspace. */
 export function mayHold({ server }: ServerEntry, keyspace: string): boolean {
   return server.mayHold.length === 0 || server.mayHold.includes(keyspace);
 }
 
-/** Whether the server may be given more shards now. */
+/** Returns whether the server currently accepts shards. */
 export function takesShards({ server }: ServerEntry): boolean {
   return server.state === 'ready' || server.state === 'cold';
 }
 
-/** Order of identifiers by code unit, the same on every machine. */
+/** Compares identifiers by code unit, with the same result on every machine. */
 export function compareText(left: string, right: string): number {
   return left < right ? -1 : Number(left > right);
 }
--- a/src/placement/ranges/balance-planner.ts
+++ b/src/placement/ranges/balance-planner.ts
@@ -1,4 +1,4 @@
-/** Plans moves of keys among their owners from two averages of the same loads, and weighs them where it is told on which terms. */
+/** Plans moves of keys among their owners from two averages of the same loads, and weighs the moves if parameters are given. */
 import type { KeyRange } from '../../model/key-range.js';
 import { planFirstRanges } from './first-ranges.js';
 import { HotKeyMoves } from './hot-key-moves.js';
@@ -8,34 +8,34 @@
 import type { RangeServer } from './owner-loads.js';
 import { EVEN_GOAL, type PlannedSpan, planMoves, RELIEF_GOAL } from './range-planner.js';
 
-/** Half-life of the loads that tell of owners which were just overwhelmed. */
+/** Half-life of the loads that detect owners which have just become overloaded. */
 const RECENT_HALF_LIFE_MILLIS = 700;
 
-/** What a plan is made for. */
+/** Input of a plan. */
 export interface BalanceView {
   readonly ranges: readonly KeyRange[];
   readonly servers: readonly RangeServer[];
-  /** Spans without owner, and who gets them next. */
+  /** Spans without an owner, with their next owners. */
   readonly underWay: readonly PlannedSpan[];
-  /** `null`: moves aren't weighed. */
+  /** Parameters for weighing; `null` if moves aren't weighed. */
   readonly terms: MoveTerms | null;
 }
 
 export class BalancePlanner {
   readonly steady = new KeyLoads();
-  /** The same over a short time: a run of keys that became hot must move before the steady loads show it. */
+  /** The same loads with a short half-life: adjacent keys that have become hot must move before the steady loads show it. */
   readonly recent = new KeyLoads(RECENT_HALF_LIFE_MILLIS);
   readonly #hotKeys = new HotKeyMoves();
 
-  /** Work of a key since the last report, in milliseconds, as the mean upstream takes it. */
+  /** Adds the work for a key since the last report, in milliseconds of the mean upstream's work. */
   add(key: number, workMillis: number, now: number): void {
     this.steady.add(key, workMillis, now);
     this.recent.add(key, workMillis, now);
   }
 
   /**
-   * Takes keys off servers that are much busier than the others; first for those that own none, then off those that were
-   * just overwhelmed.
+   * Plans moves from servers that are much busier than the others. First ranges for servers that own none have priority, then
+   * the relief of servers that have just become overloaded.
    */
   plan({ ranges, servers, underWay, terms }: BalanceView): PlannedSpan[] {
     const first = planFirstRanges(ranges, this.steady, servers, underWay);
@@ -50,7 +50,7 @@
       : planMoves(ranges, this.steady, servers, EVEN_GOAL, underWay, weighing);
   }
 
-  /** A planned move begins. */
+  /** Records that a planned move has begun. */
   began({ from, to, weighed }: PlannedSpan): void {
     if (weighed !== undefined && from === to) {
       this.#hotKeys.moved(from, this.recent.of(from));
--- a/src/placement/ranges/bearing.ts
+++ b/src/placement/ranges/bearing.ts
@@ -1,7 +1,7 @@
-/** What an upstream bears at present that said that it bears less than its slots can do. */
+/** Limit below the capacity of its slots that an upstream has reported. */
 export interface Bearing {
-  /** Requests a second; left out: it named no limit. */
+  /** Maximum requests per second; absent if the upstream reported no rate limit. */
   readonly perSecond?: number;
-  /** Share of what its slots can do, 0 to 1; left out: all of it. */
+  /** Usable share of the capacity of its slots, 0 to 1; absent if all of it is usable. */
   readonly share?: number;
 }
--- a/src/placement/ranges/first-ranges.ts
+++ b/src/placement/ranges/first-ranges.ts
@@ -1,29 +1,29 @@
-/** First keys of upstreams that own none, as those that join later: they serve nobody until they have some. */
+/** Plans the first ranges of upstreams that own none, e.g. because they joined later: they serve no requests until they own keys. */
 import type { UpstreamId } from '../../model/identifiers.js';
 import type { KeyRange } from '../../model/key-range.js';
 import type { KeyLoads } from './key-loads.js';
 import { OwnerLoads, type RangeServer } from './owner-loads.js';
 import { endOfPiece, type PlannedSpan } from './range-planner.js';
 
-/** Share of the busiest owner's load that one gets: it is slow at first, and more can follow once it is seen to do well. */
+/** Share of the busiest owner's load that a first range carries: a new owner is slow at first, and more can follow once it performs well. */
 const FIRST_SHARE = 0.35;
-/** Upstreams that get their first keys at once. */
-const FIRST_AT_ONCE = 4;
+/** Maximum number of first ranges in one plan. */
+const MAX_FIRST_RANGES = 4;
 
-/** Spans for upstreams that own nothing and are to get nothing yet, each off the owner that is the busiest then. */
+/** Plans a span for each upstream that owns no keys and is getting none, taken from the owner that is the busiest at that point. */
 export function planFirstRanges(
   ranges: readonly KeyRange[],
   loads: KeyLoads,
   servers: readonly RangeServer[],
   underWay: readonly PlannedSpan[],
 ): PlannedSpan[] {
-  const settled = new Set<UpstreamId | null>([
+  const supplied = new Set<UpstreamId | null>([
     ...ranges.map(({ owner }) => owner),
     ...underWay.map(({ target }) => target),
   ]);
   const newcomers = servers
-    .filter(({ upstream, isFull }) => !settled.has(upstream) && isFull !== true)
-    .slice(0, FIRST_AT_ONCE);
+    .filter(({ upstream, isFull }) => !supplied.has(upstream) && isFull !== true)
+    .slice(0, MAX_FIRST_RANGES);
   const use = new OwnerLoads(servers, ranges, loads);
   const planned: PlannedSpan[] = [];
   for (const { upstream } of newcomers) {
@@ -35,17 +35,17 @@
   return planned;
 }
 
-/** The beginning of the heaviest range of the busiest owner that gives nothing yet. */
+/** Returns the beginning of the heaviest range of the busiest owner that gives up no other span in this plan. */
 function firstSpan(
   ranges: readonly KeyRange[],
   loads: KeyLoads,
   use: OwnerLoads,
   planned: readonly PlannedSpan[],
 ): { from: number; to: number } | undefined {
-  const isGiving = (range: KeyRange): boolean =>
+  const isSource = (range: KeyRange): boolean =>
     planned.some(({ from }) => range.from <= from && from <= range.to);
-  const giving = new Set(ranges.filter(isGiving).map(({ owner }) => owner));
-  const [busiest] = use.busiest(0).filter(({ upstream }) => !giving.has(upstream));
+  const sources = new Set(ranges.filter(isSource).map(({ owner }) => owner));
+  const [busiest] = use.busiest(0).filter(({ upstream }) => !sources.has(upstream));
   const owned = ranges.filter(({ owner, from, to }) => owner === busiest?.upstream && to > from);
   const heaviest = owned.reduce<KeyRange | undefined>(
     (best, range) => (best === undefined || use.ofSpan(range) > use.ofSpan(best) ? range : best),
--- a/src/placement/ranges/heat-age.ts
+++ b/src/placement/ranges/heat-age.ts
@@ -1,21 +1,21 @@
 /**
- * How long the load of keys has been what it is, told from two averages of it over different times: no state of its own, so a new
- * leader knows it as soon as it knows the loads.
+ * Estimates for how long keys have had their present load ("heat") from two averages with different half-lives. The estimate
+ * keeps no state of its own, so a new leader has it as soon as it has the loads.
  */
 
-/** One kind of load as two averages see it, in milliseconds of work a second. */
+/** The same load in two averages, in milliseconds of work per second. */
 export interface SeenLoad {
-  /** Over a short time. */
+  /** Average with the short half-life. */
   readonly recent: number;
-  /** Over a longer time. */
+  /** Average with the long half-life. */
   readonly steady: number;
 }
 
-/** The longest age that the averages can tell: beyond it their difference is smaller than chance. */
+/** Maximum age that the averages can resolve: beyond it, their difference is smaller than random variation. */
 export const LONGEST_HEAT_MILLIS = 8000;
-/** Load that came within the shortest time that reports resolve counts as this old. */
-const LEAST_HEAT_MILLIS = 250;
-const STEP_MILLIS = 250;
+/** Minimum age: reports don't resolve a shorter time. */
+const MIN_HEAT_MILLIS = 250;
+const AGE_STEP_MILLIS = 250;
 
 /** Half-lives of the two averages. */
 export interface HalfLives {
@@ -24,29 +24,29 @@
 }
 
 /**
- * Age of a load that began at once and stayed. After a time t an average with the half-life h shows 1 - 2^(-t/h) of it, so the
- * ratio of the two grows with t alone.
+ * Returns the age of a load, assuming that it began as a step and stayed constant. After a time t, an average with the
+ * half-life h has reached 1 - 2^(-t/h) of it, so the ratio of the two averages depends on t alone and grows with it.
  */
 export function heatAgeMillis({ recent, steady }: SeenLoad, halfLives: HalfLives): number {
   if (recent <= 0) {
     return 0;
   }
   const ratio = steady / recent;
-  for (let age = LEAST_HEAT_MILLIS; age < LONGEST_HEAT_MILLIS; age += STEP_MILLIS) {
-    if (ratio <= shownAt(age, halfLives.steadyMillis) / shownAt(age, halfLives.recentMillis)) {
+  for (let age = MIN_HEAT_MILLIS; age < LONGEST_HEAT_MILLIS; age += AGE_STEP_MILLIS) {
+    if (ratio <= reachedShare(age, halfLives.steadyMillis) / reachedShare(age, halfLives.recentMillis)) {
       return age;
     }
   }
   return LONGEST_HEAT_MILLIS;
 }
 
-function shownAt(ageMillis: number, halfLifeMillis: number): number {
+function reachedShare(ageMillis: number, halfLifeMillis: number): number {
   return 1 - 0.5 ** (ageMillis / halfLifeMillis);
 }
 
 /**
- * Time for which a load is expected to last. Where nothing is known of how long such loads last, a look at one comes at any part
- * of its life alike, so that as long again as it has lasted is the median of what is left.
+ * Returns the time for which a load is expected to last. The distribution of lifetimes is unknown, so an observation is
+ * equally likely at any point of a load's lifetime, and the median of the remaining time equals the age.
  */
 export function remainingMillis(ageMillis: number): number {
   return Math.min(LONGEST_HEAT_MILLIS, ageMillis);
--- a/src/placement/ranges/hot-key-moves.ts
+++ b/src/placement/ranges/hot-key-moves.ts
@@ -1,30 +1,30 @@
 /**
- * Single keys that no owner can bear. Such a key is moved once at most while it is that hot: what it asks beyond its owner is
- * refused wherever it is, and each move leaves it without owner for a while.
+ * Tracks moves of single keys whose load exceeds the capacity of any owner. Such a key is moved at most once while it is
+ * that hot: its excess load is rejected at any owner, and each move leaves it without an owner for a while.
  */
 import type { KeyLoads } from './key-loads.js';
 
-/** A key that cooled to this share of what it had when it moved counts as another heat. */
+/** A key whose load has fallen below this share of its load at the move may move again. */
 const COOLED_SHARE = 0.5;
 
 export class HotKeyMoves {
-  /** Load of each key when it moved, in milliseconds of work a second. */
-  readonly #moved = new Map<number, number>();
+  /** Load of each key at the time of its move, in milliseconds of work per second. */
+  readonly #loadsAtMove = new Map<number, number>();
 
-  /** Forgets keys that cooled since. */
+  /** Forgets keys that have cooled since their move. */
   follow(loads: KeyLoads): void {
-    for (const [key, load] of this.#moved) {
+    for (const [key, load] of this.#loadsAtMove) {
       if (loads.of(key) < load * COOLED_SHARE) {
-        this.#moved.delete(key);
+        this.#loadsAtMove.delete(key);
       }
     }
   }
 
   has(key: number): boolean {
-    return this.#moved.has(key);
+    return this.#loadsAtMove.has(key);
   }
 
   moved(key: number, load: number): void {
-    this.#moved.set(key, load);
+    this.#loadsAtMove.set(key, load);
   }
 }
--- a/src/placement/ranges/move-evidence.ts
+++ b/src/placement/ranges/move-evidence.ts
@@ -1,29 +1,29 @@
-/** What moves of keys cost lately: how long the keys had no owner, and whether the hand-over of the last one came along. */
+/** Estimates from recent moves of keys how long keys have no owner, and whether the previous owner hands them over. */
 
-/** What one further move is expected to cost in time. */
+/** Expected course of the next move. */
 export interface MoveTimes {
-  /** Time without an owner, in milliseconds. */
+  /** Time for which the keys have no owner. */
   readonly unownedMillis: number;
-  /** Share of moves that come with the hand-over of the last owner. */
+  /** Share of moves with a handover from the previous owner. */
   readonly handoverShare: number;
 }
 
-/** Until moves were seen: an owner is asked, finishes what it works on, and the next one is told. */
-const ASSUMED_UNOWNED_MILLIS = 400;
-/** An owner that is asked to give keys up hands them over; only lost ones don't. */
-const ASSUMED_HANDOVER_SHARE = 1;
-/** Weight of one move beside all earlier ones. */
+/** Initial estimate: the owner is asked to release the keys, finishes its requests, and the next owner is granted the keys. */
+const INITIAL_UNOWNED_MILLIS = 400;
+/** Initial estimate: an owner that is asked to release keys hands them over; only lost owners don't. */
+const INITIAL_HANDOVER_SHARE = 1;
+/** Weight of the latest move in the moving average. */
 const MOVE_WEIGHT = 0.1;
 
 export class MoveEvidence {
-  #unownedMillis = ASSUMED_UNOWNED_MILLIS;
-  #handoverShare = ASSUMED_HANDOVER_SHARE;
+  #unownedMillis = INITIAL_UNOWNED_MILLIS;
+  #handoverShare = INITIAL_HANDOVER_SHARE;
 
   get times(): MoveTimes {
     return { unownedMillis: this.#unownedMillis, handoverShare: this.#handoverShare };
   }
 
-  /** Keys that were taken off an owner on purpose have their next one. */
+  /** Records that keys which were moved off an owner on purpose have their next owner. */
   moved(unownedMillis: number, hasHandover: boolean): void {
     this.#unownedMillis += (unownedMillis - this.#unownedMillis) * MOVE_WEIGHT;
     this.#handoverShare += (Number(hasHandover) - this.#handoverShare) * MOVE_WEIGHT;
--- a/src/placement/ranges/move-weighing.ts
+++ b/src/placement/ranges/move-weighing.ts
@@ -1,4 +1,4 @@
-/** Weighs planned moves by how long the load of their keys has lasted, and keeps only those that gain more than they cost. */
+/** Weighs planned moves by the age of their keys' load, and accepts only moves that gain more than they cost. */
 
 import { heatAgeMillis, remainingMillis } from './heat-age.js';
 import { HotKeyMoves } from './hot-key-moves.js';
@@ -8,28 +8,28 @@
 import type { PlannedSpan } from './range-planner.js';
 
 /**
- * Owners that look the busiest and the least busy are partly so by chance, so that each counts as less so by this many standard
- * deviations of what was counted.
+ * The owners that are measured as the busiest and the least busy are so partly by chance, so their loads are corrected towards
+ * each other by this many standard deviations of the measurement.
  */
-const CHANCE_DEVIATIONS = 1.5;
+const ERROR_DEVIATIONS = 1.5;
 const MILLIS_PER_SECOND = 1000;
 
-/** What a move was weighed to cost and gain. */
+/** Cost and gain of a weighed move. */
 export interface WeighedSpan extends MoveWorth {
-  /** For how long the load of its keys has lasted, in milliseconds. */
+  /** Time for which the load of its keys has lasted. */
   readonly heatMillis: number;
 }
 
-/** A move's two sides as the plan sees them. */
+/** Source and target of a move, with the loads of the plan. */
 export interface MoveSides {
   readonly from: RangeServer;
   readonly to: RangeServer;
   readonly use: OwnerLoads;
-  /** Loads that the plan goes by. */
+  /** Loads that the plan is based on. */
   readonly loads: KeyLoads;
 }
 
-/** The same load over a short and over a longer time. */
+/** Averages of the same load with a short and a long half-life. */
 export interface LoadAverages {
   readonly recent: KeyLoads;
   readonly steady: KeyLoads;
@@ -46,27 +46,27 @@
     this.#hotKeys = hotKeys;
   }
 
-  /** Whether a key that no owner bears was moved already while it is that hot. */
+  /** Returns whether an oversized key has already moved during its present heat. */
   hasMoved(key: number): boolean {
     return this.#hotKeys.has(key);
   }
 
-  /** The move with what it was weighed to be worth; `undefined`: it isn't worth its cost. */
+  /** Returns the move with its cost and gain; `undefined` if it costs more than it gains. */
   weigh(move: PlannedSpan, { from, to, use, loads }: MoveSides): PlannedSpan | undefined {
     const { recent, steady } = this.#averages;
     const seen = { recent: recent.ofSpan(move), steady: steady.ofSpan(move) };
     const halfLives = { recentMillis: recent.halfLifeMillis, steadyMillis: steady.halfLifeMillis };
     const heatMillis = heatAgeMillis(seen, halfLives);
-    // What an average over a longer time still shows of a load that has gone gains nothing.
+    // The average with the long half-life still shows load that has gone, and moving that gains nothing.
     const load = Math.min(loads.ofSpan(move), seen.recent);
     const fromLoad = use.of(from.upstream);
     const toLoad = use.of(to.upstream);
     const weighed = {
       from,
-      // The plan leaves out what a key asks beyond its owner; it counts here, since another owner may bear more of it.
-      fromLoad: Math.max(load, fromLoad - this.#chanceOf(fromLoad, loads)),
+      // The plan excludes a key's load beyond its owner's capacity; it counts here, since another owner may serve more of it.
+      fromLoad: Math.max(load, fromLoad - this.#randomErrorOf(fromLoad, loads)),
       to,
-      toLoad: toLoad + this.#chanceOf(toLoad, loads),
+      toLoad: toLoad + this.#randomErrorOf(toLoad, loads),
       load,
       remainingMillis: remainingMillis(heatMillis),
     };
@@ -74,10 +74,10 @@
     return isWorthwhile(worth) ? { ...move, weighed: { ...worth, heatMillis } } : undefined;
   }
 
-  /** How far a measured load may be off by chance: requests that come by chance are counted over two mean lives of their weights. */
-  #chanceOf(load: number, { halfLifeMillis }: KeyLoads): number {
+  /** Returns the random error of a measured load: randomly arriving requests are effectively counted over two mean lifetimes of their weights. */
+  #randomErrorOf(load: number, { halfLifeMillis }: KeyLoads): number {
     const countedSeconds = (2 * halfLifeMillis) / Math.LN2 / MILLIS_PER_SECOND;
     const deviation = Math.sqrt((Math.max(0, load) * this.#terms.workMillis) / countedSeconds);
-    return deviation * CHANCE_DEVIATIONS;
+    return deviation * ERROR_DEVIATIONS;
   }
 }
--- a/src/placement/ranges/move-worth.ts
+++ b/src/placement/ranges/move-worth.ts
@@ -1,19 +1,20 @@
 /**
- * What a move of keys costs and gains, both in milliseconds that callers wait. It gains what they wait less while the heat lasts;
- * it costs their wait while the keys have no owner, and the slow time after it where no hand-over comes along.
+ * Computes the cost and the gain of moving keys, both in milliseconds of callers' waiting time. The gain is the waiting time
+ * saved while the load lasts. The cost is the waiting time while the keys have no owner, and the additional time of slow
+ * requests after a move without a handover.
  */
 import type { MoveTimes } from './move-evidence.js';
 import { capacityOf, type RangeServer } from './owner-loads.js';
 
-/** Terms on which the moves of a service's keys are weighed. */
+/** Parameters for weighing the moves of a service's keys. */
 export interface MoveTerms extends MoveTimes {
-  /** How long keys are slow that come without the hand-over of their last owner. */
+  /** Time for which keys are slow after a move without a handover from their previous owner. */
   readonly slowMillis: number;
-  /** Work of a request at the mean upstream, in milliseconds. */
+  /** Mean work of a request over all upstreams, in milliseconds. */
   readonly workMillis: number;
 }
 
-/** One move as it is weighed; loads in milliseconds of work a second. */
+/** A move to be weighed; loads are in milliseconds of work per second. */
 export interface WeighedMove {
   readonly from: RangeServer;
   readonly fromLoad: number;
@@ -21,68 +22,69 @@
   readonly toLoad: number;
   /** Load of the keys that move. */
   readonly load: number;
-  /** For how long that load is expected to last, in milliseconds. */
+  /** Time for which that load is expected to last. */
   readonly remainingMillis: number;
 }
 
-/** Milliseconds that callers wait. */
+/** Cost and gain of a move, in milliseconds of callers' waiting time. */
 export interface MoveWorth {
   readonly costMillis: number;
   readonly gainMillis: number;
 }
 
-/** The longest wait in a line, in times of a request's work: what would wait longer is refused instead. */
-const MOST_WAITS = 2;
-/** What a refused request counts for, in the same unit: its caller comes back once, waits as long again, and may be refused again. */
-const REFUSED_WAITS = 4;
+/** Maximum wait in a queue, in multiples of a request's work: a request that would wait longer is rejected. */
+const MAX_QUEUE_WAITS = 2;
+/** Wait that a rejected request counts for, in the same unit: its caller retries once, waits as long again, and may be rejected again. */
+const REJECTED_WAITS = 4;
 /**
- * How many times longer the work of slow keys is taken to be. Nobody says it, and it is felt only once they moved and can't be undone, so
- * this is a bad case.
+ * Factor by which the work of slow keys is assumed to be longer. It isn't reported, and it can be observed only after a move that
+ * can't be undone, so this is a pessimistic value.
  */
 const SLOW_FACTOR = 5;
 const MILLIS_PER_SECOND = 1000;
 
-/** Milliseconds that callers of a server wait in a second, beyond the work of the mean upstream. */
-export function waitAt(server: RangeServer, load: number): number {
+/** Returns how long the callers of a server wait per second, in milliseconds, beyond the work at the mean upstream. */
+export function waitPerSecond(server: RangeServer, load: number): number {
   const capacity = capacityOf(server);
   const served = Math.min(load, capacity);
-  const waits = Math.min(MOST_WAITS, waitsInLine(load / capacity, server.slots));
-  return served * (waits + slowness(server)) + (load - served) * REFUSED_WAITS;
+  const waits = Math.min(MAX_QUEUE_WAITS, queueWaits(load / capacity, server.slots));
+  return served * (waits + relativeSlowness(server)) + (load - served) * REJECTED_WAITS;
 }
 
-/** Mean wait for a slot in times of the work, by Sakasegawa's approximation for several slots. */
-function waitsInLine(use: number, slots: number): number {
-  return use >= 1 ? MOST_WAITS : use ** (Math.sqrt(2 * (slots + 1)) - 1) / (slots * (1 - use));
+/** Returns the mean wait for a slot in multiples of the work, by Sakasegawa's approximation for several slots. */
+function queueWaits(use: number, slots: number): number {
+  return use >= 1 ? MAX_QUEUE_WAITS : use ** (Math.sqrt(2 * (slots + 1)) - 1) / (slots * (1 - use));
 }
 
-/** What its own work takes longer than at the mean upstream, in times of that; below 0 at a faster one. */
-function slowness({ speed }: RangeServer): number {
+/** Returns the additional work at a server relative to the mean upstream; negative for a faster server. */
+function relativeSlowness({ speed }: RangeServer): number {
   return 1 / speed - 1;
 }
 
-/** What a move costs and what it gains. */
+/** Returns the cost and the gain of a move. */
 export function worthOf(move: WeighedMove, terms: MoveTerms): MoveWorth {
   const { from, fromLoad, to, toLoad, load, remainingMillis } = move;
-  const before = waitAt(from, fromLoad) + waitAt(to, toLoad);
-  const after = waitAt(from, fromLoad - load) + waitAt(to, toLoad + load);
+  const before = waitPerSecond(from, fromLoad) + waitPerSecond(to, toLoad);
+  const after = waitPerSecond(from, fromLoad - load) + waitPerSecond(to, toLoad + load);
   const gainMillis = ((before - after) * remainingMillis) / MILLIS_PER_SECOND;
   return { costMillis: waitUnowned(load, terms) + waitSlow(move, terms), gainMillis };
 }
 
-/** What comes while keys have no owner waits for half of that time in the mean. */
+/** Requests that arrive while the keys have no owner wait for half of that time on average. */
 function waitUnowned(load: number, { unownedMillis, workMillis }: MoveTerms): number {
   const requests = ((load / workMillis) * unownedMillis) / MILLIS_PER_SECOND;
   return (requests * unownedMillis) / 2;
 }
 
-/** Slow keys take longer themselves, and more of the room of those that their next owner has already. */
+/** Slow keys take longer themselves, and they take capacity from the keys that their next owner already serves. */
 function waitSlow({ to, toLoad, load }: WeighedMove, terms: MoveTerms): number {
   const slowLoad = load * SLOW_FACTOR;
-  const more = waitAt(to, toLoad + slowLoad) - waitAt(to, toLoad + load) + (slowLoad - load);
-  return (more * terms.slowMillis * (1 - terms.handoverShare)) / MILLIS_PER_SECOND;
+  const extraWait =
+    waitPerSecond(to, toLoad + slowLoad) - waitPerSecond(to, toLoad + load) + (slowLoad - load);
+  return (extraWait * terms.slowMillis * (1 - terms.handoverShare)) / MILLIS_PER_SECOND;
 }
 
-/** Whether a move gains more than it costs. */
+/** Returns whether a move gains more than it costs. */
 export function isWorthwhile({ costMillis, gainMillis }: MoveWorth): boolean {
   return gainMillis > costMillis;
 }
--- a/src/placement/ranges/owner-loads.ts
+++ b/src/placement/ranges/owner-loads.ts
@@ -1,4 +1,4 @@
-/** Upstreams that may own ranges of keys, and how much of their capacity the load of their keys takes. */
+/** Upstreams that may own ranges of keys, and their utilisation by the load of these keys. */
 import type { UpstreamId } from '../../model/identifiers.js';
 import { type KeyRange, type KeySpan, LARGEST_KEY, spanLength } from '../../model/key-range.js';
 import type { KeyLoads } from './key-loads.js';
@@ -6,37 +6,37 @@
 /** An upstream that may own ranges. */
 export interface RangeServer {
   readonly upstream: UpstreamId;
-  /** Requests that it works on at once. */
+  /** Number of requests that it processes concurrently. */
   readonly slots: number;
-  /** How fast it is, as a factor on the mean of its service. */
+  /** Speed as a factor on the mean of its service. */
   readonly speed: number;
-  /** Milliseconds of work a second, as the mean upstream takes them, that it bears at most; left out: what its slots can do. */
+  /** Maximum load in milliseconds of the mean upstream's work per second; absent if only its slots limit it. */
   readonly mostLoad?: number;
-  /** It gets no further ranges: it owns many, is cold, or bears less than usual. */
+  /** Whether it must not get further ranges, because it owns many, is cold, or has a reduced capacity. */
   readonly isFull?: boolean;
 }
 
 const MILLIS_PER_SECOND = 1000;
-/** Load that counts for keys nobody asked for lately, as a share of a server's capacity for all keys. */
+/** Load attributed to all idle keys together, as a share of the capacity of one slot. */
 const IDLE_LOAD_SHARE = 0.05;
 
-/** An upstream that bears next to nothing still divides by something, in milliseconds of work a second. */
-const LEAST_CAPACITY = 1;
+/** Minimum capacity in milliseconds of work per second, which avoids a division by 0. */
+const MIN_CAPACITY = 1;
 
-/** Load that keys count for which nobody asked for lately, so that they are spread too. */
+/** Load attributed to each key even if it is idle, so that idle keys are spread too. */
 const IDLE_KEY_LOAD = (IDLE_LOAD_SHARE * MILLIS_PER_SECOND) / (LARGEST_KEY + 1);
 
-/** Milliseconds of work a second. */
+/** Returns the load attributed to the keys of a span as idle keys, in milliseconds of work per second. */
 export function idleLoad(span: KeySpan): number {
   return spanLength(span) * IDLE_KEY_LOAD;
 }
 
-/** Milliseconds of work a second, as the mean upstream takes them. */
+/** Returns the capacity of a server in milliseconds of the mean upstream's work per second. */
 export function capacityOf({ slots, speed, mostLoad = Number.POSITIVE_INFINITY }: RangeServer): number {
-  return Math.max(LEAST_CAPACITY, Math.min(mostLoad, slots * speed * MILLIS_PER_SECOND));
+  return Math.max(MIN_CAPACITY, Math.min(mostLoad, slots * speed * MILLIS_PER_SECOND));
 }
 
-/** Load by owner, in milliseconds of work a second. */
+/** Loads by owner, in milliseconds of work per second. */
 export class OwnerLoads {
   readonly #loads = new Map<UpstreamId, number>();
 
@@ -64,22 +64,22 @@
     return this.#loads.get(upstream) ?? 0;
   }
 
-  /** Load of a span, and what its idle keys count for. */
+  /** Returns the load of a span, including the load attributed to idle keys. */
   ofSpan(span: KeySpan): number {
     return this.loads.ofSpan(span) + idleLoad(span);
   }
 
-  /** Share of its capacity that a server uses. */
+  /** Returns a server's load as a share of its capacity. */
   useOf(server: RangeServer): number {
     return this.of(server.upstream) / capacityOf(server);
   }
 
-  /** The least used server but `except`; `undefined` if there is no other. */
+  /** Returns the least utilised server other than `except`; `undefined` if there is none. */
   leastUsed(except: UpstreamId | null): RangeServer | undefined {
     return this.leastUsedOf(({ upstream }) => upstream !== except);
   }
 
-  /** The least used server that `fits` and has room for ranges; `undefined` if none does. */
+  /** Returns the least utilised server that satisfies `fits` and may get ranges; `undefined` if there is none. */
   leastUsedOf(fits: (server: RangeServer) => boolean): RangeServer | undefined {
     let best: RangeServer | undefined;
     for (const server of this.servers) {
@@ -91,7 +91,7 @@
     return best;
   }
 
-  /** The server with the largest capacity that `fits`; `undefined` if none does. */
+  /** Returns the server with the largest capacity that satisfies `fits` and may get ranges; `undefined` if there is none. */
   largest(fits: (server: RangeServer) => boolean): RangeServer | undefined {
     let best: RangeServer | undefined;
     for (const server of this.servers) {
@@ -103,13 +103,13 @@
     return best;
   }
 
-  /** Servers that are used more than `most`, the most used first. */
-  busiest(most: number): RangeServer[] {
-    const busy = this.servers.filter((server) => this.useOf(server) > most);
+  /** Returns the servers with a utilisation above `threshold`, in descending order. */
+  busiest(threshold: number): RangeServer[] {
+    const busy = this.servers.filter((server) => this.useOf(server) > threshold);
     return busy.sort((one, other) => this.useOf(other) - this.useOf(one));
   }
 
-  /** Share of all servers' capacity that is used. */
+  /** Returns the load of all servers as a share of their capacity. */
   meanUse(): number {
     const capacity = this.servers.reduce((sum, server) => sum + capacityOf(server), 0);
     const load = this.servers.reduce((sum, { upstream }) => sum + this.of(upstream), 0);
--- a/src/placement/ranges/owner-speeds.ts
+++ b/src/placement/ranges/owner-speeds.ts
@@ -1,58 +1,58 @@
 /**
- * How fast upstreams of one service are beside each other, from the time that requests take where they find a free slot.
- * With it the loads of keys count alike whoever owned them, and a faster upstream counts as a larger one.
+ * Relative speeds of the upstreams of one service, from the duration of requests that find a free slot. Speeds make the loads
+ * of keys comparable between owners, and a faster upstream counts as one with a larger capacity.
  */
 import type { UpstreamId } from '../../model/identifiers.js';
 
-/** For owners of keys, whose loads move within seconds. */
-const HALF_LIFE_MILLIS = 4000;
-/** A speed is taken to be the mean one until about so many requests were measured. */
+/** Suits owners of keys, whose loads move within seconds. */
+const DEFAULT_HALF_LIFE_MILLIS = 4000;
+/** Number of assumed requests of mean duration, which keep a speed near the mean until about as many were measured. */
 const ASSUMED_REQUESTS = 6;
-const LEAST_SPEED = 0.15;
-const LARGEST_SPEED = 4;
+const MIN_SPEED = 0.15;
+const MAX_SPEED = 4;
 
-/** Requests and the work that they took, in milliseconds. */
-interface Measured {
+/** Decayed number of requests, and their work. */
+interface RequestTotals {
   requests: number;
   workMillis: number;
   at: number;
 }
 
 export class OwnerSpeeds {
-  readonly #owners = new Map<UpstreamId, Measured>();
-  readonly #all: Measured = { requests: 0, workMillis: 0, at: 0 };
+  readonly #owners = new Map<UpstreamId, RequestTotals>();
+  readonly #total: RequestTotals = { requests: 0, workMillis: 0, at: 0 };
 
-  /** `halfLifeMillis`: what was measured loses half of its weight in this time. */
-  constructor(private readonly halfLifeMillis: number = HALF_LIFE_MILLIS) {}
+  /** `halfLifeMillis` is the half-life of the measurements. */
+  constructor(private readonly halfLifeMillis: number = DEFAULT_HALF_LIFE_MILLIS) {}
 
-  /** Requests of keys that an upstream owns, and what they take there. */
+  /** Adds requests for keys that an upstream owns, with their work. */
   add(owner: UpstreamId, requests: number, workMillis: number, now: number): void {
-    const measured = this.#owners.get(owner) ?? { requests: 0, workMillis: 0, at: now };
-    this.#owners.set(owner, measured);
+    const totals = this.#owners.get(owner) ?? { requests: 0, workMillis: 0, at: now };
+    this.#owners.set(owner, totals);
     const added = { requests, workMillis, at: now };
-    addTo(measured, added, this.halfLifeMillis);
-    addTo(this.#all, added, this.halfLifeMillis);
+    addTo(totals, added, this.halfLifeMillis);
+    addTo(this.#total, added, this.halfLifeMillis);
   }
 
-  /** Mean time of a request over all upstreams, in milliseconds; `null` while nothing was measured. */
+  /** Mean work of a request over all upstreams; `null` while nothing was measured. */
   get meanMillis(): number | null {
-    const { requests, workMillis } = this.#all;
+    const { requests, workMillis } = this.#total;
     return requests > 0 ? workMillis / requests : null;
   }
 
-  /** Speed of an upstream, as a factor on the mean one. */
+  /** Returns the speed of an upstream, as a factor on the mean. */
   of(owner: UpstreamId): number {
-    const measured = this.#owners.get(owner);
+    const totals = this.#owners.get(owner);
     const mean = this.meanMillis;
-    if (measured === undefined || mean === null) {
+    if (totals === undefined || mean === null) {
       return 1;
     }
-    const { requests, workMillis } = measured;
+    const { requests, workMillis } = totals;
     const speed = (mean * (requests + ASSUMED_REQUESTS)) / (workMillis + mean * ASSUMED_REQUESTS);
-    return Math.min(LARGEST_SPEED, Math.max(LEAST_SPEED, speed));
+    return Math.min(MAX_SPEED, Math.max(MIN_SPEED, speed));
   }
 
-  /** Forgets all but these. */
+  /** Forgets all other upstreams. */
   keepOnly(owners: ReadonlySet<UpstreamId>): void {
     for (const owner of this.#owners.keys()) {
       if (!owners.has(owner)) {
@@ -62,9 +62,13 @@
   }
 }
 
-function addTo(measured: Measured, { requests, workMillis, at }: Measured, halfLifeMillis: number): void {
-  const kept = 0.5 ** ((at - measured.at) / halfLifeMillis);
-  measured.requests = measured.requests * kept + requests;
-  measured.workMillis = measured.workMillis * kept + workMillis;
-  measured.at = at;
+function addTo(
+  totals: RequestTotals,
+  { requests, workMillis, at }: RequestTotals,
+  halfLifeMillis: number,
+): void {
+  const kept = 0.5 ** ((at - totals.at) / halfLifeMillis);
+  totals.requests = totals.requests * kept + requests;
+  totals.workMillis = totals.workMillis * kept + workMillis;
+  totals.at = at;
 }
--- a/src/placement/ranges/range-planner.ts
+++ b/src/placement/ranges/range-planner.ts
@@ -1,6 +1,6 @@
 /**
- * Which upstream should own which range of numeric keys. Moving keys is dear, so ranges stay where they are unless their
- * owner goes or is much busier than the others; then the fewest keys that carry enough load move.
+ * Assigns ranges of numeric keys to upstreams. Moving keys is expensive, so ranges stay where they are unless their owner
+ * leaves or is much busier than the others; then the smallest number of keys that carries enough load moves.
  */
 import type { UpstreamId } from '../../model/identifiers.js';
 import { type KeyRange, type KeySpan, spanLength } from '../../model/key-range.js';
@@ -9,58 +9,59 @@
 import { capacityOf, idleLoad, OwnerLoads, type RangeServer } from './owner-loads.js';
 import { shortestSpan } from './span-search.js';
 
-/** A span and who should own it. */
+/** A span and its planned owner. */
 export interface PlannedSpan extends KeySpan {
   readonly target: UpstreamId;
-  /** What the move was weighed to cost and gain; left out: it wasn't weighed. */
+  /** Cost and gain of the move; absent if the move wasn't weighed. */
   readonly weighed?: WeighedSpan;
 }
 
-/** An owner is too busy when it is this much busier than the average, as a factor and as a share of its capacity. */
+/** An owner is too busy above this factor on the mean utilisation, and this share of its capacity above the mean. */
 const BUSY_FACTOR = 1.2;
 const BUSY_MARGIN = 0.08;
-/** Owners are brought to this level, as a factor on the average: an overwhelmed one's own queue makes that look higher. */
-const LEVEL_FACTOR = 1.1;
-/** When owners count as too busy, as shares of their capacity. */
+/** Target utilisation as a factor on the mean. The queue of an overloaded owner makes the measured mean too high. */
+const TARGET_FACTOR = 1.1;
+
+/** Utilisations that bound the balancing, as shares of an owner's capacity. */
 export interface BalanceGoal {
-  /** Below this an owner is never too busy. */
+  /** An owner below this utilisation is never too busy. */
   readonly leastBusy: number;
-  /** Owners aren't brought lower than to about this. */
+  /** Owners aren't relieved to much less than this utilisation. */
   readonly leastLevel: number;
 }
 
-/** Evens out what owners steadily have to do. */
+/** For evening out the steady loads of owners. */
 export const EVEN_GOAL: BalanceGoal = { leastBusy: 0.3, leastLevel: 0.3 };
-/** Helps owners that were just overwhelmed, and nobody else: what is measured over a short time is partly chance. */
+/** For relieving only owners that have just become overloaded: loads measured over a short time are partly random. */
 export const RELIEF_GOAL: BalanceGoal = { leastBusy: 0.75, leastLevel: 0.5 };
-/** A move that shifts less than this share of one server's capacity isn't worth it. */
-const LEAST_SHIFT = 0.03;
-/** Shares of the surplus that a move is looked for, one after the other. */
-const WANTED_SHARES = [1, 0.5, 0.25, 0.1] as const;
-/** A single key moves if it carries at most this share of the difference between the two owners. */
-const MOST_OF_DIFFERENCE = 0.7;
-/** A single key fills its owner from this share of its capacity on. */
-const FILLING_SHARE = 0.6;
-/** How much larger another server must be for such a key to move. */
-const LEAST_GAIN = 1.25;
-/** The same for a key that no server bears: most of what it asks is refused there too, so the move must help many. */
-const LEAST_UNBEARABLE_GAIN = 1.5;
-/** A range that takes less of a server's capacity may go to a neighbour's owner, if that range is so much longer. */
-const MUCH_LONGER = 3;
+/** Minimum load that a move shifts, as a share of one server's capacity. */
+const MIN_SHIFT_SHARE = 0.03;
+/** Shares of the surplus for which a move is searched, in this order. */
+const SURPLUS_SHARES = [1, 0.5, 0.25, 0.1] as const;
+/** Maximum load of a single key that moves, as a share of the load difference between the two owners. */
+const MAX_DIFFERENCE_SHARE = 0.7;
+/** A single key from this share of its owner's capacity on may move to a server with a larger capacity. */
+const DOMINANT_KEY_SHARE = 0.6;
+/** Minimum ratio of the capacities of target and owner for such a move. */
+const MIN_CAPACITY_RATIO = 1.25;
+/** The same for a key that exceeds the target's capacity too: most of its excess load is still rejected there, so the gain must be larger. */
+const MIN_OVERSIZED_CAPACITY_RATIO = 1.5;
+/** A range below `IDLE_SHARE` of a server's capacity may go to the owner of a neighbouring range that is longer by this factor. */
+const MIN_NEIGHBOUR_LENGTH_RATIO = 3;
 const IDLE_SHARE = 0.02;
-/** Returns planned at once: at least so many, and this share of all ranges, so that they keep up with cuts at any size. */
-const LEAST_RETURNS_AT_ONCE = 8;
+/** Maximum number of returns in one plan: this minimum, or this share of all ranges, so that returns keep up with splits at any fleet size. */
+const MIN_RETURNS_LIMIT = 8;
 const RETURNS_SHARE = 1 / 6;
 /**
- * Moves planned at once: at least so many, and this share of the servers. A run of hot keys at one owner is spread over as many
- * servers as it needs in one or two plans; with a fixed number that took the longer, the more servers there are.
+ * Maximum number of moves in one plan: this minimum, or this share of the servers. Adjacent hot keys at one owner are spread
+ * over enough servers in one or two plans; with a fixed number this would take longer the more servers there are.
  */
-const LEAST_MOVES_AT_ONCE = 12;
+const MIN_MOVES_LIMIT = 12;
 const MOVES_SHARE = 1 / 2;
-/** Pieces that the keys of an owner which goes are cut into, so that no one server gets them all. */
+/** Number of pieces into which the keys of a leaving owner are divided, so that no single server gets all of them. */
 const SPREAD_PIECES = 4;
 
-/** Cuts a span among servers by their slots and what is known of their speeds; for keys that nobody owned before. */
+/** Divides a span of keys that had no owner before among servers, in proportion to their slots and estimated speeds. */
 export function divideSpan(span: KeySpan, servers: readonly RangeServer[]): PlannedSpan[] {
   const total = servers.reduce((sum, { slots, speed }) => sum + slots * speed, 0);
   const planned: PlannedSpan[] = [];
@@ -78,9 +79,9 @@
 }
 
 /**
- * Cuts keys of an owner that goes into pieces, each for the least used server then. `ownerLoad` is the load of all keys
- * that it has: a span that carries little of it stays whole, so that owners which go one after the other don't cut the keys
- * ever finer.
+ * Divides keys of a leaving owner into pieces, and assigns each to the server that is the least utilised at that point.
+ * `ownerLoad` is the load of all keys of the owner: a span that carries little of it isn't divided, so that ranges don't
+ * become ever shorter when several owners leave one after the other.
  */
 export function spreadSpan(
   span: KeySpan,
@@ -104,7 +105,7 @@
   return planned;
 }
 
-/** Last key of a piece that begins a span and carries about `wanted`, idle keys included. */
+/** Returns the last key of the piece at the beginning of a span that carries about the load `wanted`, idle keys included. */
 export function endOfPiece(span: KeySpan, loads: KeyLoads, wanted: number): number {
   let low = span.from;
   let high = span.to;
@@ -121,8 +122,9 @@
 }
 
 /**
- * Moves that take load off servers which are much busier than the others. `underWay`: spans without owner and who gets them
- * next; their load counts there. `weighing`: moves are made only where they gain more than they cost; `null`: none is weighed.
+ * Plans moves that take load off servers which are much busier than the others. `underWay` are spans without an owner, whose
+ * load counts at their next owner. With `weighing`, only moves that gain more than they cost are planned; with `null`, moves
+ * aren't weighed.
  */
 export function planMoves(
   ranges: readonly KeyRange[],
@@ -138,10 +140,10 @@
   }
   const owned = rangesByOwner(ranges);
   if (weighing !== null) {
-    leaveOutUnbearable(owned, loads, use);
+    excludeExcessOfHottestKeys(owned, loads, use);
   }
   const moves: PlannedSpan[] = [];
-  const most = Math.max(LEAST_MOVES_AT_ONCE, Math.floor(servers.length * MOVES_SHARE));
+  const most = Math.max(MIN_MOVES_LIMIT, Math.floor(servers.length * MOVES_SHARE));
   for (let count = 0; count < most; count += 1) {
     const move = nextMove({ owned, loads, use, goal, weighing, planned: moves });
     if (move === undefined) {
@@ -152,17 +154,17 @@
   return moves;
 }
 
-/** What a single key asks beyond its owner is refused wherever it is, so it makes no case for moving other keys. */
-function leaveOutUnbearable(
+/** Subtracts a single key's load beyond its owner's capacity: it is rejected at any owner, so it is no reason to move other keys. */
+function excludeExcessOfHottestKeys(
   owned: ReadonlyMap<UpstreamId, readonly KeyRange[]>,
   loads: KeyLoads,
   use: OwnerLoads,
 ): void {
   for (const server of use.busiest(1)) {
     const key = hottestKey(owned.get(server.upstream) ?? [], loads);
-    const beyond = key === undefined ? 0 : loads.of(key) - capacityOf(server);
-    if (beyond > 0) {
-      use.shift(server.upstream, -beyond);
+    const excess = key === undefined ? 0 : loads.of(key) - capacityOf(server);
+    if (excess > 0) {
+      use.shift(server.upstream, -excess);
     }
   }
 }
@@ -196,31 +198,31 @@
 }
 
 /**
- * A single key that nearly fills its owner, or more, goes to the server that can do most for it. Others' keys there move
- * away in turn.
+ * Plans the move of a single key that takes most of its owner's capacity or exceeds it, to the server with the largest
+ * capacity. Other keys of that server move away in later plans.
  */
 function hotKeyMove(search: MoveSearch, busy: RangeServer): PlannedSpan | undefined {
   const { owned, loads, use, planned, weighing } = search;
   const key = hottestKey(owned.get(busy.upstream) ?? [], loads);
   const load = key === undefined ? 0 : loads.of(key);
-  if (key === undefined || load < capacityOf(busy) * FILLING_SHARE || isPlanned(planned, key)) {
+  if (key === undefined || load < capacityOf(busy) * DOMINANT_KEY_SHARE || isPlanned(planned, key)) {
     return undefined;
   }
   const target = use.largest((server) => server !== busy && use.of(server.upstream) < load);
-  if (target === undefined || capacityOf(target) < capacityOf(busy) * leastGain(search, key, target)) {
+  if (target === undefined || capacityOf(target) < capacityOf(busy) * minCapacityRatio(search, key, target)) {
     return undefined;
   }
   const move = { from: key, to: key, target: target.upstream };
   return weighing === null ? move : weighing.weigh(move, { from: busy, to: target, use, loads });
 }
 
-/** How many times larger a server must be for a key to move there; `Infinity`: the key doesn't move any more. */
-function leastGain({ loads, weighing }: MoveSearch, key: number, target: RangeServer): number {
-  const isUnbearable = loads.of(key) > capacityOf(target);
-  if (weighing === null || !isUnbearable) {
-    return LEAST_GAIN;
+/** Returns the minimum ratio of the capacities of target and owner for a key to move; `Infinity` if the key must not move again. */
+function minCapacityRatio({ loads, weighing }: MoveSearch, key: number, target: RangeServer): number {
+  const isOversized = loads.of(key) > capacityOf(target);
+  if (weighing === null || !isOversized) {
+    return MIN_CAPACITY_RATIO;
   }
-  return weighing.hasMoved(key) ? Number.POSITIVE_INFINITY : LEAST_UNBEARABLE_GAIN;
+  return weighing.hasMoved(key) ? Number.POSITIVE_INFINITY : MIN_OVERSIZED_CAPACITY_RATIO;
 }
 
 function hottestKey(ranges: readonly KeyRange[], loads: KeyLoads): number | undefined {
@@ -241,40 +243,43 @@
 }
 
 /**
- * Short ranges with little load, which are better off with the owner of a neighbour: they were cut out while they were hot.
- * The idlest come first. Nobody gives up its only range.
+ * Plans returns of short ranges with little load, which were split off while they were hot, to the owner of a neighbouring
+ * range. Ranges with the least load come first. No owner gives up its only range.
  */
 export function planReturns(
   ranges: readonly KeyRange[],
   loads: KeyLoads,
   servers: readonly RangeServer[],
 ): PlannedSpan[] {
-  const known = new Map(servers.map((server) => [server.upstream, server]));
+  const serversById = new Map(servers.map((server) => [server.upstream, server]));
   const owned = rangesByOwner(ranges);
   const isOnly = (owner: UpstreamId): boolean => owned.get(owner)?.length === 1;
   const returns = ranges.flatMap((range, position) => {
-    const heir = known.get(longerNeighbour(ranges, position)?.owner ?? '');
-    const isOther = range.owner !== null && heir !== undefined && heir.upstream !== range.owner;
-    const isIdle = isOther && !isOnly(range.owner) && loads.ofSpan(range) < capacityOf(heir) * IDLE_SHARE;
-    return isIdle ? [{ from: range.from, to: range.to, target: heir.upstream }] : [];
+    const neighbourOwner = serversById.get(longerNeighbour(ranges, position)?.owner ?? '');
+    const isOther =
+      range.owner !== null && neighbourOwner !== undefined && neighbourOwner.upstream !== range.owner;
+    const isIdle =
+      isOther && !isOnly(range.owner) && loads.ofSpan(range) < capacityOf(neighbourOwner) * IDLE_SHARE;
+    return isIdle ? [{ from: range.from, to: range.to, target: neighbourOwner.upstream }] : [];
   });
   const byLoad = returns.sort((one, other) => loads.ofSpan(one) - loads.ofSpan(other));
-  return byLoad.slice(0, Math.max(LEAST_RETURNS_AT_ONCE, Math.floor(ranges.length * RETURNS_SHARE)));
+  return byLoad.slice(0, Math.max(MIN_RETURNS_LIMIT, Math.floor(ranges.length * RETURNS_SHARE)));
 }
 
-/** The longer range beside one, if it is much longer. */
+/** Returns the longer of the adjacent ranges, if it is much longer than the range itself. */
 function longerNeighbour(ranges: readonly KeyRange[], position: number): KeyRange | undefined {
   const range = ranges[position] as KeyRange;
   const before = ranges[position - 1];
   const after = ranges[position + 1];
-  const beside = [
+  const adjacent = [
     before?.to === range.from - 1 ? before : undefined,
     after?.from === range.to + 1 ? after : undefined,
   ];
-  const longer = beside.reduce((best, other) =>
+  const longer = adjacent.reduce((best, other) =>
     best === undefined || (other !== undefined && spanLength(other) > spanLength(best)) ? other : best,
   );
-  const isMuchLonger = longer !== undefined && spanLength(longer) > spanLength(range) * MUCH_LONGER;
+  const isMuchLonger =
+    longer !== undefined && spanLength(longer) > spanLength(range) * MIN_NEIGHBOUR_LENGTH_RATIO;
   return isMuchLonger ? longer : undefined;
 }
 
@@ -288,29 +293,29 @@
 }
 
 /**
- * The span whose move helps most: about the surplus if there is such a one, else less and less. A single key may carry more
- * than is wanted; it moves if the one that takes it is still less busy then.
+ * Returns the move that helps most: one of about the surplus if there is such a span, otherwise of decreasing shares of it. A
+ * single key may carry more than that; it moves if its next owner is then still less busy than the previous one.
  */
 function spanToMove(search: MoveSearch, busy: RangeServer, idle: RangeServer): PlannedSpan | undefined {
   const { loads, use, goal, planned, weighing } = search;
-  const level = Math.max(use.meanUse(), goal.leastLevel) * LEVEL_FACTOR;
-  const surplus = (use.useOf(busy) - level) * capacityOf(busy);
-  const room = (level - use.useOf(idle)) * capacityOf(idle);
-  const most = (use.of(busy.upstream) - use.of(idle.upstream)) * MOST_OF_DIFFERENCE;
+  const targetUse = Math.max(use.meanUse(), goal.leastLevel) * TARGET_FACTOR;
+  const surplus = (use.useOf(busy) - targetUse) * capacityOf(busy);
+  const spareCapacity = (targetUse - use.useOf(idle)) * capacityOf(idle);
+  const most = (use.of(busy.upstream) - use.of(idle.upstream)) * MAX_DIFFERENCE_SHARE;
   const owned = search.owned.get(busy.upstream) ?? [];
-  for (const share of WANTED_SHARES) {
-    const wanted = Math.min(surplus, room) * share;
-    if (wanted < LEAST_SHIFT * capacityOf(idle)) {
+  for (const share of SURPLUS_SHARES) {
+    const wanted = Math.min(surplus, spareCapacity) * share;
+    if (wanted < MIN_SHIFT_SHARE * capacityOf(idle)) {
       return undefined;
     }
     const span = shortestSpan(owned, loads, { wanted, most }, planned);
     const move = span === undefined ? undefined : { from: span.from, to: span.to, target: idle.upstream };
-    const made =
+    const accepted =
       move === undefined || weighing === null
         ? move
         : weighing.weigh(move, { from: busy, to: idle, use, loads });
-    if (made !== undefined) {
-      return made;
+    if (accepted !== undefined) {
+      return accepted;
     }
   }
   return undefined;
--- a/src/placement/ranges/span-search.ts
+++ b/src/placement/ranges/span-search.ts
@@ -1,21 +1,21 @@
-/** Looks for the fewest neighbouring keys that carry a wanted load. */
+/** Searches for the shortest span of keys that carries a given load. */
 import { type KeyRange, type KeySpan, LARGEST_KEY, spanLength } from '../../model/key-range.js';
 import type { KeyLoads } from './key-loads.js';
 
-/** How far the load of a moved span may be from what is wanted. */
-const SHIFT_LEAST_FACTOR = 0.75;
-const SHIFT_MOST_FACTOR = 1.35;
-/** Most keys that one move takes, as a share of all keys. */
-const MOST_KEYS_SHARE = 0.05;
+/** Bounds of a moved span's load, as factors on the target load. */
+const MIN_SHIFT_FACTOR = 0.75;
+const MAX_SHIFT_FACTOR = 1.35;
+/** Maximum number of keys in one move, as a share of all keys. */
+const MAX_KEYS_SHARE = 0.05;
 
-/** How much load a move should shift, in milliseconds of work a second. */
+/** Load that a move should shift, in milliseconds of work per second. */
 export interface Shift {
   readonly wanted: number;
-  /** The most that a single key may carry. */
+  /** Maximum load of a span that consists of a single key. */
   readonly most: number;
 }
 
-/** The fewest neighbouring keys of one owner that carry about the load wanted. */
+/** Returns the shortest span in the ranges of one owner that carries about the target load. */
 export function shortestSpan(
   ranges: readonly KeyRange[],
   loads: KeyLoads,
@@ -34,7 +34,7 @@
   return best;
 }
 
-/** What is left of a span without those that are planned already. */
+/** Returns the parts of a span that aren't covered by moves already planned. */
 function withoutSpans(span: KeySpan, planned: readonly KeySpan[]): KeySpan[] {
   let parts: KeySpan[] = [{ from: span.from, to: span.to }];
   for (const { from, to } of planned) {
@@ -44,28 +44,28 @@
       }
       const before = { from: part.from, to: from - 1 };
       const after = { from: to + 1, to: part.to };
-      return [before, after].filter((rest) => rest.to >= rest.from);
+      return [before, after].filter((remainder) => remainder.to >= remainder.from);
     });
   }
   return parts;
 }
 
 function shortestSpanIn(range: KeySpan, loads: KeyLoads, { wanted, most }: Shift): KeySpan | undefined {
-  const mostKeys = Math.ceil((LARGEST_KEY + 1) * MOST_KEYS_SHARE);
+  const maxKeys = Math.ceil((LARGEST_KEY + 1) * MAX_KEYS_SHARE);
   const busy = loads.busyIn(range);
-  const least = wanted * SHIFT_LEAST_FACTOR;
+  const minLoad = wanted * MIN_SHIFT_FACTOR;
   let best: KeySpan | undefined;
   let first = busy.first;
   for (let last = busy.first; last < busy.end; last += 1) {
     const end = last + 1;
-    const isTooLong = (): boolean => loads.keyAt(last) - loads.keyAt(first) >= mostKeys;
-    while (first < last && (loads.ofPart({ first: first + 1, end }) >= least || isTooLong())) {
+    const isTooLong = (): boolean => loads.keyAt(last) - loads.keyAt(first) >= maxKeys;
+    while (first < last && (loads.ofPart({ first: first + 1, end }) >= minLoad || isTooLong())) {
       first += 1;
     }
     const load = loads.ofPart({ first, end });
-    const isMost = load <= wanted * SHIFT_MOST_FACTOR || (first === last && load <= most);
+    const isWithinMax = load <= wanted * MAX_SHIFT_FACTOR || (first === last && load <= most);
     const span = { from: loads.keyAt(first), to: loads.keyAt(last) };
-    if (load >= least && isMost && (best === undefined || spanLength(span) < spanLength(best))) {
+    if (load >= minLoad && isWithinMax && (best === undefined || spanLength(span) < spanLength(best))) {
       best = span;
     }
   }
--- a/src/placement/stateful-planner.ts
+++ b/src/placement/stateful-planner.ts
@@ -1,4 +1,4 @@
-/** What planners share that keep a `PlacementState` and change it move by move. */
+/** Base class of planners that keep a `PlacementState` and update it with each move. */
 import type { MonotonicMillis, ShardId, UpstreamId } from '../model/identifiers.js';
 import { CandidateQueue } from './candidate-queue.js';
 import { mayHold, PlacementState, type ServerEntry, type ShardEntry } from './placement-state.js';
@@ -10,7 +10,7 @@
   PlacementShard,
 } from './types.js';
 
-/** Keeps the state; which moves to begin is left to the planner. */
+/** Maintains the state; subclasses decide which moves to begin. */
 export abstract class StatefulPlanner implements PlacementPlanner {
   protected readonly state = new PlacementState();
 
@@ -42,13 +42,13 @@
     this.state.removeShard(shard);
   }
 
-  /** Servers that may take shards of a keyspace, the least loaded first. */
+  /** Returns the servers that accept shards of a keyspace, the least loaded first. */
   protected candidates(keyspace: string): CandidateQueue {
     const takers = this.state.takers().filter((server) => mayHold(server, keyspace));
     return new CandidateQueue(takers, this.state.floor());
   }
 
-  /** Counts a move as begun. */
+  /** Records a move in the state and returns it. */
   protected begin(entry: ShardEntry, to: ServerEntry, reason: PlacementMove['reason']): PlacementMove {
     const move = { shard: entry.id, from: entry.owner, to: to.server.id, reason };
     this.state.begin(entry, to);
@@ -56,7 +56,7 @@
   }
 }
 
-/** Sorted by load, shards of equal load by id. */
+/** Sorts shards by descending load; shards of equal load by id. */
 export function heaviestFirst(entries: Iterable<ShardEntry>): ShardEntry[] {
   return [...entries].sort((left, right) => right.load - left.load || (left.id < right.id ? -1 : 1));
 }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -1,19 +1,19 @@
-/** Interface of placement: which server should own which shard of one service. */
+/** Interface of placement, which assigns the shards of one service to its servers. */
 import type { MonotonicMillis, ShardId, UpstreamId, Zone } from '../model/identifiers.js';
 import type { PlacementWeights } from '../model/service.js';
 
 /**
- * `ready`: may take shards. `cold`: may take them, but counts for less until it has warmed up. `draining`: its shards
- * move away. `lost`: takes nothing, and a planned move from it can't end; its shards are placed once they have no owner.
+ * `ready`: accepts shards. `cold`: accepts shards, with a reduced capacity until it has warmed up. `draining`: its shards
+ * move away. `lost`: accepts none, and a planned move from it can't complete; its shards are placed once they have no owner.
  */
 export type ServerState = 'ready' | 'cold' | 'draining' | 'lost';
 
 /** A server of the service. */
 export interface PlacementServer {
   readonly id: UpstreamId;
-  /** Share of the load that it should carry relative to the others, above 0; the number of its slots will do. */
+  /** Share of the load that it should carry relative to the others, above 0, e.g. the number of its slots. */
   readonly capacity: number;
-  /** Names of the keyspaces whose shards it may own; empty: all. */
+  /** Names of the keyspaces whose shards it may own; an empty list allows all of them. */
   readonly mayHold: readonly string[];
   readonly zone: Zone;
   readonly state: ServerState;
@@ -23,14 +23,14 @@
 export interface PlacementShard {
   readonly shard: ShardId;
   readonly keyspace: string;
-  /** Observed load in any unit that adds up, e.g. milliseconds of work a second. */
+  /** Observed load in any additive unit, e.g. milliseconds of work per second. */
   readonly load: number;
   readonly owner: UpstreamId | null;
-  /** Server that a planned move is under way to. Without an owner: a server that is warm for it and preferred. */
+  /** Target of a move in progress. For a shard without an owner: the preferred server, which has already warmed it. */
   readonly target: UpstreamId | null;
 }
 
-/** How the load is spread over the servers that may take shards, in the unit of the loads. Planned moves count as made. */
+/** Spread of the load over the servers that accept shards, in the unit of the loads. Planned moves count as completed. */
 export interface LoadSpread {
   /** Load of the most loaded server. */
   readonly most: number;
@@ -40,45 +40,45 @@
   readonly hottest: number;
 }
 
-/** What the service's operators ask of placement. */
+/** Placement settings of a service. */
 export interface PlacementSettings {
   readonly weights: PlacementWeights;
-  /** Moves a minute for the sake of balance. Moves off a draining server count, but are never refused. */
+  /** Maximum number of balancing moves per minute. Moves off a draining server count too, but are never rejected. */
   readonly movesPerMinute: number;
 }
 
-/** A shard and the server which is to own it. */
+/** A planned change of a shard's owner. */
 export interface PlacementMove {
   readonly shard: ShardId;
-  /** Owner now; `null`: the shard has none, so it is granted without a handover. */
+  /** Current owner; `null` if the shard has none, so that it is granted without a handover. */
   readonly from: UpstreamId | null;
   readonly to: UpstreamId;
   readonly reason: 'unowned' | 'evacuate' | 'balance';
 }
 
 /**
- * Decides for one service. It is told of changes and does work in proportion to them. Deterministic: the same calls
- * with the same times give the same moves.
+ * Plans the moves of one service. Changes are passed in one by one, and the cost of planning is proportional to them.
+ * Deterministic: the same calls with the same times return the same moves.
  */
 export interface PlacementPlanner {
   configure(settings: PlacementSettings): void;
-  /** Adds a server or replaces what is known of it. */
+  /** Adds or replaces a server. */
   setServer(server: PlacementServer): void;
   removeServer(id: UpstreamId): void;
-  /** Adds a shard or replaces what is known of it; a move that was planned for it is forgotten. */
+  /** Adds or replaces a shard, and discards a move that was planned for it. */
   setShard(shard: PlacementShard): void;
   setLoad(shard: ShardId, load: number): void;
-  /** What every shard counts for at least, in the unit of the loads, so that next to no load moves nothing. */
+  /** Sets the minimum load that each shard counts with, in the unit of the loads, so that negligible loads cause no moves. */
   setLeastLoad(load: number): void;
   removeShard(shard: ShardId): void;
-  /** Moves to begin now. Each counts as under way until `setShard` says how it stands. */
+  /** Returns the moves to begin now. Each counts as in progress until `setShard` is called for its shard. */
   plan(now: MonotonicMillis): PlacementMove[];
-  /** When `plan` may have something to do though nothing changed. */
+  /** Returns when `plan` may return moves even if nothing changes. */
   nextDeadline(): MonotonicMillis;
 }
 
-/** A planner that also tells how the load is spread. */
+/** A planner that also measures the spread of the load. */
 export interface MeasuredPlanner extends PlacementPlanner {
-  /** `null`: no server, or less load than one shard counts for at least. */
+  /** Returns `null` if there is no server, or if the total load is at most the minimum load of one shard. */
   spread(): LoadSpread | null;
 }
--- a/src/placement/weighted-planner.ts
+++ b/src/placement/weighted-planner.ts
@@ -1,7 +1,7 @@
 /**
- * The planner that control uses. Shards without owner go to the least loaded servers, the heaviest shards first. Shards
- * of a draining server move in batches. Load is evened out once a second, with a tolerance that follows from the
- * service's weights and within its budget.
+ * The planner used by the control nodes. Shards without an owner go to the least loaded servers, the heaviest shards first.
+ * Shards of a draining server move in batches. Load is balanced once a second, within the service's budget and with a
+ * tolerance derived from its weights.
  */
 import type { MonotonicMillis } from '../model/identifiers.js';
 import { balance } from './balancer.js';
@@ -12,12 +12,12 @@
 import { heaviestFirst, StatefulPlanner } from './stateful-planner.js';
 import type { LoadSpread, MeasuredPlanner, PlacementMove, PlacementSettings } from './types.js';
 
-/** Time between two looks at the balance. */
+/** Interval of balancing. */
 export const BALANCE_MILLIS = 1000;
-/** Shards that a server warms at once for planned moves off draining servers. */
+/** Maximum number of shards that a server warms concurrently for planned moves off draining servers. */
 export const ARRIVING_LIMIT = 32;
 
-/** Makes the planner that weighs unavailability, imbalance and churn. Nothing is balanced before `balanceFrom`. */
+/** Creates the planner that weighs unavailability, imbalance and churn. Balancing doesn't begin before `balanceFrom`. */
 export function createPlanner(
   settings: PlacementSettings,
   balanceFrom: MonotonicMillis = Number.NEGATIVE_INFINITY,
@@ -46,8 +46,8 @@
   }
 
   nextDeadline(): MonotonicMillis {
-    const mayBalance = this.#tolerance !== undefined && this.#budget.movesPerMinute >= 1;
-    return mayBalance && this.state.shards.size > 0 ? this.#balanceAt : Number.POSITIVE_INFINITY;
+    const isBalancing = this.#tolerance !== undefined && this.#budget.movesPerMinute >= 1;
+    return isBalancing && this.state.shards.size > 0 ? this.#balanceAt : Number.POSITIVE_INFINITY;
   }
 
   spread(): LoadSpread | null {
@@ -58,24 +58,24 @@
     const moves: PlacementMove[] = [];
     for (const [keyspace, unplaced] of this.state.unplaced) {
       if (unplaced.size > 0) {
-        this.#placeAll(heaviestFirst(unplaced), keyspace, moves);
+        this.#placeShards(heaviestFirst(unplaced), keyspace, moves);
       }
     }
     return moves;
   }
 
-  #placeAll(entries: readonly ShardEntry[], keyspace: string, moves: PlacementMove[]): void {
+  #placeShards(entries: readonly ShardEntry[], keyspace: string, moves: PlacementMove[]): void {
     const queue = this.candidates(keyspace);
     for (const entry of entries) {
-      const to = this.#warmServer(entry) ?? queue.least();
+      const to = this.#warmedServer(entry) ?? queue.least();
       if (to !== undefined) {
         moves.push(this.begin(entry, to, 'unowned'));
       }
     }
   }
 
-  /** A server that has warmed for this shard and may still take it. */
-  #warmServer({ target, keyspace }: ShardEntry): ServerEntry | undefined {
+  /** Returns the server that has warmed the shard, if it still accepts the shard. */
+  #warmedServer({ target, keyspace }: ShardEntry): ServerEntry | undefined {
     const server = this.state.servers.get(target ?? '');
     return server !== undefined && takesShards(server) && mayHold(server, keyspace) ? server : undefined;
   }
@@ -86,7 +86,7 @@
     for (const entry of heaviestFirst(this.state.misplaced)) {
       const queue = queues.get(entry.keyspace) ?? this.candidates(entry.keyspace);
       queues.set(entry.keyspace, queue);
-      const to = leastWithRoom(queue);
+      const to = leastLoadedBelowLimit(queue);
       if (to !== undefined) {
         moves.push(this.begin(entry, to, 'evacuate'));
         this.#budget.take(now);
@@ -112,8 +112,8 @@
   }
 }
 
-/** The least loaded server that doesn't warm too many shards already. */
-function leastWithRoom(queue: CandidateQueue): ServerEntry | undefined {
+/** Returns the least loaded server that can warm another shard. */
+function leastLoadedBelowLimit(queue: CandidateQueue): ServerEntry | undefined {
   let least = queue.least();
   while (least !== undefined && least.arriving >= ARRIVING_LIMIT) {
     queue.removeLeast();
