--- a/src/placement/balancer.ts
+++ b/src/placement/balancer.ts
@@ -58,7 +58,7 @@
   limit: number,
   now: MonotonicMillis,
 ): BalancingMove[] {
-  const takers = state.takers();
+  const takers = state.eligibleServers();
   const floor = state.floor();
   const heats = takers.map((entry) => heatOf(entry, floor));
   const level = fairLevel(heats, floor);
@@ -100,7 +100,7 @@
     if (move === undefined) {
       return;
     }
-    state.begin(move.entry, move.to);
+    state.beginMove(move.entry, move.to);
     move.entry.balancedAt = round.now;
     moves.push(move);
   }
--- a/src/placement/baselines/greedy.ts
+++ b/src/placement/baselines/greedy.ts
@@ -50,14 +50,14 @@
     return heaviestFirst(entries).flatMap((entry) => {
       const queue = queues.get(entry.keyspace) ?? this.candidates(entry.keyspace);
       queues.set(entry.keyspace, queue);
-      const to = queue.least();
-      return to === undefined ? [] : [this.begin(entry, to, reason)];
+      const to = queue.leastLoaded();
+      return to === undefined ? [] : [this.beginMove(entry, to, reason)];
     });
   }
 
   #balance(): PlacementMove[] {
     const floor = this.state.floor();
-    const takers = this.state.takers();
+    const takers = this.state.eligibleServers();
     const moves: PlacementMove[] = [];
     for (;;) {
       const ordered = [...takers].sort(
@@ -69,7 +69,7 @@
       if (to === undefined || entry === undefined) {
         return moves;
       }
-      moves.push(this.begin(entry, to, 'balance'));
+      moves.push(this.beginMove(entry, to, 'balance'));
     }
   }
 }
--- a/src/placement/baselines/recomputing-planner.ts
+++ b/src/placement/baselines/recomputing-planner.ts
@@ -43,9 +43,9 @@
   }
 
   setLoad(shard: ShardId, load: number): void {
-    const known = this.#shards.get(shard);
-    if (known !== undefined) {
-      this.#shards.set(shard, { ...known, load });
+    const existing = this.#shards.get(shard);
+    if (existing !== undefined) {
+      this.#shards.set(shard, { ...existing, load });
     }
   }
 
--- a/src/placement/candidate-queue.ts
+++ b/src/placement/candidate-queue.ts
@@ -22,7 +22,7 @@
   }
 
   /** Returns the server with the lowest utilisation, without removing it. */
-  least(): ServerEntry | undefined {
+  leastLoaded(): ServerEntry | undefined {
     for (let top = this.#heap[0]; top !== undefined; top = this.#heap[0]) {
       const current = utilisation(top.entry, this.#floor);
       if (current === top.utilisation) {
@@ -34,8 +34,8 @@
     return undefined;
   }
 
-  /** Removes the server that `least` returns. */
-  removeLeast(): void {
+  /** Removes the server that `leastLoaded` returns. */
+  removeLeastLoaded(): void {
     const last = this.#heap.pop();
     if (last !== undefined && this.#heap.length > 0) {
       this.#heap[0] = last;
--- a/src/placement/move-budget.ts
+++ b/src/placement/move-budget.ts
@@ -16,7 +16,7 @@
   }
 
   /** Records a move, even if it exceeds the budget. */
-  take(now: MonotonicMillis): void {
+  recordMove(now: MonotonicMillis): void {
     this.#times.push(now);
   }
 
--- a/src/placement/placement-state.ts
+++ b/src/placement/placement-state.ts
@@ -40,33 +40,33 @@
   /** Shards that must leave their owner and aren't moving yet. */
   readonly misplaced = new Set<ShardEntry>();
   /** Minimum load that each shard counts with. */
-  leastLoad = 0;
+  minShardLoad = 0;
   #totalLoad = 0;
   /** Shard with the highest load; `undefined` if it has to be searched for again. */
   #hottest: ShardEntry | undefined;
   #areRanksStale = false;
 
   setServer(server: PlacementServer): void {
-    const known = this.servers.get(server.id);
-    if (known === undefined) {
+    const existing = this.servers.get(server.id);
+    if (existing === undefined) {
       this.servers.set(server.id, { server, shards: new Set(), load: 0, arriving: 0, rank: 0 });
       this.#areRanksStale = true;
       return;
     }
-    this.#areRanksStale ||= known.server.zone !== server.zone;
-    known.server = server;
-    for (const entry of known.shards) {
+    this.#areRanksStale ||= existing.server.zone !== server.zone;
+    existing.server = server;
+    for (const entry of existing.shards) {
       this.#index(entry);
     }
   }
 
   /** Shards placed on the server aren't placed any more until `setShard` is called for them. */
   removeServer(id: UpstreamId): void {
-    const known = this.servers.get(id);
-    if (known === undefined) {
+    const existing = this.servers.get(id);
+    if (existing === undefined) {
       return;
     }
-    for (const entry of [...known.shards]) {
+    for (const entry of [...existing.shards]) {
       this.#place(entry, undefined);
       this.#index(entry);
     }
@@ -109,7 +109,7 @@
   }
 
   /** Records that a shard is moving to a server. */
-  begin(entry: ShardEntry, to: ServerEntry): void {
+  beginMove(entry: ShardEntry, to: ServerEntry): void {
     this.#place(entry, undefined);
     this.#moveTo(entry, to.server.id);
     this.#index(entry);
@@ -118,21 +118,21 @@
   /** Returns the load that a shard counts with in addition to its own. */
   floor(): number {
     const share = (this.#totalLoad / Math.max(1, this.shards.size)) * FLOOR_SHARE;
-    const floor = Math.max(share, this.leastLoad);
+    const floor = Math.max(share, this.minShardLoad);
     return floor > 0 ? floor : 1;
   }
 
   /** Returns the servers that accept shards, with up-to-date ranks. */
-  takers(): ServerEntry[] {
+  eligibleServers(): ServerEntry[] {
     this.#rank();
-    return [...this.servers.values()].filter(takesShards);
+    return [...this.servers.values()].filter(mayReceiveShards);
   }
 
   /** Returns the spread of the load over the servers that accept shards; `null` if there are none, or the load is negligible. */
   spread(): LoadSpread | null {
-    const loads = [...this.servers.values()].filter(takesShards).map(({ load }) => load);
+    const loads = [...this.servers.values()].filter(mayReceiveShards).map(({ load }) => load);
     const sum = loads.reduce((total, load) => total + load, 0);
-    if (sum <= this.leastLoad) {
+    if (sum <= this.minShardLoad) {
       return null;
     }
     return { most: Math.max(...loads), mean: sum / loads.length, hottest: this.#hottestShard()?.load ?? 0 };
@@ -208,9 +208,9 @@
   }
 
   #unplacedOf(keyspace: string): Set<ShardEntry> {
-    const known = this.unplaced.get(keyspace);
-    if (known !== undefined) {
-      return known;
+    const existing = this.unplaced.get(keyspace);
+    if (existing !== undefined) {
+      return existing;
     }
     const unplaced = new Set<ShardEntry>();
     this.unplaced.set(keyspace, unplaced);
@@ -254,7 +254,7 @@
 }
 
 /** Returns whether the server currently accepts shards. */
-export function takesShards({ server }: ServerEntry): boolean {
+export function mayReceiveShards({ server }: ServerEntry): boolean {
   return server.state === 'ready' || server.state === 'cold';
 }
 
--- a/src/placement/ranges/balance-planner.ts
+++ b/src/placement/ranges/balance-planner.ts
@@ -3,7 +3,7 @@
 import { planFirstRanges } from './first-ranges.js';
 import { HotKeyMoves } from './hot-key-moves.js';
 import { KeyLoads } from './key-loads.js';
-import { MoveWeighing } from './move-weighing.js';
+import { MoveWeigher } from './move-weighing.js';
 import type { MoveTerms } from './move-worth.js';
 import type { RangeServer } from './owner-loads.js';
 import { EVEN_GOAL, type PlannedSpan, planMoves, RELIEF_GOAL } from './range-planner.js';
@@ -12,7 +12,7 @@
 const RECENT_HALF_LIFE_MILLIS = 700;
 
 /** Input of a plan. */
-export interface BalanceView {
+export interface BalanceInput {
   readonly ranges: readonly KeyRange[];
   readonly servers: readonly RangeServer[];
   /** Spans without an owner, with their next owners. */
@@ -37,13 +37,13 @@
    * Plans moves from servers that are much busier than the others. First ranges for servers that own none have priority, then
    * the relief of servers that have just become overloaded.
    */
-  plan({ ranges, servers, underWay, terms }: BalanceView): PlannedSpan[] {
+  plan({ ranges, servers, underWay, terms }: BalanceInput): PlannedSpan[] {
     const first = planFirstRanges(ranges, this.steady, servers, underWay);
     if (first.length > 0) {
       return first;
     }
-    this.#hotKeys.follow(this.recent);
-    const weighing = terms === null ? null : new MoveWeighing(this, terms, this.#hotKeys);
+    this.#hotKeys.forgetCooled(this.recent);
+    const weighing = terms === null ? null : new MoveWeigher(this, terms, this.#hotKeys);
     const relief = planMoves(ranges, this.recent, servers, RELIEF_GOAL, underWay, weighing);
     return relief.length > 0
       ? relief
@@ -53,7 +53,7 @@
   /** Records that a planned move has begun. */
   began({ from, to, weighed }: PlannedSpan): void {
     if (weighed !== undefined && from === to) {
-      this.#hotKeys.moved(from, this.recent.of(from));
+      this.#hotKeys.recordMove(from, this.recent.loadOf(from));
     }
   }
 }
--- a/src/placement/ranges/first-ranges.ts
+++ b/src/placement/ranges/first-ranges.ts
@@ -3,7 +3,7 @@
 import type { KeyRange } from '../../model/key-range.js';
 import type { KeyLoads } from './key-loads.js';
 import { OwnerLoads, type RangeServer } from './owner-loads.js';
-import { endOfPiece, type PlannedSpan } from './range-planner.js';
+import { type PlannedSpan, pieceEnd } from './range-planner.js';
 
 /** Share of the busiest owner's load that a first range carries: a new owner is slow at first, and more can follow once it performs well. */
 const FIRST_SHARE = 0.35;
@@ -54,6 +54,6 @@
   if (busiest === undefined || heaviest === undefined) {
     return undefined;
   }
-  const end = endOfPiece(heaviest, loads, use.of(busiest.upstream) * FIRST_SHARE);
+  const end = pieceEnd(heaviest, loads, use.loadOf(busiest.upstream) * FIRST_SHARE);
   return { from: heaviest.from, to: Math.min(end, heaviest.to - 1) };
 }
--- a/src/placement/ranges/hot-key-moves.ts
+++ b/src/placement/ranges/hot-key-moves.ts
@@ -12,19 +12,19 @@
   readonly #loadsAtMove = new Map<number, number>();
 
   /** Forgets keys that have cooled since their move. */
-  follow(loads: KeyLoads): void {
+  forgetCooled(loads: KeyLoads): void {
     for (const [key, load] of this.#loadsAtMove) {
-      if (loads.of(key) < load * COOLED_SHARE) {
+      if (loads.loadOf(key) < load * COOLED_SHARE) {
         this.#loadsAtMove.delete(key);
       }
     }
   }
 
-  has(key: number): boolean {
+  hasMoved(key: number): boolean {
     return this.#loadsAtMove.has(key);
   }
 
-  moved(key: number, load: number): void {
+  recordMove(key: number, load: number): void {
     this.#loadsAtMove.set(key, load);
   }
 }
--- a/src/placement/ranges/key-loads.ts
+++ b/src/placement/ranges/key-loads.ts
@@ -23,7 +23,7 @@
 }
 
 /** A slice of the list of busy keys: indexes from `first` up to, but not including, `end`. */
-export interface BusyPart {
+export interface BusyKeySlice {
   readonly first: number;
   readonly end: number;
 }
@@ -56,30 +56,30 @@
   }
 
   /** Returns the load of a key, in milliseconds of work per second. */
-  of(key: number): number {
+  loadOf(key: number): number {
     return (this.#workByKey[key] ?? 0) / this.#coveredSeconds();
   }
 
   /** Returns the load of a span, in milliseconds of work per second. */
-  ofSpan(span: KeySpan): number {
-    return this.ofPart(this.busyIn(span));
+  loadOfSpan(span: KeySpan): number {
+    return this.loadOfSlice(this.busyKeysIn(span));
   }
 
   /** Returns the busy keys of a span. */
-  busyIn({ from, to }: KeySpan): BusyPart {
+  busyKeysIn({ from, to }: KeySpan): BusyKeySlice {
     const { keys } = this.#getSorted();
     return { first: lowerBound(keys, from), end: lowerBound(keys, to + 1) };
   }
 
   /** Returns the load of a slice of busy keys, in milliseconds of work per second. */
-  ofPart({ first, end }: BusyPart): number {
+  loadOfSlice({ first, end }: BusyKeySlice): number {
     const { sums } = this.#getSorted();
     return ((sums[end] ?? 0) - (sums[first] ?? 0)) / this.#coveredSeconds();
   }
 
   /** Returns the key with the highest load in a span; `undefined` if none has any load. */
-  hottestIn(span: KeySpan): number | undefined {
-    const { first, end } = this.busyIn(span);
+  hottestKeyIn(span: KeySpan): number | undefined {
+    const { first, end } = this.busyKeysIn(span);
     const { keys } = this.#getSorted();
     let hottest: number | undefined;
     for (const key of keys.subarray(first, end)) {
@@ -91,7 +91,7 @@
   }
 
   /** Returns the busy key at an index. */
-  keyAt(index: number): number {
+  busyKeyAt(index: number): number {
     return this.#getSorted().keys[index] ?? 0;
   }
 
--- a/src/placement/ranges/move-evidence.ts
+++ b/src/placement/ranges/move-evidence.ts
@@ -1,7 +1,7 @@
 /** Estimates from recent moves of keys how long keys have no owner, and whether the previous owner hands them over. */
 
 /** Expected course of the next move. */
-export interface MoveTimes {
+export interface MoveEstimate {
   /** Time for which the keys have no owner. */
   readonly unownedMillis: number;
   /** Share of moves with a handover from the previous owner. */
@@ -19,7 +19,7 @@
   #unownedMillis = INITIAL_UNOWNED_MILLIS;
   #handoverShare = INITIAL_HANDOVER_SHARE;
 
-  get times(): MoveTimes {
+  get times(): MoveEstimate {
     return { unownedMillis: this.#unownedMillis, handoverShare: this.#handoverShare };
   }
 
--- a/src/placement/ranges/move-weighing.ts
+++ b/src/placement/ranges/move-weighing.ts
@@ -1,6 +1,6 @@
 /** Weighs planned moves by the age of their keys' load, and accepts only moves that gain more than they cost. */
 
-import { heatAgeMillis, remainingMillis } from './heat-age.js';
+import { heatAgeMillis, remainingHeatMillis } from './heat-age.js';
 import { HotKeyMoves } from './hot-key-moves.js';
 import type { KeyLoads } from './key-loads.js';
 import { isWorthwhile, type MoveTerms, type MoveWorth, worthOf } from './move-worth.js';
@@ -35,7 +35,7 @@
   readonly steady: KeyLoads;
 }
 
-export class MoveWeighing {
+export class MoveWeigher {
   readonly #averages: LoadAverages;
   readonly #terms: MoveTerms;
   readonly #hotKeys: HotKeyMoves;
@@ -48,19 +48,19 @@
 
   /** Returns whether an oversized key has already moved during its present heat. */
   hasMoved(key: number): boolean {
-    return this.#hotKeys.has(key);
+    return this.#hotKeys.hasMoved(key);
   }
 
   /** Returns the move with its cost and gain; `undefined` if it costs more than it gains. */
   weigh(move: PlannedSpan, { from, to, use, loads }: MoveSides): PlannedSpan | undefined {
     const { recent, steady } = this.#averages;
-    const seen = { recent: recent.ofSpan(move), steady: steady.ofSpan(move) };
+    const seen = { recent: recent.loadOfSpan(move), steady: steady.loadOfSpan(move) };
     const halfLives = { recentMillis: recent.halfLifeMillis, steadyMillis: steady.halfLifeMillis };
     const heatMillis = heatAgeMillis(seen, halfLives);
     // The average with the long half-life still shows load that has gone, and moving that gains nothing.
-    const load = Math.min(loads.ofSpan(move), seen.recent);
-    const fromLoad = use.of(from.upstream);
-    const toLoad = use.of(to.upstream);
+    const load = Math.min(loads.loadOfSpan(move), seen.recent);
+    const fromLoad = use.loadOf(from.upstream);
+    const toLoad = use.loadOf(to.upstream);
     const weighed = {
       from,
       // The plan excludes a key's load beyond its owner's capacity; it counts here, since another owner may serve more of it.
@@ -68,7 +68,7 @@
       to,
       toLoad: toLoad + this.#randomErrorOf(toLoad, loads),
       load,
-      remainingMillis: remainingMillis(heatMillis),
+      remainingMillis: remainingHeatMillis(heatMillis),
     };
     const worth = worthOf(weighed, this.#terms);
     return isWorthwhile(worth) ? { ...move, weighed: { ...worth, heatMillis } } : undefined;
--- a/src/placement/ranges/move-worth.ts
+++ b/src/placement/ranges/move-worth.ts
@@ -3,11 +3,11 @@
  * saved while the load lasts. The cost is the waiting time while the keys have no owner, and the additional time of slow
  * requests after a move without a handover.
  */
-import type { MoveTimes } from './move-evidence.js';
+import type { MoveEstimate } from './move-evidence.js';
 import { capacityOf, type RangeServer } from './owner-loads.js';
 
 /** Parameters for weighing the moves of a service's keys. */
-export interface MoveTerms extends MoveTimes {
+export interface MoveTerms extends MoveEstimate {
   /** Time for which keys are slow after a move without a handover from their previous owner. */
   readonly slowMillis: number;
   /** Mean work of a request over all upstreams, in milliseconds. */
--- a/src/placement/ranges/owner-loads.ts
+++ b/src/placement/ranges/owner-loads.ts
@@ -53,25 +53,25 @@
   }
 
   add(upstream: UpstreamId, span: KeySpan): void {
-    this.shift(upstream, this.loads.ofSpan(span) + idleLoad(span));
+    this.addLoad(upstream, this.loads.loadOfSpan(span) + idleLoad(span));
   }
 
-  shift(upstream: UpstreamId, load: number): void {
+  addLoad(upstream: UpstreamId, load: number): void {
     this.#loads.set(upstream, (this.#loads.get(upstream) ?? 0) + load);
   }
 
-  of(upstream: UpstreamId): number {
+  loadOf(upstream: UpstreamId): number {
     return this.#loads.get(upstream) ?? 0;
   }
 
   /** Returns the load of a span, including the load attributed to idle keys. */
   ofSpan(span: KeySpan): number {
-    return this.loads.ofSpan(span) + idleLoad(span);
+    return this.loads.loadOfSpan(span) + idleLoad(span);
   }
 
   /** Returns a server's load as a share of its capacity. */
   useOf(server: RangeServer): number {
-    return this.of(server.upstream) / capacityOf(server);
+    return this.loadOf(server.upstream) / capacityOf(server);
   }
 
   /** Returns the least utilised server other than `except`; `undefined` if there is none. */
@@ -112,7 +112,7 @@
   /** Returns the load of all servers as a share of their capacity. */
   meanUse(): number {
     const capacity = this.servers.reduce((sum, server) => sum + capacityOf(server), 0);
-    const load = this.servers.reduce((sum, { upstream }) => sum + this.of(upstream), 0);
+    const load = this.servers.reduce((sum, { upstream }) => sum + this.loadOf(upstream), 0);
     return load / Math.max(1, capacity);
   }
 }
--- a/src/placement/ranges/range-planner.ts
+++ b/src/placement/ranges/range-planner.ts
@@ -5,7 +5,7 @@
 import type { UpstreamId } from '../../model/identifiers.js';
 import { type KeyRange, type KeySpan, spanLength } from '../../model/key-range.js';
 import type { KeyLoads } from './key-loads.js';
-import type { MoveWeighing, WeighedSpan } from './move-weighing.js';
+import type { MoveWeigher, WeighedSpan } from './move-weighing.js';
 import { capacityOf, idleLoad, OwnerLoads, type RangeServer } from './owner-loads.js';
 import { shortestSpan } from './span-search.js';
 
@@ -25,15 +25,15 @@
 /** Utilisations that bound the balancing, as shares of an owner's capacity. */
 export interface BalanceGoal {
   /** An owner below this utilisation is never too busy. */
-  readonly leastBusy: number;
+  readonly minBusyUse: number;
   /** Owners aren't relieved to much less than this utilisation. */
-  readonly leastLevel: number;
+  readonly minTargetUse: number;
 }
 
 /** For evening out the steady loads of owners. */
-export const EVEN_GOAL: BalanceGoal = { leastBusy: 0.3, leastLevel: 0.3 };
+export const EVEN_GOAL: BalanceGoal = { minBusyUse: 0.3, minTargetUse: 0.3 };
 /** For relieving only owners that have just become overloaded: loads measured over a short time are partly random. */
-export const RELIEF_GOAL: BalanceGoal = { leastBusy: 0.75, leastLevel: 0.5 };
+export const RELIEF_GOAL: BalanceGoal = { minBusyUse: 0.75, minTargetUse: 0.5 };
 /** Minimum load that a move shifts, as a share of one server's capacity. */
 const MIN_SHIFT_SHARE = 0.03;
 /** Shares of the surplus for which a move is searched, in this order. */
@@ -93,7 +93,7 @@
   let from = span.from;
   for (let piece = 1; from <= span.to; piece += 1) {
     const isLast = piece === SPREAD_PIECES;
-    const to = isLast ? span.to : endOfPiece({ from, to: span.to }, loads, ownerLoad / SPREAD_PIECES);
+    const to = isLast ? span.to : pieceEnd({ from, to: span.to }, loads, ownerLoad / SPREAD_PIECES);
     const target = servers.leastUsed(null);
     if (target === undefined) {
       return [];
@@ -106,13 +106,13 @@
 }
 
 /** Returns the last key of the piece at the beginning of a span that carries about the load `wanted`, idle keys included. */
-export function endOfPiece(span: KeySpan, loads: KeyLoads, wanted: number): number {
+export function pieceEnd(span: KeySpan, loads: KeyLoads, wanted: number): number {
   let low = span.from;
   let high = span.to;
   while (low < high) {
     const middle = (low + high) >> 1;
     const piece = { from: span.from, to: middle };
-    if (loads.ofSpan(piece) + idleLoad(piece) < wanted) {
+    if (loads.loadOfSpan(piece) + idleLoad(piece) < wanted) {
       low = middle + 1;
     } else {
       high = middle;
@@ -132,7 +132,7 @@
   servers: readonly RangeServer[],
   goal: BalanceGoal = EVEN_GOAL,
   underWay: readonly PlannedSpan[] = [],
-  weighing: MoveWeighing | null = null,
+  weighing: MoveWeigher | null = null,
 ): PlannedSpan[] {
   const use = new OwnerLoads(servers, ranges, loads);
   for (const span of underWay) {
@@ -162,9 +162,9 @@
 ): void {
   for (const server of use.busiest(1)) {
     const key = hottestKey(owned.get(server.upstream) ?? [], loads);
-    const excess = key === undefined ? 0 : loads.of(key) - capacityOf(server);
+    const excess = key === undefined ? 0 : loads.loadOf(key) - capacityOf(server);
     if (excess > 0) {
-      use.shift(server.upstream, -excess);
+      use.addLoad(server.upstream, -excess);
     }
   }
 }
@@ -184,13 +184,13 @@
 function nextMove(search: MoveSearch): PlannedSpan | undefined {
   const { loads, use, goal, weighing } = search;
   const mean = use.meanUse();
-  const most = Math.max(goal.leastBusy, mean * BUSY_FACTOR, mean + BUSY_MARGIN);
+  const most = Math.max(goal.minBusyUse, mean * BUSY_FACTOR, mean + BUSY_MARGIN);
   for (const busy of use.busiest(most)) {
     const move = hotKeyMove(search, busy) ?? spanMove(search, busy);
     if (move !== undefined) {
-      const load = loads.ofSpan(move);
-      use.shift(busy.upstream, -(weighing === null ? load : Math.min(load, capacityOf(busy))));
-      use.shift(move.target, load);
+      const load = loads.loadOfSpan(move);
+      use.addLoad(busy.upstream, -(weighing === null ? load : Math.min(load, capacityOf(busy))));
+      use.addLoad(move.target, load);
       return move;
     }
   }
@@ -204,11 +204,11 @@
 function hotKeyMove(search: MoveSearch, busy: RangeServer): PlannedSpan | undefined {
   const { owned, loads, use, planned, weighing } = search;
   const key = hottestKey(owned.get(busy.upstream) ?? [], loads);
-  const load = key === undefined ? 0 : loads.of(key);
+  const load = key === undefined ? 0 : loads.loadOf(key);
   if (key === undefined || load < capacityOf(busy) * DOMINANT_KEY_SHARE || isPlanned(planned, key)) {
     return undefined;
   }
-  const target = use.largest((server) => server !== busy && use.of(server.upstream) < load);
+  const target = use.largest((server) => server !== busy && use.loadOf(server.upstream) < load);
   if (target === undefined || capacityOf(target) < capacityOf(busy) * minCapacityRatio(search, key, target)) {
     return undefined;
   }
@@ -218,7 +218,7 @@
 
 /** Returns the minimum ratio of the capacities of target and owner for a key to move; `Infinity` if the key must not move again. */
 function minCapacityRatio({ loads, weighing }: MoveSearch, key: number, target: RangeServer): number {
-  const isOversized = loads.of(key) > capacityOf(target);
+  const isOversized = loads.loadOf(key) > capacityOf(target);
   if (weighing === null || !isOversized) {
     return MIN_CAPACITY_RATIO;
   }
@@ -226,9 +226,10 @@
 }
 
 function hottestKey(ranges: readonly KeyRange[], loads: KeyLoads): number | undefined {
-  const keys = ranges.map((range) => loads.hottestIn(range));
+  const keys = ranges.map((range) => loads.hottestKeyIn(range));
   return keys.reduce((hottest, key) => {
-    const isHotter = key !== undefined && (hottest === undefined || loads.of(key) > loads.of(hottest));
+    const isHotter =
+      key !== undefined && (hottest === undefined || loads.loadOf(key) > loads.loadOf(hottest));
     return isHotter ? key : hottest;
   }, undefined);
 }
@@ -259,10 +260,10 @@
     const isOther =
       range.owner !== null && neighbourOwner !== undefined && neighbourOwner.upstream !== range.owner;
     const isIdle =
-      isOther && !isOnly(range.owner) && loads.ofSpan(range) < capacityOf(neighbourOwner) * IDLE_SHARE;
+      isOther && !isOnly(range.owner) && loads.loadOfSpan(range) < capacityOf(neighbourOwner) * IDLE_SHARE;
     return isIdle ? [{ from: range.from, to: range.to, target: neighbourOwner.upstream }] : [];
   });
-  const byLoad = returns.sort((one, other) => loads.ofSpan(one) - loads.ofSpan(other));
+  const byLoad = returns.sort((one, other) => loads.loadOfSpan(one) - loads.loadOfSpan(other));
   return byLoad.slice(0, Math.max(MIN_RETURNS_LIMIT, Math.floor(ranges.length * RETURNS_SHARE)));
 }
 
@@ -288,7 +289,7 @@
   readonly loads: KeyLoads;
   readonly use: OwnerLoads;
   readonly goal: BalanceGoal;
-  readonly weighing: MoveWeighing | null;
+  readonly weighing: MoveWeigher | null;
   readonly planned: readonly PlannedSpan[];
 }
 
@@ -298,10 +299,10 @@
  */
 function spanToMove(search: MoveSearch, busy: RangeServer, idle: RangeServer): PlannedSpan | undefined {
   const { loads, use, goal, planned, weighing } = search;
-  const targetUse = Math.max(use.meanUse(), goal.leastLevel) * TARGET_FACTOR;
+  const targetUse = Math.max(use.meanUse(), goal.minTargetUse) * TARGET_FACTOR;
   const surplus = (use.useOf(busy) - targetUse) * capacityOf(busy);
   const spareCapacity = (targetUse - use.useOf(idle)) * capacityOf(idle);
-  const most = (use.of(busy.upstream) - use.of(idle.upstream)) * MAX_DIFFERENCE_SHARE;
+  const most = (use.loadOf(busy.upstream) - use.loadOf(idle.upstream)) * MAX_DIFFERENCE_SHARE;
   const owned = search.owned.get(busy.upstream) ?? [];
   for (const share of SURPLUS_SHARES) {
     const wanted = Math.min(surplus, spareCapacity) * share;
--- a/src/placement/ranges/span-search.ts
+++ b/src/placement/ranges/span-search.ts
@@ -9,7 +9,8 @@
 const MAX_KEYS_SHARE = 0.05;
 
 /** Load that a move should shift, in milliseconds of work per second. */
-export interface Shift {
+export interface LoadShift {
+  /** Target load of the span. */
   readonly wanted: number;
   /** Maximum load of a span that consists of a single key. */
   readonly most: number;
@@ -19,7 +20,7 @@
 export function shortestSpan(
   ranges: readonly KeyRange[],
   loads: KeyLoads,
-  shift: Shift,
+  shift: LoadShift,
   planned: readonly KeySpan[],
 ): KeySpan | undefined {
   let best: KeySpan | undefined;
@@ -50,21 +51,21 @@
   return parts;
 }
 
-function shortestSpanIn(range: KeySpan, loads: KeyLoads, { wanted, most }: Shift): KeySpan | undefined {
+function shortestSpanIn(range: KeySpan, loads: KeyLoads, { wanted, most }: LoadShift): KeySpan | undefined {
   const maxKeys = Math.ceil((LARGEST_KEY + 1) * MAX_KEYS_SHARE);
-  const busy = loads.busyIn(range);
+  const busy = loads.busyKeysIn(range);
   const minLoad = wanted * MIN_SHIFT_FACTOR;
   let best: KeySpan | undefined;
   let first = busy.first;
   for (let last = busy.first; last < busy.end; last += 1) {
     const end = last + 1;
-    const isTooLong = (): boolean => loads.keyAt(last) - loads.keyAt(first) >= maxKeys;
-    while (first < last && (loads.ofPart({ first: first + 1, end }) >= minLoad || isTooLong())) {
+    const isTooLong = (): boolean => loads.busyKeyAt(last) - loads.busyKeyAt(first) >= maxKeys;
+    while (first < last && (loads.loadOfSlice({ first: first + 1, end }) >= minLoad || isTooLong())) {
       first += 1;
     }
-    const load = loads.ofPart({ first, end });
+    const load = loads.loadOfSlice({ first, end });
     const isWithinMax = load <= wanted * MAX_SHIFT_FACTOR || (first === last && load <= most);
-    const span = { from: loads.keyAt(first), to: loads.keyAt(last) };
+    const span = { from: loads.busyKeyAt(first), to: loads.busyKeyAt(last) };
     if (load >= minLoad && isWithinMax && (best === undefined || spanLength(span) < spanLength(best))) {
       best = span;
     }
--- a/src/placement/stateful-planner.ts
+++ b/src/placement/stateful-planner.ts
@@ -35,7 +35,7 @@
   }
 
   setLeastLoad(load: number): void {
-    this.state.leastLoad = load;
+    this.state.minShardLoad = load;
   }
 
   removeShard(shard: ShardId): void {
@@ -44,14 +44,14 @@
 
   /** Returns the servers that accept shards of a keyspace, the least loaded first. */
   protected candidates(keyspace: string): CandidateQueue {
-    const takers = this.state.takers().filter((server) => mayHold(server, keyspace));
+    const takers = this.state.eligibleServers().filter((server) => mayHold(server, keyspace));
     return new CandidateQueue(takers, this.state.floor());
   }
 
   /** Records a move in the state and returns it. */
-  protected begin(entry: ShardEntry, to: ServerEntry, reason: PlacementMove['reason']): PlacementMove {
+  protected beginMove(entry: ShardEntry, to: ServerEntry, reason: PlacementMove['reason']): PlacementMove {
     const move = { shard: entry.id, from: entry.owner, to: to.server.id, reason };
-    this.state.begin(entry, to);
+    this.state.beginMove(entry, to);
     return move;
   }
 }
--- a/src/placement/weighted-planner.ts
+++ b/src/placement/weighted-planner.ts
@@ -8,7 +8,7 @@
 import type { CandidateQueue } from './candidate-queue.js';
 import { type Tolerance, toleranceOf } from './hysteresis.js';
 import { MoveBudget } from './move-budget.js';
-import { mayHold, type ServerEntry, type ShardEntry, takesShards } from './placement-state.js';
+import { mayHold, mayReceiveShards, type ServerEntry, type ShardEntry } from './placement-state.js';
 import { heaviestFirst, StatefulPlanner } from './stateful-planner.js';
 import type { LoadSpread, MeasuredPlanner, PlacementMove, PlacementSettings } from './types.js';
 
@@ -67,9 +67,9 @@
   #placeShards(entries: readonly ShardEntry[], keyspace: string, moves: PlacementMove[]): void {
     const queue = this.candidates(keyspace);
     for (const entry of entries) {
-      const to = this.#warmedServer(entry) ?? queue.least();
+      const to = this.#warmedServer(entry) ?? queue.leastLoaded();
       if (to !== undefined) {
-        moves.push(this.begin(entry, to, 'unowned'));
+        moves.push(this.beginMove(entry, to, 'unowned'));
       }
     }
   }
@@ -77,7 +77,7 @@
   /** Returns the server that has warmed the shard, if it still accepts the shard. */
   #warmedServer({ target, keyspace }: ShardEntry): ServerEntry | undefined {
     const server = this.state.servers.get(target ?? '');
-    return server !== undefined && takesShards(server) && mayHold(server, keyspace) ? server : undefined;
+    return server !== undefined && mayReceiveShards(server) && mayHold(server, keyspace) ? server : undefined;
   }
 
   #evacuate(now: MonotonicMillis): PlacementMove[] {
@@ -88,8 +88,8 @@
       queues.set(entry.keyspace, queue);
       const to = leastLoadedBelowLimit(queue);
       if (to !== undefined) {
-        moves.push(this.begin(entry, to, 'evacuate'));
-        this.#budget.take(now);
+        moves.push(this.beginMove(entry, to, 'evacuate'));
+        this.#budget.recordMove(now);
       }
     }
     return moves;
@@ -106,7 +106,7 @@
     }
     const moves = balance(this.state, this.#tolerance, limit, now);
     return moves.map(({ entry, to }) => {
-      this.#budget.take(now);
+      this.#budget.recordMove(now);
       return { shard: entry.id, from: entry.owner, to: to.server.id, reason: 'balance' };
     });
   }
@@ -114,10 +114,10 @@
 
 /** Returns the least loaded server that can warm another shard. */
 function leastLoadedBelowLimit(queue: CandidateQueue): ServerEntry | undefined {
-  let least = queue.least();
+  let least = queue.leastLoaded();
   while (least !== undefined && least.arriving >= ARRIVING_LIMIT) {
-    queue.removeLeast();
-    least = queue.least();
+    queue.removeLeastLoaded();
+    least = queue.leastLoaded();
   }
   return least;
 }
--- a/test/placement/key-loads.test.ts
+++ b/test/placement/key-loads.test.ts
@@ -1,4 +1,4 @@
-/** Loads of single keys: sums over spans, the hottest key, what fades, and what is no key. */
+/** Loads of single keys: sums over spans, the hottest key, decay, and invalid keys. */
 import { expect } from 'chai';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -7,8 +7,8 @@
 
 const CLOSE = 1e-6;
 
-describe('loads of keys', () => {
-  it('sum up over any span as the keys in it do', () => {
+describe('key loads', () => {
+  it('of a span equal the sum over its keys', () => {
     const random = xoroshiro128plus(7);
     const loads = new KeyLoads();
     const keys = Array.from({ length: 400 }, () => uniformInt(random, 0, LARGEST_KEY));
@@ -21,34 +21,34 @@
         (one, other) => one - other,
       ) as [number, number];
       const inside = busy.filter((key) => from <= key && key <= to);
-      const sum = inside.reduce((total, key) => total + loads.of(key), 0);
-      expect(loads.ofSpan({ from, to })).to.be.closeTo(sum, CLOSE);
-      const { first, end } = loads.busyIn({ from, to });
-      const listed = Array.from({ length: end - first }, (_, place) => loads.keyAt(first + place));
+      const sum = inside.reduce((total, key) => total + loads.loadOf(key), 0);
+      expect(loads.loadOfSpan({ from, to })).to.be.closeTo(sum, CLOSE);
+      const { first, end } = loads.busyKeysIn({ from, to });
+      const listed = Array.from({ length: end - first }, (_, place) => loads.busyKeyAt(first + place));
       expect(listed).to.deep.equal(inside);
-      const most = Math.max(...inside.map((key) => loads.of(key)));
-      const hottest = loads.hottestIn({ from, to });
-      expect(hottest === undefined ? Number.NEGATIVE_INFINITY : loads.of(hottest)).to.equal(most);
+      const most = Math.max(...inside.map((key) => loads.loadOf(key)));
+      const hottest = loads.hottestKeyIn({ from, to });
+      expect(hottest === undefined ? Number.NEGATIVE_INFINITY : loads.loadOf(hottest)).to.equal(most);
     }
   });
 
-  it('fade, and a key is forgotten once it has next to none', () => {
+  it('decay, and a key with a negligible load is forgotten', () => {
     const loads = new KeyLoads(1000);
     loads.add(5, 100, 0);
     loads.add(9, 100, 20_000);
-    expect(loads.of(5)).to.equal(0);
-    const { first, end } = loads.busyIn({ from: 0, to: LARGEST_KEY });
+    expect(loads.loadOf(5)).to.equal(0);
+    const { first, end } = loads.busyKeysIn({ from: 0, to: LARGEST_KEY });
     expect(end - first).to.equal(1);
-    expect(loads.keyAt(first)).to.equal(9);
+    expect(loads.busyKeyAt(first)).to.equal(9);
   });
 
-  it('count nothing for what is no key', () => {
+  it('ignore invalid keys', () => {
     const loads = new KeyLoads();
     for (const key of [-1, LARGEST_KEY + 1, 0.5, Number.NaN]) {
       loads.add(key, 100, 0);
     }
-    expect(loads.ofSpan({ from: 0, to: LARGEST_KEY })).to.equal(0);
+    expect(loads.loadOfSpan({ from: 0, to: LARGEST_KEY })).to.equal(0);
     loads.add(LARGEST_KEY, 100, 0);
-    expect(loads.ofSpan({ from: 0, to: LARGEST_KEY })).to.equal(loads.of(LARGEST_KEY));
+    expect(loads.loadOfSpan({ from: 0, to: LARGEST_KEY })).to.equal(loads.loadOf(LARGEST_KEY));
   });
 });
--- a/test/placement/move-costs.test.ts
+++ b/test/placement/move-costs.test.ts
@@ -1,7 +1,7 @@
-/** Moves of keys under loads whose heat wanders, with what callers get; bounds come from what moves are for. */
+/** Moves of keys under loads with changing hot keys, and the share of requests in time. The bounds state what moves must achieve. */
 import { expect } from 'chai';
 import { LARGEST_KEY, spanLength } from '../../src/model/key-range.js';
-import { heatAgeMillis, LONGEST_HEAT_MILLIS, remainingMillis } from '../../src/placement/ranges/heat-age.js';
+import { heatAgeMillis, MAX_HEAT_MILLIS, remainingHeatMillis } from '../../src/placement/ranges/heat-age.js';
 import { KeyLoads } from '../../src/placement/ranges/key-loads.js';
 import { MoveEvidence } from '../../src/placement/ranges/move-evidence.js';
 import { worthOf } from '../../src/placement/ranges/move-worth.js';
@@ -9,17 +9,17 @@
 import { type KeysLoad, type KeysOutcome, type MoveMode, MovingKeysModel } from './moving-keys-model.js';
 
 const SEEDS = [1, 2, 3];
-/** What chance leaves of a difference of two shares over the requests of one run. */
-const CHANCE = 0.005;
-/** What weighing may cost callers where hand-over makes moves cheap: at most one request of a hundred. */
-const WEIGHING = 0.01;
+/** Random difference of two shares over the requests of one run. */
+const RANDOM_DIFFERENCE = 0.005;
+/** Maximum share of requests that weighing may cost where a handover makes moves cheap: one of a hundred. */
+const MAX_WEIGHING_LOSS = 0.01;
 
-/** A run of hot keys that goes elsewhere each `everyMillis`. */
-function wandering(count: number, everyMillis: number): KeysLoad['hotKeys'] {
+/** Adjacent hot keys that change every `everyMillis`. */
+function changingHotKeys(count: number, everyMillis: number): KeysLoad['hotKeys'] {
   return (now) => ({ from: (Math.floor(now / everyMillis) * 9973) % 60_000, count });
 }
 
-/** 120 owners of 4 slots at less than half of what they can do; a fifth of it goes to 60 hot keys. */
+/** 120 owners of 4 slots at less than half of their capacity; a fifth of the load goes to 60 hot keys. */
 const LOAD: KeysLoad = {
   seed: 1,
   owners: 120,
@@ -29,7 +29,7 @@
   targetMillis: 820,
   perSecond: 855,
   hotShare: 0.2,
-  hotKeys: wandering(60, 5000),
+  hotKeys: changingHotKeys(60, 5000),
   seconds: 20,
   unownedMillis: 400,
   slowMillis: 5000,
@@ -37,8 +37,8 @@
   handsOver: true,
 };
 
-/** Means over the seeds. */
-function played(
+/** Returns the mean outcome over the seeds. */
+function meanOutcome(
   part: Partial<KeysLoad>,
   mode: MoveMode,
 ): Pick<KeysOutcome, 'inTime' | 'othersInTime' | 'moves'> {
@@ -52,59 +52,59 @@
   };
 }
 
-const WANDERING_LOADS: Readonly<Record<string, Partial<KeysLoad>>> = {
-  '60 hot keys that wander each 5 s': {},
-  '200 hot keys that wander each 5 s': { hotKeys: wandering(200, 5000) },
-  '200 hot keys that wander each second': { hotKeys: wandering(200, 1000) },
-  '200 hot keys that wander among owners of speed 0.7 to 1.7': {
-    hotKeys: wandering(200, 5000),
+const LOADS: Readonly<Record<string, Partial<KeysLoad>>> = {
+  '60 hot keys that change every 5 s': {},
+  '200 hot keys that change every 5 s': { hotKeys: changingHotKeys(200, 5000) },
+  '200 hot keys that change every second': { hotKeys: changingHotKeys(200, 1000) },
+  '200 changing hot keys among owners of speed 0.7 to 1.7': {
+    hotKeys: changingHotKeys(200, 5000),
     speeds: [0.7, 0.7, 1.7],
   },
   'owners of speed 0.5 to 1.7': { hotShare: 0, speeds: [0.5, 0.8, 1.2, 1.7] },
-  'one unbearable key': { hotShare: 0.05, hotKeys: () => ({ from: 5000, count: 1 }) },
-  'one unbearable key among owners of speed 0.5 to 1.7': {
+  'one oversized key': { hotShare: 0.05, hotKeys: () => ({ from: 5000, count: 1 }) },
+  'one oversized key among owners of speed 0.5 to 1.7': {
     hotShare: 0.05,
     hotKeys: () => ({ from: 5000, count: 1 }),
     speeds: [0.5, 1, 1.7],
   },
-  'owners that are slower by turns': {
+  'owners that are temporarily slower': {
     hotShare: 0,
     perSecond: 600,
     noise: { share: 0.2, factor: 3, everyMillis: 400 },
   },
 };
 
-describe('moves of keys that are weighed', () => {
-  for (const [name, part] of Object.entries(WANDERING_LOADS)) {
-    it(`cost callers nothing without hand-over: ${name}`, () => {
+describe('weighed moves of keys', () => {
+  for (const [name, part] of Object.entries(LOADS)) {
+    it(`cost callers nothing without handover: ${name}`, () => {
       const without = { ...part, handsOver: false };
-      const none = played(without, 'none');
-      const weighed = played(without, 'weighed');
-      expect(weighed.inTime).to.be.at.least(none.inTime - CHANCE);
-      expect(weighed.inTime).to.be.at.least(played(without, 'unweighed').inTime - CHANCE);
+      const none = meanOutcome(without, 'none');
+      const weighed = meanOutcome(without, 'weighed');
+      expect(weighed.inTime).to.be.at.least(none.inTime - RANDOM_DIFFERENCE);
+      expect(weighed.inTime).to.be.at.least(meanOutcome(without, 'unweighed').inTime - RANDOM_DIFFERENCE);
     });
 
-    it(`help as much as moves that aren't weighed with hand-over: ${name}`, () => {
-      const weighed = played(part, 'weighed');
-      expect(weighed.inTime).to.be.at.least(played(part, 'none').inTime - CHANCE);
-      expect(weighed.inTime).to.be.at.least(played(part, 'unweighed').inTime - WEIGHING);
+    it(`help as much as unweighed moves with handover: ${name}`, () => {
+      const weighed = meanOutcome(part, 'weighed');
+      expect(weighed.inTime).to.be.at.least(meanOutcome(part, 'none').inTime - RANDOM_DIFFERENCE);
+      expect(weighed.inTime).to.be.at.least(meanOutcome(part, 'unweighed').inTime - MAX_WEIGHING_LOSS);
     });
   }
 
-  it('spread a run of hot keys among owners that have room for it', () => {
-    expect(played({}, 'weighed').inTime).to.be.at.least(0.9);
+  it('spread adjacent hot keys among owners with spare capacity', () => {
+    expect(meanOutcome({}, 'weighed').inTime).to.be.at.least(0.9);
   });
 
-  it('follow no owner that is slower by turns', () => {
+  it('do not react to temporarily slower owners', () => {
     const calm = { hotShare: 0, perSecond: 840, handsOver: false };
     const noise = { share: 0.2, factor: 3, everyMillis: 400 };
-    const noisy = played({ ...calm, perSecond: 600, noise }, 'weighed');
-    // One owner in ten may take a turn for a lasting one; all of them would be in any half second.
+    const noisy = meanOutcome({ ...calm, perSecond: 600, noise }, 'weighed');
+    // At most one owner in ten may be taken for permanently slower; reacting to each slow period would move keys in every half second.
     expect(noisy.moves).to.be.at.most(LOAD.owners / 10);
-    expect(played(calm, 'weighed').moves).to.be.at.most(LOAD.owners / 10);
+    expect(meanOutcome(calm, 'weighed').moves).to.be.at.most(LOAD.owners / 10);
   });
 
-  it('take a key that no owner bears away once at most', () => {
+  it('move an oversized key at most once', () => {
     for (const handsOver of [true, false]) {
       for (const seed of SEEDS) {
         const part = { hotShare: 0.05, hotKeys: () => ({ from: 5000, count: 1 }), speeds: [0.5, 1, 1.7] };
@@ -114,27 +114,27 @@
     }
   });
 
-  it('never take such a key to a server that is a little faster', () => {
+  it('never move an oversized key to a slightly faster server', () => {
     const part = { hotShare: 0.05, hotKeys: () => ({ from: 5000, count: 1 }), speeds: [1, 1.25] };
     const { movesOfKey } = new MovingKeysModel({ ...LOAD, ...part }, 'weighed').run();
     expect(movesOfKey.has(5000)).to.equal(false);
   });
 
-  it('leave the other keys of its owner in time', () => {
+  it('keep the other requests of its owner in time', () => {
     const part = { hotShare: 0.05, hotKeys: () => ({ from: 5000, count: 1 }) };
-    expect(played(part, 'weighed').othersInTime).to.be.at.least(0.99);
+    expect(meanOutcome(part, 'weighed').othersInTime).to.be.at.least(0.99);
   });
 
-  it('are far more, and cost callers more than none, if moves count as free (sabotage)', () => {
+  it('cost callers more than no moves if they are weighed with a cost of 0 (sabotage)', () => {
     const part = { handsOver: false };
-    const none = played(part, 'none');
-    const free = played(part, 'free');
-    expect(free.inTime).to.be.below(none.inTime - CHANCE);
+    const none = meanOutcome(part, 'none');
+    const free = meanOutcome(part, 'free');
+    expect(free.inTime).to.be.below(none.inTime - RANDOM_DIFFERENCE);
   });
 });
 
-describe('moves of keys that are not weighed', () => {
-  it('come out as before weighing was known, where speeds are even', () => {
+describe('unweighed moves of keys', () => {
+  it('are unaffected by weighing where speeds are equal', () => {
     const list = Array.from({ length: 6 }, (_, index) => ({
       upstream: `u${index}`,
       slots: 2 + (index % 2),
@@ -175,7 +175,7 @@
 });
 
 describe('the first division of keys', () => {
-  it('gives owners keys by their slots and speeds, and by slots alone while no speed is known', () => {
+  it('is proportional to slots and speeds, and to slots alone while no speed is known', () => {
     const divided = (speeds: readonly number[]): number[] =>
       divideSpan(
         { from: 0, to: LARGEST_KEY },
@@ -185,34 +185,34 @@
     expect(divided([1, 1])).to.deep.equal([32_768, 32_768]);
   });
 
-  it('leaves callers in time from the start where speeds are known', () => {
+  it('keeps requests in time from the start where speeds are known', () => {
     const part = { hotShare: 0, speeds: [0.5, 0.8, 1.2, 1.7], handsOver: false };
-    const known = played({ ...part, speedsKnown: true }, 'weighed');
+    const known = meanOutcome({ ...part, speedsKnown: true }, 'weighed');
     expect(known.inTime).to.be.at.least(0.99);
   });
 });
 
-describe('the worth of a move', () => {
+describe('cost and gain of a move', () => {
   const busy = { upstream: 'busy', slots: 4, speed: 1 };
   const idle = { upstream: 'idle', slots: 4, speed: 1 };
   const move = { from: busy, fromLoad: 5000, to: idle, toLoad: 800, load: 1500, remainingMillis: 1000 };
   const terms = { slowMillis: 5000, unownedMillis: 400, workMillis: 260 };
 
-  it('is a gain for a second of overload with hand-over, and a loss without', () => {
+  it('are a net gain for a second of overload with handover, and a net loss without', () => {
     const warm = worthOf(move, { ...terms, handoverShare: 1 });
     const cold = worthOf(move, { ...terms, handoverShare: 0 });
     expect(warm.gainMillis).to.be.above(warm.costMillis);
     expect(cold.gainMillis).to.be.below(cold.costMillis);
   });
 
-  it('grows with the time that the load is expected to last, and its cost does not', () => {
+  it('depend on the expected time of the load for the gain alone', () => {
     const short = worthOf(move, { ...terms, handoverShare: 0 });
     const long = worthOf({ ...move, remainingMillis: 8000 }, { ...terms, handoverShare: 0 });
     expect(long.gainMillis).to.be.closeTo(8 * short.gainMillis, 1e-6);
     expect(long.costMillis).to.equal(short.costMillis);
   });
 
-  it('is a gain where a slow owner gives to a fast one that is as busy', () => {
+  it('include a gain where a slow owner gives keys to an equally busy fast one', () => {
     const slow = { ...busy, speed: 0.5 };
     const fast = { ...idle, speed: 1.7 };
     const sides = { from: slow, fromLoad: 1000, to: fast, toLoad: 3400, load: 300, remainingMillis: 8000 };
@@ -221,10 +221,10 @@
   });
 });
 
-describe('the age of heat', () => {
+describe('heat age', () => {
   const halfLives = { recentMillis: 700, steadyMillis: 3000 };
 
-  it('is told from two averages of a load that began at once', () => {
+  it('is estimated from two averages of a load that began as a step', () => {
     const steady = new KeyLoads(halfLives.steadyMillis);
     const recent = new KeyLoads(halfLives.recentMillis);
     for (let now = 0; now <= 24_000; now += 100) {
@@ -234,19 +234,19 @@
         loads.add(2, millis, now);
       }
     }
-    const seen = { recent: recent.of(2), steady: steady.of(2) };
+    const seen = { recent: recent.loadOf(2), steady: steady.loadOf(2) };
     expect(heatAgeMillis(seen, halfLives)).to.be.within(3000, 5000);
   });
 
-  it('is bounded, and what is expected to remain with it', () => {
-    expect(heatAgeMillis({ recent: 1, steady: 1 }, halfLives)).to.equal(LONGEST_HEAT_MILLIS);
-    expect(remainingMillis(10 * LONGEST_HEAT_MILLIS)).to.equal(LONGEST_HEAT_MILLIS);
+  it('is bounded, and so is the expected remaining time', () => {
+    expect(heatAgeMillis({ recent: 1, steady: 1 }, halfLives)).to.equal(MAX_HEAT_MILLIS);
+    expect(remainingHeatMillis(10 * MAX_HEAT_MILLIS)).to.equal(MAX_HEAT_MILLIS);
     expect(heatAgeMillis({ recent: 0, steady: 1 }, halfLives)).to.equal(0);
   });
 });
 
-describe('evidence of moves', () => {
-  it('learns how long keys had no owner, and whether hand-overs came', () => {
+describe('move estimator', () => {
+  it('estimates how long keys have no owner, and the share of handovers', () => {
     const evidence = new MoveEvidence();
     for (let moves = 0; moves < 50; moves += 1) {
       evidence.moved(900, false);
--- a/test/placement/moving-keys-model.ts
+++ b/test/placement/moving-keys-model.ts
@@ -1,6 +1,6 @@
 /**
- * Owners of keys under a load whose hot keys change place, with the real planner, on a virtual clock. What callers get: a request is in
- * time if it is done within its target; one that can't be is refused at once.
+ * Simulates owners of keys under a load with changing hot keys, with the real planner, on a virtual clock. A request is in time if
+ * it completes within its target; a request that can't complete in time is rejected immediately.
  */
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import { RandomSource } from '../../src/dev/virtual/random-source.js';
@@ -18,28 +18,28 @@
   readonly seed: number;
   readonly owners: number;
   readonly slots: number;
-  /** Speeds of owners by turns. */
+  /** Speeds, which are assigned to the owners cyclically. */
   readonly speeds: readonly number[];
   readonly workMillis: number;
   readonly targetMillis: number;
   readonly perSecond: number;
   /** Share of the requests that go to hot keys. */
   readonly hotShare: number;
-  /** The hot keys at a time. */
+  /** Returns the hot keys at a time. */
   readonly hotKeys: (now: number, random: RandomSource) => { readonly from: number; readonly count: number };
   readonly seconds: number;
-  /** Time that keys have no owner when they move, and how long they are slow then without hand-over, and how slow. */
+  /** Time for which moving keys have no owner, and time and factor of their slowness after a move without handover. */
   readonly unownedMillis: number;
   readonly slowMillis: number;
   readonly slowFactor: number;
   readonly handsOver: boolean;
-  /** Whether speeds are known when the keys are divided first. */
+  /** Whether speeds are known at the first division of the keys. */
   readonly speedsKnown?: boolean;
-  /** Share of owners that are slower by turns, how much, and how long a turn is. */
+  /** Share of owners that are temporarily slower, by which factor, and how long each period is. */
   readonly noise?: { readonly share: number; readonly factor: number; readonly everyMillis: number };
 }
 
-/** How keys are moved: not at all; by what owners have to do; by that and what a move costs. */
+/** How keys are moved: not at all; by the owners' loads; by loads and move costs; by loads and move costs of 0. */
 export type MoveMode = 'none' | 'unweighed' | 'weighed' | 'free';
 
 export interface KeysOutcome {
@@ -47,11 +47,11 @@
   /** Shares of the requests. */
   readonly inTime: number;
   readonly refused: number;
-  /** Share in time of the requests of keys that weren't hot. */
+  /** Share in time of the requests for keys that aren't hot. */
   readonly othersInTime: number;
   readonly moves: number;
   readonly keysMoved: number;
-  /** How often each key moved alone. */
+  /** Number of moves of each key as a single key. */
   readonly movesOfKey: ReadonlyMap<number, number>;
 }
 
@@ -62,7 +62,7 @@
     this.#freeAt = Array.from({ length: slots }, () => 0);
   }
 
-  /** When a slot is free for what comes now. */
+  /** Returns when a slot is free for a request that arrives now. */
   startAt(now: number): number {
     return Math.max(now, Math.min(...this.#freeAt));
   }
@@ -87,7 +87,7 @@
   #underWay: PlannedSpan[] = [];
   #requests = 0;
   #inTime = 0;
-  #refused = 0;
+  #rejected = 0;
   #others = 0;
   #othersInTime = 0;
   #moves = 0;
@@ -101,19 +101,21 @@
     for (const { upstream } of servers) {
       this.#owners.set(upstream, new Owner(load.slots));
     }
-    const known = servers.map((server, index) => {
+    const serversWithSpeeds = servers.map((server, index) => {
       const speed = load.speedsKnown === true ? (load.speeds[index % load.speeds.length] ?? 1) : 1;
       return { ...server, speed };
     });
-    this.#ranges = divideSpan({ from: 0, to: LARGEST_KEY }, known).map(({ from, to, target }) => ({
-      service: 'keys',
-      from,
-      to,
-      owner: target,
-      fence: 1,
-      former: null,
-      revision: 1,
-    }));
+    this.#ranges = divideSpan({ from: 0, to: LARGEST_KEY }, serversWithSpeeds).map(
+      ({ from, to, target }) => ({
+        service: 'keys',
+        from,
+        to,
+        owner: target,
+        fence: 1,
+        former: null,
+        revision: 1,
+      }),
+    );
   }
 
   run(): KeysOutcome {
@@ -124,7 +126,7 @@
     return {
       requests: this.#requests,
       inTime: this.#inTime / this.#requests,
-      refused: this.#refused / this.#requests,
+      refused: this.#rejected / this.#requests,
       othersInTime: this.#othersInTime / Math.max(1, this.#others),
       moves: this.#moves,
       keysMoved: this.#keysMoved,
@@ -163,14 +165,14 @@
       return;
     }
     const millis = workMillis * (0.5 + this.#random.fraction()) * this.#slowness(owner, key);
-    const known = this.#reported.get(key) ?? { requests: 0, workMillis: 0 };
-    known.requests += 1;
-    known.workMillis += millis;
-    this.#reported.set(key, known);
+    const total = this.#reported.get(key) ?? { requests: 0, workMillis: 0 };
+    total.requests += 1;
+    total.workMillis += millis;
+    this.#reported.set(key, total);
     const server = this.#owners.get(owner) as Owner;
     const startAt = server.startAt(now);
     if (startAt + workMillis * this.#slowness(owner, key) > arrivedAt + targetMillis) {
-      this.#refused += 1;
+      this.#rejected += 1;
       return;
     }
     server.run(startAt, millis);
@@ -183,8 +185,8 @@
     const { speeds, slowFactor, noise } = this.#load;
     const index = Number(owner.slice(1));
     const unwarmed = (this.#slowUntil.get(key) ?? 0) > this.#events.now ? slowFactor : 1;
-    const turn = noise === undefined ? 0 : Math.floor(this.#events.now / noise.everyMillis);
-    const isNoisy = noise !== undefined && ((index * 7919 + turn * 104_729) % 1000) / 1000 < noise.share;
+    const period = noise === undefined ? 0 : Math.floor(this.#events.now / noise.everyMillis);
+    const isNoisy = noise !== undefined && ((index * 7919 + period * 104_729) % 1000) / 1000 < noise.share;
     return (unwarmed * (isNoisy ? noise.factor : 1)) / (speeds[index % speeds.length] ?? 1);
   }
 
@@ -236,7 +238,7 @@
     if (move.from === move.to) {
       this.#movesOfKey.set(move.from, (this.#movesOfKey.get(move.from) ?? 0) + 1);
     }
-    this.#own(move, null);
+    this.#setOwner(move, null);
     this.#underWay.push(move);
     this.#events.after(this.#load.unownedMillis, () => this.#end(move));
   }
@@ -244,13 +246,13 @@
   #end(move: PlannedSpan): void {
     const { handsOver, slowMillis } = this.#load;
     this.#underWay = this.#underWay.filter((other) => other !== move);
-    this.#own(move, move.target);
+    this.#setOwner(move, move.target);
     for (let key = move.from; key <= move.to && !handsOver; key += 1) {
       this.#slowUntil.set(key, this.#events.now + slowMillis);
     }
   }
 
-  #own({ from, to }: PlannedSpan, owner: string | null): void {
+  #setOwner({ from, to }: PlannedSpan, owner: string | null): void {
     this.#ranges = this.#ranges.flatMap((range) => {
       if (to < range.from || from > range.to) {
         return [range];
--- a/test/placement/owner-speeds.test.ts
+++ b/test/placement/owner-speeds.test.ts
@@ -1,8 +1,8 @@
-/** Speeds of upstreams beside each other, from what their requests take. */
+/** Relative speeds of upstreams, from the work of their requests. */
 import { expect } from 'chai';
 import { OwnerSpeeds } from '../../src/placement/ranges/owner-speeds.js';
 
-function measured(millisByOwner: Readonly<Record<string, number>>, requests: number): OwnerSpeeds {
+function speedsAfter(millisByOwner: Readonly<Record<string, number>>, requests: number): OwnerSpeeds {
   const speeds = new OwnerSpeeds();
   for (let second = 0; second < 10; second += 1) {
     for (const [owner, millis] of Object.entries(millisByOwner)) {
@@ -12,16 +12,16 @@
   return speeds;
 }
 
-describe('speeds of owners', () => {
+describe('owner speeds', () => {
   it('are factors on the mean', () => {
-    const speeds = measured({ slow: 150, usual: 90, fast: 60 }, 20);
+    const speeds = speedsAfter({ slow: 150, usual: 90, fast: 60 }, 20);
     expect(speeds.meanMillis).to.be.closeTo(100, 1);
     expect(speeds.of('slow')).to.be.closeTo(0.67, 0.03);
     expect(speeds.of('fast')).to.be.closeTo(1.67, 0.1);
   });
 
-  it('are the mean one while little or nothing was measured', () => {
-    const speeds = measured({ usual: 90 }, 20);
+  it('stay near the mean while little or nothing was speedsAfter', () => {
+    const speeds = speedsAfter({ usual: 90 }, 20);
     expect(speeds.of('new')).to.equal(1);
     speeds.add('new', 1, 900, 9000);
     expect(speeds.of('new')).to.be.within(0.4, 1);
@@ -29,8 +29,8 @@
     expect(new OwnerSpeeds().meanMillis).to.equal(null);
   });
 
-  it('follow an upstream that turned slow within seconds', () => {
-    const speeds = measured({ one: 90, other: 90, third: 90, fourth: 90 }, 10);
+  it('follow an upstream that becomes slow, within seconds', () => {
+    const speeds = speedsAfter({ one: 90, other: 90, third: 90, fourth: 90 }, 10);
     for (let second = 10; second < 14; second += 1) {
       speeds.add('one', 10, 4500, second * 1000);
       speeds.add('other', 10, 900, second * 1000);
@@ -42,7 +42,7 @@
   });
 
   it('are forgotten with their upstreams', () => {
-    const speeds = measured({ slow: 150, usual: 90 }, 20);
+    const speeds = speedsAfter({ slow: 150, usual: 90 }, 20);
     speeds.keepOnly(new Set(['usual']));
     expect(speeds.of('slow')).to.equal(1);
   });
--- a/test/placement/placement-fixtures.ts
+++ b/test/placement/placement-fixtures.ts
@@ -1,4 +1,4 @@
-/** Servers and shards for tests of placement, and a model that carries moves out. */
+/** Servers and shards for tests of placement, and a model that executes moves. */
 import {
   createBoundedLoadPlanner,
   createGreedyPlanner,
@@ -31,7 +31,7 @@
   return { shard: id, keyspace: 'all', load: 0, owner: null, target: null, ...change };
 }
 
-/** A planner with the world that it decides for: each move is carried out at once. */
+/** A planner with the servers and shards of its service; each move is executed immediately. */
 export class PlacedService {
   readonly servers = new Map<string, PlacementServer>();
   readonly shards = new Map<string, PlacementShard>();
@@ -44,12 +44,12 @@
     this.planner.setServer(next);
   }
 
-  /** The lease of a server has ended: its shards have no owner. */
+  /** Ends the lease of a server, which leaves its shards without an owner. */
   lose(id: string): void {
     this.setServer({ ...(this.servers.get(id) as PlacementServer), state: 'lost' });
-    for (const known of this.shards.values()) {
-      if (known.owner === id) {
-        this.setShard({ ...known, owner: null });
+    for (const existing of this.shards.values()) {
+      if (existing.owner === id) {
+        this.setShard({ ...existing, owner: null });
       }
     }
   }
@@ -64,18 +64,18 @@
     this.planner.setLoad(id, load);
   }
 
-  /** Plans once and carries out what was planned. */
+  /** Plans once and executes the moves. */
   step(now: number): PlacementMove[] {
     const moves = this.planner.plan(now);
     for (const move of moves) {
       this.moves.push({ at: now, move });
-      const known = this.shards.get(move.shard) as PlacementShard;
-      this.setShard({ ...known, owner: move.to, target: null });
+      const existing = this.shards.get(move.shard) as PlacementShard;
+      this.setShard({ ...existing, owner: move.to, target: null });
     }
     return moves;
   }
 
-  /** Plans once a second from `start` for so many seconds. */
+  /** Plans once a second from `start` on. */
   run(start: number, seconds: number): PlacementMove[] {
     return Array.from({ length: seconds }, (_, second) => this.step(start + second * 1000)).flat();
   }
@@ -87,11 +87,11 @@
   }
 
   ownedBy(id: string): string[] {
-    return [...this.shards.values()].filter(({ owner }) => owner === id).map((known) => known.shard);
+    return [...this.shards.values()].filter(({ owner }) => owner === id).map((existing) => existing.shard);
   }
 }
 
-/** A service with so many servers `s0`, `s1`, ... and shards `k0`, `k1`, ... all placed. */
+/** Returns a service with servers `s0`, `s1`, ... and shards `k0`, `k1`, ..., all placed. */
 export function placedService(
   planner: PlacementPlanner,
   serverCount: number,
--- a/test/placement/placement-state.test.ts
+++ b/test/placement/placement-state.test.ts
@@ -43,7 +43,7 @@
         (state) => {
           const [entry, target] = [state.shards.get(id), state.servers.get(to)];
           if (entry !== undefined && target !== undefined) {
-            state.begin(entry, target);
+            state.beginMove(entry, target);
           }
         },
     ),
@@ -51,8 +51,8 @@
   { maxLength: 60 },
 );
 
-/** The spread, computed from nothing but the shards and the servers. */
-function plainSpread(state: PlacementState) {
+/** Computes the spread directly from the shards and the servers. */
+function recomputedSpread(state: PlacementState) {
   const takers = [...state.servers.values()].filter(({ server }) => server.state === 'ready');
   const loads = takers.map(({ shards }) => [...shards].reduce((sum, { load }) => sum + load, 0));
   const sum = loads.reduce((total, load) => total + load, 0);
@@ -61,7 +61,7 @@
 }
 
 describe('placement state', () => {
-  it('finds another hottest shard when the load of the hottest falls, or it goes', () => {
+  it('finds another hottest shard when the load of the hottest falls or it is removed', () => {
     const state = new PlacementState();
     state.setServer(server('s0', { state: 'ready' }));
     for (const [id, load] of Object.entries({ k0: 50, k1: 40, k2: 30 })) {
@@ -76,19 +76,19 @@
     expect(state.spread()).to.deep.equal({ most: 65, mean: 65, hottest: 35 });
   });
 
-  it('tells the spread of the load as it is after each change', () => {
+  it('returns the current spread of the load after each change', () => {
     fc.assert(
       fc.property(changes, (history) => {
         const state = new PlacementState();
         for (const change of history) {
           change(state);
-          expect(state.spread()).to.deep.equal(plainSpread(state));
+          expect(state.spread()).to.deep.equal(recomputedSpread(state));
         }
       }),
     );
   });
 
-  it('keeps sums and indexes that agree with the shards', () => {
+  it('keeps sums and indexes consistent with the shards', () => {
     fc.assert(
       fc.property(changes, (history) => {
         const state = new PlacementState();
--- a/test/placement/planner-properties.test.ts
+++ b/test/placement/planner-properties.test.ts
@@ -1,4 +1,4 @@
-/** What every planner keeps to, whatever happens: random histories of joins, drains, losses and loads. */
+/** Invariants of all planners under random histories of joins, drains, losses and loads. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { createPlanner, type PlacementMove, type PlacementPlanner } from '../../src/placement/index.js';
@@ -41,20 +41,20 @@
 
 function apply(service: PlacedService, step: Step): void {
   const id = `s${step.type === 'wait' ? 0 : step.number}`;
-  const known = service.servers.get(id) ?? server(id, { zone: `z${id.length}` });
+  const existing = service.servers.get(id) ?? server(id, { zone: `z${id.length}` });
   switch (step.type) {
     case 'server':
-      service.setServer({ ...known, state: step.state });
+      service.setServer({ ...existing, state: step.state });
       break;
     case 'may-hold':
-      service.setServer({ ...known, mayHold: step.mayHold });
+      service.setServer({ ...existing, mayHold: step.mayHold });
       break;
     case 'lose':
-      service.setServer(known);
+      service.setServer(existing);
       service.lose(id);
       break;
     case 'remove':
-      service.setServer(known);
+      service.setServer(existing);
       service.lose(id);
       service.servers.delete(id);
       service.planner.removeServer(id);
@@ -67,17 +67,17 @@
   }
 }
 
-interface Look {
+interface PlannedStep {
   readonly now: number;
   readonly service: PlacedService;
   readonly moves: readonly PlacementMove[];
 }
 
-/** Runs a history; `look` sees the moves of each plan beside the world as it was when they were planned. */
+/** Runs a history; `inspect` gets the moves of each plan, and the service after them. */
 function run(
   planner: PlacementPlanner,
   history: readonly Step[],
-  look: (look: Look) => void,
+  inspect: (inspect: PlannedStep) => void,
 ): PlacementMove[] {
   const service = new PlacedService(planner);
   for (let number = 0; number < 3; number += 1) {
@@ -95,14 +95,14 @@
     for (const move of moves) {
       expect(before.get(move.shard)?.owner, 'owner that the move names').to.equal(move.from);
     }
-    look({ now, service, moves });
+    inspect({ now, service, moves });
   }
   return service.moves.map(({ move }) => move);
 }
 
 describe('planners', () => {
   for (const { name, create } of PLANNERS) {
-    it(`${name}: never names a server that may not take the shard`, () => {
+    it(`${name}: never moves a shard to a server that doesn't accept it`, () => {
       fc.assert(
         fc.property(steps, (history) => {
           run(create(), history, ({ service, moves }) => {
@@ -119,7 +119,7 @@
       );
     });
 
-    it(`${name}: leaves no shard without owner if a server may take it`, () => {
+    it(`${name}: leaves no shard without an owner if a server accepts it`, () => {
       fc.assert(
         fc.property(steps, (history) => {
           run(create(), history, ({ service }) => {
@@ -138,7 +138,7 @@
       );
     });
 
-    it(`${name}: gives the same moves for the same history`, () => {
+    it(`${name}: returns the same moves for the same history`, () => {
       fc.assert(
         fc.property(steps, (history) => {
           const first = run(create(), history, () => {});
@@ -149,7 +149,7 @@
     });
   }
 
-  it('weighted: keeps within the budget in every minute', () => {
+  it('weighted: stays within the budget in every minute', () => {
     fc.assert(
       fc.property(steps, fc.nat(20), (history, movesPerMinute) => {
         const times: number[] = [];
--- a/test/placement/range-planner.test.ts
+++ b/test/placement/range-planner.test.ts
@@ -1,4 +1,4 @@
-/** Plans for ranges: even at first, few keys moved later, nobody overloaded by what another one leaves. */
+/** Plans of ranges: an even first division, few moved keys, and no owner overloaded by the keys of a leaving owner. */
 import { expect } from 'chai';
 import { type KeyRange, LARGEST_KEY, spanLength } from '../../src/model/key-range.js';
 import { KeyLoads } from '../../src/placement/ranges/key-loads.js';
@@ -19,7 +19,7 @@
   return Array.from({ length: count }, (_, index) => ({ upstream: `u${index}`, slots, speed: 1 }));
 }
 
-function owned(list: readonly RangeServer[]): KeyRange[] {
+function dividedAmong(list: readonly RangeServer[]): KeyRange[] {
   return divideSpan(WHOLE, list).map(({ from, to, target }) => ({
     service: 'menu',
     from,
@@ -31,8 +31,8 @@
   }));
 }
 
-/** A range with short ones of other owners cut out of it, and what is left between them. */
-function cutOut(range: KeyRange, count: number, list: readonly RangeServer[]): KeyRange[] {
+/** Splits a range by short ranges of other owners. */
+function splitByOthers(range: KeyRange, count: number, list: readonly RangeServer[]): KeyRange[] {
   const others = list.filter(({ upstream }) => upstream !== range.owner);
   const length = Math.floor((range.to - range.from + 1) / count);
   return Array.from({ length: count }, (_, index) => {
@@ -46,7 +46,7 @@
   }).flat();
 }
 
-/** The ranges once a span has gone to another owner. */
+/** Returns the ranges after a span has moved to another owner. */
 function withMove(ranges: readonly KeyRange[], { from, to, target }: PlannedSpan): KeyRange[] {
   return ranges.flatMap((range) => {
     if (to < range.from || from > range.to) {
@@ -61,7 +61,7 @@
   });
 }
 
-/** Loads with `millis` of work a second for each key of a span. */
+/** Returns loads with `millis` of work per second for each key of a span. */
 function loadsWith(...parts: readonly (readonly [number, number, number])[]): KeyLoads {
   const loads = new KeyLoads();
   for (let second = 0; second < 60; second += 1) {
@@ -86,28 +86,28 @@
     expect(spans[1]?.to).to.equal(LARGEST_KEY);
   });
 
-  it('measures steady work a second', () => {
+  it('measures steady work per second', () => {
     const loads = loadsWith([100, 100, 50]);
-    expect(loads.of(100)).to.be.within(40, 62);
-    expect(loads.of(101)).to.equal(0);
+    expect(loads.loadOf(100)).to.be.within(40, 62);
+    expect(loads.loadOf(101)).to.equal(0);
   });
 
-  it('moves nothing while loads are near each other', () => {
+  it('moves nothing while loads are similar', () => {
     const list = servers(4);
-    const ranges = owned(list);
+    const ranges = dividedAmong(list);
     const loads = loadsWith(...ranges.map(({ from }) => [from, from + 9, 80] as const));
     expect(planMoves(ranges, loads, list)).to.deep.equal([]);
   });
 
-  it('moves nothing while nobody is busy', () => {
+  it('moves nothing while no owner is busy', () => {
     const list = servers(4);
-    const ranges = owned(list);
+    const ranges = dividedAmong(list);
     expect(planMoves(ranges, loadsWith([0, 9, 10]), list)).to.deep.equal([]);
   });
 
-  it('cuts a run of hot keys among the idle ones, with few keys', () => {
+  it('divides adjacent hot keys among idle servers, with few moved keys', () => {
     const list = servers(4);
-    const ranges = owned(list);
+    const ranges = dividedAmong(list);
     const loads = loadsWith([1000, 1199, 15]);
     const moves = planMoves(ranges, loads, list);
     expect(moves.length).to.be.at.least(2);
@@ -116,15 +116,15 @@
     expect(moves.every(({ target }) => target !== 'u0')).to.equal(true);
     const use = new OwnerLoads(list, ranges, loads);
     for (const move of moves) {
-      use.shift('u0', -loads.ofSpan(move));
-      use.shift(move.target, loads.ofSpan(move));
+      use.addLoad('u0', -loads.loadOfSpan(move));
+      use.addLoad(move.target, loads.loadOfSpan(move));
     }
     expect(Math.max(...list.map((server) => use.useOf(server)))).to.be.below(0.9);
   });
 
   it('relieves an owner within a second after its keys became hot', () => {
     const list = servers(4);
-    const ranges = owned(list);
+    const ranges = dividedAmong(list);
     const steady = new KeyLoads();
     const recent = new KeyLoads(700);
     for (let millis = 0; millis <= 20_500; millis += 100) {
@@ -139,18 +139,18 @@
     }
     expect(planMoves(ranges, steady, list, EVEN_GOAL)).to.have.length.below(2);
     const moves = planMoves(ranges, recent, list, RELIEF_GOAL);
-    const moved = moves.reduce((sum, move) => sum + recent.ofSpan(move), 0);
+    const moved = moves.reduce((sum, move) => sum + recent.loadOfSpan(move), 0);
     expect(moved).to.be.above(400);
     expect(moves.every(({ from, to }) => from >= 1000 && to < 1200)).to.equal(true);
   });
 
-  it('spreads a run of hot keys as soon among many servers as among few', () => {
+  it('spreads adjacent hot keys among many servers as soon as among few', () => {
     for (const count of [15, 180, 850]) {
       const list = servers(count);
-      let ranges = owned(list);
+      let ranges = dividedAmong(list);
       const steady = ranges.map(({ from }) => [from + 20, from + 24, 160] as const);
       const hotFrom = (ranges[1]?.from ?? 0) + 30;
-      // Each of the others has room for a fifth of a server's work: the run has to go to a third of them.
+      // Each other server has capacity for a fifth of a server's work, so the hot keys must be spread over a third of them.
       const loads = loadsWith(...steady, [hotFrom, hotFrom + 39, count / 3]);
       for (let plan = 0; plan < 2; plan += 1) {
         const moves = planMoves(ranges, loads, list, RELIEF_GOAL);
@@ -162,9 +162,9 @@
     }
   });
 
-  it('counts keys on their way at the server that gets them', () => {
+  it('counts moving keys at the server that gets them', () => {
     const list = servers(3);
-    const [first, second, third] = owned(list) as [KeyRange, KeyRange, KeyRange];
+    const [first, second, third] = dividedAmong(list) as [KeyRange, KeyRange, KeyRange];
     const ranges = [{ ...first, owner: null, former: 'u9' }, second, third];
     const loads = loadsWith([first.from, first.from + 9, 150], [second.from, second.from + 9, 180]);
     const underWay = [{ from: first.from, to: first.to, target: 'u0' }];
@@ -174,23 +174,23 @@
     expect(targets([])[0]).to.equal('u0');
   });
 
-  it('returns what was cut out of a longer range once it is idle', () => {
+  it('returns a range that was split off a longer range once it is idle', () => {
     const list = servers(3);
-    const [first, second, third] = owned(list) as [KeyRange, KeyRange, KeyRange];
-    const cutOut = { ...first, from: 500, to: 509, owner: 'u1', fence: 2 };
-    const ranges = [{ ...first, to: 499 }, cutOut, { ...first, from: 510 }, second, third];
+    const [first, second, third] = dividedAmong(list) as [KeyRange, KeyRange, KeyRange];
+    const splitByOthers = { ...first, from: 500, to: 509, owner: 'u1', fence: 2 };
+    const ranges = [{ ...first, to: 499 }, splitByOthers, { ...first, from: 510 }, second, third];
     const span = { from: 500, to: 509, target: 'u0' };
     expect(planReturns(ranges, loadsWith([500, 500, 20]), list)).to.deep.equal([span]);
     expect(planReturns(ranges, loadsWith([500, 500, 400]), list)).to.deep.equal([]);
     expect(planReturns(ranges, loadsWith([500, 500, 20]), list.slice(1))).to.deep.equal([]);
-    const apart = [cutOut, { ...first, from: 511 }];
+    const apart = [splitByOthers, { ...first, from: 511 }];
     expect(planReturns(apart, loadsWith([500, 500, 20]), list)).to.deep.equal([]);
   });
 
-  it('gives back more ranges at once the more there are, so that they keep up with cuts', () => {
+  it('plans more returns the more ranges there are, so that returns keep up with splits', () => {
     const list = servers(4);
     const cut = (count: number): KeyRange[] =>
-      owned(list).flatMap((range) => cutOut(range, count / list.length, list));
+      dividedAmong(list).flatMap((range) => splitByOthers(range, count / list.length, list));
     for (const count of [16, 40, 400]) {
       const ranges = cut(count);
       const returns = planReturns(ranges, new KeyLoads(), list);
@@ -198,15 +198,15 @@
     }
   });
 
-  it('leaves a single hot key where it is', () => {
+  it('does not move a single hot key to an equal server', () => {
     const list = servers(2);
-    const ranges = owned(list);
+    const ranges = dividedAmong(list);
     expect(planMoves(ranges, loadsWith([500, 500, 1900]), list)).to.deep.equal([]);
   });
 
-  it('gives a key that is too hot for its owner to the fastest server, also if that has other keys', () => {
+  it('moves a key that is too hot for its owner to the fastest server, even if that has other keys', () => {
     const list = servers(4).map((server, index) => ({ ...server, speed: [0.6, 1, 1.4, 1][index] ?? 1 }));
-    const ranges = owned(list);
+    const ranges = dividedAmong(list);
     const third = ranges[2] as KeyRange;
     const loads = loadsWith([500, 500, 1900], [third.from, third.from + 9, 80]);
     const moves = planMoves(ranges, loads, list);
@@ -217,13 +217,13 @@
 
   it('keeps a hot key at the fastest server', () => {
     const list = servers(4).map((server, index) => ({ ...server, speed: [1.4, 1, 1.3, 0.6][index] ?? 1 }));
-    const moves = planMoves(owned(list), loadsWith([500, 500, 3900]), list);
+    const moves = planMoves(dividedAmong(list), loadsWith([500, 500, 3900]), list);
     expect(moves).to.deep.equal([]);
   });
 
-  it('takes everything else off the owner of a key that is too hot to move', () => {
+  it('moves other keys off the owner of a key that is too hot to move', () => {
     const list = servers(4);
-    const ranges = owned(list);
+    const ranges = dividedAmong(list);
     const loads = loadsWith([500, 500, 1900], [800, 899, 6], [40_000, 40_009, 100]);
     const moves = planMoves(ranges, loads, list);
     const moved = moves.filter(({ from }) => from >= 800 && from < 900);
@@ -231,19 +231,19 @@
     expect(moves.some(({ from, to }) => from <= 500 && 500 <= to)).to.equal(false);
   });
 
-  it('moves a single hot key if its next owner is less busy with it', () => {
+  it('moves a single hot key if its next owner is then less busy than the previous one', () => {
     const list = servers(4);
-    const ranges = owned(list);
+    const ranges = dividedAmong(list);
     const loads = loadsWith([500, 500, 900], [700, 700, 900]);
     expect(planMoves(ranges, loads, list)).to.have.length(1);
   });
 
-  it('spreads the keys of an owner that goes over several others', () => {
+  it('spreads the keys of a leaving owner over several others', () => {
     const list = servers(5);
-    const [first] = owned(list) as [KeyRange];
+    const [first] = dividedAmong(list) as [KeyRange];
     const rest = list.slice(1);
     const loads = loadsWith([first.from, first.from + 99, 10]);
-    const use = new OwnerLoads(rest, owned(list).slice(1), loads);
+    const use = new OwnerLoads(rest, dividedAmong(list).slice(1), loads);
     const spans = spreadSpan(first, loads, use, use.ofSpan(first));
     expect(new Set(spans.map(({ target }) => target)).size).to.equal(4);
     expect(spans[0]?.from).to.equal(first.from);
--- a/test/placement/weighted-planner.test.ts
+++ b/test/placement/weighted-planner.test.ts
@@ -9,7 +9,7 @@
 }
 
 describe('weighted planner', () => {
-  it('spreads shards without load by number', () => {
+  it('spreads shards without load evenly by number', () => {
     const service = placedService(createPlanner(BALANCED), 4, Array<number>(40).fill(0));
     expect(countsOf(service)).to.deep.equal([10, 10, 10, 10]);
   });
@@ -59,13 +59,13 @@
     expect(countsOf(service)).to.deep.equal([0, 10, 10, 10, 10]);
   });
 
-  it('leaves shards of a lost server alone while they have an owner', () => {
+  it('does not move shards of a lost server while they have an owner', () => {
     const service = placedService(createPlanner(BALANCED), 3, Array<number>(9).fill(1));
     service.setServer(server('s0', { state: 'lost' }));
     expect(service.run(1000, 10)).to.deep.equal([]);
   });
 
-  it('prefers the server that has warmed', () => {
+  it('prefers the server that has warmed the shard', () => {
     const service = placedService(createPlanner(BALANCED), 3, [5, 5, 5]);
     const owner = service.shards.get('k0')?.owner as string;
     service.setShard(shard('extra', { load: 1, target: owner }));
@@ -73,7 +73,7 @@
     expect(service.shards.get('extra')?.owner).to.equal(owner);
   });
 
-  it('moves the shards of a draining server in batches without asking the budget', () => {
+  it('moves the shards of a draining server in batches, regardless of the budget', () => {
     const planner = createPlanner({ ...BALANCED, movesPerMinute: 0 });
     const service = placedService(planner, 2, Array<number>(100).fill(1));
     service.setServer(server('s0', { state: 'draining' }));
@@ -95,7 +95,7 @@
     expect(service.ownedBy('s0')).to.deep.equal([]);
   });
 
-  it('relieves the owner of a shard that became hot, and leaves the hot shard where it is', () => {
+  it('relieves the owner of a shard that became hot, without moving the hot shard', () => {
     const service = placedService(createPlanner(BALANCED), 5, Array<number>(50).fill(10));
     const owner = service.shards.get('k0')?.owner as string;
     service.setLoad('k0', 400);
@@ -104,7 +104,7 @@
     expect(service.loadOf(owner)).to.be.at.most(400 * 1.05);
   });
 
-  it('moves less when imbalance weighs less', () => {
+  it('moves fewer shards when imbalance has a lower weight', () => {
     const movesOf = (settings: typeof BALANCED): number => {
       const service = placedService(createPlanner(settings), 5, Array<number>(50).fill(10));
       for (let number = 0; number < 10; number += 1) {
@@ -125,11 +125,11 @@
     expect(service.ownedBy('s4').length).to.be.within(7, 9);
   });
 
-  it('does not move a shard again before it has rested', () => {
+  it('does not move a shard again within its cooldown', () => {
     const service = placedService(createPlanner(BALANCED), 3, Array<number>(30).fill(1));
     for (let second = 1; second <= 4; second += 1) {
-      for (const known of [...service.shards.values()]) {
-        service.setLoad(known.shard, known.owner === `s${second % 3}` ? 3 : 1);
+      for (const current of [...service.shards.values()]) {
+        service.setLoad(current.shard, current.owner === `s${second % 3}` ? 3 : 1);
       }
       service.step(second * 1000);
     }
