--- a/src/lease/deadline-queue.ts
+++ b/src/lease/deadline-queue.ts
@@ -1,10 +1,10 @@
-/** Deadlines of many things, one each, as a binary heap. Setting one anew leaves a stale item that is passed over later. */
+/** Binary heap of deadlines, one per key. Replacing a deadline leaves a stale item, which is skipped later. */
 import type { MonotonicMillis } from '../model/identifiers.js';
 
-/** A smaller heap isn't worth rebuilding. */
-const LEAST_REBUILT_ITEMS = 64;
-/** Items a key, stale ones included, from which on the heap is rebuilt. */
-const MOST_ITEMS_PER_KEY = 4;
+/** Minimum size from which rebuilding the heap is worthwhile. */
+const MIN_REBUILT_ITEMS = 64;
+/** Number of items per key, including stale ones, from which the heap is rebuilt. */
+const MAX_ITEMS_PER_KEY = 4;
 
 interface Item<Key> {
   readonly key: Key;
@@ -33,7 +33,7 @@
     this.#deadlines.delete(key);
   }
 
-  /** The earliest deadline; `Infinity` if there is none. */
+  /** Returns the earliest deadline; `Infinity` if there is none. */
   next(): MonotonicMillis {
     for (let top = this.#heap[0]; top !== undefined; top = this.#heap[0]) {
       if (this.#deadlines.get(top.key) === top.at) {
@@ -44,10 +44,10 @@
     return Number.POSITIVE_INFINITY;
   }
 
-  /** Takes out the keys whose deadlines are not after `now`, the earliest first; at most `most` of them. */
-  takeDue(now: MonotonicMillis, most = Number.POSITIVE_INFINITY): Key[] {
+  /** Removes and returns up to `maxCount` keys whose deadlines are not after `now`, the earliest first. */
+  takeDue(now: MonotonicMillis, maxCount = Number.POSITIVE_INFINITY): Key[] {
     const due: Key[] = [];
-    while (due.length < most && this.next() <= now) {
+    while (due.length < maxCount && this.next() <= now) {
       const { key } = this.#heap[0] as Item<Key>;
       this.#pop();
       this.#deadlines.delete(key);
@@ -56,11 +56,11 @@
     return due;
   }
 
-  /** Stale items never outnumber the others for long. */
+  /** Rebuilds the heap if it consists mostly of stale items. */
   #dropStaleItems(): void {
     if (
-      this.#heap.length < LEAST_REBUILT_ITEMS ||
-      this.#heap.length < MOST_ITEMS_PER_KEY * this.#deadlines.size
+      this.#heap.length < MIN_REBUILT_ITEMS ||
+      this.#heap.length < MAX_ITEMS_PER_KEY * this.#deadlines.size
     ) {
       return;
     }
--- a/src/lease/grant-holder.ts
+++ b/src/lease/grant-holder.ts
@@ -1,6 +1,6 @@
 /**
  * The holder's side of a session lease. One lease covers all grants of one incarnation; it ends on the holder's own
- * monotonic clock, so a process that was paused finds it over before it does anything else.
+ * monotonic clock, so a process that was paused detects its end before it does anything else.
  */
 
 import type { ClusterId, MonotonicMillis, ShardId, Term } from '../model/identifiers.js';
@@ -16,7 +16,7 @@
 import { ShardTable } from './shard-table.js';
 import type { FenceCredentials, FenceRefusal, KeyMap, SessionAnswer, SessionRequest } from './types.js';
 
-/** Makes the fence of one run of a server. */
+/** Creates the fence for one run of a server. */
 export function createGrantHolder(config: GrantHolderConfig): GrantHolder {
   return new SessionGrantHolder(config);
 }
@@ -24,7 +24,7 @@
 class SessionGrantHolder implements GrantHolder {
   readonly #config: GrantHolderConfig;
   readonly #shards = new ShardTable();
-  /** Period of the lease in which each request under way was admitted. */
+  /** Lease period in which each running request was admitted. */
   readonly #tickets = new Map<number, number>();
   #cluster: ClusterId | null;
   #term: Term = 0;
@@ -32,7 +32,7 @@
   #keyMap: KeyMap | null = null;
   #drain = false;
   #validUntil: MonotonicMillis = Number.NEGATIVE_INFINITY;
-  /** Grows with each lease that begins after another one ended. */
+  /** Grows with each lease that begins after the previous one ended. */
   #period = 0;
   #nextTicket = 1;
 
@@ -44,7 +44,7 @@
   handleSession(request: SessionRequest, now: MonotonicMillis): SessionAnswer {
     const refused = this.#refusalOf(request);
     if (refused === null && request.incarnation !== null) {
-      this.#follow(request, now);
+      this.#apply(request, now);
     }
     const named = request.orders.map((order) => order.shard);
     const answer: SessionAnswer = {
@@ -60,7 +60,7 @@
       inFlight: this.#tickets.size,
       refused,
     };
-    this.#shards.noteReported(answer.released);
+    this.#shards.markReported(answer.released);
     return answer;
   }
 
@@ -109,7 +109,7 @@
     };
   }
 
-  /** Checks where a message comes from and that it isn't an old one; remembers the highest term and sequence. */
+  /** Checks the origin and age of a message, and stores the highest term and sequence number. */
   #refusalOf(request: SessionRequest): SessionAnswer['refused'] {
     if (this.#cluster !== null && request.cluster !== this.#cluster) {
       return 'other-cluster';
@@ -126,11 +126,12 @@
     this.#cluster = request.cluster;
     this.#term = request.term;
     this.#sequence = request.sequence;
-    const isOurs = request.incarnation === null || request.incarnation === this.#config.incarnation;
-    return isOurs ? null : 'other-incarnation';
+    const isForThisIncarnation =
+      request.incarnation === null || request.incarnation === this.#config.incarnation;
+    return isForThisIncarnation ? null : 'other-incarnation';
   }
 
-  #follow(request: SessionRequest, now: MonotonicMillis): void {
+  #apply(request: SessionRequest, now: MonotonicMillis): void {
     this.#drain = request.drain;
     if (request.keyMap !== null) {
       this.#adoptKeyMap(request.keyMap);
@@ -139,7 +140,7 @@
       this.#shards.keepOnly(request.orders);
     }
     for (const order of request.orders) {
-      this.#shards.follow(order, this.#keyMap);
+      this.#shards.apply(order, this.#keyMap);
     }
     if (request.validUntil !== null) {
       this.#renew(request.validUntil, now);
@@ -151,11 +152,11 @@
     this.#keyMap = keyMap;
     const isOther = previous?.generation !== keyMap.generation || previous.service !== keyMap.service;
     if (previous !== null && isOther) {
-      this.#shards.retire(previous, keyMap);
+      this.#shards.forgetOldShards(previous, keyMap);
     }
   }
 
-  /** Work admitted before the lease ended stays without effect, although the lease begins anew. */
+  /** Work admitted before the lease ended can't take effect even after a new lease has begun. */
   #renew(validUntil: MonotonicMillis, now: MonotonicMillis): void {
     if (!this.#isLeased(now)) {
       this.#period += 1;
--- a/src/lease/granter-session.ts
+++ b/src/lease/granter-session.ts
@@ -1,14 +1,14 @@
-/** One upstream's session as the control leader sees it: what was sent, what was answered, until when it may be leased. */
+/** The control leader's state of one upstream's session: sent requests, received answers, and the bound of its lease. */
 import type { Incarnation, MonotonicMillis } from '../model/identifiers.js';
 import type { SessionPhase, SessionTarget } from './granter-types.js';
 import { SessionOrders } from './session-orders.js';
 import type { KeyMap, SessionAnswer, SessionRequest } from './types.js';
 
-/** A stamp of the holder's clock and when it came. */
+/** A stamp of the holder's clock, with the time of its receipt. */
 export interface ReceivedStamp {
   readonly stamp: MonotonicMillis;
   readonly receivedAt: MonotonicMillis;
-  /** Place among all answers that the granter received. */
+  /** Sequence number among all answers that the granter received. */
   readonly order: number;
 }
 
@@ -16,27 +16,27 @@
   target: SessionTarget;
   readonly orders = new SessionOrders();
   phase: SessionPhase = 'greeting';
-  /** Last moment, on the granter's clock, at which the registered incarnation may hold a lease. */
+  /** Last time on the granter's clock at which the registered incarnation may hold a lease. */
   leaseEnd: MonotonicMillis;
-  /** When the next call is due. */
+  /** Time at which the next call is due. */
   nextCallAt: MonotonicMillis;
-  /** After a failure no call goes out before this. */
+  /** Earliest time of the next call after a failure. */
   notBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
-  /** Call that waits for its answer. */
+  /** Call that awaits its answer. */
   outstanding: SessionRequest | null = null;
-  /** When calls began to go unanswered; `null`: the last one was answered. */
+  /** Time of the first of the latest consecutive failures; `null` if the last call was answered. */
   failingSince: MonotonicMillis | null = null;
-  /** Last answer of whatever incarnation. */
+  /** Last answer of any incarnation. */
   answer: SessionAnswer | null = null;
-  /** Last answer to a call that carried orders: what the holder made of them. */
-  followed: SessionAnswer | null = null;
+  /** Last answer to a call with orders. */
+  lastOrderAnswer: SessionAnswer | null = null;
   received: ReceivedStamp | null = null;
-  /** Newest stamp of the registered incarnation after which a quorum confirmed the leadership. */
+  /** Latest stamp of the registered incarnation after which a quorum confirmed the leadership. */
   confirmed: ReceivedStamp | null = null;
-  /** Place of the newest stamp that a renewal was sent for. */
+  /** `order` of the latest stamp for which a renewal was sent. */
   renewedOrder = 0;
   #sequence = 0;
-  #completeDue = true;
+  #isCompleteListDue = true;
   #drainSent: boolean | null = null;
   #keyMapSent: string | null = null;
 
@@ -50,41 +50,41 @@
     return this.target.incarnation;
   }
 
-  /** Starts over towards the holder: the next orders are a complete list. */
-  enter(phase: SessionPhase, now: MonotonicMillis): void {
+  /** Enters a phase and resets what was sent: the next orders are a complete list. */
+  enterPhase(phase: SessionPhase, now: MonotonicMillis): void {
     this.phase = phase;
     this.nextCallAt = now;
-    this.followed = null;
+    this.lastOrderAnswer = null;
     this.confirmed = null;
-    this.#completeDue = true;
+    this.#isCompleteListDue = true;
     this.#drainSent = null;
     this.#keyMapSent = null;
-    this.orders.startOver();
+    this.orders.markAllUnsent();
   }
 
-  /** Whether there is something to say that wasn't said yet. */
-  hasNews(): boolean {
+  /** Returns whether there are changes that weren't sent yet. */
+  hasUnsentChanges(): boolean {
     const { target } = this;
     return (
-      this.#completeDue ||
+      this.#isCompleteListDue ||
       this.#drainSent !== target.drain ||
-      this.#keyMapSent !== nameOf(target.keyMap) ||
+      this.#keyMapSent !== keyMapId(target.keyMap) ||
       this.orders.hasUnsent()
     );
   }
 
-  /** A holder that was told to give a shard up and doesn't say that it follows is not renewed. */
+  /** Returns whether the lease may be renewed: not if the holder received a revoke and didn't acknowledge it. */
   mayRenew(): boolean {
-    return !this.orders.hasIgnoredRevoke();
+    return !this.orders.hasUnacknowledgedRevoke();
   }
 
-  /** Whether a newer stamp than the confirmed one waits for a quorum round. */
+  /** Returns whether a stamp newer than the confirmed one awaits a quorum round. */
   awaitsConfirmation(): boolean {
     return this.received !== null && this.received.order > (this.confirmed?.order ?? 0);
   }
 
-  /** Fills in the next request and remembers it as outstanding. */
-  send(
+  /** Creates the next request and stores it as outstanding. */
+  nextRequest(
     frame: Pick<SessionRequest, 'cluster' | 'leader' | 'term'>,
     validUntil: MonotonicMillis | null,
   ): SessionRequest {
@@ -92,39 +92,44 @@
     const base = { ...frame, sequence: this.#sequence, upstream: this.target.upstream };
     const request: SessionRequest =
       this.phase === 'leased'
-        ? { ...base, incarnation: this.incarnation, validUntil, ...this.#takeOrders() }
+        ? { ...base, incarnation: this.incarnation, validUntil, ...this.#nextContent() }
         : { ...base, incarnation: null, validUntil: null, ...NO_ORDERS };
     this.outstanding = request;
     return request;
   }
 
-  /** Notes what the holder's answer to the outstanding call shows. */
+  /** Records which orders the answer to the outstanding call acknowledges. */
   acknowledge(request: SessionRequest, answer: SessionAnswer): void {
-    this.followed = answer;
+    this.lastOrderAnswer = answer;
     this.orders.acknowledge(request.orders, answer);
   }
 
-  /** The outstanding call had no effect that can be relied on: all it said is to be said again. */
-  forgetSent(request: SessionRequest): void {
-    this.#completeDue ||= request.complete;
+  /** Marks the content of a call as unsent, because the call may have had no effect. */
+  markUnsent(request: SessionRequest): void {
+    this.#isCompleteListDue ||= request.complete;
     this.#drainSent = null;
     this.#keyMapSent = request.keyMap === null ? this.#keyMapSent : null;
-    this.orders.forget(request.orders);
+    this.orders.markUnsent(request.orders);
   }
 
-  /** The complete list at the start, later only orders that weren't acknowledged. */
-  #takeOrders(): Pick<SessionRequest, 'keyMap' | 'orders' | 'complete' | 'drain'> {
+  /** Returns the complete list of orders at the start, later only orders to be sent again. */
+  #nextContent(): Pick<SessionRequest, 'keyMap' | 'orders' | 'complete' | 'drain'> {
     const { keyMap, drain } = this.target;
-    const complete = this.#completeDue;
-    const sendsKeyMap = complete || this.#keyMapSent !== nameOf(keyMap);
-    this.#completeDue = false;
+    const complete = this.#isCompleteListDue;
+    const sendsKeyMap = complete || this.#keyMapSent !== keyMapId(keyMap);
+    this.#isCompleteListDue = false;
     this.#drainSent = drain;
-    this.#keyMapSent = nameOf(keyMap);
-    return { keyMap: sendsKeyMap ? keyMap : null, orders: this.orders.take(complete), complete, drain };
+    this.#keyMapSent = keyMapId(keyMap);
+    return {
+      keyMap: sendsKeyMap ? keyMap : null,
+      orders: this.orders.ordersToSend(complete),
+      complete,
+      drain,
+    };
   }
 }
 
-/** What a first greeting carries. */
+/** Content of a first greeting. */
 const NO_ORDERS: Pick<SessionRequest, 'keyMap' | 'orders' | 'complete' | 'drain'> = {
   keyMap: null,
   orders: [],
@@ -132,6 +137,6 @@
   drain: false,
 };
 
-function nameOf(keyMap: KeyMap): string {
+function keyMapId(keyMap: KeyMap): string {
   return `${keyMap.service}@${keyMap.generation}`;
 }
--- a/src/lease/granter-types.ts
+++ b/src/lease/granter-types.ts
@@ -1,4 +1,4 @@
-/** Interface of the granter's side of session leases, as the control leader uses it. */
+/** Interface of the granter's side of session leases, used by the control leader. */
 import type {
   Address,
   ClusterId,
@@ -14,33 +14,33 @@
 export interface GranterConfig {
   readonly cluster: ClusterId;
   readonly leader: ReplicaId;
-  /** Term of the leadership; a granter lives for one leadership. */
+  /** Term of the leadership; a granter exists for one leadership. */
   readonly term: Term;
-  /** When the leadership began: leases of earlier leaders are bounded from here. */
+  /** Start of the leadership, from which leases of earlier leaders are bounded. */
   readonly electedAt: MonotonicMillis;
   readonly timings: LeaseTimings;
-  /** Seed of the jitter which spreads renewals. */
+  /** Seed of the jitter that spreads renewals. */
   readonly seed: number;
 }
 
-/** What the registry wants of one upstream's session, beside orders about single shards. */
+/** Desired state of one upstream's session according to the registry, except orders about single shards. */
 export interface SessionTarget {
   readonly upstream: UpstreamId;
   readonly address: Address;
-  /** Incarnation that the registry holds a session of. */
+  /** Incarnation with a session in the registry. */
   readonly incarnation: Incarnation | null;
   readonly keyMap: KeyMap;
   readonly drain: boolean;
 }
 
-/** A session request that is to be sent to an upstream. */
+/** A session request to be sent to an upstream. */
 export interface SessionCall {
   readonly upstream: UpstreamId;
   readonly address: Address;
   readonly request: SessionRequest;
 }
 
-/** A change that the registry must make before the granter goes on. */
+/** A change that the registry must apply before the granter continues. */
 export type SessionChange =
   | {
       readonly type: 'open';
@@ -51,19 +51,19 @@
   | { readonly type: 'end'; readonly upstream: UpstreamId; readonly incarnation: Incarnation };
 
 /**
- * `greeting`: no session in the registry, or none that this leader heard of yet. `leased`: renewed.
- * `ending`: another incarnation answers, or the lease has run out.
+ * `greeting`: there is no session in the registry, or its holder hasn't answered this leader yet. `leased`: the lease is
+ * being renewed. `ending`: another incarnation answers, or the lease has expired.
  */
 export type SessionPhase = 'greeting' | 'leased' | 'ending';
 
-/** What the leader knows of a session beside the registry. */
+/** State of a session that the leader keeps outside the registry. */
 export interface SessionView {
   readonly upstream: UpstreamId;
   readonly phase: SessionPhase;
   readonly incarnation: Incarnation | null;
-  /** Last answer to a call with orders, by the incarnation that holds the session, in this leadership. */
+  /** Last answer to a call with orders from the incarnation that holds the session, in this leadership. */
   readonly answer: SessionAnswer | null;
   readonly answeredAt: MonotonicMillis | null;
-  /** Whether the last call went unanswered. */
+  /** Whether the last call had no answer. */
   readonly failing: boolean;
 }
--- a/src/lease/holder-types.ts
+++ b/src/lease/holder-types.ts
@@ -11,35 +11,35 @@
 
 /** Settings of a holder. */
 export interface GrantHolderConfig {
-  /** Requests of other clusters are refused. `null`: the first cluster that is heard of is kept. */
+  /** Requests of other clusters are rejected. `null`: the cluster of the first request is adopted. */
   readonly cluster: ClusterId | null;
   readonly upstream: UpstreamId;
-  /** Names this run of the process; must never repeat. */
+  /** Identifies this run of the process; must never be reused. */
   readonly incarnation: Incarnation;
 }
 
-/** Names one request that the fence let in. */
+/** Identifies one request that the fence admitted. */
 export interface Ticket {
   readonly number: number;
   readonly shard: ShardId;
   readonly epoch: Epoch;
 }
 
-/** The fence's word on a request. */
+/** Decision of the fence on a request. */
 export type Admission =
   | { readonly type: 'admitted'; readonly ticket: Ticket }
-  /** The request has not run. */
+  /** The request did not run. */
   | { readonly type: 'refused'; readonly refusal: FenceRefusal };
 
-/** What the server that embeds the fence has to do or may want to know. */
+/** Event for the server that embeds the fence, which may require an action. */
 export type HolderEvent =
   /** Load the shard's state, then call `markWarmed`. */
   | { readonly type: 'warm'; readonly shard: ShardId }
-  /** Requests of the shard may come from now on. */
+  /** Requests for the shard may arrive from now on. */
   | { readonly type: 'granted'; readonly shard: ShardId; readonly epoch: Epoch; readonly warmed: boolean }
-  /** No new work on the shard; what runs may finish. */
+  /** New work on the shard is rejected; running requests may finish. */
   | { readonly type: 'revoked'; readonly shard: ShardId; readonly remaining: number }
-  /** The shard is given up; its state may be dropped. */
+  /** The shard is released; its state may be dropped. */
   | { readonly type: 'released'; readonly shard: ShardId };
 
 /** State of a holder, for health and load endpoints. */
@@ -47,24 +47,24 @@
   readonly leased: boolean;
   readonly draining: boolean;
   readonly held: number;
-  /** Shards revoked whose release no answer to the leader has carried yet. */
+  /** Number of revoked shards whose release hasn't been part of an answer to the leader yet. */
   readonly unreported: number;
   readonly inFlight: number;
 }
 
-/** Deterministic; `now` is the holder's own monotonic clock. */
+/** Holder's side of a session lease. Deterministic; `now` is the holder's own monotonic clock. */
 export interface GrantHolder {
-  /** Takes a leader's message and gives the answer, also when the message is refused. */
+  /** Processes a leader's message and returns the answer, even if the message is rejected. */
   handleSession(request: SessionRequest, now: MonotonicMillis): SessionAnswer;
-  /** The fence at the start of a request. Each admitted ticket must be finished. */
+  /** Checks a request at its start. Each admitted ticket must be finished. */
   admit(credentials: FenceCredentials, now: MonotonicMillis): Admission;
-  /** The fence at the point of effect: `false` means that the request must have no effect. */
+  /** Checks a request at the point of effect; with `false`, the request must have no effect. */
   confirmEffect(ticket: Ticket, now: MonotonicMillis): boolean;
-  /** The request is over, with or without effect. Finishing twice is harmless. */
+  /** Marks a request as finished, with or without effect. Idempotent. */
   finish(ticket: Ticket, now: MonotonicMillis): void;
-  /** The state of a shard that a `warm` event named is loaded. */
+  /** Marks the state of a shard as loaded, after a `warm` event. */
   markWarmed(shard: ShardId): void;
-  /** Events since the last call, oldest first. */
+  /** Returns the events since the last call, oldest first. */
   takeEvents(): HolderEvent[];
   status(now: MonotonicMillis): HolderStatus;
 }
--- a/src/lease/lease-granter.ts
+++ b/src/lease/lease-granter.ts
@@ -1,11 +1,11 @@
 /**
- * The granter's side of session leases, for one leadership. It decides whom to call with what, when a lease may be
- * renewed, and when one is over; the control node carries calls out, proposes changes and runs quorum rounds.
+ * The granter's side of session leases, for one leadership. It decides which upstreams to call with which request, when a
+ * lease may be renewed, and when one is over; the control node executes calls, proposes changes and runs quorum rounds.
  *
- * A renewal extends a lease to `stamp + leaseMillis` of the holder's clock, where the stamp came with an earlier answer.
- * It is sent only if a quorum round that began after that answer was received has confirmed the leadership. The lease
- * is counted as over only strictly after `leaseBound(receivedAt)`; lease-bound.ts has the argument. Leases of earlier
- * leaders are bounded from the election.
+ * A renewal extends a lease to `stamp + leaseMillis` of the holder's clock, where the stamp is from an earlier answer. It is
+ * sent only if a quorum round that began after the receipt of that answer has confirmed the leadership. The lease counts
+ * as over only strictly after `leaseBound(receivedAt)`; lease-bound.ts contains the proof. Leases of earlier leaders are
+ * bounded from the election.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -23,7 +23,7 @@
 import { SessionSchedule } from './session-schedule.js';
 import type { SessionAnswer, SessionRequest, ShardOrder } from './types.js';
 
-/** After a failed call the next one waits for this share of the renewal time. */
+/** Delay of the next call after a failed one, as a share of the renewal interval. */
 const RETRY_SHARE = 1 / 8;
 
 export class LeaseGranter {
@@ -31,8 +31,8 @@
   readonly #sessions = new Map<UpstreamId, GranterSession>();
   readonly #schedule: SessionSchedule;
   readonly #random: ReturnType<typeof xoroshiro128plus>;
-  /** Answers received so far; quorum rounds are placed among them. */
-  #answers = 0;
+  /** Number of answers received, which orders quorum rounds relative to answers. */
+  #answerCount = 0;
 
   constructor(config: GranterConfig) {
     this.#config = config;
@@ -40,12 +40,12 @@
     this.#schedule = new SessionSchedule(config.timings.renewMillis, config.electedAt);
   }
 
-  /** Takes what the registry wants of one session. */
+  /** Sets the desired state of one session. */
   setTarget(target: SessionTarget, now: MonotonicMillis): void {
-    this.#schedule.put(this.#retarget(target, now), now);
+    this.#schedule.update(this.#updateSession(target, now), now);
   }
 
-  /** The upstream is gone from the registry. */
+  /** Removes the session of an upstream that was removed from the registry. */
   dropSession(upstream: UpstreamId): void {
     const session = this.#sessions.get(upstream);
     if (session !== undefined) {
@@ -54,25 +54,25 @@
     }
   }
 
-  /** Puts an order to an upstream in force, in place of an earlier one about the same shard. */
+  /** Sets an order to an upstream, replacing an earlier one about the same shard. */
   setOrder(upstream: UpstreamId, order: ShardOrder, now: MonotonicMillis): void {
     const session = this.#sessions.get(upstream);
     if (session !== undefined) {
       session.orders.set(order);
-      this.#schedule.put(session, now);
+      this.#schedule.update(session, now);
     }
   }
 
-  /** No order about the shard is in force any more. */
+  /** Removes the order about a shard. */
   dropOrder(upstream: UpstreamId, shard: ShardId, now: MonotonicMillis): void {
     const session = this.#sessions.get(upstream);
     if (session !== undefined) {
       session.orders.delete(shard);
-      this.#schedule.put(session, now);
+      this.#schedule.update(session, now);
     }
   }
 
-  /** Takes the answer to a call; `false` if it answers no call that is outstanding or can't be relied on. */
+  /** Processes the answer to a call. Returns `false` if the call isn't outstanding or the answer can't be relied on. */
   answered(upstream: UpstreamId, sequence: number, answer: SessionAnswer, now: MonotonicMillis): boolean {
     const session = this.#sessions.get(upstream);
     const request = session === undefined ? undefined : takeOutstanding(session, sequence);
@@ -81,65 +81,65 @@
     }
     const isRefused = answer.refused !== null && answer.refused !== 'other-incarnation';
     if (answer.upstream !== upstream || answer.term !== this.#config.term || isRefused) {
-      this.#noteFailure(session, request, now);
-      this.#schedule.put(session, now);
+      this.#recordFailure(session, request, now);
+      this.#schedule.update(session, now);
       return false;
     }
-    this.#noteAnswer(session, request, answer, now);
-    this.#schedule.put(session, now);
+    this.#recordAnswer(session, request, answer, now);
+    this.#schedule.update(session, now);
     return true;
   }
 
-  /** A call had no answer. */
+  /** Processes a call that had no answer. */
   failed(upstream: UpstreamId, sequence: number, now: MonotonicMillis): void {
     const session = this.#sessions.get(upstream);
     const request = session === undefined ? undefined : takeOutstanding(session, sequence);
     if (session !== undefined && request !== undefined) {
-      this.#noteFailure(session, request, now);
-      this.#schedule.put(session, now);
+      this.#recordFailure(session, request, now);
+      this.#schedule.update(session, now);
     }
   }
 
-  /** Where a quorum round that begins now stands among the answers; to be given to `confirmed`. */
+  /** Returns the position of a quorum round that begins now among the answers, to be passed to `confirmRound`. */
   markRound(): number {
-    return this.#answers;
+    return this.#answerCount;
   }
 
-  /** A quorum round that began at `mark` confirmed the leadership. */
+  /** Processes the confirmation of the leadership by a quorum round that began at `mark`. */
   confirmed(mark: number, now: MonotonicMillis): void {
-    for (const session of this.#schedule.awaiting()) {
+    for (const session of this.#schedule.awaitingRound()) {
       const { received, answer, incarnation } = session;
       if (received !== null && received.order <= mark && answer?.incarnation === incarnation) {
         session.confirmed = received;
-        this.#schedule.put(session, now);
+        this.#schedule.update(session, now);
       }
     }
   }
 
-  /** Whether a renewal that is due, or nearly so, waits for a quorum round. */
+  /** Returns whether a renewal that is due or nearly due waits for a quorum round. */
   wantsRound(now: MonotonicMillis): boolean {
-    return this.#schedule.wantsRound(now);
+    return this.#schedule.needsRound(now);
   }
 
-  /** Ends leases that are over, then gives the calls that are to be made now. */
+  /** Ends leases that are over, then returns the calls to be made now. */
   takeCalls(now: MonotonicMillis): SessionCall[] {
-    this.#schedule.noteStep(now);
+    this.#schedule.recordStep(now);
     const calls: SessionCall[] = [];
     for (const session of this.#schedule.takeDue(now)) {
       this.#endIfOver(session, now);
       if (this.#schedule.isCallable(session, now)) {
         calls.push(this.#call(session, now));
       }
-      this.#schedule.put(session, now);
+      this.#schedule.update(session, now);
     }
     return calls;
   }
 
-  /** Changes that the registry is to make; repeated until `setTarget` shows them made. */
+  /** Returns the changes that the registry must apply; they are repeated until `setTarget` reflects them. */
   changes(now: MonotonicMillis): SessionChange[] {
     return this.#schedule
-      .changing()
-      .map((session) => changeOf(session, this.#schedule.isOver(session, now)))
+      .awaitingChange()
+      .map((session) => changeOf(session, this.#schedule.isLeaseOver(session, now)))
       .filter((change) => change !== undefined);
   }
 
@@ -152,17 +152,17 @@
     return session === undefined ? undefined : viewOf(session);
   }
 
-  /** When `takeCalls` has something to do next if nothing else happens. */
+  /** Returns when `takeCalls` must be called next if nothing else happens. */
   nextDeadline(): MonotonicMillis {
     return this.#schedule.nextDeadline();
   }
 
-  #retarget(target: SessionTarget, now: MonotonicMillis): GranterSession {
+  #updateSession(target: SessionTarget, now: MonotonicMillis): GranterSession {
     const { electedAt, timings } = this.#config;
     const session = this.#sessions.get(target.upstream);
     if (session === undefined) {
-      const isKnown = target.incarnation !== null;
-      const leaseEnd = isKnown ? leaseBound(timings, electedAt) : Number.NEGATIVE_INFINITY;
+      const isRegistered = target.incarnation !== null;
+      const leaseEnd = isRegistered ? leaseBound(timings, electedAt) : Number.NEGATIVE_INFINITY;
       const added = new GranterSession(target, leaseEnd, now);
       this.#sessions.set(target.upstream, added);
       return added;
@@ -177,34 +177,34 @@
 
   #changeIncarnation(session: GranterSession, now: MonotonicMillis): void {
     if (session.incarnation === null) {
-      session.enter('greeting', now);
+      session.enterPhase('greeting', now);
       session.received = null;
       session.answer = null;
       session.leaseEnd = Number.NEGATIVE_INFINITY;
       return;
     }
-    session.enter('leased', now);
+    session.enterPhase('leased', now);
     session.leaseEnd = leaseBound(this.#config.timings, now);
   }
 
-  #noteAnswer(
+  #recordAnswer(
     session: GranterSession,
     request: SessionRequest,
     answer: SessionAnswer,
     now: MonotonicMillis,
   ): void {
-    this.#answers += 1;
+    this.#answerCount += 1;
     session.failingSince = null;
     session.notBefore = Number.NEGATIVE_INFINITY;
     session.answer = answer;
-    session.received = { stamp: answer.stamp, receivedAt: now, order: this.#answers };
+    session.received = { stamp: answer.stamp, receivedAt: now, order: this.#answerCount };
     if (answer.incarnation !== session.incarnation) {
       session.phase = session.incarnation === null ? 'greeting' : 'ending';
       session.confirmed = null;
       return;
     }
     if (session.phase === 'greeting') {
-      session.enter('leased', now);
+      session.enterPhase('leased', now);
       return;
     }
     if (session.phase === 'leased' && request.incarnation === answer.incarnation) {
@@ -212,17 +212,17 @@
     }
   }
 
-  #noteFailure(session: GranterSession, request: SessionRequest, now: MonotonicMillis): void {
+  #recordFailure(session: GranterSession, request: SessionRequest, now: MonotonicMillis): void {
     session.failingSince ??= now;
     session.notBefore = now + this.#config.timings.renewMillis * RETRY_SHARE;
     session.nextCallAt = Math.min(session.nextCallAt, session.notBefore);
-    session.forgetSent(request);
+    session.markUnsent(request);
   }
 
   #endIfOver(session: GranterSession, now: MonotonicMillis): void {
     const isOpen =
       session.phase === 'leased' || (session.phase === 'greeting' && session.incarnation !== null);
-    if (isOpen && this.#schedule.isOver(session, now)) {
+    if (isOpen && this.#schedule.isLeaseOver(session, now)) {
       session.phase = 'ending';
       session.confirmed = null;
     }
@@ -234,24 +234,24 @@
     if (stamp !== null) {
       session.leaseEnd = Math.max(session.leaseEnd, leaseBound(timings, stamp.receivedAt));
     }
-    const takesTurn = stamp === null || stamp.order > session.renewedOrder;
-    if (now >= session.nextCallAt && takesTurn) {
+    const isNewStamp = stamp === null || stamp.order > session.renewedOrder;
+    if (now >= session.nextCallAt && isNewStamp) {
       session.nextCallAt = now + this.#renewalDelay();
     }
     session.renewedOrder = stamp?.order ?? session.renewedOrder;
     const validUntil = stamp === null ? null : stamp.stamp + timings.leaseMillis;
-    const request = session.send({ cluster, leader, term }, validUntil);
+    const request = session.nextRequest({ cluster, leader, term }, validUntil);
     return { upstream: session.target.upstream, address: session.target.address, request };
   }
 
-  /** Seven to eight eighths of the renewal time, so that upstreams drift apart. */
+  /** Returns seven to eight eighths of the renewal interval, so that the calls of the upstreams spread out. */
   #renewalDelay(): number {
-    const longest = Math.floor(this.#config.timings.renewMillis);
-    return uniformInt(this.#random, Math.floor((longest * 7) / 8), longest);
+    const maxDelay = Math.floor(this.#config.timings.renewMillis);
+    return uniformInt(this.#random, Math.floor((maxDelay * 7) / 8), maxDelay);
   }
 }
 
-/** Takes the call that `sequence` answers; `undefined` if it isn't outstanding. */
+/** Removes and returns the outstanding call with this sequence number; `undefined` if it isn't outstanding. */
 function takeOutstanding(session: GranterSession, sequence: number): SessionRequest | undefined {
   const request = session.outstanding;
   if (request === null || request.sequence !== sequence) {
--- a/src/lease/range-timings.ts
+++ b/src/lease/range-timings.ts
@@ -1,9 +1,9 @@
-/** Times of plain grants of key ranges and of the heartbeats of the upstreams that take them. */
+/** Timings of timed grants of key ranges, and of the heartbeats of the upstreams that hold them. */
 import { DEFAULT_TIMED_GRANT_TIMINGS, type TimedGrantTimings } from './timed-grants.js';
 
 /** In milliseconds. */
 export interface RangeTimings extends TimedGrantTimings {
-  /** Usual time between two heartbeats of an upstream. */
+  /** Usual interval between two heartbeats of an upstream. */
   readonly heartbeatMillis: number;
 }
 
--- a/src/lease/session-facts.ts
+++ b/src/lease/session-facts.ts
@@ -1,9 +1,9 @@
-/** What follows from the state of a session: what the registry is to change, and what the leader sees of it. */
+/** Derives from the state of a session the change that the registry must apply, and the leader's view of the session. */
 import type { GranterSession } from './granter-session.js';
 import type { SessionChange, SessionView } from './granter-types.js';
 
-/** `isOver`: the lease of the incarnation that the registry knows has surely ended. */
-export function changeOf(session: GranterSession, isOver: boolean): SessionChange | undefined {
+/** Returns the change that the registry must apply. `isLeaseOver`: whether the lease of the registered incarnation has certainly ended. */
+export function changeOf(session: GranterSession, isLeaseOver: boolean): SessionChange | undefined {
   const { incarnation, answer } = session;
   const { upstream } = session.target;
   if (incarnation === null) {
@@ -11,7 +11,7 @@
       ? undefined
       : { type: 'open', upstream, incarnation: answer.incarnation, previous: null };
   }
-  if (session.phase !== 'ending' || !isOver) {
+  if (session.phase !== 'ending' || !isLeaseOver) {
     return undefined;
   }
   const successor = answer !== null && answer.incarnation !== incarnation ? answer.incarnation : null;
@@ -20,13 +20,13 @@
     : { type: 'open', upstream, incarnation: successor, previous: incarnation };
 }
 
-/** What the leader sees of a session. */
+/** Returns the leader's view of a session. */
 export function viewOf(session: GranterSession): SessionView {
   return {
     upstream: session.target.upstream,
     phase: session.phase,
     incarnation: session.incarnation,
-    answer: session.followed,
+    answer: session.lastOrderAnswer,
     answeredAt: session.received?.receivedAt ?? null,
     failing: session.failingSince !== null,
   };
--- a/src/lease/session-orders.ts
+++ b/src/lease/session-orders.ts
@@ -1,21 +1,21 @@
-/** The orders that are in force for one session, and how much of them the holder was told and has followed. */
+/** The orders in force for one session, and which of them were sent to the holder and acknowledged. */
 import type { ShardId } from '../model/identifiers.js';
 import type { SessionAnswer, ShardOrder } from './types.js';
 
 export class SessionOrders {
   readonly #orders = new Map<ShardId, ShardOrder>();
-  /** Orders that weren't sent in their present form. */
+  /** Orders that weren't sent in their current form. */
   readonly #unsent = new Set<ShardId>();
-  /** Orders that no answer showed to be followed in their present form. */
+  /** Orders that no answer acknowledged in their current form. */
   readonly #unacknowledged = new Set<ShardId>();
-  /** Revokes that were sent and that an answer didn't show to be followed. */
-  readonly #ignoredRevokes = new Set<ShardId>();
-  /** Revokes and orders to warm: each request repeats them, as answers speak only of shards that are named. */
-  readonly #standing = new Set<ShardId>();
-  /** Shards that the holder is to warm. */
+  /** Revokes that were sent and that an answer didn't acknowledge. */
+  readonly #unacknowledgedRevokes = new Set<ShardId>();
+  /** Revokes and orders to warm: each request repeats them, since answers cover only the shards named. */
+  readonly #repeated = new Set<ShardId>();
+  /** Shards with an order to warm. */
   readonly #warming = new Set<ShardId>();
 
-  /** Puts an order in force, in place of an earlier one about the same shard. */
+  /** Sets an order, replacing an earlier one about the same shard. */
   set(order: ShardOrder): void {
     const { shard } = order;
     const before = this.#orders.get(shard);
@@ -26,21 +26,21 @@
     this.#unsent.add(shard);
     this.#unacknowledged.add(shard);
     setMembership(this.#warming, shard, order.type === 'warm');
-    setMembership(this.#standing, shard, order.type !== 'grant');
+    setMembership(this.#repeated, shard, order.type !== 'grant');
   }
 
   delete(shard: ShardId): void {
     this.#orders.delete(shard);
     this.#unsent.delete(shard);
     this.#unacknowledged.delete(shard);
-    this.#ignoredRevokes.delete(shard);
+    this.#unacknowledgedRevokes.delete(shard);
     this.#warming.delete(shard);
-    this.#standing.delete(shard);
+    this.#repeated.delete(shard);
   }
 
-  /** Nothing is known any more of what the holder was told. */
-  startOver(): void {
-    this.#ignoredRevokes.clear();
+  /** Marks all orders as unsent and unacknowledged. */
+  markAllUnsent(): void {
+    this.#unacknowledgedRevokes.clear();
     for (const shard of this.#orders.keys()) {
       this.#unsent.add(shard);
       this.#unacknowledged.add(shard);
@@ -51,12 +51,12 @@
     return this.#unsent.size > 0;
   }
 
-  /** Whether a holder was told to give a shard up and didn't say that it follows. */
-  hasIgnoredRevoke(): boolean {
-    return this.#ignoredRevokes.size > 0;
+  /** Returns whether the holder received a revoke and didn't acknowledge it. */
+  hasUnacknowledgedRevoke(): boolean {
+    return this.#unacknowledgedRevokes.size > 0;
   }
 
-  /** Whether a shard that is to be warmed isn't among those that the holder has warmed. */
+  /** Returns whether a shard with an order to warm isn't among the shards that the holder has warmed. */
   isWarming(warmed: readonly ShardId[]): boolean {
     if (this.#warming.size === 0) {
       return false;
@@ -65,17 +65,17 @@
     return [...this.#warming].some((shard) => !done.has(shard));
   }
 
-  /** Orders to send now: all of them for a complete list, else those not acknowledged and those that are repeated. */
-  take(complete: boolean): ShardOrder[] {
+  /** Returns the orders to send now: all for a complete list, otherwise the unacknowledged and the repeated ones. */
+  ordersToSend(complete: boolean): ShardOrder[] {
     const due = complete
       ? [...this.#orders.values()]
-      : this.#of(new Set([...this.#unacknowledged, ...this.#standing]));
+      : this.#ordersOf(new Set([...this.#unacknowledged, ...this.#repeated]));
     this.#unsent.clear();
     return due;
   }
 
-  /** What `sent` said is to be said again. */
-  forget(sent: readonly ShardOrder[]): void {
+  /** Marks sent orders as unsent. */
+  markUnsent(sent: readonly ShardOrder[]): void {
     for (const { shard } of sent) {
       if (this.#orders.has(shard)) {
         this.#unsent.add(shard);
@@ -83,27 +83,27 @@
     }
   }
 
-  /** Notes which of the orders `sent` the answer shows to be followed. */
+  /** Records which of the orders `sent` the answer acknowledges. */
   acknowledge(sent: readonly ShardOrder[], answer: SessionAnswer): void {
     if (sent.length === 0) {
       return;
     }
-    const facts = new AnswerFacts(answer);
+    const index = new AnswerIndex(answer);
     for (const order of sent) {
       const current = this.#orders.get(order.shard);
-      const isFollowed = facts.shows(order);
-      if (isFollowed && current !== undefined && isSame(current, order)) {
+      const isAcknowledged = index.acknowledges(order);
+      if (isAcknowledged && current !== undefined && isSame(current, order)) {
         this.#unacknowledged.delete(order.shard);
       }
-      if (order.type === 'revoke' && !isFollowed && current !== undefined) {
-        this.#ignoredRevokes.add(order.shard);
+      if (order.type === 'revoke' && !isAcknowledged && current !== undefined) {
+        this.#unacknowledgedRevokes.add(order.shard);
       } else {
-        this.#ignoredRevokes.delete(order.shard);
+        this.#unacknowledgedRevokes.delete(order.shard);
       }
     }
   }
 
-  #of(shards: Iterable<ShardId>): ShardOrder[] {
+  #ordersOf(shards: Iterable<ShardId>): ShardOrder[] {
     return [...shards].flatMap((shard) => this.#orders.get(shard) ?? []);
   }
 }
@@ -116,8 +116,8 @@
   }
 }
 
-/** What an answer says of single shards. */
-class AnswerFacts {
+/** Index of an answer by shard. */
+class AnswerIndex {
   readonly #heldEpochs: ReadonlyMap<ShardId, number>;
   readonly #draining: ReadonlySet<ShardId>;
   readonly #releasedAt: ReadonlyMap<ShardId, number>;
@@ -128,8 +128,8 @@
     this.#releasedAt = new Map(released.map(({ shard, revision }) => [shard, revision]));
   }
 
-  /** Whether the holder follows an order. */
-  shows(order: ShardOrder): boolean {
+  /** Returns whether the answer acknowledges an order. */
+  acknowledges(order: ShardOrder): boolean {
     switch (order.type) {
       case 'grant':
         return this.#heldEpochs.get(order.shard) === order.epoch;
--- a/src/lease/session-schedule.ts
+++ b/src/lease/session-schedule.ts
@@ -1,121 +1,121 @@
 /**
- * When something is due for each session: a call, the end of its lease, a quorum round. A session is put in its places
- * anew whenever it changes, so that no step looks at sessions for which nothing is due.
+ * Schedules the next event of each session: a call, the end of its lease, or a quorum round. A session is rescheduled
+ * whenever it changes, so that no step iterates over sessions for which nothing is due.
  */
 import type { MonotonicMillis } from '../model/identifiers.js';
 import { DeadlineQueue } from './deadline-queue.js';
 import type { GranterSession } from './granter-session.js';
 
-/** While a holder drains or warms shards it is asked after this share of the renewal time. */
+/** Interval at which a holder that drains or warms shards is polled, as a share of the renewal interval. */
 const POLL_SHARE = 1 / 8;
-/** Renewals that fall due within this share of the renewal time share one quorum round. */
+/** Renewals that become due within this share of the renewal interval share one quorum round. */
 const BATCH_SHARE = 1 / 16;
 
 export class SessionSchedule {
   readonly #renewMillis: number;
-  /** When each session may need a call, or its lease ends. */
-  readonly #wakes = new DeadlineQueue<GranterSession>();
-  /** When each session that awaits a quorum round wants one. */
-  readonly #rounds = new DeadlineQueue<GranterSession>();
-  /** Sessions whose newest stamp waits for a quorum round. */
-  readonly #awaiting = new Set<GranterSession>();
-  /** Sessions that the registry has to change something about, now or when their lease is over. */
-  readonly #changing = new Set<GranterSession>();
+  /** Times at which sessions may need a call or their lease ends. */
+  readonly #wakeTimes = new DeadlineQueue<GranterSession>();
+  /** Times at which sessions that await a quorum round need one. */
+  readonly #roundTimes = new DeadlineQueue<GranterSession>();
+  /** Sessions whose latest stamp awaits a quorum round. */
+  readonly #awaitingRound = new Set<GranterSession>();
+  /** Sessions that need a change in the registry, now or when their lease is over. */
+  readonly #awaitingChange = new Set<GranterSession>();
   #lastStepAt: MonotonicMillis;
-  /** Last step before the latest stall of this process. */
+  /** Time of the last step before the latest stall of this process. */
   #stalledAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
-  /** After a stall no lease is given up before this, unless its holder was silent before the stall. */
-  #patientUntil: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  /** End of the grace period after a stall, in which a lease is ended only if its holder was silent before the stall. */
+  #graceUntil: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
   constructor(renewMillis: number, startedAt: MonotonicMillis) {
     this.#renewMillis = renewMillis;
     this.#lastStepAt = startedAt;
   }
 
-  /** Notes anew when something is due for a session after it changed. */
-  put(session: GranterSession, now: MonotonicMillis): void {
+  /** Reschedules a session after a change. */
+  update(session: GranterSession, now: MonotonicMillis): void {
     const isAwaiting = session.phase === 'leased' && session.awaitsConfirmation();
     const isFree = isAwaiting && session.outstanding === null;
-    const mayWantChange = session.incarnation === null ? session.answer !== null : session.phase === 'ending';
-    this.#wakes.set(session, this.#wakeOf(session, now));
-    this.#rounds.set(session, isFree ? this.#roundOf(session) : Number.POSITIVE_INFINITY);
-    setMembership(this.#awaiting, session, isAwaiting);
-    setMembership(this.#changing, session, mayWantChange);
+    const mayNeedChange = session.incarnation === null ? session.answer !== null : session.phase === 'ending';
+    this.#wakeTimes.set(session, this.#wakeAt(session, now));
+    this.#roundTimes.set(session, isFree ? this.#roundAt(session) : Number.POSITIVE_INFINITY);
+    setMembership(this.#awaitingRound, session, isAwaiting);
+    setMembership(this.#awaitingChange, session, mayNeedChange);
   }
 
   delete(session: GranterSession): void {
-    this.#wakes.delete(session);
-    this.#rounds.delete(session);
-    this.#awaiting.delete(session);
-    this.#changing.delete(session);
+    this.#wakeTimes.delete(session);
+    this.#roundTimes.delete(session);
+    this.#awaitingRound.delete(session);
+    this.#awaitingChange.delete(session);
   }
 
   /**
-   * A leader that was itself stopped for a while asks its upstreams once more before it gives up their leases; not those
-   * which had been silent for a renewal time when it stopped.
+   * Records a step. A leader that was itself stalled calls its upstreams once more before it ends their leases, except those
+   * that had been silent for a renewal interval before the stall.
    */
-  noteStep(now: MonotonicMillis): void {
+  recordStep(now: MonotonicMillis): void {
     if (now - this.#lastStepAt > this.#renewMillis) {
       this.#stalledAt = this.#lastStepAt;
-      this.#patientUntil = now + this.#renewMillis;
+      this.#graceUntil = now + this.#renewMillis;
     }
     this.#lastStepAt = now;
   }
 
-  /** Takes out the sessions for which a call or the end of the lease may be due; each is to be `put` again. */
+  /** Removes and returns the sessions for which a call or the end of the lease may be due; each must be rescheduled by `update`. */
   takeDue(now: MonotonicMillis): GranterSession[] {
-    return this.#wakes.takeDue(now);
+    return this.#wakeTimes.takeDue(now);
   }
 
-  awaiting(): GranterSession[] {
-    return [...this.#awaiting];
+  awaitingRound(): GranterSession[] {
+    return [...this.#awaitingRound];
   }
 
-  changing(): GranterSession[] {
-    return [...this.#changing];
+  awaitingChange(): GranterSession[] {
+    return [...this.#awaitingChange];
   }
 
-  /** Whether a renewal that is due, or nearly so, waits for a quorum round. */
-  wantsRound(now: MonotonicMillis): boolean {
-    return this.#rounds.next() <= now;
+  /** Returns whether a renewal that is due or nearly due waits for a quorum round. */
+  needsRound(now: MonotonicMillis): boolean {
+    return this.#roundTimes.next() <= now;
   }
 
   nextDeadline(): MonotonicMillis {
-    return this.#wakes.next();
+    return this.#wakeTimes.next();
   }
 
-  /** Whether the lease of a session's incarnation has surely ended. */
-  isOver(session: GranterSession, now: MonotonicMillis): boolean {
-    return now > this.#lastMomentOf(session);
+  /** Returns whether the lease of a session's incarnation has certainly ended. */
+  isLeaseOver(session: GranterSession, now: MonotonicMillis): boolean {
+    return now > this.#lastValidAt(session);
   }
 
   isCallable(session: GranterSession, now: MonotonicMillis): boolean {
     return session.outstanding === null && now >= this.#callAt(session, now);
   }
 
-  /** Last moment at which the lease of a session's incarnation isn't given up. */
-  #lastMomentOf({ leaseEnd, failingSince }: GranterSession): MonotonicMillis {
+  /** Returns the last time at which the lease of a session's incarnation doesn't count as ended. */
+  #lastValidAt({ leaseEnd, failingSince }: GranterSession): MonotonicMillis {
     const wasSilent = failingSince !== null && failingSince <= this.#stalledAt - this.#renewMillis;
-    return wasSilent ? leaseEnd : Math.max(leaseEnd, this.#patientUntil);
+    return wasSilent ? leaseEnd : Math.max(leaseEnd, this.#graceUntil);
   }
 
-  #wakeOf(session: GranterSession, now: MonotonicMillis): MonotonicMillis {
+  #wakeAt(session: GranterSession, now: MonotonicMillis): MonotonicMillis {
     const end = this.#endAt(session, now);
     return session.outstanding === null ? Math.min(end, this.#callAt(session, now)) : end;
   }
 
-  /** When the lease is to be ended, or, once it is given up, when it is over. */
+  /** Returns when the end of the lease must be processed; `Infinity` if there is no lease or its end was already processed. */
   #endAt(session: GranterSession, now: MonotonicMillis): MonotonicMillis {
     if (session.incarnation === null) {
       return Number.POSITIVE_INFINITY;
     }
-    if (this.isOver(session, now)) {
+    if (this.isLeaseOver(session, now)) {
       return session.phase === 'ending' ? Number.POSITIVE_INFINITY : now;
     }
-    return Math.floor(this.#lastMomentOf(session)) + 1;
+    return Math.floor(this.#lastValidAt(session)) + 1;
   }
 
-  /** When the next call can be made; a renewal that is due and waits for a quorum round isn't timed. */
+  /** Returns when the next call can be made; `Infinity` for a due renewal that waits for a quorum round. */
   #callAt(session: GranterSession, now: MonotonicMillis): MonotonicMillis {
     const { notBefore, nextCallAt } = session;
     if (session.phase !== 'leased') {
@@ -124,13 +124,13 @@
     if (session.awaitsConfirmation() && now >= nextCallAt) {
       return Number.POSITIVE_INFINITY;
     }
-    const news = session.hasNews() ? now : Number.POSITIVE_INFINITY;
-    return Math.max(notBefore, Math.min(nextCallAt, news, this.#pollAt(session)));
+    const changesAt = session.hasUnsentChanges() ? now : Number.POSITIVE_INFINITY;
+    return Math.max(notBefore, Math.min(nextCallAt, changesAt, this.#pollAt(session)));
   }
 
-  /** When to ask again how far a holder is with what it was told. */
+  /** Returns when to poll a holder for its progress in draining or warming shards. */
   #pollAt(session: GranterSession): MonotonicMillis {
-    const { followed, received, orders } = session;
+    const { lastOrderAnswer: followed, received, orders } = session;
     if (followed === null || received === null) {
       return Number.POSITIVE_INFINITY;
     }
@@ -138,8 +138,8 @@
     return isBusy ? received.receivedAt + this.#renewMillis * POLL_SHARE : Number.POSITIVE_INFINITY;
   }
 
-  /** A session wants a quorum round a little before its renewal is due, so that renewals share rounds. */
-  #roundOf({ nextCallAt, notBefore }: GranterSession): MonotonicMillis {
+  /** Returns when a session needs a quorum round: a little before its renewal is due, so that renewals share rounds. */
+  #roundAt({ nextCallAt, notBefore }: GranterSession): MonotonicMillis {
     return Math.max(nextCallAt, notBefore) - this.#renewMillis * BATCH_SHARE;
   }
 }
--- a/src/lease/shard-table.ts
+++ b/src/lease/shard-table.ts
@@ -1,25 +1,25 @@
 /**
- * What a holder remembers of each shard: its grant, the work under way, and the highest revision heard of, so that a late
- * or repeated grant revives nothing.
+ * State that a holder keeps for each shard: its grant, its running requests, and the highest revision received, so that a
+ * late or repeated grant has no effect.
  */
 import { type Epoch, parseShardId, type Revision, type ShardId } from '../model/identifiers.js';
 import type { HolderEvent } from './holder-types.js';
 import type { KeyMap, ShardGrant, ShardOrder } from './types.js';
 
 /**
- * `known`: nothing held, nothing to report. `held`: new work is taken. `draining`: revoked, work is left.
- * `released`: revoked and given up, reported for as long as the leader's orders name it.
+ * `known`: not held, and no release to report. `held`: new work is accepted. `draining`: revoked, with running requests.
+ * `released`: revoked and released, reported as long as the leader's orders name it.
  */
 type ShardState = 'known' | 'held' | 'draining' | 'released';
 
 interface ShardEntry {
   state: ShardState;
   epoch: Epoch;
-  /** Highest revision of any grant or revoke of this shard that was heard of. */
+  /** Highest revision of any grant or revoke received for this shard. */
   highestRevision: Revision;
   inFlight: number;
   warmth: 'cold' | 'warming' | 'warm';
-  /** Whether an answer to the leader carried the release. */
+  /** Whether the release was part of an answer to the leader. */
   reported: boolean;
 }
 
@@ -27,7 +27,7 @@
   readonly #entries = new Map<ShardId, ShardEntry>();
   readonly #events: HolderEvent[] = [];
 
-  /** Whether new work may start, and if not, why. */
+  /** Returns the reason to reject new work; `null` if it may start. */
   refusalOf(shard: ShardId, epoch: Epoch): 'not-owner' | 'draining' | 'stale-epoch' | null {
     const entry = this.#entries.get(shard);
     if (entry === undefined || entry.state === 'known' || entry.state === 'released') {
@@ -39,14 +39,14 @@
     return entry.state === 'draining' ? 'draining' : null;
   }
 
-  /** Whether work that started under this grant may still take effect. */
+  /** Returns whether work that started under this grant may still take effect. */
   mayTakeEffect(shard: ShardId, epoch: Epoch): boolean {
     const entry = this.#entries.get(shard);
     return entry?.epoch === epoch && (entry.state === 'held' || entry.state === 'draining');
   }
 
   startWork(shard: ShardId): void {
-    const entry = this.#entry(shard);
+    const entry = this.#getOrAddEntry(shard);
     entry.inFlight += 1;
   }
 
@@ -68,8 +68,8 @@
     }
   }
 
-  /** Carries out an order; older ones than the shard's highest revision change nothing. */
-  follow(order: ShardOrder, keyMap: KeyMap | null): void {
+  /** Applies an order; orders older than the shard's highest revision have no effect. */
+  apply(order: ShardOrder, keyMap: KeyMap | null): void {
     switch (order.type) {
       case 'grant':
         this.#grant(order.shard, order.epoch, order.revision, keyMap);
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Voids every grant, warming and report that a complete list of orders doesn't name; to be called before the orders are
-   * followed. A shard that the list only says to warm isn't held: another one got it meanwhile.
+   * Voids every grant, warming and release that a complete list of orders doesn't name; must be called before the orders are
+   * applied. A shard with only an order to warm isn't held any more: another owner was granted it in the meantime.
    */
   keepOnly(orders: readonly ShardOrder[]): void {
     const named = new Set(orders.map((order) => order.shard));
@@ -105,10 +105,10 @@
   }
 
   /**
-   * Forgets shards of older key maps, which no grant can name again. What was revoked because of this very change of
-   * the map stays until the next one.
+   * Forgets shards of older key maps, which no grant can name again. Shards revoked by this change of the map are kept until
+   * the next change.
    */
-  retire(previous: KeyMap, next: KeyMap): void {
+  forgetOldShards(previous: KeyMap, next: KeyMap): void {
     for (const [shard, entry] of this.#entries) {
       const inUse = entry.state === 'held' || entry.state === 'draining' || entry.inFlight > 0;
       const isReported = entry.state === 'released' && isShardOf(shard, previous);
@@ -123,7 +123,7 @@
     return [...this.#entries.values()].filter(({ state }) => state === 'held').length;
   }
 
-  /** Which of `shards` are held. */
+  /** Returns the held shards among `shards`. */
   held(shards: readonly ShardId[]): ShardGrant[] {
     return this.#select(shards, ({ state }) => state === 'held').map(([shard, { epoch }]) => ({
       shard,
@@ -137,7 +137,7 @@
       .map(([shard, { inFlight }]) => ({ shard, remaining: inFlight }));
   }
 
-  /** Which of `shards` were revoked and given up. */
+  /** Returns the revoked and released shards among `shards`. */
   released(shards: readonly ShardId[]): { readonly shard: ShardId; readonly revision: Revision }[] {
     return this.#select(shards, ({ state }) => state === 'released').map(([shard, { highestRevision }]) => ({
       shard,
@@ -145,12 +145,12 @@
     }));
   }
 
-  /** Which of `shards` are warm. */
+  /** Returns the warm shards among `shards`. */
   warmed(shards: readonly ShardId[]): ShardId[] {
     return this.#select(shards, ({ warmth }) => warmth === 'warm').map(([shard]) => shard);
   }
 
-  /** Shards with a release that is still to come or that no answer carried. */
+  /** Number of shards whose release is pending or wasn't part of an answer yet. */
   get unreportedCount(): number {
     const entries = [...this.#entries.values()];
     return entries.filter(
@@ -158,14 +158,14 @@
     ).length;
   }
 
-  /** An answer carries these releases. */
-  noteReported(released: readonly { readonly shard: ShardId }[]): void {
+  /** Marks releases as part of an answer. */
+  markReported(released: readonly { readonly shard: ShardId }[]): void {
     for (const { shard } of released) {
-      this.#entry(shard).reported = true;
+      this.#getOrAddEntry(shard).reported = true;
     }
   }
 
-  /** Number of shards remembered. */
+  /** Number of shards with an entry. */
   get size(): number {
     return this.#entries.size;
   }
@@ -179,7 +179,7 @@
     if (!isShardOf(shard, keyMap) || revision <= (known?.highestRevision ?? 0)) {
       return;
     }
-    const entry = this.#entry(shard);
+    const entry = this.#getOrAddEntry(shard);
     const warmed = entry.warmth === 'warm';
     entry.state = 'held';
     entry.epoch = epoch;
@@ -189,7 +189,7 @@
   }
 
   #revoke(shard: ShardId, revision: Revision): void {
-    const entry = this.#entry(shard);
+    const entry = this.#getOrAddEntry(shard);
     if (revision < entry.highestRevision) {
       return;
     }
@@ -211,7 +211,7 @@
     if (!isShardOf(shard, keyMap) || isOld || known?.state === 'held' || known?.state === 'draining') {
       return;
     }
-    const entry = this.#entry(shard);
+    const entry = this.#getOrAddEntry(shard);
     if (entry.warmth === 'cold') {
       entry.warmth = 'warming';
       this.#events.push({ type: 'warm', shard });
@@ -227,7 +227,7 @@
     entry.warmth = 'cold';
   }
 
-  #entry(shard: ShardId): ShardEntry {
+  #getOrAddEntry(shard: ShardId): ShardEntry {
     const known = this.#entries.get(shard);
     if (known !== undefined) {
       return known;
@@ -244,15 +244,15 @@
     return entry;
   }
 
-  #select(shards: readonly ShardId[], wanted: (entry: ShardEntry) => boolean): [ShardId, ShardEntry][] {
+  #select(shards: readonly ShardId[], isSelected: (entry: ShardEntry) => boolean): [ShardId, ShardEntry][] {
     return shards.flatMap((shard): [ShardId, ShardEntry][] => {
       const entry = this.#entries.get(shard);
-      return entry !== undefined && wanted(entry) ? [[shard, entry]] : [];
+      return entry !== undefined && isSelected(entry) ? [[shard, entry]] : [];
     });
   }
 }
 
-/** Whether a shard is of this very map: its service and its generation. */
+/** Returns whether a shard belongs to this key map, by service and generation. */
 function isShardOf(shard: ShardId, keyMap: KeyMap | null): boolean {
   const parts = parseShardId(shard);
   return parts !== undefined && parts.service === keyMap?.service && parts.generation === keyMap.generation;
--- a/src/lease/timed-grants.ts
+++ b/src/lease/timed-grants.ts
@@ -1,22 +1,21 @@
 /**
- * How long a server that takes plain grants may hold them. Such a server counts a grant's time from its arrival and says
- * nothing of its clock, so all that is known is when grants were sent and which of them were answered.
+ * Bounds how long a server may hold timed grants. Such a server measures a grant's duration from its arrival and doesn't
+ * report its clock, so the bound depends only on when grants were sent and which of them were answered.
  *
- * A grant that was answered holds from its answer at the latest. One without an answer may still be taken, much later;
- * but if its connection was reset and the server was never heard again, its bytes are lost. So it counts only once
- * something that was sent after it was answered.
+ * The duration of an answered grant begins at its answer at the latest. A grant without an answer may still be accepted
+ * much later; but if its connection was reset and the server never responded again, its bytes are lost. So it counts only
+ * after a later message was answered.
  */
 import type { MonotonicMillis } from '../model/identifiers.js';
 
-/** Times in milliseconds. */
 export interface TimedGrantTimings {
-  /** How long a grant holds from its arrival. */
+  /** Duration of a grant from its arrival. */
   readonly holdMillis: number;
-  /** Time between two renewals. */
+  /** Interval between two renewals. */
   readonly renewMillis: number;
-  /** Longest time after which a grant that got no answer may still be taken. */
+  /** Maximum time after which an unanswered grant may still be accepted. */
   readonly lateMillis: number;
-  /** Largest share by which a server's clock may be slow. */
+  /** Maximum relative error by which a server's clock may be slow. */
   readonly clockRateError: number;
 }
 
@@ -27,12 +26,12 @@
   clockRateError: 0.02,
 };
 
-/** How long a grant holds at most by the granter's clock. */
+/** Returns the maximum duration of a grant on the granter's clock. */
 export function longestHoldMillis({ holdMillis, clockRateError }: TimedGrantTimings): number {
   return holdMillis * (1 + clockRateError);
 }
 
-/** A granter that was deposed may still send for this long after the next one was elected. */
+/** Maximum time for which a deposed granter may still send after the election of its successor. */
 export const DEPOSED_GRANTER_MILLIS = 500;
 
 interface SentCall {
@@ -40,139 +39,139 @@
   readonly isGrant: boolean;
 }
 
-/** What was sent to one server and what came back. */
+/** Calls to one server and their outcomes, which bound how long the server may hold grants. */
 export class HolderHistory {
-  readonly #open = new Map<number, SentCall>();
-  /** When grants were sent that had no answer in time. */
-  #silent: MonotonicMillis[] = [];
+  readonly #openCalls = new Map<number, SentCall>();
+  /** Times at which grants without a timely answer were sent. */
+  #unansweredGrants: MonotonicMillis[] = [];
   #heldUntil: MonotonicMillis;
-  #heardAt: MonotonicMillis | null = null;
+  #lastContactAt: MonotonicMillis | null = null;
   #silentSince: MonotonicMillis | null = null;
   #failingSince: MonotonicMillis | null = null;
   #failedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
-  /** `since`: until then another granter may have sent grants, of which nothing is known. */
+  /** `since`: another granter may have sent unknown grants until then. */
   constructor(
     private readonly timings: TimedGrantTimings,
     since: MonotonicMillis,
   ) {
-    // The latest grant of the one before counts like one of its own that went unanswered then: in time at once, and late once the server
-    // is known to have lived after it. So a server that nobody heard again holds nothing after 0.5 s and one hold (10.7 s where grants
-    // hold for 10 s), not after the time of a late grant besides (22.7 s).
-    const latest = since + DEPOSED_GRANTER_MILLIS;
-    this.#heldUntil = latest + this.#longestHold();
-    this.#silent.push(latest);
+    // The latest grant of the previous granter counts like an unanswered one: immediately as accepted on time, and as accepted late once
+    // the server has responded after it. So a server that never responds again holds nothing after 0.5 s and one hold (10.7 s where
+    // grants hold for 10 s), instead of after the time of a late grant in addition (22.7 s).
+    const latestPreviousGrantAt = since + DEPOSED_GRANTER_MILLIS;
+    this.#heldUntil = latestPreviousGrantAt + this.#maxHoldMillis();
+    this.#unansweredGrants.push(latestPreviousGrantAt);
   }
 
-  /** The latest time at which the server may hold anything. */
+  /** Returns the latest time at which the server may hold a grant. */
   heldUntil(): MonotonicMillis {
-    const latestSent = Math.max(Number.NEGATIVE_INFINITY, ...[...this.#open.values()].map(grantedAt));
-    return Math.max(this.#heldUntil, latestSent + this.#longestHold());
+    const latestSent = Math.max(Number.NEGATIVE_INFINITY, ...[...this.#openCalls.values()].map(grantSentAt));
+    return Math.max(this.#heldUntil, latestSent + this.#maxHoldMillis());
   }
 
-  /** Whether a call hasn't ended. */
+  /** Whether there are calls in progress. */
   get hasOpenCalls(): boolean {
-    return this.#open.size > 0;
+    return this.#openCalls.size > 0;
   }
 
-  /** Since when calls go unanswered; `null`: the last one that ended was answered. */
+  /** Start of the current period without a sign of life; `null` if the server answered the last ended call or has contacted the granter since. */
   get silentSince(): MonotonicMillis | null {
     return this.#silentSince;
   }
 
-  /** Since when no call was answered, whatever the server says by itself; `null`: the last one that ended was answered. */
+  /** Start of the current period of failed calls, regardless of contact by the server; `null` if the last ended call was answered. */
   get failingSince(): MonotonicMillis | null {
     return this.#failingSince;
   }
 
-  /** When a call failed last. */
+  /** Time of the last failed call; `-Infinity` if a call was answered since. */
   get failedAt(): MonotonicMillis {
     return this.#failedAt;
   }
 
-  /** The server spoke by itself: it lives, so it may take late what it left unanswered, and calls are to be tried again. */
+  /** Records contact initiated by the server: it is alive, so it may accept unanswered grants late, and calls should be retried. */
   spoke(now: MonotonicMillis): void {
     this.#silentSince = null;
-    this.#heardAt = Math.max(this.#heardAt ?? now, now);
-    this.#countLate();
+    this.#lastContactAt = Math.max(this.#lastContactAt ?? now, now);
+    this.#extendByLateGrants();
   }
 
   sent(call: number, isGrant: boolean, now: MonotonicMillis): void {
-    this.#open.set(call, { sentAt: now, isGrant });
+    this.#openCalls.set(call, { sentAt: now, isGrant });
   }
 
-  /** The server answered, whatever it said. */
+  /** Records an answer with any content. */
   answered(call: number, now: MonotonicMillis): void {
-    const sent = this.#open.get(call);
-    this.#open.delete(call);
+    const sent = this.#openCalls.get(call);
+    this.#openCalls.delete(call);
     if (sent === undefined) {
       return;
     }
     this.#silentSince = null;
     this.#failingSince = null;
     this.#failedAt = Number.NEGATIVE_INFINITY;
-    this.#heardAt = Math.max(this.#heardAt ?? sent.sentAt, sent.sentAt);
+    this.#lastContactAt = Math.max(this.#lastContactAt ?? sent.sentAt, sent.sentAt);
     if (sent.isGrant) {
-      this.holdUntil(now + this.#longestHold());
+      this.holdUntil(now + this.#maxHoldMillis());
     }
-    this.#countLate();
+    this.#extendByLateGrants();
   }
 
-  /** No answer of the server's came in time; the connection was reset. */
+  /** Records that a call had no timely answer and its connection was reset. */
   unanswered(call: number, now: MonotonicMillis): void {
-    const sent = this.#open.get(call);
-    this.#open.delete(call);
+    const sent = this.#openCalls.get(call);
+    this.#openCalls.delete(call);
     if (sent === undefined) {
       return;
     }
-    this.#fail(sent.sentAt, now);
+    this.#recordFailure(sent.sentAt, now);
     if (sent.isGrant) {
-      this.#silent.push(sent.sentAt);
-      this.#countLate();
+      this.#unansweredGrants.push(sent.sentAt);
+      this.#extendByLateGrants();
     }
   }
 
-  /** No connection was made. */
+  /** Records that no connection was established for a call. */
   notSent(call: number, now: MonotonicMillis): void {
-    const sent = this.#open.get(call);
-    this.#open.delete(call);
+    const sent = this.#openCalls.get(call);
+    this.#openCalls.delete(call);
     if (sent !== undefined) {
-      this.#fail(sent.sentAt, now);
+      this.#recordFailure(sent.sentAt, now);
     }
   }
 
-  /** Nothing was sent, for reasons of the granter's own. */
+  /** Discards a call that the granter itself didn't send. */
   forgotten(call: number): void {
-    this.#open.delete(call);
+    this.#openCalls.delete(call);
   }
 
-  #fail(sentAt: MonotonicMillis, now: MonotonicMillis): void {
+  #recordFailure(sentAt: MonotonicMillis, now: MonotonicMillis): void {
     this.#silentSince ??= sentAt;
     this.#failingSince ??= sentAt;
     this.#failedAt = now;
   }
 
-  /** Grants without an answer that a server which is alive may still take. */
-  #countLate(): void {
-    const heardAt = this.#heardAt ?? Number.NEGATIVE_INFINITY;
-    for (const sentAt of this.#silent) {
-      if (sentAt < heardAt) {
-        this.holdUntil(sentAt + this.timings.lateMillis + this.#longestHold());
+  /** Extends the bound by unanswered grants that a live server may still accept. */
+  #extendByLateGrants(): void {
+    const lastContactAt = this.#lastContactAt ?? Number.NEGATIVE_INFINITY;
+    for (const sentAt of this.#unansweredGrants) {
+      if (sentAt < lastContactAt) {
+        this.holdUntil(sentAt + this.timings.lateMillis + this.#maxHoldMillis());
       }
     }
-    this.#silent = this.#silent.filter((sentAt) => sentAt >= heardAt);
+    this.#unansweredGrants = this.#unansweredGrants.filter((sentAt) => sentAt >= lastContactAt);
   }
 
-  /** The server may hold something until then. */
+  /** Extends the bound to `end`. */
   holdUntil(end: MonotonicMillis): void {
     this.#heldUntil = Math.max(this.#heldUntil, end);
   }
 
-  #longestHold(): number {
+  #maxHoldMillis(): number {
     return longestHoldMillis(this.timings);
   }
 }
 
-function grantedAt({ isGrant, sentAt }: SentCall): MonotonicMillis {
+function grantSentAt({ isGrant, sentAt }: SentCall): MonotonicMillis {
   return isGrant ? sentAt : Number.NEGATIVE_INFINITY;
 }
--- a/src/lease/types.ts
+++ b/src/lease/types.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between the control leader, which grants ownership of shards, and an upstream, which holds it.
+ * Messages between the control leader, which grants ownership of shards, and an upstream, which holds the grants.
  * They travel as JSON over HTTP: `POST /ternmount/v1/session` on the upstream (docs/UPSTREAM-PROTOCOL.md).
  */
 import type {
@@ -16,19 +16,19 @@
 } from '../model/identifiers.js';
 import type { KeyspaceDefinition } from '../model/service.js';
 
-/** A grant that the log holds. */
+/** A grant recorded in the log. */
 export interface ShardGrant {
   readonly shard: ShardId;
-  /** Revision of the entry that made this grant. */
+  /** Revision of the log entry that made this grant. */
   readonly epoch: Epoch;
 }
 
-/** An order about one shard; `revision` is that of the log entry it follows from. */
+/** An order about one shard; `revision` is that of the log entry that caused it. */
 export type ShardOrder =
   | { readonly type: 'grant'; readonly shard: ShardId; readonly epoch: Epoch; readonly revision: Revision }
-  /** Stop new work on the shard, finish what runs, then count it as given up. */
+  /** Reject new work on the shard, finish running requests, then release the shard. */
   | { readonly type: 'revoke'; readonly shard: ShardId; readonly revision: Revision }
-  /** Load the shard's state; no request may be served yet. */
+  /** Load the shard's state; requests must not be served yet. */
   | { readonly type: 'warm'; readonly shard: ShardId; readonly revision: Revision };
 
 /** The map of a service's keys to shards under which grants are made. */
@@ -38,55 +38,55 @@
   readonly keyspaces: readonly KeyspaceDefinition[];
 }
 
-/** What the leader sends. */
+/** Message from the leader. */
 export interface SessionRequest {
   readonly cluster: ClusterId;
   readonly leader: ReplicaId;
   readonly term: Term;
-  /** Grows with each request of one leader to one upstream; older ones are ignored. */
+  /** Grows with each request of one leader to one upstream; requests with an older number are ignored. */
   readonly sequence: number;
   readonly upstream: UpstreamId;
-  /** Incarnation that the orders and the lease are for; `null` in a first greeting, which only asks. */
+  /** Incarnation that the orders and the lease apply to; `null` in a first greeting, which only queries the upstream. */
   readonly incarnation: Incarnation | null;
-  /** End of the lease on the upstream's own monotonic clock; `null` renews nothing. */
+  /** End of the lease on the upstream's own monotonic clock; `null` if the lease isn't renewed. */
   readonly validUntil: MonotonicMillis | null;
   readonly keyMap: KeyMap | null;
   readonly orders: readonly ShardOrder[];
-  /** Set when `orders` names every grant and revoke of this upstream; all others it holds are void. */
+  /** Whether `orders` lists every grant and revoke of this upstream; all other grants that it holds are void. */
   readonly complete: boolean;
-  /** The upstream is leaving: it takes no new work of any kind. */
+  /** Whether the upstream is draining: it accepts no new work of any kind. */
   readonly drain: boolean;
 }
 
 /**
- * What the upstream answers. Of `held`, `released` and `warmed` it names only shards that the request's orders name: a
- * server of many shards would else repeat all of them with each renewal. Nothing is lost by that: what a server holds
- * changes only by orders, an order is repeated until an answer to it shows that it was followed, and revokes and orders
- * to warm go with each request for as long as they are in force.
+ * Answer of an upstream. `held`, `released` and `warmed` contain only shards that the request's orders name: otherwise, a
+ * server with many shards would repeat all of them with each renewal. No information is lost, because the shards that a
+ * server holds change only by orders, an order is repeated until an answer acknowledges it, and revokes and orders to warm
+ * are part of each request as long as they are in force.
  */
 export interface SessionAnswer {
   readonly upstream: UpstreamId;
   readonly incarnation: Incarnation;
-  /** The upstream's monotonic clock when it answered. */
+  /** The upstream's monotonic clock at the time of the answer. */
   readonly stamp: MonotonicMillis;
   readonly term: Term;
   readonly sequence: number;
-  /** Which of the shards named are held, with the epochs. */
+  /** Held shards among those named, with their epochs. */
   readonly held: readonly ShardGrant[];
-  /** All revoked shards with work left. */
+  /** All revoked shards with running requests. */
   readonly draining: readonly { readonly shard: ShardId; readonly remaining: number }[];
-  /** Which of the shards named were revoked and given up for good, with the revision of the revoke. */
+  /** Revoked and released shards among those named, with the revision of the revoke. */
   readonly released: readonly { readonly shard: ShardId; readonly revision: Revision }[];
-  /** Which of the shards named are warm. */
+  /** Warm shards among those named. */
   readonly warmed: readonly ShardId[];
   readonly inFlight: number;
-  /** The server is about to stop and asks that its shards be moved away. */
+  /** Whether the server is about to stop and requests that its shards be moved away. */
   readonly leaving?: boolean;
-  /** Why the request was refused, if it was: stale term, another incarnation, another cluster. */
+  /** Reason for which the request was rejected; `null` if it was accepted. */
   readonly refused: 'stale-term' | 'stale-sequence' | 'other-incarnation' | 'other-cluster' | null;
 }
 
-/** Times of leases; the same on granters and holders. */
+/** Timings of leases; identical for granters and holders. */
 export interface LeaseTimings {
   readonly leaseMillis: number;
   readonly renewMillis: number;
@@ -94,14 +94,14 @@
   readonly clockRateError: number;
 }
 
-/** Defaults: docs/design/leases.md says how they divide the 3 s between loss and new owner. */
+/** Defaults; docs/design/leases.md describes how they divide the 3 s between the loss of an owner and the new owner. */
 export const DEFAULT_LEASE_TIMINGS: LeaseTimings = {
   leaseMillis: 1500,
   renewMillis: 400,
   clockRateError: 0.005,
 };
 
-/** What a request shows to the fence. */
+/** Credentials of a request, which the fence checks. */
 export interface FenceCredentials {
   readonly shard: ShardId;
   readonly epoch: Epoch;
@@ -109,7 +109,7 @@
   readonly key: string;
 }
 
-/** Why the fence turned a request away; each means that it did not run. */
+/** Reason for which the fence rejected a request; with each of them, the request did not run. */
 export type FenceRefusal =
   | 'lease-over'
   | 'not-owner'
--- a/src/placement/ranges/heat-age.ts
+++ b/src/placement/ranges/heat-age.ts
@@ -48,6 +48,6 @@
  * Returns the time for which a load is expected to last. The distribution of lifetimes is unknown, so an observation is
  * equally likely at any point of a load's lifetime, and the median of the remaining time equals the age.
  */
-export function remainingHeatMillis(ageMillis: number): number {
+export function remainingMillis(ageMillis: number): number {
   return Math.min(MAX_HEAT_MILLIS, ageMillis);
 }
--- a/src/placement/ranges/move-weighing.ts
+++ b/src/placement/ranges/move-weighing.ts
@@ -1,6 +1,6 @@
 /** Weighs planned moves by the age of their keys' load, and accepts only moves that gain more than they cost. */
 
-import { heatAgeMillis, remainingHeatMillis } from './heat-age.js';
+import { heatAgeMillis, remainingMillis } from './heat-age.js';
 import { HotKeyMoves } from './hot-key-moves.js';
 import type { KeyLoads } from './key-loads.js';
 import { isWorthwhile, type MoveTerms, type MoveWorth, worthOf } from './move-worth.js';
@@ -68,7 +68,7 @@
       to,
       toLoad: toLoad + this.#randomErrorOf(toLoad, loads),
       load,
-      remainingMillis: remainingHeatMillis(heatMillis),
+      remainingMillis: remainingMillis(heatMillis),
     };
     const worth = worthOf(weighed, this.#terms);
     return isWorthwhile(worth) ? { ...move, weighed: { ...worth, heatMillis } } : undefined;
--- a/test/lease/deadline-queue.test.ts
+++ b/test/lease/deadline-queue.test.ts
@@ -13,7 +13,7 @@
 );
 
 describe('deadline queue', () => {
-  it('agrees with a plain map of deadlines', () => {
+  it('is equivalent to a map of deadlines', () => {
     fc.assert(
       fc.property(actions, (history) => {
         const queue = new DeadlineQueue<number>();
@@ -38,7 +38,7 @@
     );
   });
 
-  it('gives the earliest first', () => {
+  it('returns the earliest key first', () => {
     const queue = new DeadlineQueue<string>();
     queue.set('late', 3);
     queue.set('early', 1);
--- a/test/lease/grant-holder.test.ts
+++ b/test/lease/grant-holder.test.ts
@@ -34,7 +34,7 @@
   return holder.admit(credentials, now).type === 'admitted';
 }
 
-describe('grant holder that comes back after its lease ended', () => {
+describe('grant holder with a new lease after its previous one ended', () => {
   const grant: ShardOrder = { type: 'grant', shard: SHARD, epoch: 49, revision: 49 };
   let holder: GrantHolder;
 
@@ -48,12 +48,12 @@
     expect(admits(holder, 49, 1500)).to.equal(false);
   });
 
-  it('holds nothing that the complete list of orders does not grant', () => {
+  it('holds no shard that the complete list of orders does not grant', () => {
     holder.handleSession(session(2, 1, { validUntil: 3000, keyMap: KEY_MAP, complete: true }), 2000);
     expect(admits(holder, 49, 2001)).to.equal(false);
   });
 
-  it('does not hold a shard that the complete list only tells it to warm', () => {
+  it('does not hold a shard for which the complete list contains only an order to warm', () => {
     const warm: ShardOrder = { type: 'warm', shard: SHARD, revision: 737 };
     const request = session(2, 1, { validUntil: 3000, keyMap: KEY_MAP, orders: [warm], complete: true });
     const answer = holder.handleSession(request, 2000);
@@ -62,7 +62,7 @@
     expect(holder.takeEvents().map(({ type }) => type)).to.deep.equal(['granted', 'released', 'warm']);
   });
 
-  it('keeps a shard that the complete list grants again', () => {
+  it('still holds a shard that the complete list grants again', () => {
     const request = session(2, 1, { validUntil: 3000, keyMap: KEY_MAP, orders: [grant], complete: true });
     holder.handleSession(request, 2000);
     expect(admits(holder, 49, 2001)).to.equal(true);
--- a/test/lease/session-answers.test.ts
+++ b/test/lease/session-answers.test.ts
@@ -43,7 +43,7 @@
     sequence = 0;
   });
 
-  it('name of the shards held only those that the orders name', () => {
+  it('contain only held shards that the orders name', () => {
     const all = answerTo([grant(0), grant(1), grant(2)], true);
     expect(all.held.map((held) => held.shard)).to.deep.equal([shard(0), shard(1), shard(2)]);
     expect(answerTo([]).held).to.deep.equal([]);
@@ -51,7 +51,7 @@
     expect(holder.status(1).held).to.equal(3);
   });
 
-  it('name a release for as long as the revoke is repeated', () => {
+  it('contain a release as long as the revoke is repeated', () => {
     const revoke: ShardOrder = { type: 'revoke', shard: shard(0), revision: 20 };
     answerTo([grant(0)], true);
     for (const _repeat of [1, 2]) {
@@ -60,7 +60,7 @@
     expect(answerTo([]).released).to.deep.equal([]);
   });
 
-  it('name a shard warm for as long as the order to warm it is repeated', () => {
+  it('contain a warm shard as long as the order to warm it is repeated', () => {
     const warm: ShardOrder = { type: 'warm', shard: shard(3), revision: 12 };
     expect(answerTo([warm]).warmed).to.deep.equal([]);
     holder.markWarmed(shard(3));
@@ -68,7 +68,7 @@
     expect(answerTo([]).warmed).to.deep.equal([]);
   });
 
-  it('name all shards with work left, whatever the orders name', () => {
+  it('contain all draining shards, regardless of the orders', () => {
     answerTo([grant(0), grant(1)], true);
     const key = keyOf(shard(1));
     holder.admit({ shard: shard(1), epoch: 11, incarnation: 'u1#1', key }, 2);
@@ -76,7 +76,7 @@
     expect(answerTo([]).draining).to.deep.equal([{ shard: shard(1), remaining: 1 }]);
   });
 
-  /** A key of the shard, found by trying. */
+  /** Finds a key of the shard by trial. */
   function keyOf(wanted: string): string {
     for (let number = 0; ; number += 1) {
       const key = `key-${number}`;
--- a/test/lease/session-orders.test.ts
+++ b/test/lease/session-orders.test.ts
@@ -24,72 +24,75 @@
 }
 
 describe('session orders', () => {
-  it('sends an order until an answer shows that it is followed', () => {
+  it('sends an order until an answer acknowledges it', () => {
     const orders = new SessionOrders();
     orders.set(GRANT);
-    expect(orders.take(false)).to.deep.equal([GRANT]);
+    expect(orders.ordersToSend(false)).to.deep.equal([GRANT]);
     orders.acknowledge([GRANT], answer());
-    expect(orders.take(false)).to.deep.equal([GRANT]);
+    expect(orders.ordersToSend(false)).to.deep.equal([GRANT]);
     orders.acknowledge([GRANT], answer({ held: [{ shard: 'k', epoch: 5 }] }));
-    expect(orders.take(false)).to.deep.equal([]);
-    expect(orders.take(true)).to.deep.equal([GRANT]);
+    expect(orders.ordersToSend(false)).to.deep.equal([]);
+    expect(orders.ordersToSend(true)).to.deep.equal([GRANT]);
   });
 
-  it('has news only when an order changes or was lost', () => {
+  it('has unsent orders only after an order changed or was lost', () => {
     const orders = new SessionOrders();
     orders.set(GRANT);
-    orders.take(false);
+    orders.ordersToSend(false);
     orders.set({ ...GRANT });
     expect(orders.hasUnsent()).to.equal(false);
     orders.set(REVOKE);
     expect(orders.hasUnsent()).to.equal(true);
-    orders.take(false);
-    orders.forget([REVOKE]);
+    orders.ordersToSend(false);
+    orders.markUnsent([REVOKE]);
     expect(orders.hasUnsent()).to.equal(true);
   });
 
-  for (const { name, shown, ignored } of [
-    { name: 'nothing', shown: {}, ignored: true },
-    { name: 'draining', shown: { draining: [{ shard: 'k', remaining: 1 }] }, ignored: false },
-    { name: 'an older release', shown: { released: [{ shard: 'k', revision: 8 }] }, ignored: true },
-    { name: 'the release', shown: { released: [{ shard: 'k', revision: 9 }] }, ignored: false },
+  for (const { name, shown, isIgnored } of [
+    { name: 'nothing', shown: {}, isIgnored: true },
+    { name: 'draining', shown: { draining: [{ shard: 'k', remaining: 1 }] }, isIgnored: false },
+    { name: 'an older release', shown: { released: [{ shard: 'k', revision: 8 }] }, isIgnored: true },
+    { name: 'the release', shown: { released: [{ shard: 'k', revision: 9 }] }, isIgnored: false },
   ]) {
-    it(`a revoke answered by ${name}: ${ignored ? 'no more renewals' : 'renewed'}`, () => {
+    it(`a revoke answered by ${name}: ${isIgnored ? 'no more renewals' : 'renewed'}`, () => {
       const orders = new SessionOrders();
       orders.set(REVOKE);
-      orders.acknowledge(orders.take(false), answer(shown));
-      expect(orders.hasIgnoredRevoke()).to.equal(ignored);
+      orders.acknowledge(orders.ordersToSend(false), answer(shown));
+      expect(orders.hasUnacknowledgedRevoke()).to.equal(isIgnored);
       orders.delete('k');
-      expect(orders.hasIgnoredRevoke()).to.equal(false);
+      expect(orders.hasUnacknowledgedRevoke()).to.equal(false);
     });
   }
 
-  it('does not take an answer to an older order for one to the present order', () => {
+  it('does not count an answer to an older order as an acknowledgement of the current order', () => {
     const orders = new SessionOrders();
     orders.set(GRANT);
-    const sent = orders.take(false);
+    const sent = orders.ordersToSend(false);
     orders.set(REVOKE);
     orders.acknowledge(sent, answer({ held: [{ shard: 'k', epoch: 5 }] }));
-    expect(orders.take(false)).to.deep.equal([REVOKE]);
+    expect(orders.ordersToSend(false)).to.deep.equal([REVOKE]);
   });
 
-  it('repeats revokes and orders to warm for as long as they are in force', () => {
+  it('repeats revokes and orders to warm as long as they are in force', () => {
     const orders = new SessionOrders();
     for (const order of [GRANT, WARM]) {
       orders.set(order);
     }
-    orders.acknowledge(orders.take(false), answer({ held: [{ shard: 'k', epoch: 5 }], warmed: ['w'] }));
-    expect(orders.take(false)).to.deep.equal([WARM]);
+    orders.acknowledge(
+      orders.ordersToSend(false),
+      answer({ held: [{ shard: 'k', epoch: 5 }], warmed: ['w'] }),
+    );
+    expect(orders.ordersToSend(false)).to.deep.equal([WARM]);
     orders.set(REVOKE);
     orders.delete('w');
-    orders.acknowledge(orders.take(false), answer({ released: [{ shard: 'k', revision: 9 }] }));
-    expect(orders.take(false)).to.deep.equal([REVOKE]);
+    orders.acknowledge(orders.ordersToSend(false), answer({ released: [{ shard: 'k', revision: 9 }] }));
+    expect(orders.ordersToSend(false)).to.deep.equal([REVOKE]);
     expect(orders.hasUnsent()).to.equal(false);
     orders.delete('k');
-    expect(orders.take(false)).to.deep.equal([]);
+    expect(orders.ordersToSend(false)).to.deep.equal([]);
   });
 
-  it('warms until the holder says so', () => {
+  it('is warming a shard until the holder reports it as warm', () => {
     const orders = new SessionOrders();
     orders.set(WARM);
     expect(orders.isWarming([])).to.equal(true);
--- a/test/lease/stalled-granter.test.ts
+++ b/test/lease/stalled-granter.test.ts
@@ -7,10 +7,10 @@
 const { renewMillis } = DEFAULT_LEASE_TIMINGS;
 const END = leaseBound(DEFAULT_LEASE_TIMINGS, 0);
 
-describe('granter that was stopped for a while', () => {
+describe('granter that was stalled', () => {
   let granter: LeaseGranter;
 
-  /** Steps like a leader whose upstream refuses connections. */
+  /** Runs steps of a leader whose upstream refuses connections. */
   function runSilent(from: number, to: number): void {
     for (let now = from; now < to; now += STEP_MILLIS) {
       for (const { upstream, request } of granter.takeCalls(now)) {
@@ -19,7 +19,7 @@
     }
   }
 
-  function endedAt(now: number): boolean {
+  function isEndedAt(now: number): boolean {
     granter.takeCalls(now);
     return granter.changes(now).some(({ type }) => type === 'end');
   }
@@ -38,21 +38,21 @@
     granter.setTarget(target, 0);
   });
 
-  it('asks an upstream that it had no reason to call silent once more', () => {
+  it('calls an upstream that was not silent before the stall once more', () => {
     granter.takeCalls(0);
-    const awake = END + 100;
-    expect(endedAt(awake)).to.equal(false);
-    expect(endedAt(awake + renewMillis / 2)).to.equal(false);
-    expect(endedAt(awake + renewMillis + 1)).to.equal(true);
+    const resumedAt = END + 100;
+    expect(isEndedAt(resumedAt)).to.equal(false);
+    expect(isEndedAt(resumedAt + renewMillis / 2)).to.equal(false);
+    expect(isEndedAt(resumedAt + renewMillis + 1)).to.equal(true);
   });
 
-  it('gives up an upstream that was silent for long before', () => {
+  it('ends the lease of an upstream that was silent long before the stall', () => {
     runSilent(0, END - 100);
-    expect(endedAt(END + renewMillis)).to.equal(true);
+    expect(isEndedAt(END + renewMillis)).to.equal(true);
   });
 
-  it('ends no lease before its bound, however silent the upstream', () => {
+  it('ends no lease before its bound, even if the upstream is silent', () => {
     runSilent(0, END - 500);
-    expect(endedAt(END)).to.equal(false);
+    expect(isEndedAt(END)).to.equal(false);
   });
 });
--- a/test/lease/timed-grants.test.ts
+++ b/test/lease/timed-grants.test.ts
@@ -1,4 +1,4 @@
-/** How long a server may hold what it was granted, row by row. */
+/** Bounds on how long a server may hold timed grants. */
 import { expect } from 'chai';
 import {
   DEPOSED_GRANTER_MILLIS,
@@ -12,61 +12,61 @@
   lateMillis: 5000,
   clockRateError: 0.02,
 };
-const LONGEST = 1020;
+const MAX_HOLD = 1020;
 const SINCE = 100;
 
-/** What a granter before may have sent, and what of it may be taken late. */
-const BEFORE = SINCE + DEPOSED_GRANTER_MILLIS + TIMINGS.lateMillis + LONGEST;
+/** Bound for grants of the previous granter that may be accepted late. */
+const PREVIOUS_LATE_BOUND = SINCE + DEPOSED_GRANTER_MILLIS + TIMINGS.lateMillis + MAX_HOLD;
 
 function history(): HolderHistory {
   return new HolderHistory(TIMINGS, SINCE);
 }
 
-/** One whose server was heard, so that what the granter before sent counts as late too. */
-function heardHistory(): HolderHistory {
+/** Returns a history whose server has responded, so that grants of the previous granter count as accepted late too. */
+function respondedHistory(): HolderHistory {
   const held = history();
   held.sent(0, false, 8000);
   held.answered(0, 8010);
-  expect(held.heldUntil()).to.equal(BEFORE);
+  expect(held.heldUntil()).to.equal(PREVIOUS_LATE_BOUND);
   return held;
 }
 
 describe('history of timed grants', () => {
-  it('counts what a granter before may have sent, as late too once the server was heard after it', () => {
+  it('counts grants of the previous granter, as late ones too once the server has responded after them', () => {
     const held = history();
-    expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + LONGEST);
+    expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + MAX_HOLD);
     held.sent(1, false, SINCE + DEPOSED_GRANTER_MILLIS);
     held.answered(1, SINCE + DEPOSED_GRANTER_MILLIS + 10);
-    expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + LONGEST);
+    expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + MAX_HOLD);
     held.sent(2, false, SINCE + DEPOSED_GRANTER_MILLIS + 1);
     held.answered(2, SINCE + DEPOSED_GRANTER_MILLIS + 20);
-    expect(held.heldUntil()).to.equal(BEFORE);
+    expect(held.heldUntil()).to.equal(PREVIOUS_LATE_BOUND);
   });
 
-  it('counts no late grant of a granter before for a server that is never heard', () => {
+  it('counts no late grants of the previous granter for a server that never responds', () => {
     const held = history();
     for (let call = 1; call <= 5; call += 1) {
       held.sent(call, true, SINCE + DEPOSED_GRANTER_MILLIS + call);
       held.notSent(call, 10_300);
     }
-    expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + LONGEST);
+    expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + MAX_HOLD);
   });
 
   it('counts an answered grant from its answer', () => {
     const held = history();
     held.sent(1, true, 10_000);
     held.answered(1, 10_040);
-    expect(held.heldUntil()).to.equal(10_040 + LONGEST);
+    expect(held.heldUntil()).to.equal(10_040 + MAX_HOLD);
     expect(held.silentSince).to.equal(null);
   });
 
-  it('counts a grant that is under way', () => {
+  it('counts a grant in progress', () => {
     const held = history();
     held.sent(1, true, 10_000);
-    expect(held.heldUntil()).to.equal(10_000 + LONGEST);
+    expect(held.heldUntil()).to.equal(10_000 + MAX_HOLD);
   });
 
-  it('forgets a grant that was never sent', () => {
+  it('does not count a grant that was never sent', () => {
     const held = history();
     const before = held.heldUntil();
     held.sent(1, true, 10_000);
@@ -75,7 +75,7 @@
     expect(held.silentSince).to.equal(10_000);
   });
 
-  it('counts an unanswered grant as late only once the server was heard after it', () => {
+  it('counts an unanswered grant as late only once the server has responded after it', () => {
     const held = history();
     const before = held.heldUntil();
     held.sent(1, true, 10_000);
@@ -83,11 +83,11 @@
     expect(held.heldUntil()).to.equal(before);
     held.sent(2, false, 10_500);
     held.answered(2, 10_510);
-    expect(held.heldUntil()).to.equal(10_000 + TIMINGS.lateMillis + LONGEST);
+    expect(held.heldUntil()).to.equal(10_000 + TIMINGS.lateMillis + MAX_HOLD);
   });
 
-  it('does not take an answer to something sent before for a sign of life after', () => {
-    const held = heardHistory();
+  it('does not count an answer to an earlier call as a later sign of life', () => {
+    const held = respondedHistory();
     const before = held.heldUntil();
     held.sent(1, false, 9000);
     held.sent(2, true, 10_000);
@@ -96,8 +96,8 @@
     expect(held.heldUntil()).to.equal(before);
   });
 
-  it('counts nothing for a release', () => {
-    const held = heardHistory();
+  it('does not count a release', () => {
+    const held = respondedHistory();
     const before = held.heldUntil();
     held.sent(1, false, 10_000);
     held.answered(1, 10_010);
--- a/test/lease/unreported-releases.test.ts
+++ b/test/lease/unreported-releases.test.ts
@@ -25,8 +25,8 @@
   };
 }
 
-describe('holder about to stop', () => {
-  it('counts a release as unreported until an answer to the leader has carried it', () => {
+describe('holder with a pending release', () => {
+  it('counts a release as unreported until it was part of an answer to the leader', () => {
     const holder = createGrantHolder({ cluster: 'c1', upstream: 'u1', incarnation: 'u1#1' });
     holder.handleSession(session(1, [{ type: 'grant', shard: SHARD, epoch: 5, revision: 5 }]), 0);
     const credentials = { shard: SHARD, epoch: 5, incarnation: 'u1#1', key: 'k' };
--- a/test/placement/move-costs.test.ts
+++ b/test/placement/move-costs.test.ts
@@ -1,7 +1,7 @@
 /** Moves of keys under loads with changing hot keys, and the share of requests in time. The bounds state what moves must achieve. */
 import { expect } from 'chai';
 import { LARGEST_KEY, spanLength } from '../../src/model/key-range.js';
-import { heatAgeMillis, MAX_HEAT_MILLIS, remainingHeatMillis } from '../../src/placement/ranges/heat-age.js';
+import { heatAgeMillis, MAX_HEAT_MILLIS, remainingMillis } from '../../src/placement/ranges/heat-age.js';
 import { KeyLoads } from '../../src/placement/ranges/key-loads.js';
 import { MoveEvidence } from '../../src/placement/ranges/move-evidence.js';
 import { worthOf } from '../../src/placement/ranges/move-worth.js';
@@ -240,7 +240,7 @@
 
   it('is bounded, and so is the expected remaining time', () => {
     expect(heatAgeMillis({ recent: 1, steady: 1 }, halfLives)).to.equal(MAX_HEAT_MILLIS);
-    expect(remainingHeatMillis(10 * MAX_HEAT_MILLIS)).to.equal(MAX_HEAT_MILLIS);
+    expect(remainingMillis(10 * MAX_HEAT_MILLIS)).to.equal(MAX_HEAT_MILLIS);
     expect(heatAgeMillis({ recent: 0, steady: 1 }, halfLives)).to.equal(0);
   });
 });
