--- a/src/lease/granter-session.ts
+++ b/src/lease/granter-session.ts
@@ -30,6 +30,7 @@
   answer: SessionAnswer | null = null;
   /** Last answer to a call with orders. */
   lastOrderAnswer: SessionAnswer | null = null;
+  /** Latest stamp of any incarnation. */
   received: ReceivedStamp | null = null;
   /** Latest stamp of the registered incarnation after which a quorum confirmed the leadership. */
   confirmed: ReceivedStamp | null = null;
--- a/src/lease/session-schedule.ts
+++ b/src/lease/session-schedule.ts
@@ -130,11 +130,11 @@
 
   /** Returns when to poll a holder for its progress in draining or warming shards. */
   #pollAt(session: GranterSession): MonotonicMillis {
-    const { lastOrderAnswer: followed, received, orders } = session;
-    if (followed === null || received === null) {
+    const { lastOrderAnswer, received, orders } = session;
+    if (lastOrderAnswer === null || received === null) {
       return Number.POSITIVE_INFINITY;
     }
-    const isBusy = followed.draining.length > 0 || orders.isWarming(followed.warmed);
+    const isBusy = lastOrderAnswer.draining.length > 0 || orders.isWarming(lastOrderAnswer.warmed);
     return isBusy ? received.receivedAt + this.#renewMillis * POLL_SHARE : Number.POSITIVE_INFINITY;
   }
 
--- a/src/placement/balancer.ts
+++ b/src/placement/balancer.ts
@@ -41,7 +41,7 @@
 }
 
 interface Round {
-  readonly takers: readonly ServerEntry[];
+  readonly eligible: readonly ServerEntry[];
   readonly floor: number;
   /** Utilisation of every server if the load were spread evenly. */
   readonly level: number;
@@ -58,12 +58,12 @@
   limit: number,
   now: MonotonicMillis,
 ): BalancingMove[] {
-  const takers = state.eligibleServers();
+  const eligible = state.eligibleServers();
   const floor = state.floor();
-  const heats = takers.map((entry) => heatOf(entry, floor));
+  const heats = eligible.map((entry) => heatOf(entry, floor));
   const level = fairLevel(heats, floor);
   const tolerable = Math.max(level, hottestOf(heats) * HOTTEST_LOAD_SHARE);
-  const round: Round = { takers, floor, level, tolerable, tolerance, now };
+  const round: Round = { eligible, floor, level, tolerable, tolerance, now };
   const overloaded = heats
     .map((heat) => limitsOf(heat, round))
     .filter(({ entry, begin }) => utilisation(entry, floor) > begin)
@@ -161,7 +161,7 @@
 function leastUtilised(round: Round, source: ServerEntry, keyspace: string): ServerEntry | undefined {
   let best: ServerEntry | undefined;
   let least = Number.POSITIVE_INFINITY;
-  for (const entry of round.takers) {
+  for (const entry of round.eligible) {
     const load = entry === source ? Number.POSITIVE_INFINITY : utilisation(entry, round.floor);
     const isBefore = load < least || (load === least && best !== undefined && entry.rank < best.rank);
     if (isBefore && mayHold(entry, keyspace)) {
--- a/src/placement/baselines/greedy.ts
+++ b/src/placement/baselines/greedy.ts
@@ -57,10 +57,10 @@
 
   #balance(): PlacementMove[] {
     const floor = this.state.floor();
-    const takers = this.state.eligibleServers();
+    const eligible = this.state.eligibleServers();
     const moves: PlacementMove[] = [];
     for (;;) {
-      const ordered = [...takers].sort(
+      const ordered = [...eligible].sort(
         (left, right) => utilisation(right, floor) - utilisation(left, floor) || left.rank - right.rank,
       );
       const to = ordered.at(-1);
--- a/src/placement/ranges/balance-planner.ts
+++ b/src/placement/ranges/balance-planner.ts
@@ -43,11 +43,9 @@
       return first;
     }
     this.#hotKeys.forgetCooled(this.recent);
-    const weighing = terms === null ? null : new MoveWeigher(this, terms, this.#hotKeys);
-    const relief = planMoves(ranges, this.recent, servers, RELIEF_GOAL, underWay, weighing);
-    return relief.length > 0
-      ? relief
-      : planMoves(ranges, this.steady, servers, EVEN_GOAL, underWay, weighing);
+    const weigher = terms === null ? null : new MoveWeigher(this, terms, this.#hotKeys);
+    const relief = planMoves(ranges, this.recent, servers, RELIEF_GOAL, underWay, weigher);
+    return relief.length > 0 ? relief : planMoves(ranges, this.steady, servers, EVEN_GOAL, underWay, weigher);
   }
 
   /** Records that a planned move has begun. */
--- a/src/placement/ranges/move-weighing.ts
+++ b/src/placement/ranges/move-weighing.ts
@@ -37,12 +37,12 @@
 
 export class MoveWeigher {
   readonly #averages: LoadAverages;
-  readonly #terms: MoveTerms;
+  readonly #parameters: MoveTerms;
   readonly #hotKeys: HotKeyMoves;
 
-  constructor(averages: LoadAverages, terms: MoveTerms, hotKeys: HotKeyMoves = new HotKeyMoves()) {
+  constructor(averages: LoadAverages, parameters: MoveTerms, hotKeys: HotKeyMoves = new HotKeyMoves()) {
     this.#averages = averages;
-    this.#terms = terms;
+    this.#parameters = parameters;
     this.#hotKeys = hotKeys;
   }
 
@@ -70,14 +70,14 @@
       load,
       remainingMillis: remainingMillis(heatMillis),
     };
-    const worth = worthOf(weighed, this.#terms);
+    const worth = worthOf(weighed, this.#parameters);
     return isWorthwhile(worth) ? { ...move, weighed: { ...worth, heatMillis } } : undefined;
   }
 
   /** Returns the random error of a measured load: randomly arriving requests are effectively counted over two mean lifetimes of their weights. */
   #randomErrorOf(load: number, { halfLifeMillis }: KeyLoads): number {
     const countedSeconds = (2 * halfLifeMillis) / Math.LN2 / MILLIS_PER_SECOND;
-    const deviation = Math.sqrt((Math.max(0, load) * this.#terms.workMillis) / countedSeconds);
+    const deviation = Math.sqrt((Math.max(0, load) * this.#parameters.workMillis) / countedSeconds);
     return deviation * ERROR_DEVIATIONS;
   }
 }
--- a/src/placement/ranges/move-worth.ts
+++ b/src/placement/ranges/move-worth.ts
@@ -62,12 +62,12 @@
 }
 
 /** Returns the cost and the gain of a move. */
-export function worthOf(move: WeighedMove, terms: MoveTerms): MoveWorth {
+export function worthOf(move: WeighedMove, parameters: MoveTerms): MoveWorth {
   const { from, fromLoad, to, toLoad, load, remainingMillis } = move;
   const before = waitPerSecond(from, fromLoad) + waitPerSecond(to, toLoad);
   const after = waitPerSecond(from, fromLoad - load) + waitPerSecond(to, toLoad + load);
   const gainMillis = ((before - after) * remainingMillis) / MILLIS_PER_SECOND;
-  return { costMillis: waitUnowned(load, terms) + waitSlow(move, terms), gainMillis };
+  return { costMillis: waitUnowned(load, parameters) + waitSlow(move, parameters), gainMillis };
 }
 
 /** Requests that arrive while the keys have no owner wait for half of that time on average. */
@@ -77,11 +77,11 @@
 }
 
 /** Slow keys take longer themselves, and they take capacity from the keys that their next owner already serves. */
-function waitSlow({ to, toLoad, load }: WeighedMove, terms: MoveTerms): number {
+function waitSlow({ to, toLoad, load }: WeighedMove, parameters: MoveTerms): number {
   const slowLoad = load * SLOW_FACTOR;
   const extraWait =
     waitPerSecond(to, toLoad + slowLoad) - waitPerSecond(to, toLoad + load) + (slowLoad - load);
-  return (extraWait * terms.slowMillis * (1 - terms.handoverShare)) / MILLIS_PER_SECOND;
+  return (extraWait * parameters.slowMillis * (1 - parameters.handoverShare)) / MILLIS_PER_SECOND;
 }
 
 /** Returns whether a move gains more than it costs. */
--- a/src/placement/ranges/range-planner.ts
+++ b/src/placement/ranges/range-planner.ts
@@ -49,11 +49,11 @@
 /** A range below `IDLE_SHARE` of a server's capacity may go to the owner of a neighbouring range that is longer by this factor. */
 const MIN_NEIGHBOUR_LENGTH_RATIO = 3;
 const IDLE_SHARE = 0.02;
-/** Maximum number of returns in one plan: this minimum, or this share of all ranges, so that returns keep up with splits at any fleet size. */
+/** Limit of returns in one plan: the larger of this number and this share of all ranges, so that returns keep up with splits at any size. */
 const MIN_RETURNS_LIMIT = 8;
 const RETURNS_SHARE = 1 / 6;
 /**
- * Maximum number of moves in one plan: this minimum, or this share of the servers. Adjacent hot keys at one owner are spread
+ * Limit of moves in one plan: the larger of this number and this share of the servers. Adjacent hot keys at one owner are spread
  * over enough servers in one or two plans; with a fixed number this would take longer the more servers there are.
  */
 const MIN_MOVES_LIMIT = 12;
@@ -123,7 +123,7 @@
 
 /**
  * Plans moves that take load off servers which are much busier than the others. `underWay` are spans without an owner, whose
- * load counts at their next owner. With `weighing`, only moves that gain more than they cost are planned; with `null`, moves
+ * load counts at their next owner. With a `weigher`, only moves that gain more than they cost are planned; with `null`, moves
  * aren't weighed.
  */
 export function planMoves(
@@ -132,20 +132,20 @@
   servers: readonly RangeServer[],
   goal: BalanceGoal = EVEN_GOAL,
   underWay: readonly PlannedSpan[] = [],
-  weighing: MoveWeigher | null = null,
+  weigher: MoveWeigher | null = null,
 ): PlannedSpan[] {
   const use = new OwnerLoads(servers, ranges, loads);
   for (const span of underWay) {
     use.add(span.target, span);
   }
   const owned = rangesByOwner(ranges);
-  if (weighing !== null) {
+  if (weigher !== null) {
     excludeExcessOfHottestKeys(owned, loads, use);
   }
   const moves: PlannedSpan[] = [];
   const most = Math.max(MIN_MOVES_LIMIT, Math.floor(servers.length * MOVES_SHARE));
   for (let count = 0; count < most; count += 1) {
-    const move = nextMove({ owned, loads, use, goal, weighing, planned: moves });
+    const move = nextMove({ owned, loads, use, goal, weigher, planned: moves });
     if (move === undefined) {
       break;
     }
@@ -182,14 +182,14 @@
 }
 
 function nextMove(search: MoveSearch): PlannedSpan | undefined {
-  const { loads, use, goal, weighing } = search;
+  const { loads, use, goal, weigher } = search;
   const mean = use.meanUse();
   const most = Math.max(goal.minBusyUse, mean * BUSY_FACTOR, mean + BUSY_MARGIN);
   for (const busy of use.busiest(most)) {
     const move = hotKeyMove(search, busy) ?? spanMove(search, busy);
     if (move !== undefined) {
       const load = loads.loadOfSpan(move);
-      use.addLoad(busy.upstream, -(weighing === null ? load : Math.min(load, capacityOf(busy))));
+      use.addLoad(busy.upstream, -(weigher === null ? load : Math.min(load, capacityOf(busy))));
       use.addLoad(move.target, load);
       return move;
     }
@@ -202,7 +202,7 @@
  * capacity. Other keys of that server move away in later plans.
  */
 function hotKeyMove(search: MoveSearch, busy: RangeServer): PlannedSpan | undefined {
-  const { owned, loads, use, planned, weighing } = search;
+  const { owned, loads, use, planned, weigher } = search;
   const key = hottestKey(owned.get(busy.upstream) ?? [], loads);
   const load = key === undefined ? 0 : loads.loadOf(key);
   if (key === undefined || load < capacityOf(busy) * DOMINANT_KEY_SHARE || isPlanned(planned, key)) {
@@ -213,16 +213,16 @@
     return undefined;
   }
   const move = { from: key, to: key, target: target.upstream };
-  return weighing === null ? move : weighing.weigh(move, { from: busy, to: target, use, loads });
+  return weigher === null ? move : weigher.weigh(move, { from: busy, to: target, use, loads });
 }
 
 /** Returns the minimum ratio of the capacities of target and owner for a key to move; `Infinity` if the key must not move again. */
-function minCapacityRatio({ loads, weighing }: MoveSearch, key: number, target: RangeServer): number {
+function minCapacityRatio({ loads, weigher }: MoveSearch, key: number, target: RangeServer): number {
   const isOversized = loads.loadOf(key) > capacityOf(target);
-  if (weighing === null || !isOversized) {
+  if (weigher === null || !isOversized) {
     return MIN_CAPACITY_RATIO;
   }
-  return weighing.hasMoved(key) ? Number.POSITIVE_INFINITY : MIN_OVERSIZED_CAPACITY_RATIO;
+  return weigher.hasMoved(key) ? Number.POSITIVE_INFINITY : MIN_OVERSIZED_CAPACITY_RATIO;
 }
 
 function hottestKey(ranges: readonly KeyRange[], loads: KeyLoads): number | undefined {
@@ -289,7 +289,7 @@
   readonly loads: KeyLoads;
   readonly use: OwnerLoads;
   readonly goal: BalanceGoal;
-  readonly weighing: MoveWeigher | null;
+  readonly weigher: MoveWeigher | null;
   readonly planned: readonly PlannedSpan[];
 }
 
@@ -298,7 +298,7 @@
  * single key may carry more than that; it moves if its next owner is then still less busy than the previous one.
  */
 function spanToMove(search: MoveSearch, busy: RangeServer, idle: RangeServer): PlannedSpan | undefined {
-  const { loads, use, goal, planned, weighing } = search;
+  const { loads, use, goal, planned, weigher } = search;
   const targetUse = Math.max(use.meanUse(), goal.minTargetUse) * TARGET_FACTOR;
   const surplus = (use.useOf(busy) - targetUse) * capacityOf(busy);
   const spareCapacity = (targetUse - use.useOf(idle)) * capacityOf(idle);
@@ -312,9 +312,9 @@
     const span = shortestSpan(owned, loads, { wanted, most }, planned);
     const move = span === undefined ? undefined : { from: span.from, to: span.to, target: idle.upstream };
     const accepted =
-      move === undefined || weighing === null
+      move === undefined || weigher === null
         ? move
-        : weighing.weigh(move, { from: busy, to: idle, use, loads });
+        : weigher.weigh(move, { from: busy, to: idle, use, loads });
     if (accepted !== undefined) {
       return accepted;
     }
--- a/src/placement/stateful-planner.ts
+++ b/src/placement/stateful-planner.ts
@@ -44,8 +44,8 @@
 
   /** Returns the servers that accept shards of a keyspace, the least loaded first. */
   protected candidates(keyspace: string): CandidateQueue {
-    const takers = this.state.eligibleServers().filter((server) => mayHold(server, keyspace));
-    return new CandidateQueue(takers, this.state.floor());
+    const eligible = this.state.eligibleServers().filter((server) => mayHold(server, keyspace));
+    return new CandidateQueue(eligible, this.state.floor());
   }
 
   /** Records a move in the state and returns it. */
--- a/test/placement/move-costs.test.ts
+++ b/test/placement/move-costs.test.ts
@@ -205,7 +205,7 @@
     expect(cold.gainMillis).to.be.below(cold.costMillis);
   });
 
-  it('depend on the expected time of the load for the gain alone', () => {
+  it('grow with the expected duration of the load in the gain, but not in the cost', () => {
     const short = worthOf(move, { ...terms, handoverShare: 0 });
     const long = worthOf({ ...move, remainingMillis: 8000 }, { ...terms, handoverShare: 0 });
     expect(long.gainMillis).to.be.closeTo(8 * short.gainMillis, 1e-6);
--- a/test/placement/moving-keys-model.ts
+++ b/test/placement/moving-keys-model.ts
@@ -203,16 +203,16 @@
     this.#reported.clear();
   }
 
-  #terms(): MoveTerms | null {
+  #costParameters(): MoveTerms | null {
     const { unownedMillis, handsOver, slowMillis, workMillis } = this.#load;
     const handoverShare = Number(handsOver);
-    const TERMS: Record<MoveMode, MoveTerms | null> = {
+    const PARAMETERS_BY_MODE: Record<MoveMode, MoveTerms | null> = {
       none: null,
       unweighed: null,
       weighed: { unownedMillis, handoverShare, slowMillis, workMillis },
       free: { unownedMillis: 0, handoverShare: 1, slowMillis: 0, workMillis },
     };
-    return TERMS[this.#mode];
+    return PARAMETERS_BY_MODE[this.#mode];
   }
 
   #plan(): void {
@@ -224,7 +224,7 @@
       ranges: this.#ranges,
       servers: this.#servers(),
       underWay: this.#underWay,
-      terms: this.#terms(),
+      terms: this.#costParameters(),
     });
     for (const move of planned) {
       this.#begin(move);
--- a/test/placement/placement-state.test.ts
+++ b/test/placement/placement-state.test.ts
@@ -53,8 +53,8 @@
 
 /** Computes the spread directly from the shards and the servers. */
 function recomputedSpread(state: PlacementState) {
-  const takers = [...state.servers.values()].filter(({ server }) => server.state === 'ready');
-  const loads = takers.map(({ shards }) => [...shards].reduce((sum, { load }) => sum + load, 0));
+  const eligible = [...state.servers.values()].filter(({ server }) => server.state === 'ready');
+  const loads = eligible.map(({ shards }) => [...shards].reduce((sum, { load }) => sum + load, 0));
   const sum = loads.reduce((total, load) => total + load, 0);
   const hottest = Math.max(0, ...[...state.shards.values()].map(({ load }) => load));
   return sum === 0 ? null : { most: Math.max(...loads), mean: sum / loads.length, hottest };
--- a/test/placement/planner-properties.test.ts
+++ b/test/placement/planner-properties.test.ts
@@ -77,7 +77,7 @@
 function run(
   planner: PlacementPlanner,
   history: readonly Step[],
-  inspect: (inspect: PlannedStep) => void,
+  inspect: (step: PlannedStep) => void,
 ): PlacementMove[] {
   const service = new PlacedService(planner);
   for (let number = 0; number < 3; number += 1) {
@@ -123,11 +123,11 @@
       fc.assert(
         fc.property(steps, (history) => {
           run(create(), history, ({ service }) => {
-            const takers = [...service.servers.values()].filter(
+            const eligible = [...service.servers.values()].filter(
               ({ state }) => state === 'ready' || state === 'cold',
             );
             for (const { owner, keyspace } of service.shards.values()) {
-              const canBeHeld = takers.some(
+              const canBeHeld = eligible.some(
                 ({ mayHold }) => mayHold.length === 0 || mayHold.includes(keyspace),
               );
               expect(owner !== null || !canBeHeld).to.equal(true);
