--- a/src/placement/stateful-planner.ts
+++ b/src/placement/stateful-planner.ts
@@ -1,4 +1,4 @@
-/** What planners share that keep a `PlacementState` and change it move by move. */
+/** Base class of planners that keep a `PlacementState` and update it with each move. */
 import type { MonotonicMillis, ShardId, UpstreamId } from '../model/identifiers.js';
 import { CandidateQueue } from './candidate-queue.js';
 import { mayHold, PlacementState, type ServerEntry, type ShardEntry } from './placement-state.js';
@@ -10,7 +10,7 @@
   PlacementShard,
 } from './types.js';
 
-/** Keeps the state; which moves to begin is left to the planner. */
+/** Maintains the state; subclasses decide which moves to begin. */
 export abstract class StatefulPlanner implements PlacementPlanner {
   protected readonly state = new PlacementState();
 
@@ -35,28 +35,28 @@
   }
 
   setLeastLoad(load: number): void {
-    this.state.leastLoad = load;
+    this.state.minShardLoad = load;
   }
 
   removeShard(shard: ShardId): void {
     this.state.removeShard(shard);
   }
 
-  /** Servers that may take shards of a keyspace, the least loaded first. */
+  /** Returns the servers that accept shards of a keyspace, the least loaded first. */
   protected candidates(keyspace: string): CandidateQueue {
-    const takers = this.state.takers().filter((server) => mayHold(server, keyspace));
-    return new CandidateQueue(takers, this.state.floor());
+    const eligible = this.state.eligibleServers().filter((server) => mayHold(server, keyspace));
+    return new CandidateQueue(eligible, this.state.floor());
   }
 
-  /** Counts a move as begun. */
-  protected begin(entry: ShardEntry, to: ServerEntry, reason: PlacementMove['reason']): PlacementMove {
+  /** Records a move in the state and returns it. */
+  protected beginMove(entry: ShardEntry, to: ServerEntry, reason: PlacementMove['reason']): PlacementMove {
     const move = { shard: entry.id, from: entry.owner, to: to.server.id, reason };
-    this.state.begin(entry, to);
+    this.state.beginMove(entry, to);
     return move;
   }
 }
 
-/** Sorted by load, shards of equal load by id. */
+/** Sorts shards by descending load; shards of equal load by id. */
 export function heaviestFirst(entries: Iterable<ShardEntry>): ShardEntry[] {
   return [...entries].sort((left, right) => right.load - left.load || (left.id < right.id ? -1 : 1));
 }
