--- a/src/control/ranges/balance-schedule.ts
+++ b/src/control/ranges/balance-schedule.ts
@@ -1,11 +1,11 @@
-/** When a leader looks at the balance of loads among the owners of ranges, and when it joins neighbouring ranges. */
+/** Schedules a leader's checks of the load balance among range owners and the joins of neighbouring ranges. */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 
-/** Time between two looks at the balance of loads. */
+/** Time between two balance checks. */
 const BALANCE_MILLIS = 500;
-/** After a report, others are waited for this long. */
+/** Time to wait after a load report for further reports. */
 const REPORTS_GATHER_MILLIS = 120;
-/** Shortest time between two looks at the balance: each move is news for every router. */
+/** Minimum time between two balance checks: each move is an update for every router. */
 const LEAST_BALANCE_MILLIS = 350;
 /** Time between two joins of neighbouring ranges. */
 const JOIN_MILLIS = 2500;
@@ -20,18 +20,18 @@
     this.#joinAt = now + JOIN_MILLIS;
   }
 
-  /** When the balance is looked at next. */
+  /** Time of the next balance check. */
   get nextAt(): MonotonicMillis {
     return this.#nextAt;
   }
 
-  /** A report of loads came: the next look comes soon. */
+  /** Brings the next balance check forward after a load report. */
   reported(now: MonotonicMillis): void {
     const soonest = Math.max(now + REPORTS_GATHER_MILLIS, this.#lastAt + LEAST_BALANCE_MILLIS);
     this.#nextAt = Math.min(this.#nextAt, soonest);
   }
 
-  /** Whether it is time for a look, which then counts as done. */
+  /** Returns whether a balance check is due. If so, schedules the next one. */
   takeBalance(now: MonotonicMillis): boolean {
     if (now < this.#nextAt) {
       return false;
@@ -41,7 +41,7 @@
     return true;
   }
 
-  /** The same for a join. */
+  /** Returns whether a join is due. If so, schedules the next one. */
   takeJoin(now: MonotonicMillis): boolean {
     if (now < this.#joinAt) {
       return false;
--- a/src/control/ranges/call-carrier.ts
+++ b/src/control/ranges/call-carrier.ts
@@ -1,4 +1,4 @@
-/** Grants and releases of ranges by calls to their owners. */
+/** Grants and releases ranges by calls to their owners. */
 import type { TimedGrantTimings } from '../../lease/timed-grants.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import { findRange, type KeyRange } from '../../model/key-range.js';
@@ -10,12 +10,12 @@
 import { type KeptGrant, RangeGrants } from './range-grants.js';
 import type { ReleasedPiece } from './range-releases.js';
 
-/** A release that failed is tried again after this. */
+/** Delay before a failed release is retried. */
 const RELEASE_RETRY_MILLIS = 150;
 
 export class CallCarrier implements RangeCarrier {
   readonly #grants: RangeGrants;
-  /** Upstreams that leave calls unanswered and are tried in this step. */
+  /** Unresponsive upstreams that get their one probe call in this step. */
   readonly #probedNow = new Set<UpstreamId>();
 
   constructor(
@@ -84,7 +84,10 @@
     return Number.POSITIVE_INFINITY;
   }
 
-  /** A grant that was superseded isn't asked for again: its range gets a higher fence first. */
+  /**
+   * Returns the call for a due grant, if any. A superseded grant is not sent again: its range gets a higher fence
+   * first.
+   */
   #grantCalls(grant: KeptGrant, now: MonotonicMillis): WantedCall[] {
     const { from, to, fence, owner } = grant.range;
     const record = owner === null ? undefined : this.parts.record(owner);
@@ -107,7 +110,7 @@
     return isMeant && this.#mayCall(record.definition.id);
   }
 
-  /** One call at a time shows when an upstream that leaves calls unanswered can be reached again. */
+  /** Limits an unresponsive upstream to one open call, which shows when it can be reached again. */
   #mayCall(upstream: UpstreamId): boolean {
     if (this.holders.silentSince(upstream) === null) {
       return true;
@@ -132,7 +135,10 @@
     });
   }
 
-  /** A release under an old fence would end the grant of an upstream that has got the keys back since. */
+  /**
+   * Returns whether the piece is still unowned under its fence. A release under an old fence would end the grant of
+   * an upstream that has regained the keys since.
+   */
   #isUnowned({ from, fence }: ReleasedPiece): boolean {
     const ranges = this.parts.ranges();
     const range = ranges[findRange(ranges, from)];
--- a/src/control/ranges/free-proof.ts
+++ b/src/control/ranges/free-proof.ts
@@ -1,16 +1,19 @@
-/** What shows that an upstream can hold keys no more, so that they may go to another one. Each is logged with the keys it freed. */
+/**
+ * Reasons why an upstream can no longer hold keys, so that they may be assigned to another one. Each is logged with
+ * the keys it freed.
+ */
 export const FREE_PROOFS = {
-  /** Nobody ever had them. */
+  /** No upstream ever held the keys. */
   neverHeld: 'never-held',
-  /** The owner before answered the release, or said in a later heartbeat that it doesn't hold them. */
+  /** The previous owner answered the release, or a later heartbeat of it reported that it does not hold the keys. */
   released: 'released',
-  /** Another run answered a call that named its own. */
+  /** Another run answered a call that named the previous owner's run. */
   runEnded: 'run-ended',
-  /** A later run under its id was heard, which was given nothing yet. */
+  /** A heartbeat of a later run with the same id arrived, and that run has not been granted anything yet. */
   nextRun: 'next-run',
-  /** It has no record any more. */
+  /** The upstream no longer has a registry record. */
   forgotten: 'forgotten',
-  /** Nothing that it was given holds that long. */
+  /** Every grant of the upstream has expired, at the latest possible time. */
   bound: 'bound',
 } as const;
 export type FreeProof = (typeof FREE_PROOFS)[keyof typeof FREE_PROOFS];
--- a/src/control/ranges/heard-heartbeat.ts
+++ b/src/control/ranges/heard-heartbeat.ts
@@ -1,11 +1,11 @@
-/** A heartbeat that an upstream sent and that didn't come late, as the leader's work on ranges sees it. */
+/** A heartbeat of an upstream that did not arrive late, as used by the leader's range coordination. */
 import type { HeldKeys } from '../../model/held-keys.js';
 import type { UpstreamId, WallMillis } from '../../model/identifiers.js';
 
 export interface HeardHeartbeat {
   readonly upstream: UpstreamId;
-  /** Start of its run by its own clock; `null`: only the id names the run. */
+  /** Start of the upstream's run by its own clock; `null` if only the id identifies the run. */
   readonly born: WallMillis | null;
-  /** Which keys it holds; `null`: it doesn't say. */
+  /** Keys the upstream holds; `null` if it does not report them. */
   readonly report: HeldKeys | null;
 }
--- a/src/control/ranges/heartbeat-carrier.ts
+++ b/src/control/ranges/heartbeat-carrier.ts
@@ -1,6 +1,7 @@
 /**
- * Grants of ranges that ride on the answers to their owners' heartbeats. Keys are taken off an owner, or given to one, only
- * while a heartbeat of it waits for its answer: so the registry says nothing of a new owner that this one learns much later.
+ * Grants ranges in the responses to their owners' heartbeats. Keys are revoked from or assigned to an upstream only
+ * while one of its heartbeats is waiting for a response. So the registry never names a new owner long before that
+ * owner learns of it.
  */
 import type { RangeTimings } from '../../lease/range-timings.js';
 import type { GrantedKeys, GrantedSpan } from '../../model/held-keys.js';
@@ -15,14 +16,14 @@
 import type { ReleasedPiece } from './range-releases.js';
 import { ToldGrants } from './told-grants.js';
 
-/** What an owner takes to let go of keys and say so, as the wait of their next owner's heartbeat allows for it. */
+/** Time an owner needs to release keys and report it; subtracted from how long the next owner's heartbeat may wait. */
 const RELEASE_MILLIS = 250;
-/** Bytes of an answer that grants may take; its reader takes 4 KiB. */
+/** Maximum size of the grants in a response; the reader accepts 4 KiB. */
 const MOST_GRANT_BYTES = 3800;
-/** Bytes that one grant takes at most beside its handover. */
+/** Maximum size of one grant without its handover. */
 const GRANT_BYTES = 36;
 
-/** A planned move with the owner that gives it up. */
+/** A planned move and the owner that releases the keys. */
 export interface WantedMove extends PlannedSpan {
   readonly owner: UpstreamId;
 }
@@ -30,7 +31,7 @@
 export interface HeartbeatCarrierParts extends RangeCarrierParts {
   readonly holders: HeartbeatHolders;
   readonly timings: RangeTimings;
-  /** Moves that wait for a good moment. */
+  /** Moves that wait until both upstreams can be reached. */
   readonly wanted: () => readonly WantedMove[];
 }
 
@@ -39,9 +40,9 @@
   readonly #open: OpenHeartbeats;
   readonly #told = new ToldGrants();
   readonly #index: RangeIndex;
-  /** Ranges as they were followed last. */
+  /** The ranges of the last `syncRanges`. */
   #followed: readonly KeyRange[] | null = null;
-  /** For each piece without owner, the last heartbeat whose answer may have named it. */
+  /** For each unowned piece, the last heartbeat whose response may have named it. */
   readonly #namedUntil = new WeakMap<ReleasedPiece, number>();
 
   constructor(parts: HeartbeatCarrierParts) {
@@ -50,7 +51,7 @@
     this.#index = new RangeIndex(parts.ranges);
   }
 
-  /** A heartbeat came. One that says nothing of now is answered at once and renews nothing. */
+  /** Handles a heartbeat. One without current information is answered at once and renews nothing. */
   take(heartbeat: ReportingHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     const { upstream, report } = heartbeat;
     if (!this.#parts.holders.heard(heartbeat, now)) {
@@ -61,7 +62,10 @@
     this.#open.open(upstream, answer, now);
   }
 
-  /** Answers the heartbeats that wait for nothing; `isDeciding`: a change of owners is under way, which all wait for. */
+  /**
+   * Answers the heartbeats that need not wait. While `isDeciding`, a change of owners is in progress and all
+   * heartbeats wait for it.
+   */
   answerDue(isDeciding: boolean, now: MonotonicMillis): GrantedAnswer[] {
     const due = this.#open.upstreams().filter((upstream) => !this.#mustWait(upstream, isDeciding, now));
     return due.map((upstream) => {
@@ -75,7 +79,7 @@
     });
   }
 
-  /** This leadership is over: what is open renews nothing. */
+  /** Answers all open heartbeats at the end of this leadership without renewing anything. */
   end(now: MonotonicMillis): void {
     for (const upstream of this.#open.upstreams()) {
       this.#open.close(upstream, null, now);
@@ -86,7 +90,10 @@
     return this.#open.has(upstream);
   }
 
-  /** The target's heartbeat should wait already, unless it comes too late for that. */
+  /**
+   * Returns whether the owner's heartbeat is open and the target's is too, unless that one is expected too late to
+   * wait for.
+   */
   canMove(owner: UpstreamId, target: UpstreamId, now: MonotonicMillis): boolean {
     const isTargetSoon = this.#open.isExpected(target, this.#open.patienceOf(owner, now), now);
     return this.#open.has(owner) && (this.#open.has(target) || !isTargetSoon);
@@ -121,7 +128,7 @@
     return handover !== null;
   }
 
-  /** Upstreams change without ranges, so these are looked at each time. */
+  /** Registry records of upstreams change without the ranges, so they are checked each time. */
   follow(ranges: readonly KeyRange[]): void {
     if (ranges !== this.#followed) {
       this.#followed = ranges;
@@ -132,14 +139,14 @@
     this.#parts.holders.keepOnly(isKnown);
   }
 
-  /** Its upstreams take no calls. */
+  /** Returns no calls: these upstreams do not accept any. */
   takeCalls(): [] {
     return [];
   }
 
   callEnded(): void {}
 
-  /** Answers follow a decision: what it makes of a heartbeat is told in the answer. */
+  /** Returns `Infinity`: responses follow a decision and carry its result. */
   nextCallAt(): MonotonicMillis {
     return Number.POSITIVE_INFINITY;
   }
@@ -149,8 +156,9 @@
   }
 
   /**
-   * A heartbeat waits while keys are on their way to its upstream, or soon will be, and while the upstream that is to get
-   * keys of this one is expected. One that lets go of keys says so in its next heartbeat, so it is answered at once.
+   * Returns whether a heartbeat has to wait: while keys are being transferred to its upstream or soon will be, and
+   * while a heartbeat of the upstream that is to receive its keys is expected. An upstream that has to release keys
+   * reports this in its next heartbeat, so it is answered at once.
    */
   #mustWait(upstream: UpstreamId, isDeciding: boolean, now: MonotonicMillis): boolean {
     const patience = this.#open.patienceOf(upstream, now);
@@ -174,7 +182,7 @@
     return move.owner === upstream && isTargetLate;
   }
 
-  /** All that an upstream is to hold; `null`: it isn't known any more. */
+  /** Returns all keys the upstream may hold; `null` if it no longer has a record. */
   #keysOf(upstream: UpstreamId): GrantedKeys | null {
     if (this.#parts.record(upstream) === undefined) {
       return null;
@@ -193,7 +201,7 @@
   }
 }
 
-/** What one heartbeat was answered; `null`: nothing was renewed. */
+/** The response to a heartbeat; `keys` is `null` if nothing was renewed. */
 export interface GrantedAnswer {
   readonly upstream: UpstreamId;
   readonly sequence: number | null;
--- a/src/control/ranges/heartbeat-holders.ts
+++ b/src/control/ranges/heartbeat-holders.ts
@@ -1,12 +1,13 @@
 /**
- * What a leader knows of upstreams that hold ranges by the answers to their heartbeats.
+ * Tracks what upstreams hold that are granted ranges in the responses to their heartbeats.
  *
- * What an answer gives counts from when its heartbeat was sent, so it ends at the latest one longest hold after the answer was
- * decided, however late it arrives. An upstream makes one call at a time and waits for its answer or gives it up first. So
- * what a heartbeat says was true after all answers to earlier ones were taken or dropped.
+ * The hold of a granted key starts when the upstream sends the heartbeat. It therefore ends at the latest one longest
+ * hold after the response was decided, however late that arrives. An upstream makes one call at a time and waits for
+ * its response or abandons it first. So a heartbeat's report was true after all responses to earlier heartbeats were
+ * applied or dropped.
  *
- * A heartbeat that says neither what its upstream holds nor what it let go of may be anybody's: it proves nothing, and its sequence
- * makes no other one late.
+ * A heartbeat that reports neither held nor released keys may come from any sender: it proves nothing, and its
+ * sequence does not make another heartbeat late.
  */
 import {
   DEPOSED_GRANTER_MILLIS,
@@ -19,35 +20,35 @@
 import { FREE_PROOFS, type FreeProof } from './free-proof.js';
 import type { HeardHeartbeat } from './heard-heartbeat.js';
 
-/** A heartbeat that says which keys its upstream holds. */
+/** A heartbeat that reports which keys its upstream holds. */
 export type ReportingHeartbeat = HeardHeartbeat & { readonly report: HeldKeys };
 
-/** Since when keys have no owner, and the last heartbeat of the owner before whose answer may have named them. */
+/** Since when keys are unowned, and the last heartbeat of the previous owner whose response may have named them. */
 export interface ReleaseTerms {
   readonly since: MonotonicMillis;
   readonly afterSequence: number;
 }
 
-/** Releases remembered for each upstream; one that is forgotten costs its next owner some warmth. */
+/** Releases kept per upstream; if one is dropped, the next owner starts with a colder cache. */
 const RELEASES_REMEMBERED = 64;
 
 interface Holder {
-  /** Start of the run that was heard last; `null`: it doesn't say, or none was heard. */
+  /** Start of the run that sent the last heartbeat; `null` if it does not report one or no heartbeat arrived. */
   born: WallMillis | null;
-  /** It is known that this run began after the one that was heard before, and no answer gave it any keys yet: it holds nothing. */
+  /** This run is known to have started after the previous one and has not been granted keys yet, so it holds nothing. */
   isAnew: boolean;
-  /** The latest heartbeat in order that says of keys; `null`: none in this leadership. */
+  /** Report of the latest in-order heartbeat with information on keys; `null` if there was none in this leadership. */
   latest: HeldKeys | null;
-  /** Heartbeats heard in order in this leadership that say of keys. */
+  /** Number of in-order heartbeats with information on keys in this leadership. */
   heard: number;
   heardAt: MonotonicMillis;
-  /** Until then it can't have lost the keys that it named last without a word of their release. */
+  /** Until this time the upstream cannot have lost the keys it last reported without reporting their release. */
   namesUntil: MonotonicMillis;
-  /** Sequence of the heartbeat that was taken in last, whatever it says. */
+  /** Sequence of the last accepted heartbeat, with or without information on keys. */
   sequence: number;
-  /** Sequence of the latest heartbeat whose answer gave keys. */
+  /** Sequence of the latest heartbeat whose response granted keys. */
   grantedSequence: number;
-  /** When the latest answer that gave keys was decided, by any leader. */
+  /** Time at which the latest response that granted keys was decided, by any leader. */
   grantedAt: MonotonicMillis;
   /** Oldest first. */
   releases: ReleasedSpan[];
@@ -57,8 +58,8 @@
   readonly #holders = new Map<UpstreamId, Holder>();
 
   /**
-   * `since`: when this leadership began, or this way of granting. `foreignUntil`: until then upstreams may take or hold keys
-   * by calls, of which heartbeats prove nothing.
+   * `since` is the start of this leadership or of this way of granting. Until `callGrantsUntil`, upstreams may accept
+   * or hold keys by calls, about which heartbeats prove nothing.
    */
   constructor(
     private readonly timings: TimedGrantTimings,
@@ -67,8 +68,8 @@
   ) {}
 
   /**
-   * Takes in a heartbeat. `false`: it says nothing of now. It came late, a later one was heard before; or it says nothing of keys
-   * though its upstream still holds some, so another sender wrote it.
+   * Records a heartbeat. Returns `false` if it carries no current information: a later one arrived before, or it has
+   * no information on keys although its upstream still holds some, so another sender wrote it.
    */
   heard({ upstream, born, report }: ReportingHeartbeat, now: MonotonicMillis): boolean {
     if (!this.#noteRun(upstream, born)) {
@@ -88,7 +89,7 @@
     return true;
   }
 
-  /** An answer that gives keys is decided now, for the latest heartbeat. */
+  /** Records that a response granting keys is decided now, for the latest heartbeat. */
   granted(upstream: UpstreamId, now: MonotonicMillis): void {
     const holder = this.#of(upstream);
     holder.isAnew = false;
@@ -96,42 +97,43 @@
     holder.grantedSequence = Math.max(holder.grantedSequence, holder.sequence);
   }
 
-  /** When it was heard last, or this leadership began. */
+  /** Time of the last heartbeat, or the start of this leadership. */
   heardAt(upstream: UpstreamId): MonotonicMillis {
     return this.#holders.get(upstream)?.heardAt ?? this.since;
   }
 
-  /** No calls are made to such upstreams. */
+  /** Returns `false`: no calls are made to these upstreams. */
   isOutOfReach(): boolean {
     return false;
   }
 
-  /** What shows that an owner can hold nothing any more; `null`: nothing does. */
+  /** Returns the proof that an owner can no longer hold anything, or `null` if there is none. */
   lostBy(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
     const { grantedAt, isAnew, heardAt } = this.#of(upstream);
     return now >= this.#boundOf(isAnew ? heardAt : grantedAt) ? FREE_PROOFS.bound : null;
   }
 
-  /** Sequence of the latest heartbeat whose answer gave keys; what was given then shows in later ones. */
+  /** Sequence of the latest heartbeat whose response granted keys; later heartbeats report these keys. */
   grantedSequence(upstream: UpstreamId): number {
     return this.#of(upstream).grantedSequence;
   }
 
-  /** The latest heartbeat in order that says of keys; `null`: none in this leadership. */
+  /** Report of the latest in-order heartbeat with information on keys; `null` if there was none in this leadership. */
   latest(upstream: UpstreamId): HeldKeys | null {
     return this.#holders.get(upstream)?.latest ?? null;
   }
 
-  /** Sequence of the heartbeat that was taken in last; `null`: none in this leadership. */
+  /** Sequence of the last accepted heartbeat; `null` if there was none in this leadership. */
   sequence(upstream: UpstreamId): number | null {
     const sequence = this.#holders.get(upstream)?.sequence ?? Number.NEGATIVE_INFINITY;
     return Number.isFinite(sequence) ? sequence : null;
   }
 
   /**
-   * What shows that keys which nobody owns since `since` are free of the owner before; `null`: nothing does. It said so after the answer
-   * to the heartbeat `afterSequence`, the last one that may have named them, or no answer holds that long. The first heartbeat that a
-   * leader hears of an upstream proves nothing: it may be late, and the leader before may have answered a later one.
+   * Returns the proof that the previous owner does not hold keys that are unowned since `since`, or `null` if there
+   * is none. Either it reported so after the response to heartbeat `afterSequence`, the last one that may have named
+   * the keys, or no grant lasts that long. The first heartbeat of an upstream in a leadership proves nothing: it may
+   * be late, and the previous leader may have answered a later one.
    */
   freeBy(
     former: UpstreamId,
@@ -151,14 +153,14 @@
     return isFree ? FREE_PROOFS.released : null;
   }
 
-  /** What an upstream handed over with keys that it let go of; `null`: nothing that is known. */
+  /** Returns the handover of keys the upstream released, or `null` if none is known. */
   handoverOf(former: UpstreamId, span: KeySpan): string | null {
     const releases = this.#holders.get(former)?.releases ?? [];
     const release = releases.findLast(({ from, to }) => from <= span.from && span.to <= to);
     return (release ?? releases.findLast((released) => overlaps(released, span)))?.handover ?? null;
   }
 
-  /** Forgets upstreams that are gone for good. */
+  /** Drops upstreams that no longer exist. */
   keepOnly(isKnown: (upstream: UpstreamId) => boolean): void {
     for (const upstream of this.#holders.keys()) {
       if (!isKnown(upstream)) {
@@ -175,7 +177,10 @@
     holder.releases = [...holder.releases, ...report.released].slice(-RELEASES_REMEMBERED);
   }
 
-  /** `false`: what came is of a run before the one that was heard last. A later run proves that the one before has ended. */
+  /**
+   * Returns `false` if the heartbeat is from an earlier run than the last one recorded. A later run proves that the
+   * previous run has ended.
+   */
   #noteRun(upstream: UpstreamId, born: WallMillis | null): boolean {
     const holder = this.#of(upstream);
     if (born === null || holder.born === born) {
@@ -189,7 +194,7 @@
     return true;
   }
 
-  /** The latest time at which what an answer gave at `grantedAt` can be held. */
+  /** Latest time until which keys of a response decided at `grantedAt` can be held. */
   #boundOf(grantedAt: MonotonicMillis): MonotonicMillis {
     return Math.max(this.foreignUntil, grantedAt + longestHoldMillis(this.timings));
   }
@@ -204,7 +209,7 @@
     return made;
   }
 
-  /** What is known of an upstream of which nothing was heard in this leadership. */
+  /** The initial state of an upstream without heartbeats in this leadership. */
   #begun(): Holder {
     return {
       born: null,
--- a/src/control/ranges/holder-call.ts
+++ b/src/control/ranges/holder-call.ts
@@ -1,8 +1,8 @@
-/** Calls that give ranges of keys to upstreams which take plain grants, and take them back. */
+/** Calls that grant ranges of keys to upstreams that accept plain grants, and release them. */
 import type { Address, Epoch, Incarnation, UpstreamId } from '../../model/identifiers.js';
 import type { KeySpan } from '../../model/key-range.js';
 
-/** Numbers the calls of all leaderships of one member. */
+/** Call number, unique across all leaderships of one member. */
 export type HolderCallId = number;
 
 interface HolderCallBase extends KeySpan {
@@ -10,47 +10,51 @@
   readonly upstream: UpstreamId;
   readonly address: Address;
   readonly fence: Epoch;
-  /** Run of the upstream that it is meant for. */
+  /** Run of the upstream that the call is addressed to. */
   readonly run: Incarnation;
 }
 
-/** Gives keys for a time, or renews them. */
+/** Grants keys for a limited time, or renews them. */
 export interface GrantCall extends HolderCallBase {
   readonly kind: 'grant';
   readonly holdMillis: number;
-  /** What the owner before handed over; `null`: nothing. */
+  /** Handover from the previous owner; `null` if there is none. */
   readonly handover: string | null;
   /**
-   * It was asked for before, by this leader or an earlier one, at an upstream whose runs share its id: another run that took it now
-   * would hold the keys under a fence that isn't higher. So it goes out only over the connection that carried it first.
+   * This leader or an earlier one already sent this grant, to an upstream whose runs share its id. If another run
+   * accepted it now, it would hold the keys under a fence that is not higher. So the call is sent only over the
+   * connection that carried the first attempt.
    */
   readonly isBound: boolean;
 }
 
-/** Takes keys back; answered once nothing runs on them any more. */
+/** Releases keys; answered once no work on them is running any more. */
 export interface ReleaseCall extends HolderCallBase {
   readonly kind: 'release';
 }
 
 export type HolderCall = GrantCall | ReleaseCall;
 
-/** How a call ended. */
+/** The outcome of a call. */
 export type HolderOutcome =
   | { readonly type: 'accepted'; readonly handover: string | null }
-  /** The upstream has seen a higher fence: nothing under this one holds any more. */
+  /** The upstream has seen a higher fence: nothing granted under this one is held any more. */
   | { readonly type: 'superseded' }
-  /** The connection that carried this grant first is gone, and who is at the address now isn't known. Nothing was sent. */
+  /**
+   * The connection that carried the first attempt is gone, and the process at the address now is unknown. Nothing was
+   * sent.
+   */
   | { readonly type: 'unbound' }
-  /** It answered something else. */
+  /** The upstream gave another response. */
   | { readonly type: 'rejected'; readonly status: number }
-  /** Another run answered at the address: the one that was there has ended. */
+  /** Another run answered at the address: the previous one has ended. */
   | { readonly type: 'ended' }
   /**
-   * The connection was refused. That proves nothing: a device on the way refuses in the name of an upstream that lives and holds its
-   * keys just as the machine of one that has ended does.
+   * The connection was refused. This proves nothing: a device on the path can refuse connections to a live upstream
+   * that holds its keys, just as the machine of an ended one does.
    */
   | { readonly type: 'refused' }
-  /** No connection was made. */
+  /** No connection could be opened. */
   | { readonly type: 'not-sent' }
-  /** No answer in time; its connection was reset. */
+  /** No response in time; the connection was reset. */
   | { readonly type: 'silent' };
--- a/src/control/ranges/holder-table.ts
+++ b/src/control/ranges/holder-table.ts
@@ -1,27 +1,27 @@
-/** What the leader knows of upstreams that take plain grants, from its calls to them and from their heartbeats. */
+/** Tracks upstreams that accept plain grants by the leader's calls to them and by their heartbeats. */
 import { HolderHistory, type TimedGrantTimings } from '../../lease/timed-grants.js';
 import type { Incarnation, MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import { FREE_PROOFS, type FreeProof } from './free-proof.js';
 import type { HolderCall, HolderOutcome } from './holder-call.js';
 
-/** An owner is held to be lost only after this long without an answer to a call, though its heartbeats may come. */
+/** An owner counts as lost only after its calls fail for this long, even if its heartbeats arrive. */
 const LOST_AFTER_MILLIS = 1500;
 
 /**
- * An upstream that calls don't reach is given no further keys, although its heartbeats may come: they would have an owner that nobody can
- * tell. After the last call failed, and nothing that it was sent counts any more, it is left alone for as long as calls failed before that, within these bounds. It gets keys at once
- * when it answers a call.
+ * An upstream that calls do not reach is assigned no further keys, even if its heartbeats arrive: the keys would have
+ * an owner that cannot be notified. After the last failed call, and once none of its grants can be held, it is backed
+ * off for as long as its calls failed, within these bounds. A successful call ends the back-off at once.
  */
 const LEAST_REST_MILLIS = 5000;
 const MOST_REST_MILLIS = 60_000;
 
 interface Holder {
   readonly history: HolderHistory;
-  /** Another run answered at its address. */
+  /** Another run answered at the upstream's address. */
   hasEnded: boolean;
-  /** The last call that ended was refused a connection. */
+  /** The connection of the last finished call was refused. */
   isRefused: boolean;
-  /** Run that the last failed call was meant for. */
+  /** Run that the last failed call was addressed to. */
   failedRun: Incarnation | null;
   heardAt: MonotonicMillis;
 }
@@ -29,11 +29,11 @@
 export class HolderTable {
   readonly #holders = new Map<UpstreamId, Holder>();
 
-  /** `since`: when this leadership began. */
+  /** `since` is the start of this leadership. */
   constructor(
     private readonly timings: TimedGrantTimings,
     private readonly since: MonotonicMillis,
-    /** Run that an upstream is known to be at. */
+    /** Returns the run an upstream is recorded with. */
     private readonly runOf: (upstream: UpstreamId) => Incarnation | null = () => null,
   ) {}
 
@@ -41,7 +41,10 @@
     this.#of(call.upstream).history.sent(call.id, call.kind === 'grant', now);
   }
 
-  /** What a call to an earlier run came to says nothing of the one that is there now but that it was sent. */
+  /**
+   * Records the outcome of a call. For a call to an earlier run, the outcome `ended` shows nothing about the current
+   * run except that the call was not taken.
+   */
   ended(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void {
     const holder = this.#of(call.upstream);
     const current = this.runOf(call.upstream);
@@ -60,7 +63,7 @@
         break;
       case 'rejected':
       case 'silent':
-        // Whatever it was that answered otherwise: whether the upstream took the call isn't known.
+        // Whether the upstream accepted the call is unknown, whichever process responded.
         holder.history.unanswered(call.id, now);
         holder.failedRun = call.run;
         break;
@@ -79,7 +82,7 @@
     }
   }
 
-  /** A heartbeat came. */
+  /** Records a heartbeat. */
   heard(upstream: UpstreamId, now: MonotonicMillis): void {
     const holder = this.#of(upstream);
     holder.heardAt = now;
@@ -87,7 +90,10 @@
     holder.history.spoke(now);
   }
 
-  /** Whether a call would come to nothing now: its run is over, or calls to it fail. It isn't to be given keys. */
+  /**
+   * Returns whether a call would fail now, because the run has ended or calls to it fail. Such an upstream is
+   * assigned no keys.
+   */
   isOutOfReach(upstream: UpstreamId, now: MonotonicMillis): boolean {
     const holder = this.#holders.get(upstream);
     if (holder === undefined || holder.hasEnded) {
@@ -103,18 +109,21 @@
     return isUnable && now - Math.max(failedAt, holder.history.heldUntil()) < restMillis;
   }
 
-  /** Whether the run is proved to be over. */
+  /** Returns whether the run is proved to have ended. */
   hasEnded(upstream: UpstreamId): boolean {
     return this.#holders.get(upstream)?.hasEnded ?? false;
   }
 
-  /** How an owner lost what it was granted: its run is over, or calls to it fail and its grants have run out; `null`: it didn't. */
+  /**
+   * Returns the proof that an owner lost its grants: its run has ended, or calls to it fail and its grants have
+   * expired. Returns `null` if it has not lost them.
+   */
   lostBy(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
     const holder = this.#of(upstream);
     return holder.hasEnded || isFailing(holder, now) ? this.freeBy(upstream, now) : null;
   }
 
-  /** What shows that it holds nothing of what it was granted; `null`: it may. */
+  /** Returns the proof that the upstream holds none of its grants, or `null` if it may hold some. */
   freeBy(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
     if (this.hasEnded(upstream)) {
       return FREE_PROOFS.runEnded;
@@ -122,37 +131,37 @@
     return now < this.heldUntil(upstream) ? null : FREE_PROOFS.bound;
   }
 
-  /** The latest time at which it may hold anything. */
+  /** Latest time until which the upstream may hold anything. */
   heldUntil(upstream: UpstreamId): MonotonicMillis {
     return this.#of(upstream).history.heldUntil();
   }
 
-  /** Since when it leaves calls unanswered; `null`: it doesn't. */
+  /** Since when the upstream leaves calls unanswered; `null` if it responds. */
   silentSince(upstream: UpstreamId): MonotonicMillis | null {
     return this.#holders.get(upstream)?.history.silentSince ?? null;
   }
 
-  /** Whether it answers calls. */
+  /** Returns whether the upstream responds to calls. */
   isWell(upstream: UpstreamId): boolean {
     return !this.hasEnded(upstream) && this.silentSince(upstream) === null;
   }
 
-  /** Whether a call to it hasn't ended. */
+  /** Returns whether a call to the upstream is open. */
   hasOpenCalls(upstream: UpstreamId): boolean {
     return this.#holders.get(upstream)?.history.hasOpenCalls ?? false;
   }
 
-  /** When it was heard last, or this leadership began. */
+  /** Time of the last sign of life, or the start of this leadership. */
   heardAt(upstream: UpstreamId): MonotonicMillis {
     return this.#of(upstream).heardAt;
   }
 
-  /** It may hold keys until then by other ways than calls. */
+  /** Records that the upstream may hold keys until `end` by other means than calls. */
   holdUntil(upstream: UpstreamId, end: MonotonicMillis): void {
     this.#of(upstream).history.holdUntil(end);
   }
 
-  /** It is gone for good. */
+  /** Drops an upstream that no longer exists. */
   drop(upstream: UpstreamId): void {
     this.#holders.delete(upstream);
   }
@@ -169,7 +178,10 @@
   }
 }
 
-/** Whether calls have failed for long, up to now: one that was left alone meanwhile is to be tried again before it counts as lost. */
+/**
+ * Returns whether calls have been failing for long and until recently: an upstream that was backed off meanwhile must
+ * be called again before it counts as lost.
+ */
 function isFailing({ history }: Holder, now: MonotonicMillis): boolean {
   const { failingSince, failedAt } = history;
   const isLong = failingSince !== null && now - failingSince >= LOST_AFTER_MILLIS;
--- a/src/control/ranges/open-heartbeats.ts
+++ b/src/control/ranges/open-heartbeats.ts
@@ -1,17 +1,17 @@
-/** Heartbeats of one service's upstreams that wait for their answer, and when the next ones are expected. */
+/** Tracks heartbeats of one service's upstreams that wait for their response, and when the next ones are expected. */
 import type { GrantedKeys } from '../../model/held-keys.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 
 /**
- * Longest wait of a heartbeat for news that concerns its upstream. Its sender gives up a second after it sent it, and what
- * it holds is not renewed meanwhile.
+ * Longest wait of a heartbeat for an update that concerns its upstream. Its sender times out after one second, and
+ * its holds are not renewed meanwhile.
  */
 export const LONGEST_WAIT_MILLIS = 600;
 
-/** A heartbeat that is overdue by no more than this is still expected soon. */
+/** A heartbeat that is overdue by at most this is still expected soon. */
 const LATE_SLACK_MILLIS = 100;
 
-/** Answers a heartbeat; `null`: nothing is renewed. */
+/** Answers a heartbeat; `null` renews nothing. */
 export type AnswerHeartbeat = (keys: GrantedKeys | null, now: MonotonicMillis) => void;
 
 interface OpenHeartbeat {
@@ -21,13 +21,16 @@
 
 export class OpenHeartbeats {
   readonly #open = new Map<UpstreamId, OpenHeartbeat>();
-  /** When each upstream was heard last. */
+  /** Time of each upstream's last heartbeat. */
   readonly #heardAt = new Map<UpstreamId, MonotonicMillis>();
 
-  /** `heartbeatMillis`: usual time between two heartbeats of an upstream. */
+  /** `heartbeatMillis` is the usual time between two heartbeats of an upstream. */
   constructor(private readonly heartbeatMillis: number) {}
 
-  /** A heartbeat came in order. One that is still open is given up: its sender doesn't wait for it any more. */
+  /**
+   * Adds an in-order heartbeat. One of the same upstream that is still open is answered without keys: its sender no
+   * longer waits for it.
+   */
   open(upstream: UpstreamId, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     this.#open.get(upstream)?.answer(null, now);
     this.#open.set(upstream, { openedAt: now, answer });
@@ -42,13 +45,13 @@
     return [...this.#open.keys()];
   }
 
-  /** How much longer a heartbeat may wait; 0 if none is open or it waited for long. */
+  /** Returns how much longer a heartbeat may wait; 0 if none is open or its time is up. */
   patienceOf(upstream: UpstreamId, now: MonotonicMillis): number {
     const open = this.#open.get(upstream);
     return open === undefined ? 0 : Math.max(0, open.openedAt + LONGEST_WAIT_MILLIS - now);
   }
 
-  /** Whether the next heartbeat is expected within this time. */
+  /** Returns whether the next heartbeat is expected within this time. */
   isExpected(upstream: UpstreamId, withinMillis: number, now: MonotonicMillis): boolean {
     const heardAt = this.#heardAt.get(upstream);
     const wait = heardAt === undefined ? Number.POSITIVE_INFINITY : heardAt + this.heartbeatMillis - now;
@@ -61,13 +64,13 @@
     open?.answer(keys, now);
   }
 
-  /** When the next heartbeat has waited for as long as it may. */
+  /** Time at which the first open heartbeat reaches its longest wait. */
   nextDeadline(): MonotonicMillis {
     const ends = [...this.#open.values()].map(({ openedAt }) => openedAt + LONGEST_WAIT_MILLIS);
     return ends.reduce((first, next) => Math.min(first, next), Number.POSITIVE_INFINITY);
   }
 
-  /** Forgets upstreams that are gone. */
+  /** Drops upstreams that no longer exist. */
   keepOnly(isKnown: (upstream: UpstreamId) => boolean): void {
     for (const upstream of this.#heardAt.keys()) {
       if (!isKnown(upstream)) {
--- a/src/control/ranges/range-carrier.ts
+++ b/src/control/ranges/range-carrier.ts
@@ -1,4 +1,4 @@
-/** How the ranges of one service reach their owners and come back from them. */
+/** A carrier grants the ranges of one service to their owners and gets them back. */
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import type { KeyRange, KeySpan } from '../../model/key-range.js';
 import type { UpstreamRecord } from '../../registry/types.js';
@@ -6,41 +6,41 @@
 import type { GrantCall, HolderCall, HolderOutcome, ReleaseCall } from './holder-call.js';
 import type { RangeReleases, ReleasedPiece } from './range-releases.js';
 
-/** A call without its number. */
+/** A call that has no number yet. */
 export type WantedCall = Omit<GrantCall, 'id'> | Omit<ReleaseCall, 'id'>;
 
-/** What carriers see of the service. */
+/** The state of the service that carriers use. */
 export interface RangeCarrierParts {
   readonly ranges: () => readonly KeyRange[];
   readonly record: (upstream: UpstreamId) => UpstreamRecord | undefined;
-  /** Whether an upstream is to be given nothing more. */
+  /** Returns whether an upstream must not be assigned anything more. */
   readonly isLeaving: (record: UpstreamRecord) => boolean;
-  /** Pieces on their way to the next owner. */
+  /** Pieces that are being transferred to the next owner. */
   readonly releases: RangeReleases;
-  /** Whether a change that takes keys of a span off their owner is proposed. */
+  /** Returns whether a proposed change revokes keys of a span from their owner. */
   readonly isBeingTaken: (span: KeySpan) => boolean;
 }
 
 export interface RangeCarrier {
-  /** Whether an upstream can be told at once that keys are its own. */
+  /** Returns whether an upstream can be notified at once that it owns keys. */
   canTell(upstream: UpstreamId, now: MonotonicMillis): boolean;
-  /** Whether it is a good moment to take keys off an owner and give them to a target. */
+  /** Returns whether keys should be moved from an owner to a target now. */
   canMove(owner: UpstreamId, target: UpstreamId, now: MonotonicMillis): boolean;
-  /** What shows that an owner's run is over, or that it can hold nothing any more; `null`: nothing does. */
+  /** Returns the proof that an owner's run has ended or that it can no longer hold anything; `null` if there is none. */
   lostBy(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): FreeProof | null;
-  /** Whether an owner doesn't take a range under its fence. */
+  /** Returns whether an owner does not accept a range under its fence. */
   isRefused(range: KeyRange): boolean;
-  /** What shows that the owner before can hold a piece no more; `null`: nothing does. */
+  /** Returns the proof that the previous owner can no longer hold a piece; `null` if there is none. */
   freeBy(piece: ReleasedPiece, range: KeyRange, now: MonotonicMillis): FreeProof | null;
-  /** A free piece gets its next owner: what the one before handed over goes with it. Whether there is any. */
+  /** Passes the previous owner's handover of a free piece to the next owner. Returns whether there is a handover. */
   passOn(piece: ReleasedPiece, range: KeyRange): boolean;
-  /** Takes in the ranges as they stand now, and drops what is known of others. Costs nothing while they are the same. */
+  /** Updates the carrier to the current ranges and drops the state of others. Does nothing if they are unchanged. */
   follow(ranges: readonly KeyRange[], now: MonotonicMillis): void;
-  /** Calls that are due now. */
+  /** Removes and returns the calls that are due. */
   takeCalls(now: MonotonicMillis): WantedCall[];
   callEnded(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void;
-  /** When calls are due that need no decision first; `Infinity`: none are. */
+  /** Time at which calls are due that need no decision first; `Infinity` if there are none. */
   nextCallAt(): MonotonicMillis;
-  /** When something that the carrier waits for is over, so that owners are to be decided. */
+  /** Time at which a wait of the carrier ends, so that owners must be decided. */
   nextDecisionAt(): MonotonicMillis;
 }
--- a/src/control/ranges/range-coordinator.ts
+++ b/src/control/ranges/range-coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's work on upstreams that announce themselves: who owns which range of keys, grants and releases, and which
- * upstreams are forgotten. A call goes out only while a quorum has confirmed this leadership a moment ago.
+ * The leader's work on upstreams that announce themselves: assigns ranges of keys to owners, sends grants and
+ * releases, and forgets upstreams. A call is sent only while a quorum has confirmed this leadership a moment ago.
  */
 import type { RangeTimings } from '../../lease/range-timings.js';
 import {
@@ -24,40 +24,44 @@
 import type { LogRanges, RangeService } from './range-service.js';
 import { makeRangeService, type ServiceInCharge, termsOf } from './service-in-charge.js';
 
-/** A confirmation of this leadership is good for calls for this long; no other is elected so soon after a heartbeat. */
+/** A confirmation of this leadership permits calls for this long; no other leader is elected so soon after a heartbeat. */
 const CONFIRMED_MILLIS = 300;
-/** From this age on the next heartbeats are to confirm it again. */
+/** From this age on, the next heartbeats have to confirm the leadership again. */
 const CONFIRM_AGAIN_MILLIS = 100;
-/** How often owners are decided although nothing came: that upstreams are silent, and that grants run out, is seen so. */
+/** Interval of decisions without any event, which detect silent upstreams and expired grants. */
 const DECIDE_MILLIS = 100;
 /**
- * Ranges that decisions look at in a millisecond at most, on average. Each looks at all of them, and each change is news for every
- * router, so the more there are, the longer it is from one decision to the next, and what comes meanwhile shares that one.
+ * Maximum number of ranges that decisions examine per millisecond, on average. Each decision examines all ranges, and
+ * each change is an update for every router. So the gap between decisions grows with the number of ranges, and all
+ * events in a gap share the next decision.
  */
 const RANGES_A_MILLI = 10;
-/** Decisions are never further apart for that: a lost owner is replaced in time however many ranges there are. */
+/** Upper bound of that gap, so that a lost owner is replaced in time however many ranges there are. */
 const LONGEST_GAP_MILLIS = 200;
-/** Shortest wait for what was due and is due again. */
+/** Minimum wait before due work runs again. */
 const LEAST_WAIT_MILLIS = 1;
 /**
- * Numbers of calls that a term has. No two leaderships of a member share one: a release may be answered seconds after the member was
- * deposed, and must not count for a call of its next leadership.
+ * Call numbers reserved per term. No two leaderships of a member share a number: a release may be answered seconds
+ * after the member was deposed, and must not be matched with a call of its next leadership.
  */
 const CALLS_A_TERM = 2 ** 32;
-/** An upstream that leaves or is silent, and owns nothing, is forgotten after this many heartbeats without a word. */
+/**
+ * A draining or silent upstream that owns nothing is forgotten after this many heartbeat intervals without a sign of
+ * life.
+ */
 const FORGOTTEN_LEAVING_HEARTBEATS = 8;
 const FORGOTTEN_HEARTBEATS = 60;
 
 export interface RangeCoordinatorParts {
   readonly registry: () => Registry;
-  /** Term of this leadership; no other one has it. */
+  /** Term of this leadership; unique to it. */
   readonly term: Term;
   readonly propose: ProposeCommand;
-  /** Asks a quorum to confirm this leadership; `mayWait`: with the next heartbeats. */
+  /** Requests confirmation of this leadership by a quorum; with `mayWait`, along with the next heartbeats. */
   readonly confirm: (now: MonotonicMillis, mayWait: boolean, settle: (confirmed: boolean) => void) => void;
   readonly call: (call: HolderCall) => void;
   readonly log: LogRanges;
-  /** What upstreams bear that are in need; none if left out. */
+  /** Load limits of constrained upstreams; none if omitted. */
   readonly bearings?: () => ReadonlyMap<UpstreamId, Bearing>;
   readonly timings: RangeTimings;
 }
@@ -71,23 +75,26 @@
   readonly #parts: RangeCoordinatorParts;
   readonly #holders: HolderTable;
   readonly #services = new Map<ServiceName, ServiceInCharge>();
-  /** Services with a proposal under way. */
+  /** Services with an open proposal. */
   readonly #proposing = new Set<ServiceName>();
   readonly #calls = new Map<HolderCallId, CallUnderWay>();
   #callsMade = 0;
-  /** Confirmations that are asked for: `true` those that wait for heartbeats. */
+  /** Open confirmation requests: `true` for the one that waits for heartbeats. */
   readonly #confirming = new Set<boolean>();
   #confirmedAt = Number.NEGATIVE_INFINITY;
-  /** What each upstream was told last by heartbeat, so that only news is logged. */
+  /** Last spans granted to each upstream by heartbeat; only changes are logged. */
   readonly #told = new Map<UpstreamId, string>();
   #decisions = 0;
   #isForgetting = false;
-  /** When owners are decided next, and how soon they may be. */
+  /** Time of the next decision, and the earliest time at which one may run. */
   #decideAt: MonotonicMillis;
   #notDecidedBefore = Number.NEGATIVE_INFINITY;
-  /** When calls or answers to heartbeats are due. */
+  /** Time at which calls or responses to heartbeats are due. */
   #callAt: MonotonicMillis;
-  /** Whether nothing came since the last decision that owners depend on. Answers to heartbeats tell what was decided. */
+  /**
+   * Whether no event that affects owners arrived since the last decision. Responses to heartbeats carry what was
+   * decided.
+   */
   #isDecided = false;
 
   constructor(parts: RangeCoordinatorParts, now: MonotonicMillis) {
@@ -98,15 +105,15 @@
     this.#callAt = now;
   }
 
-  /** Something of the registry changed: new owners are told at once. */
+  /** Handles a change of the registry; new owners are notified at once. */
   registryChanged(now: MonotonicMillis): void {
     this.#decideSoon(now);
     this.#callAt = now;
   }
 
   /**
-   * A heartbeat of an upstream came. `answer` is called once, at the latest when it has waited for as long as it may; what it
-   * is given counts only for services whose grants ride on heartbeats.
+   * Handles a heartbeat of an upstream. `answer` is called exactly once, at the latest when the heartbeat reaches its
+   * longest wait; its keys matter only for services that are granted ranges by heartbeats.
    */
   heard(heartbeat: HeardHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     const { upstream, report } = heartbeat;
@@ -122,13 +129,13 @@
     this.#decideSoon(now);
   }
 
-  /** Whether an upstream owns or owned ranges, and may hold keys of them yet. */
+  /** Returns whether an upstream owns or owned ranges and may still hold keys of them. */
   mayHold(upstream: UpstreamId, now: MonotonicMillis): boolean {
     this.#lookAtServices(now);
     return [...this.#services.values()].some(({ ranges }) => ranges.mayHold(upstream, now));
   }
 
-  /** The leadership is over: heartbeats that wait are answered without keys. */
+  /** Answers waiting heartbeats without keys at the end of the leadership. */
   end(now: MonotonicMillis): void {
     for (const { heartbeats } of this.#services.values()) {
       heartbeats?.end(now);
@@ -180,7 +187,7 @@
     return [...this.#services.keys()].reduce((sum, name) => sum + registry.ranges(name).length, 0);
   }
 
-  /** Something came that owners depend on. */
+  /** Schedules a decision after an event that affects owners. */
   #decideSoon(now: MonotonicMillis): void {
     this.#decideAt = Math.min(this.#decideAt, Math.max(now, this.#notDecidedBefore));
     this.#isDecided = false;
@@ -203,7 +210,7 @@
     }
   }
 
-  /** Calls wait for as long as this leadership isn't confirmed, and until an answer to a confirmation comes. */
+  /** Sends due calls and responses. They wait until this leadership is confirmed. */
   #callAll(now: MonotonicMillis): void {
     this.#callAt = Number.POSITIVE_INFINITY;
     if (this.#services.size === 0 || !this.#isConfirmed(now)) {
@@ -215,7 +222,7 @@
     }
   }
 
-  /** What there is to keep up, and what was done for it. */
+  /** Returns the current amount of work and the counters of work done. */
   work(): RangeWork {
     const ranges = this.#countRanges();
     const calls = this.#callsMade;
@@ -231,7 +238,7 @@
     };
   }
 
-  /** A service whose carrier was changed is begun anew. */
+  /** Adds and removes services. A service whose carrier was changed is started anew. */
   #lookAtServices(now: MonotonicMillis): void {
     const { registry } = this.#parts;
     const services = registry().services();
@@ -282,7 +289,7 @@
     });
   }
 
-  /** Whether a quorum confirmed this leadership a moment ago; asks for it again in time. */
+  /** Returns whether a quorum confirmed this leadership a moment ago; requests the next confirmation in time. */
   #isConfirmed(now: MonotonicMillis): boolean {
     const age = now - this.#confirmedAt;
     if (age > CONFIRMED_MILLIS) {
@@ -306,7 +313,7 @@
     }
   }
 
-  /** An answer is the whole set, so it is decided only while this leadership is confirmed. */
+  /** Answers due heartbeats. A response lists all granted keys, so it is sent only while this leadership is confirmed. */
   #answerHeartbeats(name: ServiceName, { heartbeats }: ServiceInCharge, now: MonotonicMillis): void {
     for (const { upstream, sequence, keys } of heartbeats?.answerDue(this.#proposing.has(name), now) ?? []) {
       const spans = keys?.spans ?? [];
@@ -328,7 +335,7 @@
     this.#parts.call(call);
   }
 
-  /** Counts from when the confirmation was asked for. */
+  /** Requests a confirmation. Its age counts from the request. */
   #confirm(now: MonotonicMillis, mayWait: boolean): void {
     if (this.#confirming.has(mayWait)) {
       return;
@@ -343,7 +350,7 @@
     });
   }
 
-  /** Drops upstreams that are silent for long and own nothing. */
+  /** Forgets upstreams that have been silent for long and own nothing. */
   #forget(now: MonotonicMillis): void {
     if (this.#isForgetting) {
       return;
@@ -377,7 +384,7 @@
 const NO_BEARINGS: ReadonlyMap<UpstreamId, Bearing> = new Map();
 const allInFull = (): ReadonlyMap<UpstreamId, Bearing> => NO_BEARINGS;
 
-/** Whether the keys of a service are numbers owned in ranges. */
+/** Returns whether the keys of a service are numbers owned in ranges. */
 export function hasRanges(record: ServiceRecord | undefined): record is ServiceRecord {
   return record?.definition.keyspaces.some(({ kind }) => kind === 'range') ?? false;
 }
--- a/src/control/ranges/range-grants.ts
+++ b/src/control/ranges/range-grants.ts
@@ -1,66 +1,69 @@
 /**
- * The grants that ranges with an owner need: the first as soon as the owner is decided, then renewals. Grants are kept by
- * the first key of their range and wait in queues, so that a renewal costs by itself, however many ranges there are.
+ * Schedules the grants of owned ranges: the first as soon as the owner is decided, then renewals. Grants are stored
+ * by the first key of their range and wait in queues, so that the cost of a renewal does not depend on the number of
+ * ranges.
  */
 import { DeadlineQueue } from '../../lease/deadline-queue.js';
 import { longestHoldMillis, type TimedGrantTimings } from '../../lease/timed-grants.js';
 import type { Epoch, MonotonicMillis } from '../../model/identifiers.js';
 import { findRange, type KeyRange } from '../../model/key-range.js';
 
-/** A grant without an answer, or one that couldn't be made just now, is tried again after this. */
+/** Delay before a grant is retried that got no response or could not be sent. */
 const RETRY_MILLIS = 150;
 
 /**
- * Renewals that begin at once, and how long it is to the next ones. Answers come together as the calls did, and where each answer brought as many
- * calls more, a leader with 2,500 renewals a second was 0.26 s late for its heartbeats while it used 0.54 of its processor (modelled,
- * 0.2 ms a call). Now renewals are 1,333 a second at most, 0.28 to 0.57 of a core at 0.21 to 0.43 ms a call (measured over loopback at 900
- * and at 400 calls a second). Where more are due each waits for its turn: 6,000 ranges take 4.5 s.
+ * Maximum number of renewals sent at once, and the time to the next batch. Responses arrive together as the calls
+ * were sent. When each response started as many further calls, a leader with 2,500 renewals a second was 0.26 s late
+ * for its heartbeats at 0.54 processor use (modelled, 0.2 ms a call). The limit is 1,333 renewals a second, 0.28 to
+ * 0.57 of a core at 0.21 to 0.43 ms a call (measured over loopback at 900 and at 400 calls a second). Further due
+ * renewals wait: 6,000 ranges take 4.5 s.
  */
 const RENEWALS_AT_ONCE = 16;
 const RENEWALS_GAP_MILLIS = 12;
 
-/** Grants of an earlier leader that are renewed at once, the latest ones. */
+/** Number of grants of an earlier leader, the latest ones, that are renewed at once. */
 const LATEST_GRANTS = 12;
 
-/** One grant that is kept up. */
+/** A grant and the state of its calls. */
 export interface KeptGrant {
-  /** Follows the registry: the same keys, owner and fence. */
+  /** The range as in the registry: same keys, owner and fence. */
   range: KeyRange;
-  /** When it is to be asked for; of no meaning while it is asked for. */
+  /** Time of the next call; meaningless while a call is open. */
   dueAt: MonotonicMillis;
   isAsked: boolean;
-  /** It was answered before. */
+  /** Whether the grant was accepted before. */
   isRenewal: boolean;
-  /** It was asked for before, answered or not. */
+  /** Whether the grant was sent before, answered or not. */
   wasAsked: boolean;
-  /** The upstream has seen a higher fence: this grant is over. */
+  /** Whether the upstream has seen a higher fence, which ends this grant. */
   isSuperseded: boolean;
-  /** Since when it was sent without an answer that says whether it was taken; `null`: it was answered since, or not sent. */
+  /** Time of the first call, since the last answered one, whose acceptance is unknown; `null` if there is none. */
   unansweredSince: MonotonicMillis | null;
   /**
-   * It isn't sent any more: what was answered has run out, and each further one may be taken late. Else an upstream whose heartbeats come but
-   * which leaves its calls unanswered would keep its keys, and serve none of them, for as long as that lasts.
+   * Whether the grant is no longer sent: its last accepted hold has expired, and each further call may be accepted
+   * late. Otherwise an upstream whose heartbeats arrive but which leaves its calls unanswered would keep its keys,
+   * and serve none of them, for as long as that lasts.
    */
   isGivenUp: boolean;
   handover: string | null;
 }
 
 export class RangeGrants {
-  /** By the first key of their range. */
+  /** Grants by the first key of their range. */
   readonly #grants = new Map<number, KeptGrant>();
-  /** When first grants and renewals are due, by first key. */
+  /** Due times of first grants and renewals, by first key. */
   readonly #firstDue = new DeadlineQueue<number>();
   readonly #renewalsDue = new DeadlineQueue<number>();
   #renewalsNotBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
   readonly #handovers = new Map<string, string>();
-  /** What was followed last; the registry replaces its lists, so the same one says the same. */
+  /** The last synchronised list. The registry replaces its lists, so the same list has the same contents. */
   #followed: readonly KeyRange[] | null = null;
 
   constructor(private readonly timings: TimedGrantTimings) {}
 
   /**
-   * Takes over the grants of an earlier leader. They hold for a while yet, so their renewals are spread; the latest owners
-   * come first, since that leader may not have told them any more.
+   * Takes over the grants of an earlier leader. They hold for some time, so their renewals are spread out. The latest
+   * owners come first, since the earlier leader may not have notified them.
    */
   inherit(ranges: readonly KeyRange[], now: MonotonicMillis): void {
     this.follow(ranges, now);
@@ -70,12 +73,12 @@
       this.#begin(range, { isRenewal: true, dueAt: now + (place + LATEST_GRANTS) * gap });
     });
     for (const grant of this.#grants.values()) {
-      // That leader may have told them.
+      // The earlier leader may have sent it.
       grant.wasAsked = true;
     }
   }
 
-  /** Begins grants of ranges that are new, and drops those of ranges that don't stand any more. */
+  /** Starts grants of new ranges and drops those of ranges that no longer exist. */
   follow(ranges: readonly KeyRange[], now: MonotonicMillis): void {
     if (ranges === this.#followed) {
       return;
@@ -103,14 +106,14 @@
     return grant !== undefined && isSame(grant.range, { fence, to }) ? grant : undefined;
   }
 
-  /** What the owner before handed over for a span, for the next owner's first grant. */
+  /** Stores the previous owner's handover of a span for the next owner's first grant. */
   handOver(from: number, to: number, handover: string | null): void {
     if (handover !== null) {
       this.#handovers.set(spanOf(from, to), handover);
     }
   }
 
-  /** Grants that are due: all first ones, then those renewals whose turn it is. Each must be asked for or put off. */
+  /** Removes and returns due grants: all first ones, and renewals up to the batch limit. Each must be sent or postponed. */
   takeDue(now: MonotonicMillis): KeptGrant[] {
     const due = [...this.#firstDue.takeDue(now), ...this.#takeRenewals(now)];
     return due.flatMap((from) => this.#grants.get(from) ?? []);
@@ -131,7 +134,7 @@
     return due;
   }
 
-  /** It was answered: the next renewal is due in a while. */
+  /** Records that a grant was accepted and schedules its renewal. */
   granted(grant: KeptGrant, now: MonotonicMillis): void {
     grant.isAsked = false;
     grant.isRenewal = true;
@@ -140,13 +143,13 @@
     this.#setDue(grant, now + this.timings.renewMillis);
   }
 
-  /** It was sent, and no answer says whether it was taken. */
+  /** Records that a grant was sent and that its acceptance is unknown. */
   unanswered(grant: KeptGrant, now: MonotonicMillis): void {
     grant.unansweredSince ??= now;
     grant.isGivenUp ||= now - grant.unansweredSince >= longestHoldMillis(this.timings);
   }
 
-  /** It got no answer, or couldn't be asked for: it is tried again soon, unless it is over. */
+  /** Retries a grant soon that got no response or could not be sent, unless it is over. */
   putOff(grant: KeptGrant, now: MonotonicMillis): void {
     grant.isAsked = false;
     if (!grant.isSuperseded && !grant.isGivenUp) {
@@ -201,10 +204,10 @@
   }
 }
 
-/** Handovers kept at once; one that is lost costs its new owner some warmth. */
+/** Maximum number of stored handovers; if one is lost, its new owner starts with a colder cache. */
 const MOST_HANDOVERS = 4096;
 
-/** What stood before the registry changed. */
+/** Ranges and grants before the registry changed. */
 interface GrantsBefore {
   readonly ranges: readonly KeyRange[];
   readonly grants: ReadonlyMap<number, KeptGrant>;
@@ -212,15 +215,15 @@
 
 const NO_RANGES: readonly KeyRange[] = [];
 
-/** The grant, under the same fence, of which a range was cut off. */
+/** Returns the grant, under the same fence, whose range contained this one. */
 function grantBefore({ from, fence }: KeyRange, { ranges, grants }: GrantsBefore): KeptGrant | undefined {
   const larger = ranges[findRange(ranges, from)];
   return larger?.fence === fence ? grants.get(larger.from) : undefined;
 }
 
 /**
- * When a range that was cut off a larger one of the same grant is to be renewed: as the larger one would have been. `null`: it
- * wasn't granted yet.
+ * Returns the renewal time of a range that was split off a larger one of the same grant: that of the larger one.
+ * Returns `null` if the larger one was not granted yet.
  */
 function renewalOfRest(grant: KeptGrant | undefined, now: MonotonicMillis): MonotonicMillis | null {
   if (grant === undefined || !grant.isRenewal || grant.isSuperseded) {
@@ -229,7 +232,7 @@
   return grant.isAsked ? now : Math.max(now, grant.dueAt);
 }
 
-/** Whether a range with the same first key is the same: an owner's fence is its own. */
+/** Returns whether a range with the same first key is the same one: each owner has its own fence. */
 function isSame(range: KeyRange, { fence, to }: Pick<KeyRange, 'fence' | 'to'>): boolean {
   return range.fence === fence && range.to === to;
 }
--- a/src/control/ranges/range-index.ts
+++ b/src/control/ranges/range-index.ts
@@ -1,4 +1,4 @@
-/** Ranges of one service by upstream, made once for each list of the registry and not for each question. */
+/** Index of one service's ranges by owner, rebuilt once per registry list instead of per query. */
 import type { UpstreamId } from '../../model/identifiers.js';
 import type { KeyRange } from '../../model/key-range.js';
 
@@ -6,7 +6,7 @@
 
 export class RangeIndex {
   readonly #ranges: () => readonly KeyRange[];
-  /** The list that the rest was made from; the registry replaces its lists and never changes them. */
+  /** The indexed list; the registry replaces its lists and never mutates them. */
   #indexed: readonly KeyRange[] = NO_RANGES;
   #owned = new Map<UpstreamId, KeyRange[]>();
 
@@ -14,7 +14,7 @@
     this.#ranges = ranges;
   }
 
-  /** Ranges that an upstream owns, in order. */
+  /** Returns the ranges of an owner, in order. */
   ownedBy(upstream: UpstreamId): readonly KeyRange[] {
     this.#follow();
     return this.#owned.get(upstream) ?? NO_RANGES;
--- a/src/control/ranges/range-releases.ts
+++ b/src/control/ranges/range-releases.ts
@@ -1,27 +1,27 @@
 /**
- * Ranges that nobody owns, on their way to the next owner: what is planned for each piece, and whether the owner before
- * has given it up.
+ * Tracks unowned ranges on their way to the next owner: the planned target of each piece, and whether the previous
+ * owner has released it.
  */
 import type { Epoch, MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import type { KeyRange, KeySpan } from '../../model/key-range.js';
 import type { PlannedSpan } from '../../placement/ranges/range-planner.js';
 import type { FreeProof } from './free-proof.js';
 
-/** Routers hear that there is no owner before the owner does, so that it need not turn requests away. */
+/** Delay of a release, so that routers learn of the missing owner before the owner does and it need not reject requests. */
 const NOTICE_MILLIS = 25;
 
-/** One piece of a range without owner. */
+/** One piece of an unowned range. */
 export interface ReleasedPiece extends PlannedSpan {
   readonly fence: Epoch;
-  /** Owner before; `null`: none that may hold it. */
+  /** Previous owner; `null` if none may hold the piece. */
   readonly former: UpstreamId | null;
   readonly since: MonotonicMillis;
-  /** When the owner before is asked for it (again). */
+  /** Time of the next release call to the previous owner. */
   nextAt: MonotonicMillis;
-  /** A call is under way. */
+  /** Whether a release call is open. */
   isAsked: boolean;
   isReleased: boolean;
-  /** Since when it is known to be free, and by what; `null`: it isn't yet. */
+  /** Since when the piece is known to be free, and by which proof; `null` while it is not. */
   freeAt: MonotonicMillis | null;
   freedBy: FreeProof | null;
   handover: string | null;
@@ -29,20 +29,20 @@
 
 export class RangeReleases {
   readonly #pieces = new Map<Epoch, ReleasedPiece[]>();
-  /** What was planned for spans whose owner is being taken off, until that is in force. */
+  /** Plans for spans whose owner is being removed, until that change is committed. */
   #planned: PlannedSpan[] = [];
 
-  /** The owner of these spans is being taken off; `target` gets them next. */
+  /** Plans the next owner, `target`, of spans whose owner is being removed. */
   plan(spans: readonly PlannedSpan[]): void {
     this.#planned.push(...spans);
   }
 
-  /** The taking off was lost. */
+  /** Drops the plans after their proposal failed. */
   forgetPlans(): void {
     this.#planned = [];
   }
 
-  /** The pieces of a range; `spread` makes them where nothing was planned. */
+  /** Returns the pieces of a range; without a plan for the whole range, `spread` makes them. */
   piecesOf(range: KeyRange, now: MonotonicMillis, spread: () => readonly PlannedSpan[]): ReleasedPiece[] {
     const known = this.#inside(this.#pieces.get(range.fence) ?? [], range);
     if (known.length > 0) {
@@ -58,17 +58,17 @@
     return pieces;
   }
 
-  /** The piece that a release was sent for. */
+  /** Returns the piece that a release call was sent for. */
   find(fence: Epoch, from: number, to: number): ReleasedPiece | undefined {
     return this.#pieces.get(fence)?.find((piece) => piece.from === from && piece.to === to);
   }
 
-  /** All pieces that have no owner yet, with who gets them next. */
+  /** Returns all pieces that have no owner yet, with their targets. */
   open(): ReleasedPiece[] {
     return [...this.#pieces.values()].flat();
   }
 
-  /** Pieces that their owners before are to be asked for now. One that can't be asked for is due again after the wait. */
+  /** Returns the pieces to release by call now. A piece that cannot be called for is due again after the wait. */
   takeDue(now: MonotonicMillis, waitMillis: number): ReleasedPiece[] {
     const due = this.open().filter((piece) => isToBeAsked(piece) && now >= piece.nextAt);
     for (const piece of due) {
@@ -77,14 +77,14 @@
     return due;
   }
 
-  /** When an owner before is to be asked next; `Infinity`: all were. */
+  /** Time of the next release call; `Infinity` if there is none. */
   nextDeadline(): MonotonicMillis {
     return this.open()
       .filter(isToBeAsked)
       .reduce((first, { nextAt }) => Math.min(first, nextAt), Number.POSITIVE_INFINITY);
   }
 
-  /** Drops what none of these ranges, which have no owner, stands for any more. */
+  /** Drops pieces that are outside these unowned ranges. */
   keepOnly(unowned: readonly KeyRange[]): void {
     for (const [fence, pieces] of this.#pieces) {
       const standing = unowned.filter((range) => range.fence === fence);
--- a/src/control/ranges/range-servers.ts
+++ b/src/control/ranges/range-servers.ts
@@ -1,4 +1,4 @@
-/** The upstreams of one service that may be given keys now, and whether enough of them came to divide all keys. */
+/** Tracks the upstreams of one service that may be assigned keys, and whether enough have joined to divide all keys. */
 import type { MonotonicMillis, ServiceName, UpstreamId } from '../../model/identifiers.js';
 import type { KeyRange } from '../../model/key-range.js';
 import type { Bearing } from '../../placement/ranges/bearing.js';
@@ -6,22 +6,22 @@
 import type { OwnerSpeeds } from '../../placement/ranges/owner-speeds.js';
 import type { Registry } from '../../registry/types.js';
 
-/** Keys are given out for the first time once no further upstream came for this long, or after the longest wait. */
+/** Keys are first assigned once no further upstream joined for this long, or after the longest wait. */
 const GATHER_MILLIS = 1500;
 const LONGEST_GATHER_MILLIS = 4000;
-/** An upstream that wasn't heard for this many heartbeats gets no further keys. */
+/** An upstream silent for this many heartbeat intervals gets no further keys. */
 const SILENT_HEARTBEATS = 3;
 
-/** A request counts for this while none was measured. */
+/** Assumed work of a request until one was measured. */
 const UNMEASURED_WORK_MILLIS = 10;
-/** Ranges that one upstream owns at most: an answer to its heartbeat names them all, and each costs a renewal by call. */
+/** Maximum number of ranges per upstream: a response to its heartbeat names them all, and each costs a renewal by call. */
 const MOST_RANGES = 48;
 
-/** What is known of the upstreams' runs. */
+/** Evidence of the upstreams' state. */
 export interface HolderEvidence {
-  /** When it was heard last, or this leadership began. */
+  /** Time of the last sign of life, or the start of this leadership. */
   heardAt(upstream: UpstreamId): MonotonicMillis;
-  /** Whether a call would come to nothing now. */
+  /** Returns whether a call would fail now. */
   isOutOfReach(upstream: UpstreamId, now: MonotonicMillis): boolean;
 }
 
@@ -29,7 +29,7 @@
   readonly service: ServiceName;
   readonly registry: () => Registry;
   readonly evidence: HolderEvidence;
-  /** What upstreams bear that are in need. */
+  /** Load limits of constrained upstreams. */
   readonly bearings: () => ReadonlyMap<UpstreamId, Bearing>;
   /** Usual time between two heartbeats of an upstream. */
   readonly heartbeatMillis: number;
@@ -37,10 +37,10 @@
 
 export class RangeServers {
   #servers: readonly RangeServer[] = [];
-  /** Since when their number is what it is. */
+  /** Time at which their number last changed. */
   #changedAt: MonotonicMillis;
 
-  /** `since`: when this leadership began. */
+  /** `since` is the start of this leadership. */
   constructor(
     private readonly parts: RangeServersParts,
     private readonly since: MonotonicMillis,
@@ -53,7 +53,7 @@
     return this.#servers;
   }
 
-  /** Takes in what the registry and the heartbeats say now. */
+  /** Updates the list from the registry and the heartbeats. */
   look(now: MonotonicMillis): void {
     const servers: RangeServer[] = [];
     const weak = new Set<UpstreamId>();
@@ -85,7 +85,7 @@
     return this.#servers.some((server) => server.upstream === upstream);
   }
 
-  /** Whether those that start together can be taken to be all here. */
+  /** Returns whether all upstreams that start together can be assumed to have joined. */
   isGathered(now: MonotonicMillis): boolean {
     return now - this.#changedAt >= GATHER_MILLIS || now - this.since >= LONGEST_GATHER_MILLIS;
   }
@@ -98,15 +98,16 @@
 }
 
 /**
- * An upstream that is cold, or in need, gets no keys while others can have them: all requests of a key go to its owner, so callers would be
- * held to what it bears; one in need keeps what it bears, and a cold one is warm within seconds. With keys as soon as they joined, 16
- * requests a second came to owners that bear 4 (trouble days of 98 owners, 106 times in a day).
+ * A cold or constrained upstream is marked as full while others can take keys. All requests of a key go to its owner,
+ * so callers would be limited to its reduced capacity. A constrained upstream keeps the load it can take, and a cold
+ * one is warm within seconds. When such upstreams got keys on joining, 16 requests a second reached owners that could
+ * take 4 (trouble days of 98 owners, 106 times in a day).
  */
 function withoutRoom(server: RangeServer, weak: ReadonlySet<UpstreamId>): RangeServer {
   return weak.has(server.upstream) ? { ...server, isFull: true } : server;
 }
 
-/** `meanMillis`: what a request takes at the mean upstream. */
+/** Limits the load of a constrained server. `meanMillis` is the time a request takes at the mean upstream. */
 function bearingLess(
   server: RangeServer,
   { perSecond, share = 1 }: Bearing,
--- a/src/control/ranges/range-service.ts
+++ b/src/control/ranges/range-service.ts
@@ -1,6 +1,7 @@
 /**
- * The leader's work on the ranges of one service: decides owners, has the owners before give up, and keeps grants up.
- * Each decision is a change of the registry that names the fence it relies on; calls follow what is committed.
+ * The leader's work on the ranges of one service: decides owners, has previous owners release keys, and keeps grants
+ * renewed. Each decision is a change of the registry that names the fence it is based on; calls follow what is
+ * committed.
  */
 import type { Epoch, MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import { findRange, type KeyRange, type KeySpan } from '../../model/key-range.js';
@@ -25,40 +26,43 @@
 import { RangeServers, type RangeServersParts } from './range-servers.js';
 import { giveSpans, joinNeighbours, takeSpans, updateOf } from './range-updates.js';
 
-/** Free keys wait this long for their target before another one gets them. */
+/** Free keys wait this long for their target before they may go to another upstream. */
 const TARGET_WAIT_MILLIS = 150;
-/** One that is busier than the mean by more than this factor and this share of its capacity doesn't get them so soon. */
+/**
+ * An upstream whose use exceeds the mean by more than this factor plus this share of its capacity does not get such
+ * keys so soon.
+ */
 const STAND_IN_FACTOR = 1.2;
 const STAND_IN_MARGIN = 0.08;
 
-/** What loads add up to. */
+/** Aggregated loads. */
 interface LoadView {
   readonly use: OwnerLoads;
-  /** Load of each owner, or of the one before where there is none. */
+  /** Load by owner, or by previous owner for unowned ranges. */
   readonly owners: ReadonlyMap<UpstreamId, number>;
 }
 
-/** Requests for a key since the last report, and the work that they take at its owner. */
+/** Requests for a key since the last report, and the work they take at its owner. */
 export interface KeyWork {
   readonly requests: number;
   readonly workMillis: number;
 }
 
-/** Moves that were weighed and began, with what they were weighed to be worth. */
+/** Number of weighed moves that started, and the sums of their estimated cost and gain. */
 export interface WeighedMoves {
   readonly begun: number;
   readonly costMillis: number;
   readonly gainMillis: number;
 }
 
-/** Makes the carrier of a service over what it sees of it. */
+/** Creates the carrier of a service. */
 export type MakeCarrier = (
   parts: RangeCarrierParts,
   wanted: () => readonly WantedMove[],
   now: MonotonicMillis,
 ) => RangeCarrier;
 
-/** Writes a record of what was decided. */
+/** Logs a decision. */
 export type LogRanges = (event: string, fields: Readonly<Record<string, unknown>>) => void;
 
 export interface RangeServiceParts extends RangeServersParts {
@@ -68,25 +72,25 @@
 
 export class RangeService {
   readonly #parts: RangeServiceParts;
-  /** When this leadership began, or this way of granting. */
+  /** Start of this leadership, or of this way of granting. */
   readonly #since: MonotonicMillis;
   readonly #balance = new BalancePlanner();
   readonly #evidence = new MoveEvidence();
   readonly #speeds = new OwnerSpeeds();
   readonly #carrier: RangeCarrier;
   readonly #releases = new RangeReleases();
-  /** Changes that are proposed. What they take off an owner is not granted any more. */
+  /** Proposed changes. Keys that they revoke from an owner are no longer granted. */
   #proposed: readonly RangeUpdate[] = [];
   readonly #servers: RangeServers;
   readonly #schedule: BalanceSchedule;
-  /** Moves that were planned and wait for a good moment. */
+  /** Planned moves that wait until their upstreams can be reached. */
   #wanted: readonly WantedMove[] = [];
-  /** Owners whose neighbouring ranges are to be joined at a good moment. */
+  /** Owners whose neighbouring ranges are to be joined when they can be notified. */
   #joining = new Set<UpstreamId>();
-  /** Ranges as the last decision saw them. */
+  /** The ranges of the last decision. */
   #followed: readonly KeyRange[] | null = null;
   readonly #weighed = { begun: 0, costMillis: 0, gainMillis: 0 };
-  /** Loads as one decision sees them, once it asked; adding them up isn't free. */
+  /** Loads for the current decision, computed on first use because adding them up is costly. */
   #view: LoadView | null = null;
 
   constructor(parts: RangeServiceParts, now: MonotonicMillis) {
@@ -104,7 +108,10 @@
     this.#schedule = new BalanceSchedule(now);
   }
 
-  /** Requests for a key, and what they take at its owner. They count as what they would take at the mean upstream. */
+  /**
+   * Records requests for a key and their work at its owner. The balance counts the work they would take at the mean
+   * upstream.
+   */
   loadReported(key: number, { requests, workMillis }: KeyWork, now: MonotonicMillis): void {
     const owner = this.#ownerOf(key);
     if (owner !== null) {
@@ -116,18 +123,21 @@
     this.#schedule.reported(now);
   }
 
-  /** Whether an upstream owns keys, or may have to give some up. */
+  /** Returns whether an upstream owns keys or may have to release some. */
   isHolder(upstream: UpstreamId): boolean {
     return this.#ranges().some(({ owner, former }) => owner === upstream || former === upstream);
   }
 
-  /** Whether it may hold any of them yet. */
+  /** Returns whether an upstream may still hold any keys. */
   mayHold(upstream: UpstreamId, now: MonotonicMillis): boolean {
     const held = this.#ranges().filter(({ owner, former }) => owner === upstream || former === upstream);
     return held.some((range) => this.#carrier.lostBy(range, upstream, now) === null);
   }
 
-  /** Owners to decide now; empty: none. They are to be proposed, and `proposalSettled` called. */
+  /**
+   * Returns the owner changes to propose now, possibly none. The caller proposes them and then calls
+   * `onProposalSettled`.
+   */
   decide(now: MonotonicMillis): readonly RangeUpdate[] {
     this.#proposed = this.#decide(now);
     return this.#proposed;
@@ -154,7 +164,7 @@
     return [...takeSpans(ranges, begun), ...this.#joinRanges(ranges, begun, now)];
   }
 
-  /** The registry replaces its lists, so what hangs on them is looked at once for each. */
+  /** Updates state derived from the ranges. The registry replaces its lists, so each list is processed once. */
   #follow(ranges: readonly KeyRange[], now: MonotonicMillis): void {
     this.#carrier.follow(ranges, now);
     if (ranges === this.#followed) {
@@ -165,7 +175,7 @@
     this.#releases.keepOnly(ranges.filter(({ owner }) => owner === null));
   }
 
-  /** Plans what is to move, and keeps the ranges few: each costs renewals. */
+  /** Plans moves, and joins that keep the number of ranges low: each range costs renewals. */
   #want(ranges: readonly KeyRange[], now: MonotonicMillis): void {
     const moves = this.#planMoves(ranges);
     this.#wanted = withOwners(ranges, moves);
@@ -180,7 +190,7 @@
     this.#joining = new Set(joinNeighbours(untouched).flatMap(({ owner }) => owner ?? []));
   }
 
-  /** Those wanted moves for which it is a good moment. */
+  /** Starts and returns the pending moves that are possible now. */
   #beginMoves(now: MonotonicMillis): WantedMove[] {
     const standing = this.#wanted.filter(({ from, owner }) => this.#ownerOf(from) === owner);
     const begun = standing.filter(({ owner, target }) => this.#carrier.canMove(owner, target, now));
@@ -205,12 +215,12 @@
     }
   }
 
-  /** Moves that were weighed and began since this leader has the service in charge. */
+  /** Returns totals of the weighed moves started since this leader took over the service. */
   weighedMoves(): WeighedMoves {
     return this.#weighed;
   }
 
-  /** Joins neighbouring ranges of owners that can be told now; not while any of their keys are to move. */
+  /** Joins neighbouring ranges of owners that can be notified now and have no pending moves of these keys. */
   #joinRanges(
     ranges: readonly KeyRange[],
     begun: readonly WantedMove[],
@@ -228,14 +238,14 @@
     return joinNeighbours(resting).filter(({ owner }) => owner !== null && due.has(owner));
   }
 
-  /** Share of its capacity that each upstream uses, in percent, for the log. */
+  /** Returns the percentage of its capacity that each upstream uses, for the log. */
   describeUse(): Readonly<Record<UpstreamId, number>> {
     const { use } = this.#loadView();
     const percent = (server: RangeServer): number => Math.round(use.useOf(server) * 100);
     return Object.fromEntries(this.#servers.list.map((server) => [server.upstream, percent(server)]));
   }
 
-  /** What was decided came about, or didn't. */
+  /** Handles the outcome of the proposal made after `decide`. */
   proposalSettled(isApplied: boolean): void {
     this.#proposed = [];
     if (!isApplied) {
@@ -243,7 +253,7 @@
     }
   }
 
-  /** Calls that are due now. */
+  /** Removes and returns the calls that are due. */
   takeCalls(now: MonotonicMillis): WantedCall[] {
     return this.#carrier.takeCalls(now);
   }
@@ -252,12 +262,12 @@
     this.#carrier.callEnded(call, outcome, now);
   }
 
-  /** When owners are to be decided, although nothing came. */
+  /** Time of the next decision if no event requires one earlier. */
   nextDecisionAt(): MonotonicMillis {
     return Math.min(this.#schedule.nextAt, this.#carrier.nextDecisionAt());
   }
 
-  /** When a call is due. */
+  /** Time at which a call is due. */
   nextCallAt(): MonotonicMillis {
     return this.#carrier.nextCallAt();
   }
@@ -275,7 +285,7 @@
     return this.#parts.registry().upstreams().get(upstream);
   }
 
-  /** Ends the ownership of an upstream that leaves, is gone, or may hold nothing any more. */
+  /** Ends the ownership of an upstream that is draining, no longer exists, or can no longer hold anything. */
   #takeOff(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): RangeUpdate[] {
     const record = this.#record(owner);
     const proof = record === undefined ? FREE_PROOFS.forgotten : this.#carrier.lostBy(range, owner, now);
@@ -291,7 +301,7 @@
     return isRefused ? [updateOf(range, range, owner, null)] : [];
   }
 
-  /** The keys of an owner that is gone go to others at once if these can be told, else as soon as they can. */
+  /** Reassigns the keys of a lost owner at once if their targets can be notified, else as soon as they can be. */
   #replace(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): RangeUpdate[] {
     const spans = this.#spread(range, owner);
     if (spans.every(({ target }) => this.#carrier.canTell(target, now))) {
@@ -310,14 +320,14 @@
     return this.#view;
   }
 
-  /** The load of an owner that went was counted before anything was given away. */
+  /** Splits a range among upstreams. The load of a lost owner was counted before any of its keys were reassigned. */
   #spread(range: KeyRange, owner: UpstreamId | null): PlannedSpan[] {
     const { use, owners } = this.#loadView();
     const ownerLoad = owner === null ? undefined : owners.get(owner);
     return spreadSpan(range, this.#balance.steady, use, ownerLoad ?? use.ofSpan(range));
   }
 
-  /** Gives pieces that their owner before has given up to the next one. */
+  /** Assigns pieces released by their previous owner to the next one. */
   #assign(range: KeyRange, now: MonotonicMillis): RangeUpdate[] {
     const isFirst = range.fence === 0 && range.former === null;
     if (isFirst && !this.#servers.isGathered(now)) {
@@ -351,8 +361,8 @@
   }
 
   /**
-   * Free keys whose target can't be told of them yet go to the least used one that can, unless it is busier than others. The
-   * first division waits for its targets: nobody was served before it.
+   * Returns the least used upstream that can be notified, for free keys whose target cannot be notified yet, unless
+   * it is too busy. The first division waits longer for its targets: the keys had no owner before it.
    */
   #standInFor({ freeAt, fence }: ReleasedPiece, now: MonotonicMillis): UpstreamId | undefined {
     const waited = freeAt === null ? 0 : now - freeAt;
@@ -379,7 +389,7 @@
     return proof !== null;
   }
 
-  /** Says on which proof keys are taken for free, and how old what is known of their holder is. */
+  /** Logs the proof on which keys count as free, and the age of the last sign of life of their holder. */
   #logFreed(
     { from, to, fence }: KeySpan & { readonly fence: Epoch },
     freed: { holder: UpstreamId | null; proof: FreeProof | null; unownedMillis: number },
@@ -407,7 +417,7 @@
     return this.#balance.plan({ ranges, servers: this.#servers.list, underWay, terms: this.#moveTerms() });
   }
 
-  /** Terms on which moves are weighed; `null`: nothing is declared of what they cost. */
+  /** Returns the terms for weighing moves; `null` if the service declares no cost of moves. */
   #moveTerms(): MoveTerms | null {
     const { registry, service } = this.#parts;
     const slowMillis = registry().services().get(service)?.definition.unwarmedKeyMillis;
--- a/src/control/ranges/range-updates.ts
+++ b/src/control/ranges/range-updates.ts
@@ -1,10 +1,10 @@
-/** Changes of ranges as the registry takes them; each names the fence that it relies on. */
+/** Builds range changes for the registry; each names the fence it is based on. */
 import type { UpstreamId } from '../../model/identifiers.js';
 import type { KeyRange, KeySpan } from '../../model/key-range.js';
 import type { PlannedSpan } from '../../placement/ranges/range-planner.js';
 import type { RangeUpdate } from '../../registry/types.js';
 
-/** `former`: who may still hold the keys while there is no owner. */
+/** Builds the update of a span. `former` is the upstream that may still hold the keys while there is no owner. */
 export function updateOf(
   range: KeyRange,
   { from, to }: KeySpan,
@@ -14,14 +14,14 @@
   return { from, to, expectedFence: range.fence, owner, former };
 }
 
-/** Gives the spans of a range that nobody holds to those that are planned for them. */
+/** Assigns the spans of a range without holder to their planned targets. */
 export function giveSpans(range: KeyRange, spans: readonly PlannedSpan[]): RangeUpdate[] {
   return spans.map((span) => updateOf(range, span, span.target, null));
 }
 
 /**
- * Takes spans off their owners, on their way to others. A span that has no owner any more stays as it is: the one before may
- * still hold it, and must not be forgotten.
+ * Revokes spans that are to be moved from their owners. A span that is already unowned stays as it is: its previous
+ * owner may still hold it and must stay recorded.
  */
 export function takeSpans(ranges: readonly KeyRange[], spans: readonly PlannedSpan[]): RangeUpdate[] {
   return spans.flatMap((span) => {
@@ -32,8 +32,8 @@
 }
 
 /**
- * Puts neighbours of one owner under one fence, so that one grant stands for them. The owner holds them meanwhile, and
- * nobody else does.
+ * Puts neighbouring ranges of one owner under one fence, so that one grant covers them. The owner keeps holding them
+ * meanwhile, and no other upstream does.
  */
 export function joinNeighbours(ranges: readonly KeyRange[]): RangeUpdate[] {
   return ranges.flatMap((range, position) => {
--- a/src/control/ranges/service-in-charge.ts
+++ b/src/control/ranges/service-in-charge.ts
@@ -1,4 +1,4 @@
-/** One service with ranges as a leader has it in charge, by the carrier that its declaration names. */
+/** Creates a leader's state of one service with ranges, with the carrier that its declaration names. */
 import type { RangeTimings } from '../../lease/range-timings.js';
 import { DEPOSED_GRANTER_MILLIS, longestHoldMillis } from '../../lease/timed-grants.js';
 import { DEFAULT_GRANT_CARRIER, GRANT_CARRIERS, type GrantCarrier } from '../../model/grant-carrier.js';
@@ -15,7 +15,7 @@
 export interface ServiceInCharge {
   readonly terms: RangeGrantTerms;
   readonly ranges: RangeService;
-  /** `null`: its grants don't ride on heartbeats. */
+  /** `null` if its ranges are not granted by heartbeats. */
   readonly heartbeats: HeartbeatCarrier | null;
 }
 
@@ -24,14 +24,14 @@
   readonly terms: RangeGrantTerms;
   readonly registry: () => Registry;
   readonly timings: RangeTimings;
-  /** What calls and heartbeats told of all upstreams. */
+  /** Results of calls and heartbeats of all upstreams. */
   readonly holders: HolderTable;
   readonly log: LogRanges;
-  /** What upstreams bear that are in need. */
+  /** Load limits of constrained upstreams. */
   readonly bearings: () => ReadonlyMap<UpstreamId, Bearing>;
 }
 
-/** How the ranges of a service are granted. */
+/** Returns how the ranges of a service are granted. */
 export function termsOf({ definition }: ServiceRecord): RangeGrantTerms {
   return definition.rangeGrants ?? { carrier: DEFAULT_GRANT_CARRIER, hasChanged: false };
 }
@@ -43,12 +43,15 @@
   [GRANT_CARRIERS.heartbeat]: grantedByHeartbeats,
 };
 
-/** Begins a service; `now`: when this leadership began, or the carrier was changed. */
+/** Starts a service. `now` is the start of this leadership, or the time at which the carrier was changed. */
 export function makeRangeService(parts: ServiceInChargeParts, now: MonotonicMillis): ServiceInCharge {
   return MAKERS[parts.terms.carrier](parts, now);
 }
 
-/** Where the carrier was changed, what the answer to a heartbeat gave may be held beside what calls tell of. */
+/**
+ * Creates a service granted by calls. After a change of the carrier, upstreams may still hold keys granted in
+ * responses to heartbeats.
+ */
 function grantedByCalls(parts: ServiceInChargeParts, now: MonotonicMillis): ServiceInCharge {
   const { service, terms, registry, timings, holders, log, bearings } = parts;
   if (terms.hasChanged) {
@@ -75,7 +78,10 @@
   return { terms, ranges, heartbeats: null };
 }
 
-/** Where the carrier was changed, a call that got no answer may be taken late, and then holds. */
+/**
+ * Creates a service granted by heartbeats. After a change of the carrier, an unanswered call may be accepted late,
+ * and its keys are then held.
+ */
 function grantedByHeartbeats(parts: ServiceInChargeParts, now: MonotonicMillis): ServiceInCharge {
   const { service, terms, registry, timings, log, bearings } = parts;
   const latestCall = now + DEPOSED_GRANTER_MILLIS + timings.lateMillis;
--- a/src/control/ranges/told-grants.ts
+++ b/src/control/ranges/told-grants.ts
@@ -1,11 +1,14 @@
-/** Grants that answers to heartbeats name: which of them their owners took, and what the owners before handed over. */
+/**
+ * Tracks grants named in responses to heartbeats: which of them their owners accepted, and what previous owners
+ * handed over.
+ */
 import type { HeldKeys } from '../../model/held-keys.js';
 import type { KeyRange, KeySpan } from '../../model/key-range.js';
 
-/** An owner that was told of a range this often and doesn't hold it takes it under a new fence only. */
+/** An owner that does not hold a range after this many responses named it accepts it only under a new fence. */
 const MOST_UNTAKEN = 3;
 
-/** Handovers kept at once; one that is lost costs its next owner some warmth. */
+/** Maximum number of stored handovers; if one is lost, its next owner starts with a colder cache. */
 const MOST_HANDOVERS = 1024;
 
 interface Handover extends KeySpan {
@@ -14,16 +17,16 @@
 
 interface ToldGrant {
   handover: string | null;
-  /** Answers that named it since the owner was last seen to hold it. */
+  /** Responses that named the range since the owner last reported holding it. */
   untaken: number;
 }
 
 export class ToldGrants {
   readonly #grants = new Map<string, ToldGrant>();
-  /** What was handed over for spans whose next owner wasn't told of them yet, by their first key; oldest first. */
+  /** Handovers of spans that no response to their next owner named yet, by first key; oldest first. */
   readonly #handovers = new Map<number, Handover>();
 
-  /** What the owner before handed over for a span, for its next owner. */
+  /** Stores the previous owner's handover of a span for its next owner. */
   handOver({ from, to }: KeySpan, handover: string | null): void {
     if (handover !== null) {
       this.#handovers.delete(from);
@@ -31,14 +34,14 @@
     }
   }
 
-  /** What an answer says of a range beside its fence. */
+  /** Counts a response that names a range, and returns the handover to send with it. */
   tell(range: KeyRange): string | null {
     const grant = this.#of(range);
     grant.untaken += 1;
     return grant.handover;
   }
 
-  /** A heartbeat shows what an owner holds. */
+  /** Records what an owner's heartbeat reports as held. */
   shown(ranges: readonly KeyRange[], { held }: HeldKeys): void {
     for (const range of ranges) {
       const isHeld = held?.some(
@@ -52,12 +55,12 @@
     }
   }
 
-  /** Whether the owner doesn't take a range although it was told of it. */
+  /** Returns whether the owner does not accept a range although responses named it. */
   isRefused(range: KeyRange): boolean {
     return (this.#grants.get(nameOf(range))?.untaken ?? 0) >= MOST_UNTAKEN;
   }
 
-  /** Drops what is known of ranges that don't stand any more. */
+  /** Drops the state of ranges that no longer exist. */
   keepOnly(ranges: readonly KeyRange[]): void {
     const names = new Set(ranges.map(nameOf));
     for (const name of this.#grants.keys()) {
@@ -84,7 +87,7 @@
     return made;
   }
 
-  /** Neighbours that were given together stand as one range: the first handover stands for it. */
+  /** Removes the handovers inside a range and returns the first: neighbours that were assigned together form one range. */
   #takeHandover(range: KeySpan): string | null {
     const inside = [...this.#handovers.values()].filter(
       ({ from, to }) => from >= range.from && to <= range.to,
--- a/test/control/call-carrier.test.ts
+++ b/test/control/call-carrier.test.ts
@@ -1,4 +1,4 @@
-/** When grants and releases go out to the owners of ranges. */
+/** Covers when grants and releases are sent to the owners of ranges. */
 import { expect } from 'chai';
 import { CallCarrier } from '../../src/control/ranges/call-carrier.js';
 import type { HolderCall, HolderOutcome } from '../../src/control/ranges/holder-call.js';
@@ -9,7 +9,7 @@
 import type { UpstreamRecord } from '../../src/registry/types.js';
 
 const TIMINGS = { holdMillis: 6000, renewMillis: 1000, lateMillis: 12_000, clockRateError: 0.02 };
-/** Renewals that wait for their turn go on so soon. */
+/** Longest wait for the next batch of due renewals. */
 const LONGEST_GAP_MILLIS = 20;
 const ACCEPTED: HolderOutcome = { type: 'accepted', handover: null };
 
@@ -59,7 +59,7 @@
   return calls.map(({ kind, from, to }) => `${kind} ${from}-${to}`);
 }
 
-/** Ranges of ten keys, each of an owner of its own. */
+/** Ranges of ten keys, each with a different owner. */
 function manyRanges(count: number): KeyRange[] {
   return Array.from({ length: count }, (_, place) =>
     rangeOf(place * 10, place * 10 + 9, `u${place}`, place + 1),
--- a/test/control/evacuated-ranges.test.ts
+++ b/test/control/evacuated-ranges.test.ts
@@ -1,4 +1,4 @@
-/** Ranges leave a zone that is taken out of use, once, by release and hand-over, and come back to it when it may be used again. */
+/** Ranges leave an evacuated zone, once, by release and handover, and return when the zone may be used again. */
 import { expect } from 'chai';
 import { RangeWorld, SERVICE } from './range-world.js';
 
--- a/test/control/heartbeat-answers.test.ts
+++ b/test/control/heartbeat-answers.test.ts
@@ -1,4 +1,4 @@
-/** Which heartbeats are answered with keys, and how much an answer may say. */
+/** Covers which heartbeats are answered with keys, and the maximum size of a response. */
 import { expect } from 'chai';
 import { RangeCoordinator } from '../../src/control/ranges/range-coordinator.js';
 import { DEFAULT_RANGE_TIMINGS } from '../../src/lease/range-timings.js';
@@ -8,7 +8,10 @@
 const SERVICE = 'menu';
 const MOST_ANSWER_BYTES = 4096;
 
-/** A registry with one upstream that owns each second of `ranges` runs of eight keys; nobody owns the others. */
+/**
+ * A registry with one upstream that owns every second one of twice `ranges` blocks of eight keys; the others are
+ * unowned.
+ */
 function registryWith(ranges: number): Registry {
   const registry = createRegistry();
   const apply = (command: Command): void => {
--- a/test/control/heartbeat-holders.test.ts
+++ b/test/control/heartbeat-holders.test.ts
@@ -1,4 +1,4 @@
-/** What heartbeats prove of the keys that their upstreams hold, hazard by hazard. */
+/** Covers what heartbeats prove about the keys that their upstreams hold, one hazard per test. */
 import { expect } from 'chai';
 import { HeartbeatHolders, type ReportingHeartbeat } from '../../src/control/ranges/heartbeat-holders.js';
 import { DEFAULT_RANGE_TIMINGS } from '../../src/lease/range-timings.js';
@@ -15,7 +15,7 @@
   return { sequence, held, released };
 }
 
-/** What a run of u1 sent; `born`: `null` where only the id names the run. */
+/** A heartbeat of a run of u1; `born` is `null` where only the id identifies the run. */
 function from(report: HeldKeys, born: number | null = null): ReportingHeartbeat {
   return { upstream: 'u1', born, report };
 }
--- a/test/control/heartbeat-owners.test.ts
+++ b/test/control/heartbeat-owners.test.ts
@@ -1,4 +1,4 @@
-/** Ranges that are granted by the answers to heartbeats have one holder at most, and find a new one in time. */
+/** Ranges granted in heartbeat responses have at most one holder, and get a new one in time. */
 import { expect } from 'chai';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -7,14 +7,14 @@
 
 const FIRST_GRANTS_MILLIS = 4000;
 const LONGEST_HOLD_MILLIS = TIMINGS.holdMillis * (1 + TIMINGS.clockRateError);
-/** After a change of the way of granting, an owner that leaves has handed over by then. */
+/** Time within which a draining owner hands over its keys after a change of the way of granting. */
 const MOST_HANDOVER_MILLIS = 20_000;
-/** Keys that are moved as planned, such as short ranges that go to a neighbour's owner, have none for less than this. */
+/** Maximum time without owner in planned moves, such as of short ranges that go to a neighbour's owner. */
 const PLANNED_MOVE_MILLIS = 1000;
 const ROUGH = { lateCopies: 0.1, lateAnswers: 0.1, lostAnswers: 0.1 };
 /** Share of rounds in which the first heartbeat of an earlier run at an upstream's address arrives. */
 const LATE_WORDS = 0.2;
-/** Seeds of one run; more by the environment variable `TERNMOUNT_SEEDS`. */
+/** Number of seeds; set `TERNMOUNT_SEEDS` to run more. */
 const SEEDS = Number(process.env.TERNMOUNT_SEEDS ?? 80);
 
 function randomOf(seed: number): () => number {
@@ -33,8 +33,9 @@
 }
 
 /**
- * Two entries of another writer under the id of an owner among twelve, each with a sequence ahead of the owner's; the second says
- * that it leaves, so its keys are moved. The owner itself lives and renews all the while.
+ * Plays two entries of another writer under the id of one owner among twelve, each with a sequence ahead of the
+ * owner's. The second one announces draining, so the owner's keys are moved. The owner itself stays up and renews
+ * throughout.
  */
 function playForeignEntries(seed: number, isAfterElection: boolean, sabotage?: Sabotage): HeartbeatWorld {
   const world = new HeartbeatWorld(randomOf(seed), sabotage);
@@ -65,7 +66,10 @@
   return upstream as NonNullable<typeof upstream>;
 }
 
-/** Another writer announces upstreams now and then for 12 s, and each second upstream leaves out what it holds if that is nothing. */
+/**
+ * Has another writer announce upstreams from time to time for 12 s. Every second upstream omits its held keys while
+ * it holds none.
+ */
 function mixIn(world: HeartbeatWorld, random: () => number): void {
   const step = (): void => {
     const upstreams = [...world.upstreams.values()];
@@ -83,7 +87,7 @@
   step();
 }
 
-/** Random faults, then calm: everything has to be served again. */
+/** Plays random faults, then calm: all keys must be served again. */
 function playRandomly(seed: number, sabotage: Sabotage = SABOTAGES.none, isMixed = false): HeartbeatWorld {
   const world = started(seed, sabotage);
   if (isMixed) {
@@ -234,9 +238,10 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  // Seen: two upstreams held the same keys for seconds. An upstream had crashed and started again at its address; the first run's
-  // heartbeat came seconds late, to a leader that had heard nobody yet or that the second run was cut off from. It was taken for the
-  // word of a next run, the record of the run that lived was dropped, and its keys went to others while its hold still ran.
+  // Guards against two upstreams holding the same keys for seconds. An upstream crashed and restarted at its address;
+  // the first run's heartbeat arrived seconds late, at a leader that had received no heartbeat yet or that the second
+  // run was cut off from. It was accepted as the announcement of a next run, the record of the live run was dropped,
+  // and its keys were reassigned before its hold ended.
   for (const { condition, isNewLeader } of [
     { condition: 'cut', isNewLeader: true },
     { condition: 'cut', isNewLeader: false },
@@ -304,7 +309,7 @@
       const spans = [{ from: 100, to: 200, fence: (range?.fence ?? 0) + 1, handover: null }];
       owner.take(owner.report(world.now), { spans, holdMillis: 1 }, world.now, world.now);
       world.apply({ type: 'upstream-withdraw', upstream: 'nobody' });
-      // What ran on the keys goes on for a while; the owner counts as serving them for as long.
+      // Work on the keys continues for a while, during which the owner counts as serving them.
       world.run(LONGEST_WORK_MILLIS);
       expect(world.servedShare(), `seed ${seed}`).to.be.below(1);
       expect(world.timeUntilServed(8000 - LONGEST_WORK_MILLIS), `seed ${seed}`).not.to.equal(null);
@@ -337,10 +342,11 @@
     }
   });
 
-  /*
-   * Users saw two upstreams serve the same keys. A heartbeat without the field for held keys counted as one that holds nothing; with a
-   * sequence ahead it freed the keys of a move under way, and all true heartbeats after it counted as late, so their sender wasn't told
-   * to let go. Two such entries of another writer gave two holders in 24 of 24 seeds, and in 8 of 24 just after an election.
+  /**
+   * Guards against two upstreams serving the same keys. A heartbeat without the field for held keys counted as one
+   * that holds nothing. With a sequence ahead it freed the keys of a move in progress, and all real heartbeats after
+   * it counted as late, so their sender was not told to release the keys. Two such entries of another writer gave two
+   * holders in 24 of 24 seeds, and in 8 of 24 just after an election.
    */
   for (const isAfterElection of [false, true]) {
     it(`are one at a time when another writer announces one, ${isAfterElection ? 'after an election' : 'no election'}`, () => {
--- a/test/control/heartbeat-upstream.ts
+++ b/test/control/heartbeat-upstream.ts
@@ -1,32 +1,35 @@
 /**
- * One run of an upstream that holds ranges by the answers to its heartbeats. It makes one call at a time and gives up on its
- * answer after a second. What it is given counts from when it sent the heartbeat, by a clock as slow as the timings allow.
+ * One run of an upstream that is granted ranges in the responses to its heartbeats. It makes one call at a time and
+ * abandons it after one second. Its holds start when it sent the heartbeat, by a clock as slow as the timings allow.
  */
 import type { RangeTimings } from '../../src/lease/range-timings.js';
 import type { GrantedKeys, HeldKeys, HeldSpan, ReleasedSpan } from '../../src/model/held-keys.js';
 import type { UpstreamId } from '../../src/model/identifiers.js';
 import type { KeySpan } from '../../src/model/key-range.js';
 
-/** Longest time that work goes on after its keys were taken off. */
+/** Longest time that work continues after its keys were revoked. */
 export const LONGEST_WORK_MILLIS = 400;
 
 interface HeldRow extends HeldSpan {
   readonly until: number;
 }
 
-/** `refused`: cut off from control by something that refuses connections in its name, while it lives and holds its keys. */
+/**
+ * `refused` means cut off from control by a device that refuses connections, while the upstream is live and holds its
+ * keys.
+ */
 export type UpstreamCondition = 'up' | 'cut' | 'refused' | 'dark' | 'ended';
 
 export class HeartbeatUpstream {
   condition: UpstreamCondition = 'up';
   leaving = false;
-  /** It doesn't say what it holds while that is nothing. */
+  /** Whether the report omits the held keys while there are none. */
   leavesOut = false;
   sequence = 0;
-  /** Handovers that came with keys. */
+  /** Handovers received with keys. */
   readonly handovers: string[] = [];
   #rows: HeldRow[] = [];
-  /** Keys that it was told to let go of, while work on them lasts. */
+  /** Revoked keys on which work is still running. */
   #working: HeldRow[] = [];
   #released: ReleasedSpan[] = [];
   /** Highest fences seen. */
@@ -39,7 +42,7 @@
     private readonly random: () => number,
   ) {}
 
-  /** What the next heartbeat says. */
+  /** Returns the report of the next heartbeat. */
   report(now: number): HeldKeys {
     this.#settle(now);
     this.sequence += 1;
@@ -48,7 +51,7 @@
     return { sequence: this.sequence, held: isLeftOut ? null : held, released: [...this.#released] };
   }
 
-  /** Takes the answer to a heartbeat in time. */
+  /** Applies a response that arrived in time. */
   take(report: HeldKeys, keys: GrantedKeys | null, sentAt: number, now: number): void {
     this.#settle(now);
     this.#released = this.#released.filter((release) => !report.released.includes(release));
@@ -67,7 +70,7 @@
     this.handovers.push(...keys.spans.flatMap(({ handover }) => handover ?? []));
   }
 
-  /** It has something to let go of, so that its next heartbeat comes soon. */
+  /** Returns whether keys are being released, so that the next heartbeat is sent soon. */
   isLettingGo(now: number): boolean {
     this.#settle(now);
     return this.#working.length > 0 || this.#released.length > 0;
@@ -78,12 +81,12 @@
     return this.condition !== 'dark' && this.condition !== 'ended';
   }
 
-  /** What it would serve, or still works on. */
+  /** Returns the spans that it would serve or still works on. */
   rowsAt(now: number): readonly HeldSpan[] {
     return this.isAlive ? [...this.#rows, ...this.#working].filter(({ until }) => now < until) : [];
   }
 
-  /** Whether it holds a key, or still works on it. */
+  /** Returns whether it holds a key or still works on it. */
   holds(key: number, now: number): boolean {
     return this.rowsAt(now).some(({ from, to }) => from <= key && key <= to);
   }
@@ -93,7 +96,7 @@
     this.#working.push({ ...row, until: now + workMillis });
   }
 
-  /** A hold that ran out is not told as released. */
+  /** Drops expired holds, which are not reported as released, and completes releases. */
   #settle(now: number): void {
     this.#rows = this.#rows.filter(({ until }) => until > now);
     const done = this.#working.filter(({ until }) => until <= now);
@@ -114,7 +117,7 @@
   return one.from <= other.to && other.from <= one.to;
 }
 
-/** What is left of a span without others. */
+/** Returns the parts of a span that no other span covers. */
 function subtract(span: KeySpan, others: readonly KeySpan[]): KeySpan[] {
   return others.reduce<KeySpan[]>(
     (left, other) =>
--- a/test/control/heartbeat-world.ts
+++ b/test/control/heartbeat-world.ts
@@ -1,7 +1,7 @@
 /**
- * Upstreams that hold ranges by the answers to their heartbeats, leaders' range coordinators and a registry on one virtual
- * clock. Answers come late, are lost, heartbeats come late and twice, and a leader that was deposed goes on for a while from
- * the registry that it had. Who holds a key is looked at after each event: no key may have two holders that are up.
+ * Simulates upstreams that are granted ranges in heartbeat responses, leaders' range coordinators and a registry on
+ * one virtual clock. Responses are late or lost, heartbeats arrive late and twice, and a deposed leader continues for
+ * a while with its last registry. The holders are checked after each event: no key may have two holders that are up.
  */
 import { expect } from 'chai';
 import { AddressClaims } from '../../src/control/address-claims.js';
@@ -24,7 +24,7 @@
 const QUESTION_TIMEOUT_MILLIS = 300;
 const ANSWER_TIMEOUT_MILLIS = 1000;
 const LETTING_GO_MILLIS = 100;
-/** A leader that was deposed is asked for this long. */
+/** Time for which a deposed leader still receives heartbeats. */
 const DEPOSED_MILLIS = 1000;
 const SAMPLED_KEYS = Array.from({ length: 128 }, (_, index) => index * 512);
 
@@ -36,7 +36,7 @@
   heartbeatMillis: 870,
 };
 
-/** How badly the network treats heartbeats; shares of them. */
+/** Network faults, as shares of the heartbeats affected. */
 export interface Weather {
   readonly lateCopies: number;
   readonly lateAnswers: number;
@@ -45,25 +45,25 @@
 
 const CALM: Weather = { lateCopies: 0, lateAnswers: 0, lostAnswers: 0 };
 
-/** Faults put into the system on purpose; the check of holders has to find them. */
+/** Faults put into the system on purpose; the holder check must find them. */
 export const SABOTAGES = {
   none: 'none',
-  /** A deposed leader goes on as if a quorum confirmed it. */
+  /** A deposed leader continues as if a quorum confirmed it. */
   unconfirmedLeader: 'unconfirmedLeader',
-  /** A heartbeat that comes late is taken for a new one. */
+  /** A late heartbeat is accepted as a new one. */
   lateTakenAsNew: 'lateTakenAsNew',
-  /** Whoever says that it lives at an address is taken for the run that lives there. */
+  /** Any sender that claims an address is accepted as the run that lives there. */
   wordTakenUnproved: 'wordTakenUnproved',
-  /** The leader counts a hold as shorter than upstreams do. */
+  /** The leader assumes shorter holds than upstreams do. */
   holdCountedShort: 'holdCountedShort',
-  /** A heartbeat that doesn't say what its upstream holds is taken to say that it holds nothing. */
+  /** A heartbeat that omits the held keys is read as holding nothing. */
   missingTakenAsNone: 'missingTakenAsNone',
 } as const;
 export type Sabotage = (typeof SABOTAGES)[keyof typeof SABOTAGES];
 
-/** Who a heartbeat says that it is from. */
+/** The sender that a heartbeat names. */
 type Sender = Pick<HeartbeatUpstream, 'id' | 'address' | 'leaving'>;
-/** What another writer sends under the id of an upstream: it knows nothing of keys. */
+/** An entry that another writer sends under the id of an upstream; it carries no keys. */
 interface ForeignEntry {
   /** Added to the sequence of the upstream's own latest heartbeat. */
   readonly sequenceAhead: number;
@@ -82,7 +82,7 @@
   readonly upstreams = new Map<UpstreamId, HeartbeatUpstream>();
   registry: Registry = createRegistry();
   weather: Weather = CALM;
-  /** What leaders logged. */
+  /** Log records of the leaders. */
   readonly records: Readonly<Record<string, unknown>>[] = [];
   readonly #events = new EventQueue();
   #leaderships: Leadership[] = [];
@@ -132,7 +132,7 @@
     return upstream;
   }
 
-  /** A new leader; the one before goes on for a while with the registry that it had, and hears of no change. */
+  /** Elects a new leader. The previous one continues for a while with its last registry and receives no change. */
   elect(): void {
     for (const leadership of this.#leaderships) {
       this.#depose(leadership);
@@ -142,7 +142,7 @@
     this.#leaderships.push(leadership);
   }
 
-  /** Another writer announces an upstream; its own heartbeats go on. */
+  /** Delivers an announcement of an upstream by another writer; the upstream's own heartbeats continue. */
   announceAs({ id, address, sequence }: HeartbeatUpstream, entry: ForeignEntry): void {
     const report = heldKeysOf({ sequence: sequence + entry.sequenceAhead });
     if (report === null) {
@@ -159,14 +159,14 @@
     this.#events.after(millis, run);
   }
 
-  /** The first heartbeat of an earlier run of a server, which nobody heard of, arrives now. */
+  /** Delivers the first heartbeat of an earlier, unknown run at an upstream's address now. */
   lateWord({ id, address }: HeartbeatUpstream): void {
     this.#lateWords += 1;
     const sender = { id: `${id}-before-${this.#lateWords}`, address, leaving: false };
     this.#deliver(sender, { sequence: 1, held: [], released: [] }, () => {});
   }
 
-  /** Lets time pass; looks at all holders after each event. */
+  /** Advances the time; checks all holders after each event. */
   run(millis: number): void {
     const end = this.now + millis;
     while (this.now < end) {
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Upstream that holds a key and is its owner in the registry; `null`: nobody serves it. */
+  /** Returns the upstream that holds a key and owns it in the registry; `null` if the key is not served. */
   servedBy(key: number): UpstreamId | null {
     const range = this.registry.ranges(SERVICE).find(({ from, to }) => from <= key && key <= to);
     const upstream = this.upstreams.get(range?.owner ?? '');
@@ -192,7 +192,7 @@
     return SAMPLED_KEYS.filter((key) => this.servedBy(key) !== null).length / SAMPLED_KEYS.length;
   }
 
-  /** Runs until all sampled keys are served; gives how long that took, `null` if longer than `most`. */
+  /** Runs until all sampled keys are served. Returns the time it took, or `null` if it exceeds `most`. */
   timeUntilServed(most: number): number | null {
     const since = this.now;
     while (this.now - since < most) {
@@ -249,7 +249,7 @@
     return leadership;
   }
 
-  /** Leaves the latest leader with the registry that it has now. */
+  /** Freezes the registry of the latest leader. */
   #freeze: () => void = () => {};
 
   #depose(leadership: Leadership): void {
@@ -260,7 +260,7 @@
     }
   }
 
-  /** The member that a heartbeat reaches: for a while a deposed leader answers beside the new one. */
+  /** Picks the member that a heartbeat reaches: for a while a deposed leader answers beside the new one. */
   #member(): Leadership | undefined {
     const alive = this.#leaderships.filter(({ until }) => until > this.now);
     return alive[Math.floor(this.random() * alive.length)] ?? alive.at(-1);
@@ -350,7 +350,7 @@
     });
   }
 
-  /** Whoever lives at an address answers, unless it is cut off. */
+  /** Answers an identity question for the run at an address, unless that one is cut off. */
   #ask({ id, address, claimant }: IdentityQuestion, { claims }: Leadership): void {
     const living = [...this.upstreams.values()].find(
       (upstream) => upstream.address === address && upstream.isAlive,
@@ -367,13 +367,16 @@
     }
   }
 
-  /** Calls go out only while the way of granting is changed to them; upstreams take none, whatever they answer. */
+  /**
+   * Ends a call. Calls are sent only while the way of granting is changed to them; upstreams accept none, whatever
+   * they answer.
+   */
   #carry({ id, upstream }: HolderCall, leadership: Leadership): void {
     const condition = this.upstreams.get(upstream)?.condition ?? 'ended';
     const outcomes: Readonly<Record<typeof condition, HolderOutcome>> = {
       up: { type: 'accepted', handover: null },
       cut: { type: 'not-sent' },
-      // The wire looks the same whether nobody listens or something on the way refuses.
+      // A refusal looks the same on the wire whether no process listens or a device on the path refuses.
       refused: { type: 'refused' },
       dark: { type: 'not-sent' },
       ended: { type: 'refused' },
@@ -396,7 +399,7 @@
   }
 }
 
-/** What an upstream says of its keys is its word, so the interface has to take it as it is. */
+/** The interface must accept every report of an upstream unchanged. */
 function expectTaken({ held }: HeldKeys): void {
   const holds = held?.map(({ from, to, fence }) => [from, to, fence]);
   const { success, error } = heldKeysFields.holds.safeParse(holds);
--- a/test/control/late-call-answers.test.ts
+++ b/test/control/late-call-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers to calls of an earlier leadership of the same member. */
+/** Responses to calls of an earlier leadership of the same member. */
 import { expect } from 'chai';
 import type { HolderCall } from '../../src/control/ranges/holder-call.js';
 import { RangeCoordinator } from '../../src/control/ranges/range-coordinator.js';
@@ -41,7 +41,7 @@
   return registry;
 }
 
-/** Takes the keys from `from` on off their owner. */
+/** Revokes the keys of the range that starts at `from` from their owner. */
 function takeOff(registry: Registry, from: number): void {
   const range = registry.ranges(SERVICE).find((candidate) => candidate.from === from);
   const { to, fence, owner } = range as NonNullable<typeof range>;
@@ -85,9 +85,10 @@
 }
 
 describe('an answer to a call of an earlier leadership of the same member', () => {
-  // Read, not seen: calls were numbered from 1 in each leadership. A release is answered once the work on its keys has ended, up to
-  // 3 s later. Where its member was elected again meanwhile, the answer counted for the new leadership's call of the same number: the
-  // keys of another owner counted as released while that one held them.
+  // Found by reading, not observed: calls were numbered from 1 in each leadership. A release is answered once the
+  // work on its keys has ended, up to 3 s later. If the member was elected again meanwhile, the response was matched
+  // with the new leadership's call of the same number: the keys of another owner counted as released while it held
+  // them.
   it('frees no keys of another owner', () => {
     const registry = declared();
     takeOff(registry, MIDDLE);
--- a/test/control/range-freed.test.ts
+++ b/test/control/range-freed.test.ts
@@ -1,4 +1,4 @@
-/** The log says for each range that is taken for free on which proof, whose it was, and how old what is known of that is. */
+/** The log names, for each freed range, the proof, the holder, and the age of the last sign of life of the holder. */
 import { expect } from 'chai';
 import { EVENTS } from '../../src/logging/events.js';
 import { HeartbeatWorld } from './heartbeat-world.js';
@@ -6,7 +6,7 @@
 
 const IDS = ['u1', 'u2', 'u3', 'u4'];
 const FIRST_GRANTS_MILLIS = 4000;
-/** Longer than anything that was granted holds, in both worlds. */
+/** Longer than any grant is held, in both simulations. */
 const LONG_MILLIS = 12_000;
 
 type Logged = Readonly<Record<string, unknown>>;
--- a/test/control/range-load.test.ts
+++ b/test/control/range-load.test.ts
@@ -1,4 +1,7 @@
-/** What ranges cost a leader: renewals are many, so each must cost by itself and not by how many ranges there are. */
+/**
+ * Covers the cost of ranges to a leader: renewals are frequent, so the cost of one must not depend on the number of
+ * ranges.
+ */
 import { expect } from 'chai';
 import { GRANT_CARRIERS } from '../../src/model/grant-carrier.js';
 import { HOLD_MILLIS, RangeLoad } from './range-load.js';
@@ -6,7 +9,7 @@
 const UPSTREAMS = 97;
 const SETTLE_MILLIS = 4000;
 const MEASURED_SECONDS = 5;
-/** An upstream that is busier than this has ended many times over, in milliseconds. */
+/** Maximum delay of the leader's heartbeats: the time between two of them. */
 const HEARTBEAT_MILLIS = 150;
 
 interface Cost {
@@ -31,7 +34,7 @@
   };
 }
 
-/** What is read of the ranges in a second, where grants ride on heartbeats. */
+/** Returns the row reads per second with grants by heartbeat. */
 function readsASecondByHeartbeat(rows: number): number {
   const load = new RangeLoad(rows, UPSTREAMS, GRANT_CARRIERS.heartbeat);
   load.run(SETTLE_MILLIS);
@@ -55,11 +58,12 @@
     expect(load.work().calls).to.be.at.least(1000);
   });
 
-  /*
-   * A leader that used little more than half of its processor was 0.26 s late for its own heartbeats, and so was whatever else
-   * waited there, an operator's change among it. Order of events: renewals fall due together; each step begins sixteen of them; their answers
-   * arrive together, and the step that each brings begins sixteen more, so that what comes behind fifty answers waits for eight
-   * hundred calls. Cause: renewals were bounded by step and not by time. Evidence: this test at 3,000 ranges, before renewals were spread.
+  /**
+   * Guards against a leader that was 0.26 s late for its own heartbeats, and for all other queued work such as an
+   * operator's change, at little more than half of its processor's capacity. Renewals are due together; each step
+   * starts sixteen of them; their responses arrive together, and the step for each starts sixteen more. So work
+   * queued behind fifty responses waits for eight hundred calls. The cause was a limit on renewals per step instead
+   * of per time; this test failed at 3,000 ranges before renewals were spread.
    */
   for (const rows of [1850, 3000, 6000]) {
     it(`is in time for its own heartbeats with ${rows} ranges too, when it takes over and later`, () => {
--- a/test/control/range-load.ts
+++ b/test/control/range-load.ts
@@ -1,6 +1,6 @@
 /**
- * A leader's range coordinator on a modelled event loop, over a registry whose rows are counted as they are read. What a
- * step reads and which calls it makes cost processor time, so that a leader with too much to do is late, as a real one is.
+ * Runs a leader's range coordinator on a modelled event loop, over a registry that counts reads of its rows. Reads
+ * and calls of a step cost processor time, so that an overloaded leader is late as a real one is.
  */
 import type { HolderCall } from '../../src/control/ranges/holder-call.js';
 import { RangeCoordinator } from '../../src/control/ranges/range-coordinator.js';
@@ -13,7 +13,7 @@
 import { type Command, createRegistry, type Registry } from '../../src/registry/index.js';
 
 const SERVICE = 'menu';
-/** How long a grant holds. */
+/** Hold time of a grant. */
 export const HOLD_MILLIS = 8000;
 const TIMINGS: RangeTimings = {
   holdMillis: HOLD_MILLIS,
@@ -25,18 +25,18 @@
 const COMMIT_MILLIS = 4;
 const QUORUM_MILLIS = 2;
 const LEAST_ANSWER_MILLIS = 2;
-/** Answers take up to this much longer, by turns. */
+/** Additional response time of up to this many milliseconds, varied by call. */
 const ANSWER_SPREAD = 5;
-/** Shortest wait for a tick, as in the daemon. */
+/** Minimum wait for a tick, as in the daemon. */
 const LEAST_TICK_MILLIS = 1;
 /** Time between two heartbeats of the leader to its followers. */
 const LEADER_HEARTBEAT_MILLIS = 150;
-/** One read of a row's field, measured: 800 rows took 1.8 ms of processor a look, with 20 reads a row. */
+/** Cost of reading one field of a row, measured: 800 rows took 1.8 ms of processor time per pass at 20 reads a row. */
 const READ_MILLIS = 0.0001;
-/** One call over HTTP. */
+/** Cost of one call over HTTP. */
 const CALL_MILLIS = 0.2;
 
-/** Counts reads of a row's fields. */
+/** Counts reads of row fields. */
 class ReadCounter {
   reads = 0;
   readonly #counted = new WeakMap<KeyRange, KeyRange>();
@@ -84,10 +84,10 @@
   /** Longest time between two grants of one range. */
   longestRenewalMillis = 0;
   readonly #grantedAt = new Map<number, number>();
-  /** The most by which a heartbeat of the leader was late. */
+  /** Largest delay of a heartbeat of the leader. */
   latestHeartbeatMillis = 0;
 
-  /** Rows of the same length, neighbours with different owners. */
+  /** Creates rows of equal length; neighbours have different owners. */
   constructor(rows: number, upstreams: number, carrier: GrantCarrier = GRANT_CARRIERS.request) {
     this.#carrier = carrier;
     this.#fill(rows, upstreams);
@@ -202,7 +202,7 @@
     });
   }
 
-  /** It holds all that it owns. */
+  /** Returns a report of an upstream that holds all it owns. */
   #reportOf(upstream: string): HeldKeys {
     this.#sequence += 1;
     const held = this.#registry.ranges(SERVICE).filter(({ owner }) => owner === upstream);
@@ -218,7 +218,7 @@
     });
   }
 
-  /** Something reaches the leader's process after a while. */
+  /** Posts a task to the leader's process after a delay. */
   #after(millis: number, task: () => void): void {
     this.#events.after(millis, () => this.#post(task));
   }
@@ -230,7 +230,7 @@
     }
   }
 
-  /** Takes the next thing from the mailbox; the loop is busy for as long as that costs. */
+  /** Runs the next task of the mailbox; the loop is busy for the cost of the task. */
   #next(): void {
     const task = this.#mailbox.shift();
     this.#isBusy = task !== undefined;
--- a/test/control/range-owners.test.ts
+++ b/test/control/range-owners.test.ts
@@ -1,11 +1,11 @@
-/** Ranges of keys have one holder at most, whatever happens to upstreams and leaders, and find a new one in time. */
+/** Ranges have at most one holder under all faults of upstreams and leaders, and get a new one in time. */
 import { expect } from 'chai';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { RangeWorld, SERVICE, TIMINGS } from './range-world.js';
 
 const FIRST_GRANTS_MILLIS = 2500;
-/** Seeds of one run; more by the environment variable `TERNMOUNT_SEEDS`. */
+/** Number of seeds; set `TERNMOUNT_SEEDS` to run more. */
 const SEEDS = Number(process.env.TERNMOUNT_SEEDS ?? 24);
 const LONGEST_HOLD_MILLIS = TIMINGS.holdMillis * (1 + TIMINGS.clockRateError);
 
@@ -68,10 +68,10 @@
 
   it('whose run has ended without a word are replaced once it could hold nothing, and no sooner', () => {
     const world = started();
-    // By then nothing that an earlier leader may have sent counts any more.
+    // By then no call of an earlier leader can take effect any more.
     world.run(TIMINGS.lateMillis + LONGEST_HOLD_MILLIS);
     (world.holders.get('u2') as { state: string }).state = 'ended';
-    // Its last grant was answered up to one renewal ago.
+    // Its last grant was accepted up to one renewal interval ago.
     world.run(LONGEST_HOLD_MILLIS - TIMINGS.renewMillis - 100);
     expect(world.servedShare()).to.equal(0.75);
     world.run(TIMINGS.renewMillis + 400);
@@ -107,9 +107,10 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  // Seen: two upstreams held the same keys for seconds. An upstream had crashed and started again at its address; the first run's
-  // heartbeat came seconds late, to a leader that had heard nobody yet or that the second run was cut off from. It was taken for the
-  // word of a next run, the record of the run that lived was dropped, and its keys went to others while its grants still held.
+  // Guards against two upstreams holding the same keys for seconds. An upstream crashed and restarted at its address;
+  // the first run's heartbeat arrived seconds late, at a leader that had received no heartbeat yet or that the second
+  // run was cut off from. It was accepted as the announcement of a next run, the record of the live run was dropped,
+  // and its keys were reassigned while its grants were still held.
   for (const { state, isNewLeader } of [
     { state: 'cut', isNewLeader: true },
     { state: 'cut', isNewLeader: false },
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -1,6 +1,6 @@
 /**
- * Upstreams that take plain grants, a leader's range coordinator and a registry on one virtual clock. Whoever holds a
- * key is looked at after each event: no key may have two holders that are up.
+ * Simulates upstreams that accept plain grants, a leader's range coordinator and a registry on one virtual clock. The
+ * holders are checked after each event: no key may have two holders that are up.
  */
 import { expect } from 'chai';
 import { AddressClaims } from '../../src/control/address-claims.js';
@@ -35,22 +35,23 @@
 /** One run of an upstream. Its clock is as slow as the timings allow. */
 class Holder {
   readonly fences = new Float64Array(LARGEST_KEY + 1);
-  /** Fences under which runs before this one held keys. */
+  /** Fences under which earlier runs held keys. */
   readonly fencesBefore = new Float64Array(LARGEST_KEY + 1);
-  /** A key that this run took under no higher fence than a run before it. */
+  /** A key that this run accepted under no higher fence than an earlier run; `null` if there is none. */
   fencesReused: string | null = null;
   readonly heldUntil = new Float64Array(LARGEST_KEY + 1).fill(Number.NEGATIVE_INFINITY);
   /**
-   * `refused`: cut off from control by something that refuses connections in its name, while it lives and holds its keys. `deaf`: the same, but
-   * its heartbeats come. `mute`: its heartbeats come, and its calls get no answer. `erring`: they get a failure of somebody's.
+   * `refused`: cut off from control by a device that refuses connections, while the upstream is live and holds its
+   * keys. `deaf`: the same, but its heartbeats arrive. `mute`: its heartbeats arrive, and its calls get no response.
+   * `erring`: its heartbeats arrive, and its calls get an error response from an unknown sender.
    */
   state: 'up' | 'cut' | 'refused' | 'deaf' | 'mute' | 'erring' | 'dark' | 'ended' = 'up';
-  /** Share of calls that are carried out late, without an answer. */
+  /** Share of calls that are carried out late, without a response. */
   lateShare = 0;
   leaving = false;
   zone = 'a';
   warmupMillis = 0;
-  /** Start of its run; `null`: only its id names it. */
+  /** Start of its run; `null` if only the id identifies it. */
   born: number | null = null;
 
   constructor(
@@ -74,7 +75,7 @@
     return { type: 'accepted', handover: call.kind === 'release' ? `${this.id}:${call.from}` : null };
   }
 
-  /** Another run takes its place: it knows and holds nothing. */
+  /** Replaces this run by the next one, which starts without fences and keys. */
   restart(born: number): void {
     this.born = born;
     this.fences.forEach((fence, key) => {
@@ -98,7 +99,7 @@
   readonly registry: Registry = createRegistry();
   readonly holders = new Map<UpstreamId, Holder>();
   readonly calls: HolderCall[] = [];
-  /** What leaders logged. */
+  /** Log records of the leaders. */
   readonly records: Readonly<Record<string, unknown>>[] = [];
   readonly #events = new EventQueue();
   #leader: RangeCoordinator | null = null;
@@ -108,15 +109,15 @@
   /** Run at the other end of the connection that carried the first grant under a fence. */
   readonly #carriedBy = new Map<string, number | null>();
 
-  /** What upstreams bear that are in need. */
+  /** Load limits of constrained upstreams. */
   readonly bearings = new Map<UpstreamId, Bearing>();
 
   /** Sabotage: a refused connection counts as the end of the run at the address. */
   takesRefusalAsEnd = false;
 
-  /** Sabotage: grants that were sent before go out over any connection. */
+  /** Sabotage: grants that were sent before may use any connection. */
   ignoresConnections = false;
-  /** Sabotage: whoever says that it lives at an address is taken for the run that lives there. */
+  /** Sabotage: any sender that claims an address is accepted as the run that lives there. */
   takesAnyWord = false;
 
   /** Virtual time. */
@@ -124,7 +125,7 @@
     return this.#events.now;
   }
 
-  /** `declared`: what the document says of the service beside its name and keys. */
+  /** `declared` holds further fields of the service's declaration. */
   constructor(
     private readonly random: () => number = () => 1,
     declared: object = {},
@@ -147,7 +148,7 @@
     this.#leader?.registryChanged(this.now);
   }
 
-  /** Ends a run and starts the next one under the same id, which says so at once, or at its next heartbeat. */
+  /** Ends a run and starts the next one under the same id, which announces itself at once, or at its next heartbeat. */
   restart(id: UpstreamId, isHeard = true): void {
     const holder = this.holders.get(id) as Holder;
     holder.restart((holder.born ?? 0) + 10);
@@ -158,7 +159,7 @@
     this.#leader?.heard({ upstream: id, born: holder.born, report: null }, () => {}, this.now);
   }
 
-  /** A heartbeat and a withdrawal of the run before arrive now. */
+  /** Delivers a heartbeat and a withdrawal of the previous run now. */
   announceRunBefore(id: UpstreamId): void {
     const holder = this.holders.get(id) as Holder;
     const born = (holder.born ?? 0) - 10;
@@ -193,13 +194,13 @@
     this.#claim(definition);
   }
 
-  /** The first heartbeat of an earlier run of a server, which nobody heard of, arrives now. */
+  /** Delivers the first heartbeat of an earlier, unknown run at a holder's address now. */
   lateWord({ id, address }: Holder): void {
     this.#lateWords += 1;
     this.announce(new Holder(`${id}-before-${this.#lateWords}`, address));
   }
 
-  /** A new leader; calls and proposals of the one before may still be under way. */
+  /** Elects a new leader; calls and proposals of the previous one may still be in progress. */
   elect(): void {
     this.#leadership += 1;
     const leadership = this.#leadership;
@@ -243,7 +244,7 @@
     this.#events.after(millis, run);
   }
 
-  /** Lets time pass; looks at all holders after each event. */
+  /** Advances the time; checks all holders after each event. */
   run(millis: number): void {
     const end = this.now + millis;
     while (this.now < end) {
@@ -254,19 +255,22 @@
     }
   }
 
-  /** Upstream that holds a key and is its owner in the registry; `null`: nobody serves it. */
+  /** Returns the upstream that holds a key and owns it in the registry; `null` if the key is not served. */
   servedBy(key: number): UpstreamId | null {
     const range = this.registry.ranges(SERVICE).find(({ from, to }) => from <= key && key <= to);
     const holder = this.holders.get(range?.owner ?? '');
     return holder?.state === 'up' && holder.holds(key, this.now) ? holder.id : null;
   }
 
-  /** Share of sampled keys that are served. */
+  /** Returns the share of sampled keys that are served. */
   servedShare(): number {
     return SAMPLED_KEYS.filter((key) => this.servedBy(key) !== null).length / SAMPLED_KEYS.length;
   }
 
-  /** A run that another one at its address keeps out isn't taken in now; without a leader it is one of those from before. */
+  /**
+   * Announces an upstream unless the claim of its address is denied. Without a leader, or for a recorded upstream, no
+   * claim is needed.
+   */
   #claim(definition: UpstreamDefinition): void {
     const leadership = this.#leadership;
     const settle = (isTaken: boolean): void => {
@@ -281,7 +285,7 @@
     }
   }
 
-  /** Whoever lives at an address answers, unless it is cut off. */
+  /** Answers an identity question for the run at an address, unless that one is cut off. */
   #ask({ id, address, claimant }: IdentityQuestion, claims: AddressClaims): void {
     const living = [...this.holders.values()].find((holder) => holder.address === address && holder.isAlive);
     const tell = (millis: number, answer: IdentityAnswer): void =>
@@ -331,7 +335,7 @@
       return;
     }
     this.#carriedBy.set(first, run);
-    // The wire looks the same whether nobody listens or something on the way refuses.
+    // A refusal looks the same on the wire whether no process listens or a device on the path refuses.
     if (holder === undefined || holder.state === 'ended' || ['refused', 'deaf'].includes(holder.state)) {
       tell(2 * NETWORK_MILLIS, { type: this.takesRefusalAsEnd ? 'ended' : 'refused' });
     } else if (holder.state === 'erring') {
@@ -339,13 +343,13 @@
     } else if (holder.state !== 'up') {
       tell(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
     } else if (this.random() < holder.lateShare) {
-      // The run that read it may take it late; with the run it is gone.
+      // The run that read the call may accept it late; if the run ends, the call is lost.
       this.after(2000 + this.random() * 2000, () => holder.born === run && holder.take(call, this.now));
       tell(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
     } else {
       this.after(NETWORK_MILLIS, () => {
         if (isBound && holder.born !== run) {
-          // It was on its way over a connection that ended with the run.
+          // The call was in transit on a connection that ended with the run.
           tell(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
         } else {
           tell(NETWORK_MILLIS, holder.take(call, this.now));
--- a/test/control/refused-connections.test.ts
+++ b/test/control/refused-connections.test.ts
@@ -1,13 +1,14 @@
 /**
- * What users saw: two servers held the same keys for seconds, on days with cuts between servers and control.
+ * Guards against two servers holding the same keys for seconds, as seen when servers were cut off from control.
  *
- * Order of events: an owner is cut off from control, not from routers, by a device that refuses connections in its name; its
- * heartbeats don't come any more; control's next connection to it (a check where grants ride on heartbeats, a renewal where they go
- * by calls) is refused; control gives its keys to others; it goes on to hold them until its last grant runs out, up to 10 s later.
+ * An owner is cut off from control, but not from routers, by a device that refuses connections in its place, and its
+ * heartbeats stop. The next connection of control to it is refused (a check where ranges are granted by heartbeats, a
+ * renewal where they are granted by calls). Control assigns its keys to others while it holds them until its last
+ * grant expires, up to 10 s later.
  *
- * Cause: a refused connection was taken for proof that the run at the address had ended. Evidence: in each of the plays that
- * showed two holders, control's log has a call to the first one with the outcome `ended` within 0.1 s before the second one's
- * first grant, while requests went on to reach the first.
+ * The cause was that a refused connection counted as proof that the run at the address had ended. In each play with
+ * two holders, control's log had a call to the first one with the outcome `ended` within 0.1 s before the second
+ * one's first grant, while requests continued to reach the first.
  */
 import { expect } from 'chai';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -16,9 +17,9 @@
 import { RangeWorld } from './range-world.js';
 
 const FIRST_GRANTS_MILLIS = 4000;
-/** Longer than anything that was granted holds, and than a late grant takes, in both worlds. */
+/** Longer than any grant is held, including one accepted late, in both simulations. */
 const LONG_MILLIS = 14_000;
-/** Under one leader, and as many under one that is elected meanwhile. */
+/** Seeds under one leader; as many more run with an election during the cut. */
 const SEEDS = 20;
 
 function randomOf(seed: number): () => number {
@@ -59,10 +60,10 @@
         expect(world.servedShare(), `seed ${seed}`).to.equal(1);
         set('u2', 'refused');
         if (seed > SEEDS) {
-          // A leader that has heard nobody.
+          // This leader has received no heartbeat yet.
           world.elect();
         }
-        // The world looks at all holders after each event.
+        // The simulation checks all holders after each event.
         world.run(2 * LONG_MILLIS);
         expect(world.servedShare(), `seed ${seed}, others have its keys`).to.equal(1);
         set('u2', 'up');
--- a/test/control/refusing-owners.test.ts
+++ b/test/control/refusing-owners.test.ts
@@ -1,13 +1,14 @@
 /**
- * What users would see: keys that nobody serves for as long as a cut lasts, and two holders of the same keys.
+ * Guards against keys that are not served for as long as a cut lasts, and against two holders of the same keys.
  *
- * Order of events: a device on the way refuses control's calls to an upstream in its name, while its heartbeats go on to reach control.
- * Each heartbeat ends the silence that its refused calls began, so it counts as reachable, and it keeps the keys that it was never told
- * of, or that it can't be told of any more.
+ * A device on the path refuses control's calls to an upstream, while the upstream's heartbeats still reach control.
+ * Each heartbeat ends the silence that the refused calls began, so the upstream counts as reachable and stays the
+ * owner of keys that it was never notified of, or can no longer be notified of.
  *
- * Evidence: runs of this file on the code before it: 0.75 of the keys served after a minute; key 16384 held by u1 and u2.
+ * Before the fix, these tests gave 0.75 of the keys served after a minute, and key 16384 held by u1 and u2.
  *
- * A grant without answer that its holder takes late though nothing was ever heard of it again stays an assumption (range ownership, the bound).
+ * The time bound of an unanswered grant that its holder accepts late remains an assumption if the holder sends
+ * nothing afterwards (range ownership, the bound).
  */
 import { expect } from 'chai';
 import { longestHoldMillis } from '../../src/lease/timed-grants.js';
@@ -15,7 +16,7 @@
 
 const FIRST_GRANTS_MILLIS = 4000;
 const LONGEST_HOLD_MILLIS = longestHoldMillis(TIMINGS);
-/** Nothing that an earlier leader may have sent counts after this. */
+/** After this time no call of an earlier leader can take effect. */
 const SETTLED_MILLIS = 500 + TIMINGS.lateMillis + LONGEST_HOLD_MILLIS;
 const LOST_AFTER_MILLIS = 1500;
 
@@ -46,10 +47,10 @@
     it(`loses its keys once it can take no grant late any more (calls are ${how})`, () => {
       const world = started();
       Object.assign(world.holders.get('u2') ?? {}, { state });
-      // It is granted its keys again for one hold, and takes the last of these grants late at the worst.
+      // It is granted its keys again for one hold, and in the worst case accepts the last of these grants late.
       world.run(LONGEST_HOLD_MILLIS + TIMINGS.lateMillis + LONGEST_HOLD_MILLIS + 1000);
       expect(world.servedShare()).to.equal(1);
-      // It is tried again, with a few keys each time, ever more rarely.
+      // It is retried with a few keys each time, at growing intervals.
       let servedSeconds = 0;
       for (let second = 0; second < 60; second += 1) {
         world.run(1000);
@@ -96,7 +97,7 @@
       if (leaving && holder !== undefined) {
         world.announce(holder);
       }
-      // The world looks at all holders after each event.
+      // The simulation checks all holders after each event.
       world.run(10_000);
     });
   }
--- a/test/control/removed-owners.test.ts
+++ b/test/control/removed-owners.test.ts
@@ -1,10 +1,11 @@
 /**
- * What users would see: two servers hold the same keys after an operator removed one of them that was up.
+ * Guards against two servers holding the same keys after an operator removed one of them while it was up.
  *
- * Order of events: an operator removes an upstream that owns ranges; only shards are looked at, so that is taken; an owner without a record
- * counts as holding nothing; its keys go to others at once, while it goes on under what it was granted last.
+ * An operator removes an upstream that owns ranges, which is permitted because only shards are checked. An owner
+ * without a record counts as holding nothing, so its keys are reassigned at once, while it still holds them under its
+ * last grants.
  *
- * Cause: that something is missing in the registry is taken for proof that its holder holds nothing.
+ * The cause is that a missing registry record is taken as proof that its holder holds nothing.
  */
 import { HeartbeatWorld } from './heartbeat-world.js';
 import { RangeWorld } from './range-world.js';
@@ -21,7 +22,7 @@
     world.run(FIRST_GRANTS_MILLIS);
     const revision = world.registry.upstreams().get('u2')?.revision ?? 0;
     world.apply({ type: 'upstream-remove', upstream: 'u2', expected: revision });
-    // The world looks at all holders after each event.
+    // The simulation checks all holders after each event.
     world.run(FIRST_GRANTS_MILLIS);
   });
 
--- a/test/control/restarted-owners.test.ts
+++ b/test/control/restarted-owners.test.ts
@@ -1,11 +1,14 @@
-/** Owners that start again under their id: their keys get a higher fence and an owner at once, whatever was on its way to them. */
+/**
+ * Owners that restart under their id: their keys get a higher fence and an owner at once, whatever messages to them
+ * are in transit.
+ */
 import { expect } from 'chai';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { RangeWorld, SERVICE } from './range-world.js';
 
 const FIRST_GRANTS_MILLIS = 2500;
-/** Seeds of one run; more by the environment variable `TERNMOUNT_SEEDS`. */
+/** Number of seeds; set `TERNMOUNT_SEEDS` to run more. */
 const SEEDS = Number(process.env.TERNMOUNT_SEEDS ?? 24);
 
 function started(random?: () => number): RangeWorld {
@@ -45,7 +48,7 @@
   it('would, were grants that were sent before carried by any connection', () => {
     const world = started();
     world.ignoresConnections = true;
-    // Renewals come before the next run's heartbeat.
+    // Renewals are due before the next run's heartbeat.
     expect(() => {
       for (let count = 0; count < 24; count += 1) {
         world.restart(`u${1 + (count % 4)}`, false);
--- a/test/control/weighed-moves.test.ts
+++ b/test/control/weighed-moves.test.ts
@@ -1,4 +1,7 @@
-/** A leader weighs moves of keys where the document says how long keys without hand-over are slow, and says what they are worth. */
+/**
+ * A leader weighs moves of keys if the service declares how long keys without handover are slow, and logs what they
+ * are worth.
+ */
 import { expect } from 'chai';
 import { EVENTS } from '../../src/logging/events.js';
 import { RangeWorld, SERVICE } from './range-world.js';
@@ -7,7 +10,7 @@
 const REPORT_MILLIS = 250;
 const WORK_MILLIS = 100;
 
-/** Four owners; keys at the start of the first one's take twice what it can do, for some seconds. */
+/** Four owners; for some seconds, keys at the start of the first one's range take twice its capacity. */
 function heated(declared: object): RangeWorld {
   const world = new RangeWorld(undefined, declared);
   for (const id of ['u1', 'u2', 'u3', 'u4']) {
