--- a/src/control/ranges/call-carrier.ts
+++ b/src/control/ranges/call-carrier.ts
@@ -6,8 +6,8 @@
 import { FREE_PROOFS, type FreeProof } from './free-proof.js';
 import type { GrantCall, HolderCall, HolderOutcome, ReleaseCall } from './holder-call.js';
 import type { HolderTable } from './holder-table.js';
-import type { RangeCarrier, RangeCarrierParts, WantedCall } from './range-carrier.js';
-import { type KeptGrant, RangeGrants } from './range-grants.js';
+import type { PlannedCall, RangeCarrier, RangeCarrierParts } from './range-carrier.js';
+import { type GrantState, RangeGrants } from './range-grants.js';
 import type { ReleasedPiece } from './range-releases.js';
 
 /** Delay before a failed release is retried. */
@@ -16,7 +16,7 @@
 export class CallCarrier implements RangeCarrier {
   readonly #grants: RangeGrants;
   /** Unresponsive upstreams that get their one probe call in this step. */
-  readonly #probedNow = new Set<UpstreamId>();
+  readonly #probed = new Set<UpstreamId>();
 
   constructor(
     private readonly parts: RangeCarrierParts,
@@ -28,7 +28,7 @@
     this.#grants.inherit(parts.ranges(), now);
   }
 
-  canTell(): boolean {
+  canNotify(): boolean {
     return true;
   }
 
@@ -36,43 +36,43 @@
     return true;
   }
 
-  lostBy({ fence, from, to }: KeyRange, owner: UpstreamId, now: MonotonicMillis): FreeProof | null {
-    const isGivenUp = this.#grants.find(fence, from, to)?.isGivenUp ?? false;
-    return isGivenUp ? this.holders.freeBy(owner, now) : this.holders.lostBy(owner, now);
+  lossProof({ fence, from, to }: KeyRange, owner: UpstreamId, now: MonotonicMillis): FreeProof | null {
+    const isAbandoned = this.#grants.find(fence, from, to)?.isAbandoned ?? false;
+    return isAbandoned ? this.holders.freeProof(owner, now) : this.holders.lossProof(owner, now);
   }
 
-  isRefused({ fence, from, to }: KeyRange): boolean {
+  isRejected({ fence, from, to }: KeyRange): boolean {
     return this.#grants.find(fence, from, to)?.isSuperseded ?? false;
   }
 
-  freeBy(piece: ReleasedPiece, { former }: KeyRange, now: MonotonicMillis): FreeProof | null {
+  freeProof(piece: ReleasedPiece, { former }: KeyRange, now: MonotonicMillis): FreeProof | null {
     if (former === null) {
       return FREE_PROOFS.neverHeld;
     }
-    return piece.isReleased ? FREE_PROOFS.released : this.holders.freeBy(former, now);
+    return piece.isReleased ? FREE_PROOFS.released : this.holders.freeProof(former, now);
   }
 
-  passOn({ from, to, handover }: ReleasedPiece): boolean {
-    this.#grants.handOver(from, to, handover);
+  transferHandover({ from, to, handover }: ReleasedPiece): boolean {
+    this.#grants.storeHandover(from, to, handover);
     return handover !== null;
   }
 
-  follow(ranges: readonly KeyRange[], now: MonotonicMillis): void {
-    this.#grants.follow(ranges, now);
+  syncRanges(ranges: readonly KeyRange[], now: MonotonicMillis): void {
+    this.#grants.syncRanges(ranges, now);
   }
 
-  takeCalls(now: MonotonicMillis): WantedCall[] {
-    this.#grants.follow(this.parts.ranges(), now);
+  dequeueCalls(now: MonotonicMillis): PlannedCall[] {
+    this.#grants.syncRanges(this.parts.ranges(), now);
     const grants = this.#grants.takeDue(now);
-    this.#probedNow.clear();
+    this.#probed.clear();
     return [...this.#releaseCalls(now), ...grants.flatMap((grant) => this.#grantCalls(grant, now))];
   }
 
-  callEnded(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void {
+  onCallEnd(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void {
     if (call.kind === 'grant') {
-      this.#grantEnded(call, outcome, now);
+      this.#onGrantEnd(call, outcome, now);
     } else {
-      this.#releaseEnded(call, outcome, now);
+      this.#onReleaseEnd(call, outcome, now);
     }
   }
 
@@ -88,47 +88,47 @@
    * Returns the call for a due grant, if any. A superseded grant is not sent again: its range gets a higher fence
    * first.
    */
-  #grantCalls(grant: KeptGrant, now: MonotonicMillis): WantedCall[] {
+  #grantCalls(grant: GrantState, now: MonotonicMillis): PlannedCall[] {
     const { from, to, fence, owner } = grant.range;
     const record = owner === null ? undefined : this.parts.record(owner);
-    if (owner === null || record === undefined || !this.#mayGrant(grant.range, record)) {
-      this.#grants.putOff(grant, now);
+    if (owner === null || record === undefined || !this.#canGrant(grant.range, record)) {
+      this.#grants.postpone(grant, now);
       return [];
     }
-    grant.isAsked = true;
+    grant.isPending = true;
     const { holdMillis } = this.timings;
     const { address } = record.definition;
     const { handover } = grant;
     const run = record.incarnation ?? owner;
-    const isBound = run !== owner && (grant.isRenewal || grant.wasAsked);
-    grant.wasAsked = true;
+    const isBound = run !== owner && (grant.isRenewal || grant.wasSent);
+    grant.wasSent = true;
     return [{ kind: 'grant', upstream: owner, address, from, to, fence, run, holdMillis, handover, isBound }];
   }
 
-  #mayGrant(range: KeyRange, record: UpstreamRecord): boolean {
-    const isMeant = !this.parts.isLeaving(record) && !this.parts.isBeingTaken(range);
-    return isMeant && this.#mayCall(record.definition.id);
+  #canGrant(range: KeyRange, record: UpstreamRecord): boolean {
+    const isWanted = !this.parts.isLeaving(record) && !this.parts.isBeingRevoked(range);
+    return isWanted && this.#canCall(record.definition.id);
   }
 
   /** Limits an unresponsive upstream to one open call, which shows when it can be reached again. */
-  #mayCall(upstream: UpstreamId): boolean {
+  #canCall(upstream: UpstreamId): boolean {
     if (this.holders.silentSince(upstream) === null) {
       return true;
     }
-    const isProbed = this.#probedNow.has(upstream) || this.holders.hasOpenCalls(upstream);
-    this.#probedNow.add(upstream);
+    const isProbed = this.#probed.has(upstream) || this.holders.hasOpenCalls(upstream);
+    this.#probed.add(upstream);
     return !isProbed;
   }
 
-  #releaseCalls(now: MonotonicMillis): WantedCall[] {
+  #releaseCalls(now: MonotonicMillis): PlannedCall[] {
     const due = this.parts.releases.takeDue(now, RELEASE_RETRY_MILLIS);
     return due.flatMap((piece) => {
       const { former, from, to, fence } = piece;
       const record = former === null ? undefined : this.parts.record(former);
-      if (former === null || record === undefined || !this.#isUnowned(piece) || !this.#mayCall(former)) {
+      if (former === null || record === undefined || !this.#isUnowned(piece) || !this.#canCall(former)) {
         return [];
       }
-      piece.isAsked = true;
+      piece.isPending = true;
       const { address } = record.definition;
       const run = record.incarnation ?? former;
       return [{ kind: 'release', upstream: former, address, from, to, fence, run }];
@@ -145,28 +145,28 @@
     return range?.owner === null && range.fence === fence;
   }
 
-  #grantEnded(call: GrantCall, outcome: HolderOutcome, now: MonotonicMillis): void {
+  #onGrantEnd(call: GrantCall, outcome: HolderOutcome, now: MonotonicMillis): void {
     const grant = this.#grants.find(call.fence, call.from, call.to);
     if (grant === undefined) {
       return;
     }
     if (outcome.type === 'accepted') {
-      this.#grants.granted(grant, now);
+      this.#grants.onGranted(grant, now);
       return;
     }
     grant.isSuperseded = outcome.type === 'superseded' || outcome.type === 'unbound';
     if (outcome.type === 'silent' || outcome.type === 'rejected') {
-      this.#grants.unanswered(grant, now);
+      this.#grants.onNoResponse(grant, now);
     }
-    this.#grants.putOff(grant, now);
+    this.#grants.postpone(grant, now);
   }
 
-  #releaseEnded(call: ReleaseCall, outcome: HolderOutcome, now: MonotonicMillis): void {
+  #onReleaseEnd(call: ReleaseCall, outcome: HolderOutcome, now: MonotonicMillis): void {
     const piece = this.parts.releases.find(call.fence, call.from, call.to);
     if (piece === undefined) {
       return;
     }
-    piece.isAsked = false;
+    piece.isPending = false;
     piece.nextAt = now + RELEASE_RETRY_MILLIS;
     if (outcome.type === 'accepted') {
       piece.isReleased = true;
--- a/src/control/ranges/heartbeat-carrier.ts
+++ b/src/control/ranges/heartbeat-carrier.ts
@@ -14,17 +14,17 @@
 import type { RangeCarrier, RangeCarrierParts } from './range-carrier.js';
 import { RangeIndex } from './range-index.js';
 import type { ReleasedPiece } from './range-releases.js';
-import { ToldGrants } from './told-grants.js';
+import { HeartbeatGrants } from './told-grants.js';
 
 /** Time an owner needs to release keys and report it; subtracted from how long the next owner's heartbeat may wait. */
 const RELEASE_MILLIS = 250;
 /** Maximum size of the grants in a response; the reader accepts 4 KiB. */
-const MOST_GRANT_BYTES = 3800;
+const MAX_GRANT_BYTES = 3800;
 /** Maximum size of one grant without its handover. */
-const GRANT_BYTES = 36;
+const BYTES_PER_GRANT = 36;
 
 /** A planned move and the owner that releases the keys. */
-export interface WantedMove extends PlannedSpan {
+export interface PendingMove extends PlannedSpan {
   readonly owner: UpstreamId;
 }
 
@@ -32,18 +32,18 @@
   readonly holders: HeartbeatHolders;
   readonly timings: RangeTimings;
   /** Moves that wait until both upstreams can be reached. */
-  readonly wanted: () => readonly WantedMove[];
+  readonly wanted: () => readonly PendingMove[];
 }
 
 export class HeartbeatCarrier implements RangeCarrier {
   readonly #parts: HeartbeatCarrierParts;
   readonly #open: OpenHeartbeats;
-  readonly #told = new ToldGrants();
+  readonly #grants = new HeartbeatGrants();
   readonly #index: RangeIndex;
   /** The ranges of the last `syncRanges`. */
-  #followed: readonly KeyRange[] | null = null;
+  #syncedRanges: readonly KeyRange[] | null = null;
   /** For each unowned piece, the last heartbeat whose response may have named it. */
-  readonly #namedUntil = new WeakMap<ReleasedPiece, number>();
+  readonly #lastNamedIn = new WeakMap<ReleasedPiece, number>();
 
   constructor(parts: HeartbeatCarrierParts) {
     this.#parts = parts;
@@ -52,13 +52,13 @@
   }
 
   /** Handles a heartbeat. One without current information is answered at once and renews nothing. */
-  take(heartbeat: ReportingHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
+  onHeartbeat(heartbeat: ReportingHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     const { upstream, report } = heartbeat;
     if (!this.#parts.holders.heard(heartbeat, now)) {
       answer(null, now);
       return;
     }
-    this.#told.shown(this.#index.ownedBy(upstream), report);
+    this.#grants.recordReport(this.#index.ownedBy(upstream), report);
     this.#open.open(upstream, answer, now);
   }
 
@@ -66,7 +66,7 @@
    * Answers the heartbeats that need not wait. While `isDeciding`, a change of owners is in progress and all
    * heartbeats wait for it.
    */
-  answerDue(isDeciding: boolean, now: MonotonicMillis): GrantedAnswer[] {
+  answerDue(isDeciding: boolean, now: MonotonicMillis): GrantedResponse[] {
     const due = this.#open.upstreams().filter((upstream) => !this.#mustWait(upstream, isDeciding, now));
     return due.map((upstream) => {
       const keys = this.#keysOf(upstream);
@@ -86,7 +86,7 @@
     }
   }
 
-  canTell(upstream: UpstreamId): boolean {
+  canNotify(upstream: UpstreamId): boolean {
     return this.#open.has(upstream);
   }
 
@@ -95,19 +95,19 @@
    * wait for.
    */
   canMove(owner: UpstreamId, target: UpstreamId, now: MonotonicMillis): boolean {
-    const isTargetSoon = this.#open.isExpected(target, this.#open.patienceOf(owner, now), now);
+    const isTargetSoon = this.#open.isExpected(target, this.#open.remainingWait(owner, now), now);
     return this.#open.has(owner) && (this.#open.has(target) || !isTargetSoon);
   }
 
-  lostBy(_range: KeyRange, owner: UpstreamId, now: MonotonicMillis): FreeProof | null {
-    return this.#parts.holders.lostBy(owner, now);
+  lossProof(_range: KeyRange, owner: UpstreamId, now: MonotonicMillis): FreeProof | null {
+    return this.#parts.holders.lossProof(owner, now);
   }
 
-  isRefused(range: KeyRange): boolean {
-    return this.#told.isRefused(range);
+  isRejected(range: KeyRange): boolean {
+    return this.#grants.isRejected(range);
   }
 
-  freeBy(piece: ReleasedPiece, { former }: KeyRange, now: MonotonicMillis): FreeProof | null {
+  freeProof(piece: ReleasedPiece, { former }: KeyRange, now: MonotonicMillis): FreeProof | null {
     if (former === null) {
       return FREE_PROOFS.neverHeld;
     }
@@ -115,24 +115,24 @@
       return FREE_PROOFS.released;
     }
     const { holders } = this.#parts;
-    const afterSequence = this.#namedUntil.get(piece) ?? holders.grantedSequence(former);
-    this.#namedUntil.set(piece, afterSequence);
+    const afterSequence = this.#lastNamedIn.get(piece) ?? holders.grantedSequence(former);
+    this.#lastNamedIn.set(piece, afterSequence);
     const proof = holders.freeBy(former, piece, { since: piece.since, afterSequence }, now);
     piece.isReleased = proof !== null;
     return proof;
   }
 
-  passOn(piece: ReleasedPiece, { former }: KeyRange): boolean {
+  transferHandover(piece: ReleasedPiece, { former }: KeyRange): boolean {
     const handover = former === null ? null : this.#parts.holders.handoverOf(former, piece);
-    this.#told.handOver(piece, handover);
+    this.#grants.storeHandover(piece, handover);
     return handover !== null;
   }
 
   /** Registry records of upstreams change without the ranges, so they are checked each time. */
-  follow(ranges: readonly KeyRange[]): void {
-    if (ranges !== this.#followed) {
-      this.#followed = ranges;
-      this.#told.keepOnly(ranges);
+  syncRanges(ranges: readonly KeyRange[]): void {
+    if (ranges !== this.#syncedRanges) {
+      this.#syncedRanges = ranges;
+      this.#grants.keepOnly(ranges);
     }
     const isKnown = (upstream: UpstreamId): boolean => this.#parts.record(upstream) !== undefined;
     this.#open.keepOnly(isKnown);
@@ -140,11 +140,11 @@
   }
 
   /** Returns no calls: these upstreams do not accept any. */
-  takeCalls(): [] {
+  dequeueCalls(): [] {
     return [];
   }
 
-  callEnded(): void {}
+  onCallEnd(): void {}
 
   /** Returns `Infinity`: responses follow a decision and carry its result. */
   nextCallAt(): MonotonicMillis {
@@ -161,24 +161,27 @@
    * reports this in its next heartbeat, so it is answered at once.
    */
   #mustWait(upstream: UpstreamId, isDeciding: boolean, now: MonotonicMillis): boolean {
-    const patience = this.#open.patienceOf(upstream, now);
-    if (patience === 0 || isDeciding) {
-      return patience > 0;
+    const remainingWait = this.#open.remainingWait(upstream, now);
+    if (remainingWait === 0 || isDeciding) {
+      return remainingWait > 0;
     }
     const pieces = this.#parts.releases.open();
     if (pieces.some(({ former, isReleased }) => former === upstream && !isReleased)) {
       return false;
     }
     const isReceiving = pieces.some(({ target }) => target === upstream);
-    return isReceiving || this.#parts.wanted().some((move) => this.#waitsFor(move, upstream, patience, now));
+    return (
+      isReceiving || this.#parts.wanted().some((move) => this.#waitsFor(move, upstream, remainingWait, now))
+    );
   }
 
-  #waitsFor(move: WantedMove, upstream: UpstreamId, patience: number, now: MonotonicMillis): boolean {
+  #waitsFor(move: PendingMove, upstream: UpstreamId, remainingWait: number, now: MonotonicMillis): boolean {
     if (move.target === upstream) {
       const isOwnerOpen = this.#open.has(move.owner);
-      return isOwnerOpen || this.#open.isExpected(move.owner, patience - RELEASE_MILLIS, now);
+      return isOwnerOpen || this.#open.isExpected(move.owner, remainingWait - RELEASE_MILLIS, now);
     }
-    const isTargetLate = !this.#open.has(move.target) && this.#open.isExpected(move.target, patience, now);
+    const isTargetLate =
+      !this.#open.has(move.target) && this.#open.isExpected(move.target, remainingWait, now);
     return move.owner === upstream && isTargetLate;
   }
 
@@ -187,13 +190,13 @@
     if (this.#parts.record(upstream) === undefined) {
       return null;
     }
-    const owned = this.#index.ownedBy(upstream).filter((range) => !this.#parts.isBeingTaken(range));
+    const owned = this.#index.ownedBy(upstream).filter((range) => !this.#parts.isBeingRevoked(range));
     let bytes = 0;
     const spans: GrantedSpan[] = [];
     for (const range of owned) {
-      const handover = this.#told.tell(range);
-      bytes += GRANT_BYTES + (handover?.length ?? 0);
-      if (bytes <= MOST_GRANT_BYTES) {
+      const handover = this.#grants.recordResponse(range);
+      bytes += BYTES_PER_GRANT + (handover?.length ?? 0);
+      if (bytes <= MAX_GRANT_BYTES) {
         spans.push({ from: range.from, to: range.to, fence: range.fence, handover });
       }
     }
@@ -202,7 +205,7 @@
 }
 
 /** The response to a heartbeat; `keys` is `null` if nothing was renewed. */
-export interface GrantedAnswer {
+export interface GrantedResponse {
   readonly upstream: UpstreamId;
   readonly sequence: number | null;
   readonly keys: GrantedKeys | null;
--- a/src/control/ranges/heartbeat-holders.ts
+++ b/src/control/ranges/heartbeat-holders.ts
@@ -30,20 +30,20 @@
 }
 
 /** Releases kept per upstream; if one is dropped, the next owner starts with a colder cache. */
-const RELEASES_REMEMBERED = 64;
+const MAX_RELEASES = 64;
 
 interface Holder {
   /** Start of the run that sent the last heartbeat; `null` if it does not report one or no heartbeat arrived. */
   born: WallMillis | null;
   /** This run is known to have started after the previous one and has not been granted keys yet, so it holds nothing. */
-  isAnew: boolean;
+  isNewRun: boolean;
   /** Report of the latest in-order heartbeat with information on keys; `null` if there was none in this leadership. */
-  latest: HeldKeys | null;
+  latestReport: HeldKeys | null;
   /** Number of in-order heartbeats with information on keys in this leadership. */
-  heard: number;
+  reportCount: number;
   heardAt: MonotonicMillis;
   /** Until this time the upstream cannot have lost the keys it last reported without reporting their release. */
-  namesUntil: MonotonicMillis;
+  heldUntil: MonotonicMillis;
   /** Sequence of the last accepted heartbeat, with or without information on keys. */
   sequence: number;
   /** Sequence of the latest heartbeat whose response granted keys. */
@@ -64,7 +64,7 @@
   constructor(
     private readonly timings: TimedGrantTimings,
     private readonly since: MonotonicMillis,
-    private readonly foreignUntil: MonotonicMillis = Number.NEGATIVE_INFINITY,
+    private readonly callGrantsUntil: MonotonicMillis = Number.NEGATIVE_INFINITY,
   ) {}
 
   /**
@@ -72,27 +72,27 @@
    * no information on keys although its upstream still holds some, so another sender wrote it.
    */
   heard({ upstream, born, report }: ReportingHeartbeat, now: MonotonicMillis): boolean {
-    if (!this.#noteRun(upstream, born)) {
+    if (!this.#updateRun(upstream, born)) {
       return false;
     }
-    const holder = this.#of(upstream);
-    const isLate = holder.latest !== null && report.sequence <= holder.latest.sequence;
-    const isWord = saysOfKeys(report);
-    if (isLate || (!isWord && now < holder.namesUntil)) {
+    const holder = this.#holderOf(upstream);
+    const isLate = holder.latestReport !== null && report.sequence <= holder.latestReport.sequence;
+    const reportsKeys = saysOfKeys(report);
+    if (isLate || (!reportsKeys && now < holder.heldUntil)) {
       return false;
     }
     holder.sequence = report.sequence;
     holder.heardAt = now;
-    if (isWord) {
-      this.#noteWord(holder, report, now);
+    if (reportsKeys) {
+      this.#recordReport(holder, report, now);
     }
     return true;
   }
 
   /** Records that a response granting keys is decided now, for the latest heartbeat. */
   granted(upstream: UpstreamId, now: MonotonicMillis): void {
-    const holder = this.#of(upstream);
-    holder.isAnew = false;
+    const holder = this.#holderOf(upstream);
+    holder.isNewRun = false;
     holder.grantedAt = Math.max(holder.grantedAt, now);
     holder.grantedSequence = Math.max(holder.grantedSequence, holder.sequence);
   }
@@ -103,24 +103,24 @@
   }
 
   /** Returns `false`: no calls are made to these upstreams. */
-  isOutOfReach(): boolean {
+  isUnreachable(): boolean {
     return false;
   }
 
   /** Returns the proof that an owner can no longer hold anything, or `null` if there is none. */
-  lostBy(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
-    const { grantedAt, isAnew, heardAt } = this.#of(upstream);
-    return now >= this.#boundOf(isAnew ? heardAt : grantedAt) ? FREE_PROOFS.bound : null;
+  lossProof(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
+    const { grantedAt, isNewRun, heardAt } = this.#holderOf(upstream);
+    return now >= this.#holdEnd(isNewRun ? heardAt : grantedAt) ? FREE_PROOFS.bound : null;
   }
 
   /** Sequence of the latest heartbeat whose response granted keys; later heartbeats report these keys. */
   grantedSequence(upstream: UpstreamId): number {
-    return this.#of(upstream).grantedSequence;
+    return this.#holderOf(upstream).grantedSequence;
   }
 
   /** Report of the latest in-order heartbeat with information on keys; `null` if there was none in this leadership. */
   latest(upstream: UpstreamId): HeldKeys | null {
-    return this.#holders.get(upstream)?.latest ?? null;
+    return this.#holders.get(upstream)?.latestReport ?? null;
   }
 
   /** Sequence of the last accepted heartbeat; `null` if there was none in this leadership. */
@@ -141,15 +141,15 @@
     { since, afterSequence }: ReleaseTerms,
     now: MonotonicMillis,
   ): FreeProof | null {
-    const { latest, heard, isAnew } = this.#of(former);
-    if (isAnew && now >= this.foreignUntil) {
+    const { latestReport, reportCount, isNewRun } = this.#holderOf(former);
+    if (isNewRun && now >= this.callGrantsUntil) {
       return FREE_PROOFS.nextRun;
     }
-    if (now >= this.#boundOf(Math.max(since, this.since + DEPOSED_GRANTER_MILLIS))) {
+    if (now >= this.#holdEnd(Math.max(since, this.since + DEPOSED_GRANTER_MILLIS))) {
       return FREE_PROOFS.bound;
     }
-    const isEvidence = latest !== null && heard > 1 && latest.sequence > afterSequence;
-    const isFree = isEvidence && now >= this.foreignUntil && hasLetGo(latest, span);
+    const isEvidence = latestReport !== null && reportCount > 1 && latestReport.sequence > afterSequence;
+    const isFree = isEvidence && now >= this.callGrantsUntil && hasLetGo(latestReport, span);
     return isFree ? FREE_PROOFS.released : null;
   }
 
@@ -169,20 +169,20 @@
     }
   }
 
-  #noteWord(holder: Holder, report: HeldKeys, now: MonotonicMillis): void {
+  #recordReport(holder: Holder, report: HeldKeys, now: MonotonicMillis): void {
     const holdsAny = report.held !== null && report.held.length > 0;
-    holder.latest = report;
-    holder.heard += 1;
-    holder.namesUntil = holdsAny ? now + longestHoldMillis(this.timings) : Number.NEGATIVE_INFINITY;
-    holder.releases = [...holder.releases, ...report.released].slice(-RELEASES_REMEMBERED);
+    holder.latestReport = report;
+    holder.reportCount += 1;
+    holder.heldUntil = holdsAny ? now + longestHoldMillis(this.timings) : Number.NEGATIVE_INFINITY;
+    holder.releases = [...holder.releases, ...report.released].slice(-MAX_RELEASES);
   }
 
   /**
    * Returns `false` if the heartbeat is from an earlier run than the last one recorded. A later run proves that the
    * previous run has ended.
    */
-  #noteRun(upstream: UpstreamId, born: WallMillis | null): boolean {
-    const holder = this.#of(upstream);
+  #updateRun(upstream: UpstreamId, born: WallMillis | null): boolean {
+    const holder = this.#holderOf(upstream);
     if (born === null || holder.born === born) {
       return true;
     }
@@ -190,34 +190,37 @@
       return false;
     }
     const isNext = holder.born !== null;
-    this.#holders.set(upstream, isNext ? { ...this.#begun(), born, isAnew: true } : { ...holder, born });
+    this.#holders.set(
+      upstream,
+      isNext ? { ...this.#newHolder(), born, isNewRun: true } : { ...holder, born },
+    );
     return true;
   }
 
   /** Latest time until which keys of a response decided at `grantedAt` can be held. */
-  #boundOf(grantedAt: MonotonicMillis): MonotonicMillis {
-    return Math.max(this.foreignUntil, grantedAt + longestHoldMillis(this.timings));
+  #holdEnd(grantedAt: MonotonicMillis): MonotonicMillis {
+    return Math.max(this.callGrantsUntil, grantedAt + longestHoldMillis(this.timings));
   }
 
-  #of(upstream: UpstreamId): Holder {
-    const known = this.#holders.get(upstream);
-    if (known !== undefined) {
-      return known;
+  #holderOf(upstream: UpstreamId): Holder {
+    const existing = this.#holders.get(upstream);
+    if (existing !== undefined) {
+      return existing;
     }
-    const made = this.#begun();
-    this.#holders.set(upstream, made);
-    return made;
+    const created = this.#newHolder();
+    this.#holders.set(upstream, created);
+    return created;
   }
 
   /** The initial state of an upstream without heartbeats in this leadership. */
-  #begun(): Holder {
+  #newHolder(): Holder {
     return {
       born: null,
-      isAnew: false,
-      latest: null,
-      heard: 0,
+      isNewRun: false,
+      latestReport: null,
+      reportCount: 0,
       heardAt: this.since,
-      namesUntil: Number.NEGATIVE_INFINITY,
+      heldUntil: Number.NEGATIVE_INFINITY,
       sequence: Number.NEGATIVE_INFINITY,
       grantedSequence: Number.NEGATIVE_INFINITY,
       grantedAt: this.since + DEPOSED_GRANTER_MILLIS,
--- a/src/control/ranges/holder-table.ts
+++ b/src/control/ranges/holder-table.ts
@@ -12,15 +12,15 @@
  * an owner that cannot be notified. After the last failed call, and once none of its grants can be held, it is backed
  * off for as long as its calls failed, within these bounds. A successful call ends the back-off at once.
  */
-const LEAST_REST_MILLIS = 5000;
-const MOST_REST_MILLIS = 60_000;
+const MIN_BACKOFF_MILLIS = 5000;
+const MAX_BACKOFF_MILLIS = 60_000;
 
 interface Holder {
   readonly history: HolderHistory;
   /** Another run answered at the upstream's address. */
   hasEnded: boolean;
   /** The connection of the last finished call was refused. */
-  isRefused: boolean;
+  isConnectionRefused: boolean;
   /** Run that the last failed call was addressed to. */
   failedRun: Incarnation | null;
   heardAt: MonotonicMillis;
@@ -37,8 +37,8 @@
     private readonly runOf: (upstream: UpstreamId) => Incarnation | null = () => null,
   ) {}
 
-  sent(call: HolderCall, now: MonotonicMillis): void {
-    this.#of(call.upstream).history.sent(call.id, call.kind === 'grant', now);
+  onCallSent(call: HolderCall, now: MonotonicMillis): void {
+    this.#holderOf(call.upstream).history.sent(call.id, call.kind === 'grant', now);
   }
 
   /**
@@ -46,14 +46,14 @@
    * run except that the call was not taken.
    */
   ended(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void {
-    const holder = this.#of(call.upstream);
+    const holder = this.#holderOf(call.upstream);
     const current = this.runOf(call.upstream);
     if (outcome.type === 'ended' && current !== null && call.run !== current) {
       holder.history.notSent(call.id, now);
       holder.history.spoke(now);
       return;
     }
-    holder.isRefused = outcome.type === 'refused';
+    holder.isConnectionRefused = outcome.type === 'refused';
     switch (outcome.type) {
       case 'accepted':
       case 'superseded':
@@ -83,8 +83,8 @@
   }
 
   /** Records a heartbeat. */
-  heard(upstream: UpstreamId, now: MonotonicMillis): void {
-    const holder = this.#of(upstream);
+  onHeartbeat(upstream: UpstreamId, now: MonotonicMillis): void {
+    const holder = this.#holderOf(upstream);
     holder.heardAt = now;
     holder.hasEnded = false;
     holder.history.spoke(now);
@@ -94,7 +94,7 @@
    * Returns whether a call would fail now, because the run has ended or calls to it fail. Such an upstream is
    * assigned no keys.
    */
-  isOutOfReach(upstream: UpstreamId, now: MonotonicMillis): boolean {
+  isUnreachable(upstream: UpstreamId, now: MonotonicMillis): boolean {
     const holder = this.#holders.get(upstream);
     if (holder === undefined || holder.hasEnded) {
       return holder?.hasEnded ?? false;
@@ -104,9 +104,9 @@
       return false;
     }
     const failedMillis = failedAt - failingSince;
-    const restMillis = Math.min(MOST_REST_MILLIS, Math.max(LEAST_REST_MILLIS, failedMillis));
-    const isUnable = holder.isRefused || failedMillis >= LOST_AFTER_MILLIS;
-    return isUnable && now - Math.max(failedAt, holder.history.heldUntil()) < restMillis;
+    const backoffMillis = Math.min(MAX_BACKOFF_MILLIS, Math.max(MIN_BACKOFF_MILLIS, failedMillis));
+    const isUnusable = holder.isConnectionRefused || failedMillis >= LOST_AFTER_MILLIS;
+    return isUnusable && now - Math.max(failedAt, holder.history.heldUntil()) < backoffMillis;
   }
 
   /** Returns whether the run is proved to have ended. */
@@ -118,13 +118,13 @@
    * Returns the proof that an owner lost its grants: its run has ended, or calls to it fail and its grants have
    * expired. Returns `null` if it has not lost them.
    */
-  lostBy(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
-    const holder = this.#of(upstream);
-    return holder.hasEnded || isFailing(holder, now) ? this.freeBy(upstream, now) : null;
+  lossProof(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
+    const holder = this.#holderOf(upstream);
+    return holder.hasEnded || isFailing(holder, now) ? this.freeProof(upstream, now) : null;
   }
 
   /** Returns the proof that the upstream holds none of its grants, or `null` if it may hold some. */
-  freeBy(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
+  freeProof(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
     if (this.hasEnded(upstream)) {
       return FREE_PROOFS.runEnded;
     }
@@ -133,7 +133,7 @@
 
   /** Latest time until which the upstream may hold anything. */
   heldUntil(upstream: UpstreamId): MonotonicMillis {
-    return this.#of(upstream).history.heldUntil();
+    return this.#holderOf(upstream).history.heldUntil();
   }
 
   /** Since when the upstream leaves calls unanswered; `null` if it responds. */
@@ -142,7 +142,7 @@
   }
 
   /** Returns whether the upstream responds to calls. */
-  isWell(upstream: UpstreamId): boolean {
+  isResponsive(upstream: UpstreamId): boolean {
     return !this.hasEnded(upstream) && this.silentSince(upstream) === null;
   }
 
@@ -153,12 +153,12 @@
 
   /** Time of the last sign of life, or the start of this leadership. */
   heardAt(upstream: UpstreamId): MonotonicMillis {
-    return this.#of(upstream).heardAt;
+    return this.#holderOf(upstream).heardAt;
   }
 
   /** Records that the upstream may hold keys until `end` by other means than calls. */
-  holdUntil(upstream: UpstreamId, end: MonotonicMillis): void {
-    this.#of(upstream).history.holdUntil(end);
+  extendHold(upstream: UpstreamId, end: MonotonicMillis): void {
+    this.#holderOf(upstream).history.holdUntil(end);
   }
 
   /** Drops an upstream that no longer exists. */
@@ -166,15 +166,21 @@
     this.#holders.delete(upstream);
   }
 
-  #of(upstream: UpstreamId): Holder {
-    const known = this.#holders.get(upstream);
-    if (known !== undefined) {
-      return known;
+  #holderOf(upstream: UpstreamId): Holder {
+    const existing = this.#holders.get(upstream);
+    if (existing !== undefined) {
+      return existing;
     }
     const history = new HolderHistory(this.timings, this.since);
-    const made = { history, hasEnded: false, isRefused: false, failedRun: null, heardAt: this.since };
-    this.#holders.set(upstream, made);
-    return made;
+    const created = {
+      history,
+      hasEnded: false,
+      isConnectionRefused: false,
+      failedRun: null,
+      heardAt: this.since,
+    };
+    this.#holders.set(upstream, created);
+    return created;
   }
 }
 
@@ -185,5 +191,5 @@
 function isFailing({ history }: Holder, now: MonotonicMillis): boolean {
   const { failingSince, failedAt } = history;
   const isLong = failingSince !== null && now - failingSince >= LOST_AFTER_MILLIS;
-  return isLong && now - failedAt < LEAST_REST_MILLIS;
+  return isLong && now - failedAt < MIN_BACKOFF_MILLIS;
 }
--- a/src/control/ranges/open-heartbeats.ts
+++ b/src/control/ranges/open-heartbeats.ts
@@ -6,7 +6,7 @@
  * Longest wait of a heartbeat for an update that concerns its upstream. Its sender times out after one second, and
  * its holds are not renewed meanwhile.
  */
-export const LONGEST_WAIT_MILLIS = 600;
+export const MAX_WAIT_MILLIS = 600;
 
 /** A heartbeat that is overdue by at most this is still expected soon. */
 const LATE_SLACK_MILLIS = 100;
@@ -22,7 +22,7 @@
 export class OpenHeartbeats {
   readonly #open = new Map<UpstreamId, OpenHeartbeat>();
   /** Time of each upstream's last heartbeat. */
-  readonly #heardAt = new Map<UpstreamId, MonotonicMillis>();
+  readonly #lastHeardAt = new Map<UpstreamId, MonotonicMillis>();
 
   /** `heartbeatMillis` is the usual time between two heartbeats of an upstream. */
   constructor(private readonly heartbeatMillis: number) {}
@@ -34,7 +34,7 @@
   open(upstream: UpstreamId, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     this.#open.get(upstream)?.answer(null, now);
     this.#open.set(upstream, { openedAt: now, answer });
-    this.#heardAt.set(upstream, now);
+    this.#lastHeardAt.set(upstream, now);
   }
 
   has(upstream: UpstreamId): boolean {
@@ -46,14 +46,14 @@
   }
 
   /** Returns how much longer a heartbeat may wait; 0 if none is open or its time is up. */
-  patienceOf(upstream: UpstreamId, now: MonotonicMillis): number {
+  remainingWait(upstream: UpstreamId, now: MonotonicMillis): number {
     const open = this.#open.get(upstream);
-    return open === undefined ? 0 : Math.max(0, open.openedAt + LONGEST_WAIT_MILLIS - now);
+    return open === undefined ? 0 : Math.max(0, open.openedAt + MAX_WAIT_MILLIS - now);
   }
 
   /** Returns whether the next heartbeat is expected within this time. */
   isExpected(upstream: UpstreamId, withinMillis: number, now: MonotonicMillis): boolean {
-    const heardAt = this.#heardAt.get(upstream);
+    const heardAt = this.#lastHeardAt.get(upstream);
     const wait = heardAt === undefined ? Number.POSITIVE_INFINITY : heardAt + this.heartbeatMillis - now;
     return wait >= -LATE_SLACK_MILLIS && wait <= withinMillis;
   }
@@ -66,15 +66,15 @@
 
   /** Time at which the first open heartbeat reaches its longest wait. */
   nextDeadline(): MonotonicMillis {
-    const ends = [...this.#open.values()].map(({ openedAt }) => openedAt + LONGEST_WAIT_MILLIS);
+    const ends = [...this.#open.values()].map(({ openedAt }) => openedAt + MAX_WAIT_MILLIS);
     return ends.reduce((first, next) => Math.min(first, next), Number.POSITIVE_INFINITY);
   }
 
   /** Drops upstreams that no longer exist. */
   keepOnly(isKnown: (upstream: UpstreamId) => boolean): void {
-    for (const upstream of this.#heardAt.keys()) {
+    for (const upstream of this.#lastHeardAt.keys()) {
       if (!isKnown(upstream)) {
-        this.#heardAt.delete(upstream);
+        this.#lastHeardAt.delete(upstream);
       }
     }
   }
--- a/src/control/ranges/range-carrier.ts
+++ b/src/control/ranges/range-carrier.ts
@@ -7,7 +7,7 @@
 import type { RangeReleases, ReleasedPiece } from './range-releases.js';
 
 /** A call that has no number yet. */
-export type WantedCall = Omit<GrantCall, 'id'> | Omit<ReleaseCall, 'id'>;
+export type PlannedCall = Omit<GrantCall, 'id'> | Omit<ReleaseCall, 'id'>;
 
 /** The state of the service that carriers use. */
 export interface RangeCarrierParts {
@@ -18,27 +18,27 @@
   /** Pieces that are being transferred to the next owner. */
   readonly releases: RangeReleases;
   /** Returns whether a proposed change revokes keys of a span from their owner. */
-  readonly isBeingTaken: (span: KeySpan) => boolean;
+  readonly isBeingRevoked: (span: KeySpan) => boolean;
 }
 
 export interface RangeCarrier {
   /** Returns whether an upstream can be notified at once that it owns keys. */
-  canTell(upstream: UpstreamId, now: MonotonicMillis): boolean;
+  canNotify(upstream: UpstreamId, now: MonotonicMillis): boolean;
   /** Returns whether keys should be moved from an owner to a target now. */
   canMove(owner: UpstreamId, target: UpstreamId, now: MonotonicMillis): boolean;
   /** Returns the proof that an owner's run has ended or that it can no longer hold anything; `null` if there is none. */
-  lostBy(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): FreeProof | null;
+  lossProof(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): FreeProof | null;
   /** Returns whether an owner does not accept a range under its fence. */
-  isRefused(range: KeyRange): boolean;
+  isRejected(range: KeyRange): boolean;
   /** Returns the proof that the previous owner can no longer hold a piece; `null` if there is none. */
-  freeBy(piece: ReleasedPiece, range: KeyRange, now: MonotonicMillis): FreeProof | null;
+  freeProof(piece: ReleasedPiece, range: KeyRange, now: MonotonicMillis): FreeProof | null;
   /** Passes the previous owner's handover of a free piece to the next owner. Returns whether there is a handover. */
-  passOn(piece: ReleasedPiece, range: KeyRange): boolean;
+  transferHandover(piece: ReleasedPiece, range: KeyRange): boolean;
   /** Updates the carrier to the current ranges and drops the state of others. Does nothing if they are unchanged. */
-  follow(ranges: readonly KeyRange[], now: MonotonicMillis): void;
+  syncRanges(ranges: readonly KeyRange[], now: MonotonicMillis): void;
   /** Removes and returns the calls that are due. */
-  takeCalls(now: MonotonicMillis): WantedCall[];
-  callEnded(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void;
+  dequeueCalls(now: MonotonicMillis): PlannedCall[];
+  onCallEnd(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void;
   /** Time at which calls are due that need no decision first; `Infinity` if there are none. */
   nextCallAt(): MonotonicMillis;
   /** Time at which a wait of the carrier ends, so that owners must be decided. */
--- a/src/control/ranges/range-coordinator.ts
+++ b/src/control/ranges/range-coordinator.ts
@@ -20,37 +20,37 @@
 import type { HolderCall, HolderCallId, HolderOutcome } from './holder-call.js';
 import { HolderTable } from './holder-table.js';
 import type { AnswerHeartbeat } from './open-heartbeats.js';
-import type { WantedCall } from './range-carrier.js';
+import type { PlannedCall } from './range-carrier.js';
 import type { LogRanges, RangeService } from './range-service.js';
-import { makeRangeService, type ServiceInCharge, termsOf } from './service-in-charge.js';
+import { createLeaderService, type LeaderService, termsOf } from './service-in-charge.js';
 
 /** A confirmation of this leadership permits calls for this long; no other leader is elected so soon after a heartbeat. */
-const CONFIRMED_MILLIS = 300;
+const CONFIRMATION_VALID_MILLIS = 300;
 /** From this age on, the next heartbeats have to confirm the leadership again. */
-const CONFIRM_AGAIN_MILLIS = 100;
+const RECONFIRM_AFTER_MILLIS = 100;
 /** Interval of decisions without any event, which detect silent upstreams and expired grants. */
-const DECIDE_MILLIS = 100;
+const DECISION_INTERVAL_MILLIS = 100;
 /**
  * Maximum number of ranges that decisions examine per millisecond, on average. Each decision examines all ranges, and
  * each change is an update for every router. So the gap between decisions grows with the number of ranges, and all
  * events in a gap share the next decision.
  */
-const RANGES_A_MILLI = 10;
+const RANGES_PER_MILLI = 10;
 /** Upper bound of that gap, so that a lost owner is replaced in time however many ranges there are. */
-const LONGEST_GAP_MILLIS = 200;
+const MAX_DECISION_GAP_MILLIS = 200;
 /** Minimum wait before due work runs again. */
-const LEAST_WAIT_MILLIS = 1;
+const MIN_WAIT_MILLIS = 1;
 /**
  * Call numbers reserved per term. No two leaderships of a member share a number: a release may be answered seconds
  * after the member was deposed, and must not be matched with a call of its next leadership.
  */
-const CALLS_A_TERM = 2 ** 32;
+const CALLS_PER_TERM = 2 ** 32;
 /**
  * A draining or silent upstream that owns nothing is forgotten after this many heartbeat intervals without a sign of
  * life.
  */
-const FORGOTTEN_LEAVING_HEARTBEATS = 8;
-const FORGOTTEN_HEARTBEATS = 60;
+const FORGET_DRAINING_HEARTBEATS = 8;
+const FORGET_SILENT_HEARTBEATS = 60;
 
 export interface RangeCoordinatorParts {
   readonly registry: () => Registry;
@@ -66,7 +66,7 @@
   readonly timings: RangeTimings;
 }
 
-interface CallUnderWay {
+interface OpenCall {
   readonly call: HolderCall;
   readonly service: ServiceName;
 }
@@ -74,23 +74,23 @@
 export class RangeCoordinator {
   readonly #parts: RangeCoordinatorParts;
   readonly #holders: HolderTable;
-  readonly #services = new Map<ServiceName, ServiceInCharge>();
+  readonly #services = new Map<ServiceName, LeaderService>();
   /** Services with an open proposal. */
   readonly #proposing = new Set<ServiceName>();
-  readonly #calls = new Map<HolderCallId, CallUnderWay>();
-  #callsMade = 0;
+  readonly #calls = new Map<HolderCallId, OpenCall>();
+  #callCount = 0;
   /** Open confirmation requests: `true` for the one that waits for heartbeats. */
-  readonly #confirming = new Set<boolean>();
+  readonly #openConfirmations = new Set<boolean>();
   #confirmedAt = Number.NEGATIVE_INFINITY;
   /** Last spans granted to each upstream by heartbeat; only changes are logged. */
-  readonly #told = new Map<UpstreamId, string>();
+  readonly #lastGranted = new Map<UpstreamId, string>();
   #decisions = 0;
-  #isForgetting = false;
+  #isForgetOpen = false;
   /** Time of the next decision, and the earliest time at which one may run. */
   #decideAt: MonotonicMillis;
-  #notDecidedBefore = Number.NEGATIVE_INFINITY;
+  #earliestDecisionAt = Number.NEGATIVE_INFINITY;
   /** Time at which calls or responses to heartbeats are due. */
-  #callAt: MonotonicMillis;
+  #sendAt: MonotonicMillis;
   /**
    * Whether no event that affects owners arrived since the last decision. Responses to heartbeats carry what was
    * decided.
@@ -102,13 +102,13 @@
     const runOf = (upstream: UpstreamId) => parts.registry().upstreams().get(upstream)?.incarnation ?? null;
     this.#holders = new HolderTable(parts.timings, now, runOf);
     this.#decideAt = now;
-    this.#callAt = now;
+    this.#sendAt = now;
   }
 
   /** Handles a change of the registry; new owners are notified at once. */
   registryChanged(now: MonotonicMillis): void {
     this.#decideSoon(now);
-    this.#callAt = now;
+    this.#sendAt = now;
   }
 
   /**
@@ -117,21 +117,21 @@
    */
   heard(heartbeat: HeardHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     const { upstream, report } = heartbeat;
-    this.#holders.heard(upstream, now);
-    this.#lookAtServices(now);
+    this.#holders.onHeartbeat(upstream, now);
+    this.#updateServices(now);
     const service = this.#parts.registry().upstreams().get(upstream)?.definition.service ?? '';
     const heartbeats = this.#services.get(service)?.heartbeats ?? null;
     if (heartbeats === null || report === null) {
       answer(null, now);
       return;
     }
-    heartbeats.take({ ...heartbeat, report }, answer, now);
+    heartbeats.onHeartbeat({ ...heartbeat, report }, answer, now);
     this.#decideSoon(now);
   }
 
   /** Returns whether an upstream owns or owned ranges and may still hold keys of them. */
   mayHold(upstream: UpstreamId, now: MonotonicMillis): boolean {
-    this.#lookAtServices(now);
+    this.#updateServices(now);
     return [...this.#services.values()].some(({ ranges }) => ranges.mayHold(upstream, now));
   }
 
@@ -146,40 +146,40 @@
     for (const { shard, ...work } of shards) {
       const parts = parseShardId(shard);
       if (parts?.keyspace === RANGE_KEYSPACE) {
-        this.#services.get(parts.service)?.ranges.loadReported(parts.number, work, now);
+        this.#services.get(parts.service)?.ranges.onLoadReport(parts.number, work, now);
       }
     }
   }
 
   callEnded(id: HolderCallId, outcome: HolderOutcome, now: MonotonicMillis): void {
-    const underWay = this.#calls.get(id);
+    const open = this.#calls.get(id);
     this.#calls.delete(id);
-    if (underWay === undefined) {
+    if (open === undefined) {
       return;
     }
-    const { call, service } = underWay;
+    const { call, service } = open;
     const isRoutine =
-      call.kind === 'grant' && outcome.type === 'accepted' && this.#holders.isWell(call.upstream);
+      call.kind === 'grant' && outcome.type === 'accepted' && this.#holders.isResponsive(call.upstream);
     this.#holders.ended(call, outcome, now);
     const ranges = this.#services.get(service)?.ranges;
-    ranges?.callEnded(call, outcome, now);
+    ranges?.onCallEnd(call, outcome, now);
     if (!isRoutine) {
       this.#decideSoon(now);
     }
-    this.#callAt = Math.min(this.#callAt, ranges?.nextCallAt() ?? Number.POSITIVE_INFINITY);
+    this.#sendAt = Math.min(this.#sendAt, ranges?.nextCallAt() ?? Number.POSITIVE_INFINITY);
   }
 
   run(now: MonotonicMillis): void {
     if (now >= this.#decideAt) {
-      this.#decideAll(now);
+      this.#decideOwners(now);
     }
-    if (now >= this.#callAt) {
-      this.#callAll(now);
+    if (now >= this.#sendAt) {
+      this.#sendDue(now);
     }
   }
 
   nextDeadline(): MonotonicMillis {
-    return Math.min(this.#decideAt, this.#callAt);
+    return Math.min(this.#decideAt, this.#sendAt);
   }
 
   #countRanges(): number {
@@ -189,57 +189,58 @@
 
   /** Schedules a decision after an event that affects owners. */
   #decideSoon(now: MonotonicMillis): void {
-    this.#decideAt = Math.min(this.#decideAt, Math.max(now, this.#notDecidedBefore));
+    this.#decideAt = Math.min(this.#decideAt, Math.max(now, this.#earliestDecisionAt));
     this.#isDecided = false;
   }
 
-  #decideAll(now: MonotonicMillis): void {
-    this.#notDecidedBefore = now + Math.min(LONGEST_GAP_MILLIS, this.#countRanges() / RANGES_A_MILLI);
-    this.#decideAt = Math.max(now + DECIDE_MILLIS, this.#notDecidedBefore);
-    this.#callAt = now;
+  #decideOwners(now: MonotonicMillis): void {
+    this.#earliestDecisionAt =
+      now + Math.min(MAX_DECISION_GAP_MILLIS, this.#countRanges() / RANGES_PER_MILLI);
+    this.#decideAt = Math.max(now + DECISION_INTERVAL_MILLIS, this.#earliestDecisionAt);
+    this.#sendAt = now;
     this.#decisions += 1;
     this.#isDecided = true;
-    this.#lookAtServices(now);
+    this.#updateServices(now);
     for (const [name, { ranges }] of this.#services) {
-      this.#decide(name, ranges, now);
+      this.#decideService(name, ranges, now);
     }
-    this.#forget(now);
+    this.#forgetUpstreams(now);
     for (const { ranges } of this.#services.values()) {
-      const nextAt = Math.max(now + LEAST_WAIT_MILLIS, this.#notDecidedBefore, ranges.nextDecisionAt());
+      const nextAt = Math.max(now + MIN_WAIT_MILLIS, this.#earliestDecisionAt, ranges.nextDecisionAt());
       this.#decideAt = Math.min(this.#decideAt, nextAt);
     }
   }
 
   /** Sends due calls and responses. They wait until this leadership is confirmed. */
-  #callAll(now: MonotonicMillis): void {
-    this.#callAt = Number.POSITIVE_INFINITY;
+  #sendDue(now: MonotonicMillis): void {
+    this.#sendAt = Number.POSITIVE_INFINITY;
     if (this.#services.size === 0 || !this.#isConfirmed(now)) {
       return;
     }
     this.#sendCalls(now);
     for (const { ranges } of this.#services.values()) {
-      this.#callAt = Math.min(this.#callAt, Math.max(now + LEAST_WAIT_MILLIS, ranges.nextCallAt()));
+      this.#sendAt = Math.min(this.#sendAt, Math.max(now + MIN_WAIT_MILLIS, ranges.nextCallAt()));
     }
   }
 
   /** Returns the current amount of work and the counters of work done. */
   work(): RangeWork {
     const ranges = this.#countRanges();
-    const calls = this.#callsMade;
+    const calls = this.#callCount;
     const moves = [...this.#services.values()].map((service) => service.ranges.weighedMoves());
     return {
       ranges,
       openCalls: this.#calls.size,
       calls,
       decisions: this.#decisions,
-      weighedMoves: moves.reduce((sum, { begun }) => sum + begun, 0),
+      weighedMoves: moves.reduce((sum, { started }) => sum + started, 0),
       moveCostMillis: moves.reduce((sum, { costMillis }) => sum + costMillis, 0),
       moveGainMillis: moves.reduce((sum, { gainMillis }) => sum + gainMillis, 0),
     };
   }
 
   /** Adds and removes services. A service whose carrier was changed is started anew. */
-  #lookAtServices(now: MonotonicMillis): void {
+  #updateServices(now: MonotonicMillis): void {
     const { registry } = this.#parts;
     const services = registry().services();
     for (const [name, { terms, heartbeats }] of [...this.#services]) {
@@ -251,13 +252,13 @@
     }
     for (const [name, record] of services) {
       if (hasRanges(record) && !this.#services.has(name)) {
-        this.#services.set(name, this.#begin(name, record, now));
+        this.#services.set(name, this.#createService(name, record, now));
       }
     }
   }
 
-  #begin(service: ServiceName, record: ServiceRecord, now: MonotonicMillis): ServiceInCharge {
-    const { registry, timings, log, bearings = allInFull } = this.#parts;
+  #createService(service: ServiceName, record: ServiceRecord, now: MonotonicMillis): LeaderService {
+    const { registry, timings, log, bearings = noLoadLimits } = this.#parts;
     const parts = {
       service,
       terms: termsOf(record),
@@ -267,10 +268,10 @@
       log,
       bearings,
     };
-    return makeRangeService(parts, now);
+    return createLeaderService(parts, now);
   }
 
-  #decide(name: ServiceName, service: RangeService, now: MonotonicMillis): void {
+  #decideService(name: ServiceName, service: RangeService, now: MonotonicMillis): void {
     if (this.#proposing.has(name)) {
       return;
     }
@@ -284,19 +285,19 @@
     this.#parts.propose({ type: 'range-update', service: name, updates }, (outcome, settledAt) => {
       this.#proposing.delete(name);
       this.#decideSoon(settledAt);
-      this.#callAt = settledAt;
-      service.proposalSettled(outcome.type === 'applied');
+      this.#sendAt = settledAt;
+      service.onProposalSettled(outcome.type === 'applied');
     });
   }
 
   /** Returns whether a quorum confirmed this leadership a moment ago; requests the next confirmation in time. */
   #isConfirmed(now: MonotonicMillis): boolean {
     const age = now - this.#confirmedAt;
-    if (age > CONFIRMED_MILLIS) {
+    if (age > CONFIRMATION_VALID_MILLIS) {
       this.#confirm(now, false);
       return false;
     }
-    if (age > CONFIRM_AGAIN_MILLIS) {
+    if (age > RECONFIRM_AFTER_MILLIS) {
       this.#confirm(now, true);
     }
     return true;
@@ -304,8 +305,8 @@
 
   #sendCalls(now: MonotonicMillis): void {
     for (const [name, service] of this.#services) {
-      for (const wanted of service.ranges.takeCalls(now)) {
-        this.#send(name, wanted, now);
+      for (const planned of service.ranges.dequeueCalls(now)) {
+        this.#send(name, planned, now);
       }
       if (this.#isDecided) {
         this.#answerHeartbeats(name, service, now);
@@ -314,12 +315,12 @@
   }
 
   /** Answers due heartbeats. A response lists all granted keys, so it is sent only while this leadership is confirmed. */
-  #answerHeartbeats(name: ServiceName, { heartbeats }: ServiceInCharge, now: MonotonicMillis): void {
+  #answerHeartbeats(name: ServiceName, { heartbeats }: LeaderService, now: MonotonicMillis): void {
     for (const { upstream, sequence, keys } of heartbeats?.answerDue(this.#proposing.has(name), now) ?? []) {
       const spans = keys?.spans ?? [];
-      const told = JSON.stringify(spans.map(({ from, to, fence }) => [from, to, fence]));
-      if (this.#told.get(upstream) !== told) {
-        this.#told.set(upstream, told);
+      const granted = JSON.stringify(spans.map(({ from, to, fence }) => [from, to, fence]));
+      if (this.#lastGranted.get(upstream) !== granted) {
+        this.#lastGranted.set(upstream, granted);
         const { revision } = this.#parts.registry();
         const confirmedAgoMillis = Math.round(now - this.#confirmedAt);
         this.#parts.log('heartbeat-granted', { upstream, sequence, spans, revision, confirmedAgoMillis });
@@ -327,50 +328,50 @@
     }
   }
 
-  #send(service: ServiceName, wanted: WantedCall, now: MonotonicMillis): void {
-    this.#callsMade += 1;
-    const call: HolderCall = { ...wanted, id: this.#parts.term * CALLS_A_TERM + this.#callsMade };
+  #send(service: ServiceName, planned: PlannedCall, now: MonotonicMillis): void {
+    this.#callCount += 1;
+    const call: HolderCall = { ...planned, id: this.#parts.term * CALLS_PER_TERM + this.#callCount };
     this.#calls.set(call.id, { call, service });
-    this.#holders.sent(call, now);
+    this.#holders.onCallSent(call, now);
     this.#parts.call(call);
   }
 
   /** Requests a confirmation. Its age counts from the request. */
   #confirm(now: MonotonicMillis, mayWait: boolean): void {
-    if (this.#confirming.has(mayWait)) {
+    if (this.#openConfirmations.has(mayWait)) {
       return;
     }
-    this.#confirming.add(mayWait);
+    this.#openConfirmations.add(mayWait);
     this.#parts.confirm(now, mayWait, (confirmed) => {
-      this.#confirming.delete(mayWait);
+      this.#openConfirmations.delete(mayWait);
       if (confirmed) {
         this.#confirmedAt = Math.max(this.#confirmedAt, now);
-        this.#callAt = mayWait ? this.#callAt : now;
+        this.#sendAt = mayWait ? this.#sendAt : now;
       }
     });
   }
 
   /** Forgets upstreams that have been silent for long and own nothing. */
-  #forget(now: MonotonicMillis): void {
-    if (this.#isForgetting) {
+  #forgetUpstreams(now: MonotonicMillis): void {
+    if (this.#isForgetOpen) {
       return;
     }
     const { registry, propose, timings } = this.#parts;
     const upstreams: UpstreamId[] = [];
     for (const { definition } of registry().upstreams().values()) {
       const { id, leaving, announced } = definition;
-      const heartbeats = leaving ? FORGOTTEN_LEAVING_HEARTBEATS : FORGOTTEN_HEARTBEATS;
+      const heartbeats = leaving ? FORGET_DRAINING_HEARTBEATS : FORGET_SILENT_HEARTBEATS;
       const isSilent = now - this.#holders.heardAt(id) > heartbeats * timings.heartbeatMillis;
       if (announced !== undefined && isSilent && !this.#isHolder(id)) {
         upstreams.push(id);
       }
     }
     if (upstreams.length > 0) {
-      this.#isForgetting = true;
+      this.#isForgetOpen = true;
       propose({ type: 'upstream-forget', upstreams }, () => {
-        this.#isForgetting = false;
+        this.#isForgetOpen = false;
         for (const upstream of upstreams) {
-          this.#told.delete(upstream);
+          this.#lastGranted.delete(upstream);
         }
       });
     }
@@ -381,8 +382,8 @@
   }
 }
 
-const NO_BEARINGS: ReadonlyMap<UpstreamId, Bearing> = new Map();
-const allInFull = (): ReadonlyMap<UpstreamId, Bearing> => NO_BEARINGS;
+const NO_LOAD_LIMITS: ReadonlyMap<UpstreamId, Bearing> = new Map();
+const noLoadLimits = (): ReadonlyMap<UpstreamId, Bearing> => NO_LOAD_LIMITS;
 
 /** Returns whether the keys of a service are numbers owned in ranges. */
 export function hasRanges(record: ServiceRecord | undefined): record is ServiceRecord {
--- a/src/control/ranges/range-grants.ts
+++ b/src/control/ranges/range-grants.ts
@@ -18,23 +18,23 @@
  * 0.57 of a core at 0.21 to 0.43 ms a call (measured over loopback at 900 and at 400 calls a second). Further due
  * renewals wait: 6,000 ranges take 4.5 s.
  */
-const RENEWALS_AT_ONCE = 16;
-const RENEWALS_GAP_MILLIS = 12;
+const MAX_BATCH_RENEWALS = 16;
+const RENEWAL_BATCH_GAP_MILLIS = 12;
 
 /** Number of grants of an earlier leader, the latest ones, that are renewed at once. */
-const LATEST_GRANTS = 12;
+const IMMEDIATE_RENEWALS = 12;
 
 /** A grant and the state of its calls. */
-export interface KeptGrant {
+export interface GrantState {
   /** The range as in the registry: same keys, owner and fence. */
   range: KeyRange;
   /** Time of the next call; meaningless while a call is open. */
   dueAt: MonotonicMillis;
-  isAsked: boolean;
+  isPending: boolean;
   /** Whether the grant was accepted before. */
   isRenewal: boolean;
   /** Whether the grant was sent before, answered or not. */
-  wasAsked: boolean;
+  wasSent: boolean;
   /** Whether the upstream has seen a higher fence, which ends this grant. */
   isSuperseded: boolean;
   /** Time of the first call, since the last answered one, whose acceptance is unknown; `null` if there is none. */
@@ -44,20 +44,20 @@
    * late. Otherwise an upstream whose heartbeats arrive but which leaves its calls unanswered would keep its keys,
    * and serve none of them, for as long as that lasts.
    */
-  isGivenUp: boolean;
+  isAbandoned: boolean;
   handover: string | null;
 }
 
 export class RangeGrants {
   /** Grants by the first key of their range. */
-  readonly #grants = new Map<number, KeptGrant>();
+  readonly #grants = new Map<number, GrantState>();
   /** Due times of first grants and renewals, by first key. */
-  readonly #firstDue = new DeadlineQueue<number>();
+  readonly #firstGrantsDue = new DeadlineQueue<number>();
   readonly #renewalsDue = new DeadlineQueue<number>();
-  #renewalsNotBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  #nextBatchAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   readonly #handovers = new Map<string, string>();
   /** The last synchronised list. The registry replaces its lists, so the same list has the same contents. */
-  #followed: readonly KeyRange[] | null = null;
+  #syncedRanges: readonly KeyRange[] | null = null;
 
   constructor(private readonly timings: TimedGrantTimings) {}
 
@@ -66,77 +66,77 @@
    * owners come first, since the earlier leader may not have notified them.
    */
   inherit(ranges: readonly KeyRange[], now: MonotonicMillis): void {
-    this.follow(ranges, now);
+    this.syncRanges(ranges, now);
     const owned = ranges.filter(({ owner }) => owner !== null).sort((one, other) => other.fence - one.fence);
     const gap = this.timings.renewMillis / Math.max(1, owned.length);
-    owned.slice(LATEST_GRANTS).forEach((range, place) => {
-      this.#begin(range, { isRenewal: true, dueAt: now + (place + LATEST_GRANTS) * gap });
+    owned.slice(IMMEDIATE_RENEWALS).forEach((range, place) => {
+      this.#start(range, { isRenewal: true, dueAt: now + (place + IMMEDIATE_RENEWALS) * gap });
     });
     for (const grant of this.#grants.values()) {
       // The earlier leader may have sent it.
-      grant.wasAsked = true;
+      grant.wasSent = true;
     }
   }
 
   /** Starts grants of new ranges and drops those of ranges that no longer exist. */
-  follow(ranges: readonly KeyRange[], now: MonotonicMillis): void {
-    if (ranges === this.#followed) {
+  syncRanges(ranges: readonly KeyRange[], now: MonotonicMillis): void {
+    if (ranges === this.#syncedRanges) {
       return;
     }
-    const before = { ranges: this.#followed ?? NO_RANGES, grants: new Map(this.#grants) };
-    this.#followed = ranges;
+    const previous = { ranges: this.#syncedRanges ?? NO_RANGES, grants: new Map(this.#grants) };
+    this.#syncedRanges = ranges;
     for (const range of ranges) {
       if (range.owner !== null) {
-        this.#followRange(range, before, now);
+        this.#syncRange(range, previous, now);
       }
     }
     const owned = new Set(ranges.filter(({ owner }) => owner !== null).map(({ from }) => from));
-    for (const from of before.grants.keys()) {
+    for (const from of previous.grants.keys()) {
       if (!owned.has(from)) {
         this.#drop(from);
       }
     }
-    if (this.#handovers.size > MOST_HANDOVERS) {
+    if (this.#handovers.size > MAX_HANDOVERS) {
       this.#handovers.clear();
     }
   }
 
-  find(fence: Epoch, from: number, to: number): KeptGrant | undefined {
+  find(fence: Epoch, from: number, to: number): GrantState | undefined {
     const grant = this.#grants.get(from);
-    return grant !== undefined && isSame(grant.range, { fence, to }) ? grant : undefined;
+    return grant !== undefined && isSameRange(grant.range, { fence, to }) ? grant : undefined;
   }
 
   /** Stores the previous owner's handover of a span for the next owner's first grant. */
-  handOver(from: number, to: number, handover: string | null): void {
+  storeHandover(from: number, to: number, handover: string | null): void {
     if (handover !== null) {
-      this.#handovers.set(spanOf(from, to), handover);
+      this.#handovers.set(spanKey(from, to), handover);
     }
   }
 
   /** Removes and returns due grants: all first ones, and renewals up to the batch limit. Each must be sent or postponed. */
-  takeDue(now: MonotonicMillis): KeptGrant[] {
-    const due = [...this.#firstDue.takeDue(now), ...this.#takeRenewals(now)];
+  takeDue(now: MonotonicMillis): GrantState[] {
+    const due = [...this.#firstGrantsDue.takeDue(now), ...this.#dequeueRenewals(now)];
     return due.flatMap((from) => this.#grants.get(from) ?? []);
   }
 
   nextDeadline(): MonotonicMillis {
-    return Math.min(this.#firstDue.next(), Math.max(this.#renewalsDue.next(), this.#renewalsNotBefore));
+    return Math.min(this.#firstGrantsDue.next(), Math.max(this.#renewalsDue.next(), this.#nextBatchAt));
   }
 
-  #takeRenewals(now: MonotonicMillis): number[] {
-    if (now < this.#renewalsNotBefore) {
+  #dequeueRenewals(now: MonotonicMillis): number[] {
+    if (now < this.#nextBatchAt) {
       return [];
     }
-    const due = this.#renewalsDue.takeDue(now, RENEWALS_AT_ONCE);
+    const due = this.#renewalsDue.takeDue(now, MAX_BATCH_RENEWALS);
     if (due.length > 0) {
-      this.#renewalsNotBefore = now + RENEWALS_GAP_MILLIS;
+      this.#nextBatchAt = now + RENEWAL_BATCH_GAP_MILLIS;
     }
     return due;
   }
 
   /** Records that a grant was accepted and schedules its renewal. */
-  granted(grant: KeptGrant, now: MonotonicMillis): void {
-    grant.isAsked = false;
+  onGranted(grant: GrantState, now: MonotonicMillis): void {
+    grant.isPending = false;
     grant.isRenewal = true;
     grant.unansweredSince = null;
     grant.handover = null;
@@ -144,47 +144,47 @@
   }
 
   /** Records that a grant was sent and that its acceptance is unknown. */
-  unanswered(grant: KeptGrant, now: MonotonicMillis): void {
+  onNoResponse(grant: GrantState, now: MonotonicMillis): void {
     grant.unansweredSince ??= now;
-    grant.isGivenUp ||= now - grant.unansweredSince >= longestHoldMillis(this.timings);
+    grant.isAbandoned ||= now - grant.unansweredSince >= longestHoldMillis(this.timings);
   }
 
   /** Retries a grant soon that got no response or could not be sent, unless it is over. */
-  putOff(grant: KeptGrant, now: MonotonicMillis): void {
-    grant.isAsked = false;
-    if (!grant.isSuperseded && !grant.isGivenUp) {
+  postpone(grant: GrantState, now: MonotonicMillis): void {
+    grant.isPending = false;
+    if (!grant.isSuperseded && !grant.isAbandoned) {
       this.#setDue(grant, now + RETRY_MILLIS);
     }
   }
 
-  #followRange(range: KeyRange, before: GrantsBefore, now: MonotonicMillis): void {
-    const known = this.#grants.get(range.from);
-    if (known !== undefined && isSame(known.range, range)) {
-      known.range = range;
+  #syncRange(range: KeyRange, previous: PreviousGrants, now: MonotonicMillis): void {
+    const existing = this.#grants.get(range.from);
+    if (existing !== undefined && isSameRange(existing.range, range)) {
+      existing.range = range;
       return;
     }
-    const larger = grantBefore(range, before);
-    const dueAt = renewalOfRest(larger, now);
-    this.#begin(range, dueAt === null ? { isRenewal: false, dueAt: now } : { isRenewal: true, dueAt });
+    const larger = grantBeforeSplit(range, previous);
+    const dueAt = renewalAfterSplit(larger, now);
+    this.#start(range, dueAt === null ? { isRenewal: false, dueAt: now } : { isRenewal: true, dueAt });
     const grant = this.#grants.get(range.from);
     if (grant !== undefined) {
-      grant.wasAsked = larger !== undefined && (larger.wasAsked || larger.isRenewal);
+      grant.wasSent = larger !== undefined && (larger.wasSent || larger.isRenewal);
     }
   }
 
-  #begin(range: KeyRange, { isRenewal, dueAt }: Pick<KeptGrant, 'isRenewal' | 'dueAt'>): void {
+  #start(range: KeyRange, { isRenewal, dueAt }: Pick<GrantState, 'isRenewal' | 'dueAt'>): void {
     const { from, to } = range;
     this.#drop(from);
-    const handover = isRenewal ? null : (this.#handovers.get(spanOf(from, to)) ?? null);
+    const handover = isRenewal ? null : (this.#handovers.get(spanKey(from, to)) ?? null);
     const grant = {
       range,
       dueAt,
-      isAsked: false,
+      isPending: false,
       isRenewal,
-      wasAsked: false,
+      wasSent: false,
       isSuperseded: false,
       unansweredSince: null,
-      isGivenUp: false,
+      isAbandoned: false,
       handover,
     };
     this.#grants.set(from, grant);
@@ -193,30 +193,33 @@
 
   #drop(from: number): void {
     this.#grants.delete(from);
-    this.#firstDue.delete(from);
+    this.#firstGrantsDue.delete(from);
     this.#renewalsDue.delete(from);
   }
 
-  #setDue(grant: KeptGrant, dueAt: MonotonicMillis): void {
+  #setDue(grant: GrantState, dueAt: MonotonicMillis): void {
     grant.dueAt = dueAt;
-    const queue = grant.isRenewal ? this.#renewalsDue : this.#firstDue;
+    const queue = grant.isRenewal ? this.#renewalsDue : this.#firstGrantsDue;
     queue.set(grant.range.from, dueAt);
   }
 }
 
 /** Maximum number of stored handovers; if one is lost, its new owner starts with a colder cache. */
-const MOST_HANDOVERS = 4096;
+const MAX_HANDOVERS = 4096;
 
 /** Ranges and grants before the registry changed. */
-interface GrantsBefore {
+interface PreviousGrants {
   readonly ranges: readonly KeyRange[];
-  readonly grants: ReadonlyMap<number, KeptGrant>;
+  readonly grants: ReadonlyMap<number, GrantState>;
 }
 
 const NO_RANGES: readonly KeyRange[] = [];
 
 /** Returns the grant, under the same fence, whose range contained this one. */
-function grantBefore({ from, fence }: KeyRange, { ranges, grants }: GrantsBefore): KeptGrant | undefined {
+function grantBeforeSplit(
+  { from, fence }: KeyRange,
+  { ranges, grants }: PreviousGrants,
+): GrantState | undefined {
   const larger = ranges[findRange(ranges, from)];
   return larger?.fence === fence ? grants.get(larger.from) : undefined;
 }
@@ -225,18 +228,18 @@
  * Returns the renewal time of a range that was split off a larger one of the same grant: that of the larger one.
  * Returns `null` if the larger one was not granted yet.
  */
-function renewalOfRest(grant: KeptGrant | undefined, now: MonotonicMillis): MonotonicMillis | null {
+function renewalAfterSplit(grant: GrantState | undefined, now: MonotonicMillis): MonotonicMillis | null {
   if (grant === undefined || !grant.isRenewal || grant.isSuperseded) {
     return null;
   }
-  return grant.isAsked ? now : Math.max(now, grant.dueAt);
+  return grant.isPending ? now : Math.max(now, grant.dueAt);
 }
 
 /** Returns whether a range with the same first key is the same one: each owner has its own fence. */
-function isSame(range: KeyRange, { fence, to }: Pick<KeyRange, 'fence' | 'to'>): boolean {
+function isSameRange(range: KeyRange, { fence, to }: Pick<KeyRange, 'fence' | 'to'>): boolean {
   return range.fence === fence && range.to === to;
 }
 
-function spanOf(from: number, to: number): string {
+function spanKey(from: number, to: number): string {
   return `${from}-${to}`;
 }
--- a/src/control/ranges/range-index.ts
+++ b/src/control/ranges/range-index.ts
@@ -16,11 +16,11 @@
 
   /** Returns the ranges of an owner, in order. */
   ownedBy(upstream: UpstreamId): readonly KeyRange[] {
-    this.#follow();
+    this.#update();
     return this.#owned.get(upstream) ?? NO_RANGES;
   }
 
-  #follow(): void {
+  #update(): void {
     const ranges = this.#ranges();
     if (ranges === this.#indexed) {
       return;
--- a/src/control/ranges/range-releases.ts
+++ b/src/control/ranges/range-releases.ts
@@ -8,7 +8,7 @@
 import type { FreeProof } from './free-proof.js';
 
 /** Delay of a release, so that routers learn of the missing owner before the owner does and it need not reject requests. */
-const NOTICE_MILLIS = 25;
+const ROUTER_NOTICE_MILLIS = 25;
 
 /** One piece of an unowned range. */
 export interface ReleasedPiece extends PlannedSpan {
@@ -19,7 +19,7 @@
   /** Time of the next release call to the previous owner. */
   nextAt: MonotonicMillis;
   /** Whether a release call is open. */
-  isAsked: boolean;
+  isPending: boolean;
   isReleased: boolean;
   /** Since when the piece is known to be free, and by which proof; `null` while it is not. */
   freeAt: MonotonicMillis | null;
@@ -30,30 +30,30 @@
 export class RangeReleases {
   readonly #pieces = new Map<Epoch, ReleasedPiece[]>();
   /** Plans for spans whose owner is being removed, until that change is committed. */
-  #planned: PlannedSpan[] = [];
+  #plannedSpans: PlannedSpan[] = [];
 
   /** Plans the next owner, `target`, of spans whose owner is being removed. */
   plan(spans: readonly PlannedSpan[]): void {
-    this.#planned.push(...spans);
+    this.#plannedSpans.push(...spans);
   }
 
   /** Drops the plans after their proposal failed. */
-  forgetPlans(): void {
-    this.#planned = [];
+  discardPlans(): void {
+    this.#plannedSpans = [];
   }
 
   /** Returns the pieces of a range; without a plan for the whole range, `spread` makes them. */
   piecesOf(range: KeyRange, now: MonotonicMillis, spread: () => readonly PlannedSpan[]): ReleasedPiece[] {
-    const known = this.#inside(this.#pieces.get(range.fence) ?? [], range);
-    if (known.length > 0) {
-      return known;
+    const existing = this.#inside(this.#pieces.get(range.fence) ?? [], range);
+    if (existing.length > 0) {
+      return existing;
     }
-    const planned = this.#inside(this.#planned, range);
-    this.#planned = this.#planned.filter((span) => !planned.includes(span));
+    const planned = this.#inside(this.#plannedSpans, range);
+    this.#plannedSpans = this.#plannedSpans.filter((span) => !planned.includes(span));
     const covers =
       planned.reduce((sum, { from, to }) => sum + to - from + 1, 0) === range.to - range.from + 1;
     const spans = covers ? planned : spread();
-    const pieces = spans.map((span) => pieceOf(span, range, now));
+    const pieces = spans.map((span) => createPiece(span, range, now));
     this.#pieces.set(range.fence, [...(this.#pieces.get(range.fence) ?? []), ...pieces]);
     return pieces;
   }
@@ -70,7 +70,7 @@
 
   /** Returns the pieces to release by call now. A piece that cannot be called for is due again after the wait. */
   takeDue(now: MonotonicMillis, waitMillis: number): ReleasedPiece[] {
-    const due = this.open().filter((piece) => isToBeAsked(piece) && now >= piece.nextAt);
+    const due = this.open().filter((piece) => needsRelease(piece) && now >= piece.nextAt);
     for (const piece of due) {
       piece.nextAt = now + waitMillis;
     }
@@ -80,15 +80,15 @@
   /** Time of the next release call; `Infinity` if there is none. */
   nextDeadline(): MonotonicMillis {
     return this.open()
-      .filter(isToBeAsked)
+      .filter(needsRelease)
       .reduce((first, { nextAt }) => Math.min(first, nextAt), Number.POSITIVE_INFINITY);
   }
 
   /** Drops pieces that are outside these unowned ranges. */
   keepOnly(unowned: readonly KeyRange[]): void {
     for (const [fence, pieces] of this.#pieces) {
-      const standing = unowned.filter((range) => range.fence === fence);
-      const kept = pieces.filter((piece) => standing.some((range) => isInside(piece, range)));
+      const current = unowned.filter((range) => range.fence === fence);
+      const kept = pieces.filter((piece) => current.some((range) => isInside(piece, range)));
       if (kept.length === 0) {
         this.#pieces.delete(fence);
       } else {
@@ -106,14 +106,14 @@
   return from >= range.from && to <= range.to;
 }
 
-function isToBeAsked({ isAsked, isReleased, former }: ReleasedPiece): boolean {
-  return !isAsked && !isReleased && former !== null;
+function needsRelease({ isPending, isReleased, former }: ReleasedPiece): boolean {
+  return !isPending && !isReleased && former !== null;
 }
 
-function pieceOf(span: PlannedSpan, range: KeyRange, now: MonotonicMillis): ReleasedPiece {
+function createPiece(span: PlannedSpan, range: KeyRange, now: MonotonicMillis): ReleasedPiece {
   const { from, to, target } = span;
   const isReleased = range.former === null;
-  const nextAt = now + NOTICE_MILLIS;
+  const nextAt = now + ROUTER_NOTICE_MILLIS;
   return {
     from,
     to,
@@ -122,7 +122,7 @@
     former: range.former,
     since: now,
     nextAt,
-    isAsked: false,
+    isPending: false,
     isReleased,
     freeAt: null,
     freedBy: null,
--- a/src/control/ranges/range-servers.ts
+++ b/src/control/ranges/range-servers.ts
@@ -8,21 +8,21 @@
 
 /** Keys are first assigned once no further upstream joined for this long, or after the longest wait. */
 const GATHER_MILLIS = 1500;
-const LONGEST_GATHER_MILLIS = 4000;
+const MAX_GATHER_MILLIS = 4000;
 /** An upstream silent for this many heartbeat intervals gets no further keys. */
 const SILENT_HEARTBEATS = 3;
 
 /** Assumed work of a request until one was measured. */
-const UNMEASURED_WORK_MILLIS = 10;
+const DEFAULT_WORK_MILLIS = 10;
 /** Maximum number of ranges per upstream: a response to its heartbeat names them all, and each costs a renewal by call. */
-const MOST_RANGES = 48;
+const MAX_RANGES_PER_UPSTREAM = 48;
 
 /** Evidence of the upstreams' state. */
 export interface HolderEvidence {
   /** Time of the last sign of life, or the start of this leadership. */
   heardAt(upstream: UpstreamId): MonotonicMillis;
   /** Returns whether a call would fail now. */
-  isOutOfReach(upstream: UpstreamId, now: MonotonicMillis): boolean;
+  isUnreachable(upstream: UpstreamId, now: MonotonicMillis): boolean;
 }
 
 export interface RangeServersParts {
@@ -54,31 +54,32 @@
   }
 
   /** Updates the list from the registry and the heartbeats. */
-  look(now: MonotonicMillis): void {
+  update(now: MonotonicMillis): void {
     const servers: RangeServer[] = [];
-    const weak = new Set<UpstreamId>();
+    const limited = new Set<UpstreamId>();
     const counts = countRanges(this.parts.registry().ranges(this.parts.service));
     const registry = this.parts.registry();
     const bearings = this.parts.bearings();
-    const meanMillis = this.speeds.meanMillis ?? UNMEASURED_WORK_MILLIS;
+    const meanMillis = this.speeds.meanMillis ?? DEFAULT_WORK_MILLIS;
     const limitsCold = registry.services().get(this.parts.service)?.definition.warmup !== undefined;
     for (const { definition } of registry.upstreams().values()) {
       const { id, service, announced } = definition;
-      const isOurs = service === this.parts.service && announced !== undefined;
-      if (isOurs && !registry.isLeaving(definition) && this.#isWell(id, now)) {
+      const isOfService = service === this.parts.service && announced !== undefined;
+      if (isOfService && !registry.isLeaving(definition) && this.#isUsable(id, now)) {
         const bearing = bearings.get(id);
-        const isFull = (counts.get(id) ?? 0) >= MOST_RANGES;
+        const isFull = (counts.get(id) ?? 0) >= MAX_RANGES_PER_UPSTREAM;
         if (bearing !== undefined || (limitsCold && announced.warmupMillis > 0)) {
-          weak.add(id);
+          limited.add(id);
         }
         const server = { upstream: id, slots: announced.slots, speed: this.speeds.of(id), isFull };
-        servers.push(bearing === undefined ? server : bearingLess(server, bearing, meanMillis));
+        servers.push(bearing === undefined ? server : withLoadLimit(server, bearing, meanMillis));
       }
     }
     if (servers.length !== this.#servers.length) {
       this.#changedAt = now;
     }
-    this.#servers = weak.size < servers.length ? servers.map((server) => withoutRoom(server, weak)) : servers;
+    this.#servers =
+      limited.size < servers.length ? servers.map((server) => markFull(server, limited)) : servers;
   }
 
   has(upstream: UpstreamId): boolean {
@@ -86,14 +87,14 @@
   }
 
   /** Returns whether all upstreams that start together can be assumed to have joined. */
-  isGathered(now: MonotonicMillis): boolean {
-    return now - this.#changedAt >= GATHER_MILLIS || now - this.since >= LONGEST_GATHER_MILLIS;
+  hasGathered(now: MonotonicMillis): boolean {
+    return now - this.#changedAt >= GATHER_MILLIS || now - this.since >= MAX_GATHER_MILLIS;
   }
 
-  #isWell(upstream: UpstreamId, now: MonotonicMillis): boolean {
+  #isUsable(upstream: UpstreamId, now: MonotonicMillis): boolean {
     const { evidence, heartbeatMillis } = this.parts;
-    const isHeard = now - evidence.heardAt(upstream) < heartbeatMillis * SILENT_HEARTBEATS;
-    return isHeard && !evidence.isOutOfReach(upstream, now);
+    const isRecent = now - evidence.heardAt(upstream) < heartbeatMillis * SILENT_HEARTBEATS;
+    return isRecent && !evidence.isUnreachable(upstream, now);
   }
 }
 
@@ -103,12 +104,12 @@
  * one is warm within seconds. When such upstreams got keys on joining, 16 requests a second reached owners that could
  * take 4 (trouble days of 98 owners, 106 times in a day).
  */
-function withoutRoom(server: RangeServer, weak: ReadonlySet<UpstreamId>): RangeServer {
-  return weak.has(server.upstream) ? { ...server, isFull: true } : server;
+function markFull(server: RangeServer, limited: ReadonlySet<UpstreamId>): RangeServer {
+  return limited.has(server.upstream) ? { ...server, isFull: true } : server;
 }
 
 /** Limits the load of a constrained server. `meanMillis` is the time a request takes at the mean upstream. */
-function bearingLess(
+function withLoadLimit(
   server: RangeServer,
   { perSecond, share = 1 }: Bearing,
   meanMillis: number,
--- a/src/control/ranges/range-service.ts
+++ b/src/control/ranges/range-service.ts
@@ -19,12 +19,12 @@
 import type { RangeUpdate, UpstreamRecord } from '../../registry/types.js';
 import { BalanceSchedule } from './balance-schedule.js';
 import { FREE_PROOFS, type FreeProof } from './free-proof.js';
-import type { WantedMove } from './heartbeat-carrier.js';
+import type { PendingMove } from './heartbeat-carrier.js';
 import type { HolderCall, HolderOutcome } from './holder-call.js';
-import type { RangeCarrier, RangeCarrierParts, WantedCall } from './range-carrier.js';
+import type { PlannedCall, RangeCarrier, RangeCarrierParts } from './range-carrier.js';
 import { RangeReleases, type ReleasedPiece } from './range-releases.js';
 import { RangeServers, type RangeServersParts } from './range-servers.js';
-import { giveSpans, joinNeighbours, takeSpans, updateOf } from './range-updates.js';
+import { assignSpans, joinNeighbours, revokeSpans, spanUpdate } from './range-updates.js';
 
 /** Free keys wait this long for their target before they may go to another upstream. */
 const TARGET_WAIT_MILLIS = 150;
@@ -32,11 +32,11 @@
  * An upstream whose use exceeds the mean by more than this factor plus this share of its capacity does not get such
  * keys so soon.
  */
-const STAND_IN_FACTOR = 1.2;
-const STAND_IN_MARGIN = 0.08;
+const SUBSTITUTE_USE_FACTOR = 1.2;
+const SUBSTITUTE_USE_MARGIN = 0.08;
 
 /** Aggregated loads. */
-interface LoadView {
+interface Loads {
   readonly use: OwnerLoads;
   /** Load by owner, or by previous owner for unowned ranges. */
   readonly owners: ReadonlyMap<UpstreamId, number>;
@@ -50,15 +50,15 @@
 
 /** Number of weighed moves that started, and the sums of their estimated cost and gain. */
 export interface WeighedMoves {
-  readonly begun: number;
+  readonly started: number;
   readonly costMillis: number;
   readonly gainMillis: number;
 }
 
 /** Creates the carrier of a service. */
-export type MakeCarrier = (
+export type CreateCarrier = (
   parts: RangeCarrierParts,
-  wanted: () => readonly WantedMove[],
+  wanted: () => readonly PendingMove[],
   now: MonotonicMillis,
 ) => RangeCarrier;
 
@@ -66,44 +66,44 @@
 export type LogRanges = (event: string, fields: Readonly<Record<string, unknown>>) => void;
 
 export interface RangeServiceParts extends RangeServersParts {
-  readonly makeCarrier: MakeCarrier;
+  readonly createCarrier: CreateCarrier;
   readonly log: LogRanges;
 }
 
 export class RangeService {
   readonly #parts: RangeServiceParts;
   /** Start of this leadership, or of this way of granting. */
-  readonly #since: MonotonicMillis;
+  readonly #startedAt: MonotonicMillis;
   readonly #balance = new BalancePlanner();
   readonly #evidence = new MoveEvidence();
   readonly #speeds = new OwnerSpeeds();
   readonly #carrier: RangeCarrier;
   readonly #releases = new RangeReleases();
   /** Proposed changes. Keys that they revoke from an owner are no longer granted. */
-  #proposed: readonly RangeUpdate[] = [];
+  #proposedUpdates: readonly RangeUpdate[] = [];
   readonly #servers: RangeServers;
   readonly #schedule: BalanceSchedule;
   /** Planned moves that wait until their upstreams can be reached. */
-  #wanted: readonly WantedMove[] = [];
+  #pendingMoves: readonly PendingMove[] = [];
   /** Owners whose neighbouring ranges are to be joined when they can be notified. */
-  #joining = new Set<UpstreamId>();
+  #ownersToJoin = new Set<UpstreamId>();
   /** The ranges of the last decision. */
-  #followed: readonly KeyRange[] | null = null;
-  readonly #weighed = { begun: 0, costMillis: 0, gainMillis: 0 };
+  #syncedRanges: readonly KeyRange[] | null = null;
+  readonly #weighed = { started: 0, costMillis: 0, gainMillis: 0 };
   /** Loads for the current decision, computed on first use because adding them up is costly. */
-  #view: LoadView | null = null;
+  #loads: Loads | null = null;
 
   constructor(parts: RangeServiceParts, now: MonotonicMillis) {
     this.#parts = parts;
-    this.#since = now;
+    this.#startedAt = now;
     const carrierParts = {
       ranges: () => this.#ranges(),
       record: (upstream: UpstreamId) => this.#record(upstream),
       releases: this.#releases,
       isLeaving: ({ definition }: UpstreamRecord) => parts.registry().isLeaving(definition),
-      isBeingTaken: (span: KeySpan) => this.#isBeingTaken(span),
+      isBeingRevoked: (span: KeySpan) => this.#isBeingRevoked(span),
     };
-    this.#carrier = parts.makeCarrier(carrierParts, () => this.#wanted, now);
+    this.#carrier = parts.createCarrier(carrierParts, () => this.#pendingMoves, now);
     this.#servers = new RangeServers(parts, now, this.#speeds);
     this.#schedule = new BalanceSchedule(now);
   }
@@ -112,7 +112,7 @@
    * Records requests for a key and their work at its owner. The balance counts the work they would take at the mean
    * upstream.
    */
-  loadReported(key: number, { requests, workMillis }: KeyWork, now: MonotonicMillis): void {
+  onLoadReport(key: number, { requests, workMillis }: KeyWork, now: MonotonicMillis): void {
     const owner = this.#ownerOf(key);
     if (owner !== null) {
       this.#speeds.add(owner, requests, workMillis, now);
@@ -120,7 +120,7 @@
     const meanMillis = this.#speeds.meanMillis;
     const meanWork = meanMillis === null ? workMillis : requests * meanMillis;
     this.#balance.add(key, meanWork, now);
-    this.#schedule.reported(now);
+    this.#schedule.onLoadReport(now);
   }
 
   /** Returns whether an upstream owns keys or may have to release some. */
@@ -131,7 +131,7 @@
   /** Returns whether an upstream may still hold any keys. */
   mayHold(upstream: UpstreamId, now: MonotonicMillis): boolean {
     const held = this.#ranges().filter(({ owner, former }) => owner === upstream || former === upstream);
-    return held.some((range) => this.#carrier.lostBy(range, upstream, now) === null);
+    return held.some((range) => this.#carrier.lossProof(range, upstream, now) === null);
   }
 
   /**
@@ -139,74 +139,74 @@
    * `onProposalSettled`.
    */
   decide(now: MonotonicMillis): readonly RangeUpdate[] {
-    this.#proposed = this.#decide(now);
-    return this.#proposed;
+    this.#proposedUpdates = this.#decide(now);
+    return this.#proposedUpdates;
   }
 
   #decide(now: MonotonicMillis): readonly RangeUpdate[] {
-    this.#servers.look(now);
+    this.#servers.update(now);
     const ranges = this.#ranges();
-    this.#follow(ranges, now);
+    this.#syncRanges(ranges, now);
     if (this.#servers.list.length === 0) {
       return [];
     }
-    this.#view = null;
+    this.#loads = null;
     const updates = ranges.flatMap((range) =>
-      range.owner === null ? this.#assign(range, now) : this.#takeOff(range, range.owner, now),
+      range.owner === null ? this.#assign(range, now) : this.#revoke(range, range.owner, now),
     );
     if (updates.length > 0) {
       return updates;
     }
-    if (this.#schedule.takeBalance(now)) {
-      this.#want(ranges, now);
+    if (this.#schedule.startBalanceIfDue(now)) {
+      this.#planPending(ranges, now);
     }
-    const begun = this.#beginMoves(now);
-    return [...takeSpans(ranges, begun), ...this.#joinRanges(ranges, begun, now)];
+    const started = this.#startMoves(now);
+    return [...revokeSpans(ranges, started), ...this.#joinRanges(ranges, started, now)];
   }
 
   /** Updates state derived from the ranges. The registry replaces its lists, so each list is processed once. */
-  #follow(ranges: readonly KeyRange[], now: MonotonicMillis): void {
-    this.#carrier.follow(ranges, now);
-    if (ranges === this.#followed) {
+  #syncRanges(ranges: readonly KeyRange[], now: MonotonicMillis): void {
+    this.#carrier.syncRanges(ranges, now);
+    if (ranges === this.#syncedRanges) {
       return;
     }
-    this.#followed = ranges;
+    this.#syncedRanges = ranges;
     this.#speeds.keepOnly(new Set(ranges.flatMap(({ owner }) => owner ?? [])));
     this.#releases.keepOnly(ranges.filter(({ owner }) => owner === null));
   }
 
   /** Plans moves, and joins that keep the number of ranges low: each range costs renewals. */
-  #want(ranges: readonly KeyRange[], now: MonotonicMillis): void {
+  #planPending(ranges: readonly KeyRange[], now: MonotonicMillis): void {
     const moves = this.#planMoves(ranges);
-    this.#wanted = withOwners(ranges, moves);
-    if (!this.#schedule.takeJoin(now)) {
+    this.#pendingMoves = withOwners(ranges, moves);
+    if (!this.#schedule.startJoinIfDue(now)) {
       return;
     }
     const untouched = ranges.filter(
       ({ from, to }) => !moves.some((move) => move.from <= to && move.to >= from),
     );
     const returns = planReturns(untouched, this.#balance.steady, this.#servers.list);
-    this.#wanted = [...this.#wanted, ...withOwners(untouched, returns)];
-    this.#joining = new Set(joinNeighbours(untouched).flatMap(({ owner }) => owner ?? []));
+    this.#pendingMoves = [...this.#pendingMoves, ...withOwners(untouched, returns)];
+    this.#ownersToJoin = new Set(joinNeighbours(untouched).flatMap(({ owner }) => owner ?? []));
   }
 
   /** Starts and returns the pending moves that are possible now. */
-  #beginMoves(now: MonotonicMillis): WantedMove[] {
-    const standing = this.#wanted.filter(({ from, owner }) => this.#ownerOf(from) === owner);
-    const begun = standing.filter(({ owner, target }) => this.#carrier.canMove(owner, target, now));
-    this.#wanted = standing.filter((move) => !begun.includes(move));
-    this.#releases.plan(begun);
-    for (const move of begun) {
-      this.#noteBegun(move);
+  #startMoves(now: MonotonicMillis): PendingMove[] {
+    const current = this.#pendingMoves.filter(({ from, owner }) => this.#ownerOf(from) === owner);
+    const started = current.filter(({ owner, target }) => this.#carrier.canMove(owner, target, now));
+    this.#pendingMoves = current.filter((move) => !started.includes(move));
+    this.#releases.plan(started);
+    for (const move of started) {
+      this.#recordStart(move);
     }
-    return begun;
+    return started;
   }
 
-  #noteBegun(move: WantedMove): void {
+  #recordStart(move: PendingMove): void {
     this.#balance.began(move);
     const { from, to, owner, target, weighed } = move;
     if (weighed !== undefined) {
-      this.#weighed.begun += 1;
+      this.#weighed.started += 1;
       this.#weighed.gainMillis += weighed.gainMillis;
       this.#weighed.costMillis += weighed.costMillis;
       const { service } = this.#parts;
@@ -223,43 +223,43 @@
   /** Joins neighbouring ranges of owners that can be notified now and have no pending moves of these keys. */
   #joinRanges(
     ranges: readonly KeyRange[],
-    begun: readonly WantedMove[],
+    started: readonly PendingMove[],
     now: MonotonicMillis,
   ): RangeUpdate[] {
-    const due = new Set([...this.#joining].filter((owner) => this.#carrier.canTell(owner, now)));
+    const due = new Set([...this.#ownersToJoin].filter((owner) => this.#carrier.canNotify(owner, now)));
     if (due.size === 0) {
       return [];
     }
-    this.#joining = new Set([...this.#joining].filter((owner) => !due.has(owner)));
-    const moves = [...this.#wanted, ...begun];
-    const resting = ranges.filter(
+    this.#ownersToJoin = new Set([...this.#ownersToJoin].filter((owner) => !due.has(owner)));
+    const moves = [...this.#pendingMoves, ...started];
+    const unaffected = ranges.filter(
       ({ from, to }) => !moves.some((move) => move.from <= to && move.to >= from),
     );
-    return joinNeighbours(resting).filter(({ owner }) => owner !== null && due.has(owner));
+    return joinNeighbours(unaffected).filter(({ owner }) => owner !== null && due.has(owner));
   }
 
   /** Returns the percentage of its capacity that each upstream uses, for the log. */
   describeUse(): Readonly<Record<UpstreamId, number>> {
-    const { use } = this.#loadView();
+    const { use } = this.#currentLoads();
     const percent = (server: RangeServer): number => Math.round(use.useOf(server) * 100);
     return Object.fromEntries(this.#servers.list.map((server) => [server.upstream, percent(server)]));
   }
 
   /** Handles the outcome of the proposal made after `decide`. */
-  proposalSettled(isApplied: boolean): void {
-    this.#proposed = [];
+  onProposalSettled(isApplied: boolean): void {
+    this.#proposedUpdates = [];
     if (!isApplied) {
-      this.#releases.forgetPlans();
+      this.#releases.discardPlans();
     }
   }
 
   /** Removes and returns the calls that are due. */
-  takeCalls(now: MonotonicMillis): WantedCall[] {
-    return this.#carrier.takeCalls(now);
+  dequeueCalls(now: MonotonicMillis): PlannedCall[] {
+    return this.#carrier.dequeueCalls(now);
   }
 
-  callEnded(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void {
-    this.#carrier.callEnded(call, outcome, now);
+  onCallEnd(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void {
+    this.#carrier.onCallEnd(call, outcome, now);
   }
 
   /** Time of the next decision if no event requires one earlier. */
@@ -286,43 +286,43 @@
   }
 
   /** Ends the ownership of an upstream that is draining, no longer exists, or can no longer hold anything. */
-  #takeOff(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): RangeUpdate[] {
+  #revoke(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): RangeUpdate[] {
     const record = this.#record(owner);
-    const proof = record === undefined ? FREE_PROOFS.forgotten : this.#carrier.lostBy(range, owner, now);
+    const proof = record === undefined ? FREE_PROOFS.forgotten : this.#carrier.lossProof(range, owner, now);
     if (record === undefined || proof !== null) {
       this.#logFreed(range, { holder: owner, proof, unownedMillis: 0 }, now);
-      return this.#replace(range, owner, now);
+      return this.#reassign(range, owner, now);
     }
     if (this.#parts.registry().isLeaving(record.definition)) {
       this.#releases.plan(this.#spread(range, owner));
-      return [updateOf(range, range, null, owner)];
+      return [spanUpdate(range, range, null, owner)];
     }
-    const isRefused = this.#carrier.isRefused(range) && this.#carrier.canTell(owner, now);
-    return isRefused ? [updateOf(range, range, owner, null)] : [];
+    const isRejected = this.#carrier.isRejected(range) && this.#carrier.canNotify(owner, now);
+    return isRejected ? [spanUpdate(range, range, owner, null)] : [];
   }
 
   /** Reassigns the keys of a lost owner at once if their targets can be notified, else as soon as they can be. */
-  #replace(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): RangeUpdate[] {
+  #reassign(range: KeyRange, owner: UpstreamId, now: MonotonicMillis): RangeUpdate[] {
     const spans = this.#spread(range, owner);
-    if (spans.every(({ target }) => this.#carrier.canTell(target, now))) {
-      return giveSpans(range, spans);
+    if (spans.every(({ target }) => this.#carrier.canNotify(target, now))) {
+      return assignSpans(range, spans);
     }
     this.#releases.plan(spans);
-    return [updateOf(range, range, null, null)];
+    return [spanUpdate(range, range, null, null)];
   }
 
-  #loadView(): LoadView {
-    if (this.#view === null) {
+  #currentLoads(): Loads {
+    if (this.#loads === null) {
       const ranges = this.#ranges();
       const use = new OwnerLoads(this.#servers.list, ranges, this.#balance.steady);
-      this.#view = { use, owners: loadsByOwner(ranges, use) };
+      this.#loads = { use, owners: loadsByOwner(ranges, use) };
     }
-    return this.#view;
+    return this.#loads;
   }
 
   /** Splits a range among upstreams. The load of a lost owner was counted before any of its keys were reassigned. */
   #spread(range: KeyRange, owner: UpstreamId | null): PlannedSpan[] {
-    const { use, owners } = this.#loadView();
+    const { use, owners } = this.#currentLoads();
     const ownerLoad = owner === null ? undefined : owners.get(owner);
     return spreadSpan(range, this.#balance.steady, use, ownerLoad ?? use.ofSpan(range));
   }
@@ -330,7 +330,7 @@
   /** Assigns pieces released by their previous owner to the next one. */
   #assign(range: KeyRange, now: MonotonicMillis): RangeUpdate[] {
     const isFirst = range.fence === 0 && range.former === null;
-    if (isFirst && !this.#servers.isGathered(now)) {
+    if (isFirst && !this.#servers.hasGathered(now)) {
       return [];
     }
     const spread = (): readonly PlannedSpan[] =>
@@ -338,49 +338,49 @@
     const pieces = this.#releases.piecesOf(range, now, spread);
     return pieces
       .filter((piece) => this.#isFree(piece, range, now))
-      .flatMap((piece) => this.#next(piece, range, now));
+      .flatMap((piece) => this.#assignPiece(piece, range, now));
   }
 
-  #next(piece: ReleasedPiece, range: KeyRange, now: MonotonicMillis): RangeUpdate[] {
-    const { use } = this.#loadView();
+  #assignPiece(piece: ReleasedPiece, range: KeyRange, now: MonotonicMillis): RangeUpdate[] {
+    const { use } = this.#currentLoads();
     const planned = this.#servers.has(piece.target)
       ? piece.target
       : (use.leastUsed(null)?.upstream ?? piece.target);
-    const target = this.#carrier.canTell(planned, now) ? planned : this.#standInFor(piece, now);
+    const target = this.#carrier.canNotify(planned, now) ? planned : this.#substituteFor(piece, now);
     if (target === undefined) {
       return [];
     }
     if (target !== piece.target) {
       use.add(target, piece);
     }
-    const hasHandover = this.#carrier.passOn(piece, range);
+    const hasHandover = this.#carrier.transferHandover(piece, range);
     if (piece.freedBy === FREE_PROOFS.released) {
       this.#evidence.moved(now - piece.since, hasHandover);
     }
-    return [updateOf(range, piece, target, null)];
+    return [spanUpdate(range, piece, target, null)];
   }
 
   /**
    * Returns the least used upstream that can be notified, for free keys whose target cannot be notified yet, unless
    * it is too busy. The first division waits longer for its targets: the keys had no owner before it.
    */
-  #standInFor({ freeAt, fence }: ReleasedPiece, now: MonotonicMillis): UpstreamId | undefined {
+  #substituteFor({ freeAt, fence }: ReleasedPiece, now: MonotonicMillis): UpstreamId | undefined {
     const waited = freeAt === null ? 0 : now - freeAt;
     const { heartbeatMillis } = this.#parts;
     if (waited < (fence === 0 ? 2 * heartbeatMillis : TARGET_WAIT_MILLIS)) {
       return undefined;
     }
-    const { use } = this.#loadView();
-    const standIn = use.leastUsedOf((server) => this.#carrier.canTell(server.upstream, now));
-    const most = use.meanUse() * STAND_IN_FACTOR + STAND_IN_MARGIN;
-    const isBusy = standIn !== undefined && use.useOf(standIn) > most && waited < heartbeatMillis;
-    return isBusy ? undefined : standIn?.upstream;
+    const { use } = this.#currentLoads();
+    const substitute = use.leastUsedOf((server) => this.#carrier.canNotify(server.upstream, now));
+    const most = use.meanUse() * SUBSTITUTE_USE_FACTOR + SUBSTITUTE_USE_MARGIN;
+    const isBusy = substitute !== undefined && use.useOf(substitute) > most && waited < heartbeatMillis;
+    return isBusy ? undefined : substitute?.upstream;
   }
 
   #isFree(piece: ReleasedPiece, range: KeyRange, now: MonotonicMillis): boolean {
     const { former } = range;
     const isForgotten = former !== null && this.#record(former) === undefined;
-    const proof = isForgotten ? FREE_PROOFS.forgotten : this.#carrier.freeBy(piece, range, now);
+    const proof = isForgotten ? FREE_PROOFS.forgotten : this.#carrier.freeProof(piece, range, now);
     if (proof !== null && piece.freeAt === null) {
       piece.freeAt = now;
       piece.freedBy = proof;
@@ -398,7 +398,7 @@
     const { service, evidence } = this.#parts;
     const { holder, proof, unownedMillis } = freed;
     const heardAgoMillis = holder === null ? null : now - evidence.heardAt(holder);
-    const leadingMillis = now - this.#since;
+    const leadingMillis = now - this.#startedAt;
     this.#parts.log('range-freed', {
       service,
       from,
@@ -427,12 +427,12 @@
       : { ...this.#evidence.times, slowMillis, workMillis };
   }
 
-  #isBeingTaken({ from, to }: KeySpan): boolean {
-    return this.#proposed.some((update) => update.from <= to && update.to >= from);
+  #isBeingRevoked({ from, to }: KeySpan): boolean {
+    return this.#proposedUpdates.some((update) => update.from <= to && update.to >= from);
   }
 }
 
-function withOwners(ranges: readonly KeyRange[], spans: readonly PlannedSpan[]): WantedMove[] {
+function withOwners(ranges: readonly KeyRange[], spans: readonly PlannedSpan[]): PendingMove[] {
   return spans.flatMap((span) => {
     const owner = ranges[findRange(ranges, span.from)]?.owner ?? null;
     return owner === null ? [] : [{ ...span, owner }];
--- a/src/control/ranges/range-updates.ts
+++ b/src/control/ranges/range-updates.ts
@@ -5,7 +5,7 @@
 import type { RangeUpdate } from '../../registry/types.js';
 
 /** Builds the update of a span. `former` is the upstream that may still hold the keys while there is no owner. */
-export function updateOf(
+export function spanUpdate(
   range: KeyRange,
   { from, to }: KeySpan,
   owner: UpstreamId | null,
@@ -15,19 +15,19 @@
 }
 
 /** Assigns the spans of a range without holder to their planned targets. */
-export function giveSpans(range: KeyRange, spans: readonly PlannedSpan[]): RangeUpdate[] {
-  return spans.map((span) => updateOf(range, span, span.target, null));
+export function assignSpans(range: KeyRange, spans: readonly PlannedSpan[]): RangeUpdate[] {
+  return spans.map((span) => spanUpdate(range, span, span.target, null));
 }
 
 /**
  * Revokes spans that are to be moved from their owners. A span that is already unowned stays as it is: its previous
  * owner may still hold it and must stay recorded.
  */
-export function takeSpans(ranges: readonly KeyRange[], spans: readonly PlannedSpan[]): RangeUpdate[] {
+export function revokeSpans(ranges: readonly KeyRange[], spans: readonly PlannedSpan[]): RangeUpdate[] {
   return spans.flatMap((span) => {
     const range = ranges.find(({ from, to }) => from <= span.from && span.to <= to);
     const isOwned = range !== undefined && range.owner !== null;
-    return isOwned ? [updateOf(range, span, null, range.owner)] : [];
+    return isOwned ? [spanUpdate(range, span, null, range.owner)] : [];
   });
 }
 
@@ -37,9 +37,9 @@
  */
 export function joinNeighbours(ranges: readonly KeyRange[]): RangeUpdate[] {
   return ranges.flatMap((range, position) => {
-    const isAlike = (other: KeyRange | undefined): boolean =>
+    const hasSameOwner = (other: KeyRange | undefined): boolean =>
       range.owner !== null && other?.owner === range.owner;
-    const joins = isAlike(ranges[position - 1]) || isAlike(ranges[position + 1]);
-    return joins ? [updateOf(range, range, range.owner, null)] : [];
+    const joins = hasSameOwner(ranges[position - 1]) || hasSameOwner(ranges[position + 1]);
+    return joins ? [spanUpdate(range, range, range.owner, null)] : [];
   });
 }
--- a/src/control/ranges/service-in-charge.ts
+++ b/src/control/ranges/service-in-charge.ts
@@ -12,14 +12,14 @@
 import type { HolderTable } from './holder-table.js';
 import { type LogRanges, RangeService } from './range-service.js';
 
-export interface ServiceInCharge {
+export interface LeaderService {
   readonly terms: RangeGrantTerms;
   readonly ranges: RangeService;
   /** `null` if its ranges are not granted by heartbeats. */
   readonly heartbeats: HeartbeatCarrier | null;
 }
 
-export interface ServiceInChargeParts {
+export interface LeaderServiceParts {
   readonly service: ServiceName;
   readonly terms: RangeGrantTerms;
   readonly registry: () => Registry;
@@ -36,29 +36,29 @@
   return definition.rangeGrants ?? { carrier: DEFAULT_GRANT_CARRIER, hasChanged: false };
 }
 
-const MAKERS: Readonly<
-  Record<GrantCarrier, (parts: ServiceInChargeParts, now: MonotonicMillis) => ServiceInCharge>
+const FACTORIES: Readonly<
+  Record<GrantCarrier, (parts: LeaderServiceParts, now: MonotonicMillis) => LeaderService>
 > = {
-  [GRANT_CARRIERS.request]: grantedByCalls,
-  [GRANT_CARRIERS.heartbeat]: grantedByHeartbeats,
+  [GRANT_CARRIERS.request]: createCallGranted,
+  [GRANT_CARRIERS.heartbeat]: createHeartbeatGranted,
 };
 
 /** Starts a service. `now` is the start of this leadership, or the time at which the carrier was changed. */
-export function makeRangeService(parts: ServiceInChargeParts, now: MonotonicMillis): ServiceInCharge {
-  return MAKERS[parts.terms.carrier](parts, now);
+export function createLeaderService(parts: LeaderServiceParts, now: MonotonicMillis): LeaderService {
+  return FACTORIES[parts.terms.carrier](parts, now);
 }
 
 /**
  * Creates a service granted by calls. After a change of the carrier, upstreams may still hold keys granted in
  * responses to heartbeats.
  */
-function grantedByCalls(parts: ServiceInChargeParts, now: MonotonicMillis): ServiceInCharge {
+function createCallGranted(parts: LeaderServiceParts, now: MonotonicMillis): LeaderService {
   const { service, terms, registry, timings, holders, log, bearings } = parts;
   if (terms.hasChanged) {
     const end = now + DEPOSED_GRANTER_MILLIS + longestHoldMillis(timings);
     for (const { definition } of registry().upstreams().values()) {
       if (definition.service === service) {
-        holders.holdUntil(definition.id, end);
+        holders.extendHold(definition.id, end);
       }
     }
   }
@@ -70,8 +70,8 @@
       bearings,
       evidence: holders,
       heartbeatMillis: timings.heartbeatMillis,
-      makeCarrier: (carrierParts, _wanted, begunAt) =>
-        new CallCarrier(carrierParts, holders, timings, begunAt),
+      createCarrier: (carrierParts, _wanted, startedAt) =>
+        new CallCarrier(carrierParts, holders, timings, startedAt),
     },
     now,
   );
@@ -82,12 +82,14 @@
  * Creates a service granted by heartbeats. After a change of the carrier, an unanswered call may be accepted late,
  * and its keys are then held.
  */
-function grantedByHeartbeats(parts: ServiceInChargeParts, now: MonotonicMillis): ServiceInCharge {
+function createHeartbeatGranted(parts: LeaderServiceParts, now: MonotonicMillis): LeaderService {
   const { service, terms, registry, timings, log, bearings } = parts;
-  const latestCall = now + DEPOSED_GRANTER_MILLIS + timings.lateMillis;
-  const foreignUntil = terms.hasChanged ? latestCall + longestHoldMillis(timings) : Number.NEGATIVE_INFINITY;
+  const lastCallTakenAt = now + DEPOSED_GRANTER_MILLIS + timings.lateMillis;
+  const foreignUntil = terms.hasChanged
+    ? lastCallTakenAt + longestHoldMillis(timings)
+    : Number.NEGATIVE_INFINITY;
   const holders = new HeartbeatHolders(timings, now, foreignUntil);
-  const made: { carrier: HeartbeatCarrier | null } = { carrier: null };
+  const created: { carrier: HeartbeatCarrier | null } = { carrier: null };
   const ranges = new RangeService(
     {
       service,
@@ -96,12 +98,12 @@
       bearings,
       evidence: holders,
       heartbeatMillis: timings.heartbeatMillis,
-      makeCarrier: (carrierParts, wanted) => {
-        made.carrier = new HeartbeatCarrier({ ...carrierParts, holders, timings, wanted });
-        return made.carrier;
+      createCarrier: (carrierParts, wanted) => {
+        created.carrier = new HeartbeatCarrier({ ...carrierParts, holders, timings, wanted });
+        return created.carrier;
       },
     },
     now,
   );
-  return { terms, ranges, heartbeats: made.carrier };
+  return { terms, ranges, heartbeats: created.carrier };
 }
--- a/test/control/call-carrier.test.ts
+++ b/test/control/call-carrier.test.ts
@@ -3,7 +3,7 @@
 import { CallCarrier } from '../../src/control/ranges/call-carrier.js';
 import type { HolderCall, HolderOutcome } from '../../src/control/ranges/holder-call.js';
 import { HolderTable } from '../../src/control/ranges/holder-table.js';
-import type { WantedCall } from '../../src/control/ranges/range-carrier.js';
+import type { PlannedCall } from '../../src/control/ranges/range-carrier.js';
 import { RangeReleases } from '../../src/control/ranges/range-releases.js';
 import type { KeyRange } from '../../src/model/key-range.js';
 import type { UpstreamRecord } from '../../src/registry/types.js';
@@ -33,24 +33,24 @@
       record: (id: string) => ({ definition: { id, address: `${id}:80`, leaving: false } }) as UpstreamRecord,
       releases: this.releases,
       isLeaving: () => false,
-      isBeingTaken: () => false,
+      isBeingRevoked: () => false,
     };
     this.carrier = new CallCarrier(parts, this.#holders, TIMINGS, 0);
   }
 
   take(now: number): HolderCall[] {
-    return this.carrier.takeCalls(now).map((wanted) => this.#begin(wanted, now));
+    return this.carrier.dequeueCalls(now).map((wanted) => this.#begin(wanted, now));
   }
 
   end(call: HolderCall, outcome: HolderOutcome, now: number): void {
     this.#holders.ended(call, outcome, now);
-    this.carrier.callEnded(call, outcome, now);
+    this.carrier.onCallEnd(call, outcome, now);
   }
 
-  #begin(wanted: WantedCall, now: number): HolderCall {
+  #begin(wanted: PlannedCall, now: number): HolderCall {
     const call = { ...wanted, id: this.#nextId };
     this.#nextId += 1;
-    this.#holders.sent(call, now);
+    this.#holders.onCallSent(call, now);
     return call;
   }
 }
--- a/test/control/heartbeat-holders.test.ts
+++ b/test/control/heartbeat-holders.test.ts
@@ -147,7 +147,7 @@
     expect(holders.heard(from(heartbeat(1), 200), 2700)).to.equal(true);
     expect(holders.freeBy('u1', SPAN, { since: 2500, afterSequence: 40 }, 2701)).to.equal('next-run');
     expect(holders.latest('u1')?.sequence).to.equal(1);
-    expect(holders.lostBy('u1', 2701)).to.equal(null);
+    expect(holders.lossProof('u1', 2701)).to.equal(null);
   });
 
   it('is nothing that a run before the latest one said, nor its end that is told late', () => {
@@ -183,14 +183,14 @@
 describe('an owner by heartbeat', () => {
   it('is lost once it can hold nothing of its last answer, whether or not it told that a hold ran out', () => {
     const holders = holding();
-    expect(holders.lostBy('u1', 2870 + LONGEST - 1)).to.equal(null);
-    expect(holders.lostBy('u1', 2870 + LONGEST)).not.to.equal(null);
+    expect(holders.lossProof('u1', 2870 + LONGEST - 1)).to.equal(null);
+    expect(holders.lossProof('u1', 2870 + LONGEST)).not.to.equal(null);
   });
 
   it('that a new leader never heard is lost no sooner than what the one before may have answered', () => {
     const holders = new HeartbeatHolders(DEFAULT_RANGE_TIMINGS, ELECTED_AT);
     const end = ELECTED_AT + DEPOSED_GRANTER_MILLIS + LONGEST;
-    expect(holders.lostBy('u9', end - 1)).to.equal(null);
-    expect(holders.lostBy('u9', end)).not.to.equal(null);
+    expect(holders.lossProof('u9', end - 1)).to.equal(null);
+    expect(holders.lossProof('u9', end)).not.to.equal(null);
   });
 });
