--- a/test/control/call-carrier.test.ts
+++ b/test/control/call-carrier.test.ts
@@ -10,7 +10,7 @@
 
 const TIMINGS = { holdMillis: 6000, renewMillis: 1000, lateMillis: 12_000, clockRateError: 0.02 };
 /** Longest wait for the next batch of due renewals. */
-const LONGEST_GAP_MILLIS = 20;
+const MAX_GAP_MILLIS = 20;
 const ACCEPTED: HolderOutcome = { type: 'accepted', handover: null };
 
 function rangeOf(from: number, to: number, owner: string | null, fence: number): KeyRange {
@@ -38,8 +38,8 @@
     this.carrier = new CallCarrier(parts, this.#holders, TIMINGS, 0);
   }
 
-  take(now: number): HolderCall[] {
-    return this.carrier.dequeueCalls(now).map((wanted) => this.#begin(wanted, now));
+  sendDue(now: number): HolderCall[] {
+    return this.carrier.dequeueCalls(now).map((planned) => this.#send(planned, now));
   }
 
   end(call: HolderCall, outcome: HolderOutcome, now: number): void {
@@ -47,8 +47,8 @@
     this.carrier.onCallEnd(call, outcome, now);
   }
 
-  #begin(wanted: PlannedCall, now: number): HolderCall {
-    const call = { ...wanted, id: this.#nextId };
+  #send(planned: PlannedCall, now: number): HolderCall {
+    const call = { ...planned, id: this.#nextId };
     this.#nextId += 1;
     this.#holders.onCallSent(call, now);
     return call;
@@ -67,60 +67,60 @@
 }
 
 describe('calls to the owners of ranges', () => {
-  it('renew what is left of a cut range when the whole would have been, and grant the rest at once', () => {
+  it('renew the remaining parts of a split range when the whole was due, and grant the other part at once', () => {
     const bench = new Bench([rangeOf(0, 99, 'u1', 5)]);
-    const [first] = bench.take(0) as [HolderCall];
+    const [first] = bench.sendDue(0) as [HolderCall];
     bench.end(first, ACCEPTED, 10);
     bench.ranges = [rangeOf(0, 39, 'u1', 5), rangeOf(40, 59, 'u2', 6), rangeOf(60, 99, 'u1', 5)];
-    expect(spansOf(bench.take(100))).to.deep.equal(['grant 40-59']);
+    expect(spansOf(bench.sendDue(100))).to.deep.equal(['grant 40-59']);
     expect(bench.carrier.nextCallAt()).to.equal(1010);
-    expect(spansOf(bench.take(1010))).to.have.members(['grant 0-39', 'grant 60-99']);
+    expect(spansOf(bench.sendDue(1010))).to.have.members(['grant 0-39', 'grant 60-99']);
   });
 
-  it('grant the rest of a cut range at once if the whole had not been answered yet', () => {
+  it('grant all parts of a split range at once if the whole was not accepted yet', () => {
     const bench = new Bench([rangeOf(0, 99, 'u1', 5)]);
-    bench.take(0);
+    bench.sendDue(0);
     bench.ranges = [rangeOf(0, 39, 'u1', 5), rangeOf(40, 99, 'u2', 6)];
-    expect(spansOf(bench.take(1))).to.have.members(['grant 0-39', 'grant 40-99']);
+    expect(spansOf(bench.sendDue(1))).to.have.members(['grant 0-39', 'grant 40-99']);
   });
 
-  it('begin a few renewals at a time, after first grants, and the rest soon', () => {
+  it('start renewals in small batches, after first grants, and the next batch soon', () => {
     const bench = new Bench(manyRanges(50));
     const due = 2000;
-    const inherited = bench.take(due);
+    const inherited = bench.sendDue(due);
     expect(inherited.length).to.be.within(12, 30);
     for (const call of inherited) {
       bench.end(call, ACCEPTED, due);
     }
     bench.ranges = [...manyRanges(49), rangeOf(490, 499, 'u0', 99)];
-    const next = bench.take(due);
+    const next = bench.sendDue(due);
     expect(spansOf(next)[0]).to.equal('grant 490-499');
     expect(next.length).to.be.at.most(20);
-    expect(bench.carrier.nextCallAt()).to.be.within(due + 1, due + LONGEST_GAP_MILLIS);
+    expect(bench.carrier.nextCallAt()).to.be.within(due + 1, due + MAX_GAP_MILLIS);
   });
 
-  it('begin no renewals more for each answer that comes, and the rest in their turn', () => {
+  it('start no renewals in response to answers, and the rest in later batches', () => {
     const bench = new Bench(manyRanges(50));
     const due = 2000;
-    const begun = bench.take(due);
-    for (const call of begun) {
+    const sent = bench.sendDue(due);
+    for (const call of sent) {
       bench.end(call, ACCEPTED, due + 1);
-      expect(bench.take(due + 1)).to.deep.equal([]);
+      expect(bench.sendDue(due + 1)).to.deep.equal([]);
     }
-    for (let turn = 0; begun.length < 50 && turn < 5; turn += 1) {
-      const next = bench.take(bench.carrier.nextCallAt());
+    for (let batch = 0; sent.length < 50 && batch < 5; batch += 1) {
+      const next = bench.sendDue(bench.carrier.nextCallAt());
       expect(next.length).to.be.within(1, 20);
-      begun.push(...next);
+      sent.push(...next);
     }
-    expect(new Set(spansOf(begun)).size).to.equal(50);
+    expect(new Set(spansOf(sent)).size).to.equal(50);
     expect(bench.carrier.nextCallAt()).to.be.at.least(due + TIMINGS.renewMillis);
   });
 
-  it('renew all ranges in time although few begin at a time', () => {
+  it('renew all ranges in time although batches are small', () => {
     const bench = new Bench(manyRanges(400));
     const renewedAt = new Map<number, number>();
     for (let now = 0; now < 5000; now += 1) {
-      for (const call of now >= bench.carrier.nextCallAt() ? bench.take(now) : []) {
+      for (const call of now >= bench.carrier.nextCallAt() ? bench.sendDue(now) : []) {
         const before = renewedAt.get(call.from) ?? now;
         expect(now - before).to.be.at.most(TIMINGS.renewMillis + 50);
         renewedAt.set(call.from, now);
@@ -130,35 +130,37 @@
     expect(renewedAt.size).to.equal(400);
   });
 
-  it('try an upstream that left a call unanswered by one call at a time, and all once it answers', () => {
+  it('probe an unresponsive upstream with one call at a time, and send all calls once it answers', () => {
     const bench = new Bench([rangeOf(0, 9, 'u1', 1), rangeOf(10, 19, 'u2', 2), rangeOf(20, 29, 'u1', 3)]);
-    const silent = bench.take(0).filter(({ upstream }) => upstream === 'u1');
+    const silent = bench.sendDue(0).filter(({ upstream }) => upstream === 'u1');
     for (const call of silent) {
       bench.end(call, { type: 'silent' }, 300);
     }
     const tries = [450, 600, 750]
-      .flatMap((now) => bench.take(now))
+      .flatMap((now) => bench.sendDue(now))
       .filter(({ upstream }) => upstream === 'u1');
     expect(tries.length).to.equal(1);
     bench.end(tries[0] as HolderCall, ACCEPTED, 800);
-    const after = [900, 1000].flatMap((now) => bench.take(now)).filter(({ upstream }) => upstream === 'u1');
+    const after = [900, 1000]
+      .flatMap((now) => bench.sendDue(now))
+      .filter(({ upstream }) => upstream === 'u1');
     expect(after.length).to.equal(1);
     expect(after[0]?.from).not.to.equal(tries[0]?.from);
   });
 
-  it('ask for no release of keys that the same upstream has got back since', () => {
+  it('send no release of keys that the same upstream has regained since', () => {
     const bench = new Bench([rangeOf(0, 99, null, 5)]);
     bench.releases.piecesOf(bench.ranges[0] as KeyRange, 0, () => [{ from: 0, to: 99, target: 'u1' }]);
     bench.ranges = [rangeOf(0, 99, 'u1', 6)];
-    expect(spansOf(bench.take(100))).to.deep.equal(['grant 0-99']);
+    expect(spansOf(bench.sendDue(100))).to.deep.equal(['grant 0-99']);
   });
 
-  it('ask again for a release that failed', () => {
+  it('retry a failed release', () => {
     const bench = new Bench([rangeOf(0, 99, null, 5)]);
     bench.releases.piecesOf(bench.ranges[0] as KeyRange, 0, () => [{ from: 0, to: 99, target: 'u2' }]);
-    const [release] = bench.take(bench.carrier.nextCallAt()) as [HolderCall];
+    const [release] = bench.sendDue(bench.carrier.nextCallAt()) as [HolderCall];
     bench.end(release, { type: 'rejected', status: 500 }, 100);
     expect(bench.carrier.nextCallAt()).to.equal(250);
-    expect(spansOf(bench.take(250))).to.deep.equal(['release 0-99']);
+    expect(spansOf(bench.sendDue(250))).to.deep.equal(['release 0-99']);
   });
 });
--- a/test/control/evacuated-ranges.test.ts
+++ b/test/control/evacuated-ranges.test.ts
@@ -27,8 +27,8 @@
   return [...new Set([...ownersOf(world)].map((owner) => owner.charAt(0)))].sort();
 }
 
-describe('ranges of a zone out of use', () => {
-  it('go to the other zones at once, warm, and each key moves once', () => {
+describe('ranges of an evacuated zone', () => {
+  it('move to the other zones at once, with handovers, and each key moves once', () => {
     const world = started();
     const before = world.registry.ranges(SERVICE);
     world.calls.length = 0;
@@ -45,7 +45,7 @@
     }
   });
 
-  it('are given to none of its upstreams, also to those that join meanwhile', () => {
+  it('are assigned to none of its upstreams, including ones that join meanwhile', () => {
     const world = started();
     world.apply({ type: 'evacuation-start', zone: 'b' });
     world.addHolder('b9', '10.0.1.9:80', 'b');
@@ -54,7 +54,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('stay out under a leader that is elected meanwhile', () => {
+  it('stay outside the zone under a leader elected meanwhile', () => {
     const world = started();
     world.apply({ type: 'evacuation-start', zone: 'b' });
     world.elect();
@@ -63,7 +63,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('go on from two zones that are out at once to the third', () => {
+  it('move to the third zone when two are evacuated at once', () => {
     const world = started();
     world.apply({ type: 'evacuation-start', zone: 'b' });
     world.run(10);
@@ -73,7 +73,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('come back to the upstreams of a zone that may be used again', () => {
+  it('return to the upstreams of a zone that may be used again', () => {
     const world = started();
     world.apply({ type: 'evacuation-start', zone: 'b' });
     world.run(2000);
@@ -83,7 +83,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('are served again after all zones were out for longer than grants hold', () => {
+  it('are served again after all zones were evacuated for longer than grants are held', () => {
     const world = started();
     for (const zone of ZONES) {
       world.apply({ type: 'evacuation-start', zone });
--- a/test/control/heartbeat-answers.test.ts
+++ b/test/control/heartbeat-answers.test.ts
@@ -6,7 +6,7 @@
 import { type Command, createRegistry, type Registry } from '../../src/registry/index.js';
 
 const SERVICE = 'menu';
-const MOST_ANSWER_BYTES = 4096;
+const MAX_RESPONSE_BYTES = 4096;
 
 /**
  * A registry with one upstream that owns every second one of twice `ranges` blocks of eight keys; the others are
@@ -50,12 +50,12 @@
   return registry;
 }
 
-interface Answered {
+interface Recorded {
   readonly coordinator: RangeCoordinator;
   readonly answers: (GrantedKeys | null)[];
 }
 
-function answering(registry: Registry, isConfirmed: boolean): Answered {
+function coordinatorWith(registry: Registry, isConfirmed: boolean): Recorded {
   const answers: (GrantedKeys | null)[] = [];
   const coordinator = new RangeCoordinator(
     {
@@ -78,20 +78,20 @@
 }
 
 describe('answers to heartbeats', () => {
-  it('name all that the upstream owns, once the leadership is confirmed', () => {
-    const { answers } = answering(registryWith(3), true);
+  it('name all ranges that the upstream owns, once the leadership is confirmed', () => {
+    const { answers } = coordinatorWith(registryWith(3), true);
     expect(answers.map((keys) => keys?.spans.map(({ from }) => from))).to.deep.equal([[0, 16, 32]]);
   });
 
-  it('are not given while no quorum confirms the leadership; at its end they renew nothing', () => {
-    const { coordinator, answers } = answering(registryWith(3), false);
+  it('are not sent while no quorum confirms the leadership; at its end they renew nothing', () => {
+    const { coordinator, answers } = coordinatorWith(registryWith(3), false);
     expect(answers).to.deep.equal([]);
     coordinator.end(900);
     expect(answers).to.deep.equal([null]);
   });
 
   it('stay below 4 KiB, however many ranges an upstream owns', () => {
-    const { answers } = answering(registryWith(400), true);
+    const { answers } = coordinatorWith(registryWith(400), true);
     const spans = answers[0]?.spans ?? [];
     const rows = spans.map(({ from, to, fence, handover }) => [from, to, fence, handover ?? '']);
     const text = JSON.stringify({
@@ -100,6 +100,6 @@
       holdMillis: 10_000,
     });
     expect(spans.length).to.be.at.least(48);
-    expect(text.length).to.be.below(MOST_ANSWER_BYTES);
+    expect(text.length).to.be.below(MAX_RESPONSE_BYTES);
   });
 });
--- a/test/control/heartbeat-owners.test.ts
+++ b/test/control/heartbeat-owners.test.ts
@@ -8,12 +8,12 @@
 const FIRST_GRANTS_MILLIS = 4000;
 const LONGEST_HOLD_MILLIS = TIMINGS.holdMillis * (1 + TIMINGS.clockRateError);
 /** Time within which a draining owner hands over its keys after a change of the way of granting. */
-const MOST_HANDOVER_MILLIS = 20_000;
+const MAX_HANDOVER_MILLIS = 20_000;
 /** Maximum time without owner in planned moves, such as of short ranges that go to a neighbour's owner. */
 const PLANNED_MOVE_MILLIS = 1000;
-const ROUGH = { lateCopies: 0.1, lateAnswers: 0.1, lostAnswers: 0.1 };
+const FAULTY = { lateCopies: 0.1, lateAnswers: 0.1, lostAnswers: 0.1 };
 /** Share of rounds in which the first heartbeat of an earlier run at an upstream's address arrives. */
-const LATE_WORDS = 0.2;
+const LATE_HEARTBEAT_SHARE = 0.2;
 /** Number of seeds; set `TERNMOUNT_SEEDS` to run more. */
 const SEEDS = Number(process.env.TERNMOUNT_SEEDS ?? 80);
 
@@ -25,7 +25,7 @@
 function started(seed = 1, sabotage: Sabotage = SABOTAGES.none, leavesOut = false): HeartbeatWorld {
   const world = new HeartbeatWorld(randomOf(seed), sabotage);
   for (const id of ['u1', 'u2', 'u3', 'u4']) {
-    world.add(id).leavesOut = leavesOut;
+    world.add(id).omitsEmptyHeld = leavesOut;
   }
   world.elect();
   world.run(FIRST_GRANTS_MILLIS);
@@ -70,11 +70,11 @@
  * Has another writer announce upstreams from time to time for 12 s. Every second upstream omits its held keys while
  * it holds none.
  */
-function mixIn(world: HeartbeatWorld, random: () => number): void {
+function addForeignWriter(world: HeartbeatWorld, random: () => number): void {
   const step = (): void => {
     const upstreams = [...world.upstreams.values()];
     upstreams.forEach((upstream, position) => {
-      upstream.leavesOut = position % 2 === 1;
+      upstream.omitsEmptyHeld = position % 2 === 1;
     });
     const upstream = upstreams[Math.floor(random() * upstreams.length)];
     if (upstream?.condition === 'up') {
@@ -91,7 +91,7 @@
 function playRandomly(seed: number, sabotage: Sabotage = SABOTAGES.none, isMixed = false): HeartbeatWorld {
   const world = started(seed, sabotage);
   if (isMixed) {
-    mixIn(world, randomOf(seed + 2_000_000));
+    addForeignWriter(world, randomOf(seed + 2_000_000));
   }
   const random = randomOf(seed + 1_000_000);
   let runs = 4;
@@ -103,9 +103,9 @@
     if (draw < 0.25) {
       world.elect();
     } else if (draw < 0.4) {
-      world.weather = ROUGH;
+      world.networkFaults = FAULTY;
       world.after(3000, () => {
-        world.weather = { lateCopies: 0, lateAnswers: 0, lostAnswers: 0 };
+        world.networkFaults = { lateCopies: 0, lateAnswers: 0, lostAnswers: 0 };
       });
     } else if (draw < 0.55 && upstream.condition === 'up') {
       upstream.condition = 'cut';
@@ -130,18 +130,18 @@
       }));
       world.report({ type: 'load-report', intervalMillis: 1000, shards });
     }
-    if (isAlive && random() < LATE_WORDS) {
-      world.lateWord(upstream);
+    if (isAlive && random() < LATE_HEARTBEAT_SHARE) {
+      world.deliverLateHeartbeat(upstream);
     }
     world.run(random() * 2000);
   }
-  world.weather = { lateCopies: 0, lateAnswers: 0, lostAnswers: 0 };
+  world.networkFaults = { lateCopies: 0, lateAnswers: 0, lostAnswers: 0 };
   world.run(8000 + LONGEST_HOLD_MILLIS + 4000);
   return world;
 }
 
-describe('owners of ranges by heartbeat', () => {
-  it('are given all keys once upstreams stopped coming, evenly', () => {
+describe('owners of ranges granted by heartbeat', () => {
+  it('are assigned all keys evenly once no more upstreams join', () => {
     const world = started();
     expect(world.servedShare()).to.equal(1);
     const lengths = world.registry.ranges(SERVICE).map(({ from, to }) => to - from + 1);
@@ -169,7 +169,7 @@
     }
   });
 
-  it('that leave hand over within a second in the median', () => {
+  it('that drain hand over within a second in the median', () => {
     const gaps: number[] = [];
     for (let seed = 1; seed <= 60; seed += 1) {
       const world = started(seed);
@@ -186,7 +186,7 @@
     expect(median(gaps)).to.be.at.most(1000);
   });
 
-  it('that leave and say nothing of keys once they hold none hand over as soon', () => {
+  it('that drain and omit held keys once they hold none hand over as soon', () => {
     const gaps: number[] = [];
     for (let seed = 1; seed <= 60; seed += 1) {
       const world = started(seed, SABOTAGES.none, true);
@@ -202,7 +202,7 @@
     expect(median(gaps)).to.be.at.most(1000);
   });
 
-  it('whose run has ended without a word are replaced once it could hold nothing, and no sooner', () => {
+  it('whose run ended without notice are replaced once it can hold nothing, and no sooner', () => {
     const world = started();
     upstreamOf(world, 'u2').condition = 'ended';
     world.run(LONGEST_HOLD_MILLIS - TIMINGS.heartbeatMillis - 100);
@@ -211,7 +211,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('whose next run says so at their address are replaced within a heartbeat and a second in the median', () => {
+  it('whose next run announces itself at their address are replaced within a heartbeat and a second in the median', () => {
     const gaps: number[] = [];
     for (let seed = 1; seed <= 60; seed += 1) {
       const world = started(seed);
@@ -229,7 +229,7 @@
     expect(median(gaps)).to.be.at.most(TIMINGS.heartbeatMillis + 1000);
   });
 
-  it('that fall silent are replaced once they can hold nothing', () => {
+  it('that become silent are replaced once they can hold nothing', () => {
     const world = started();
     upstreamOf(world, 'u2').condition = 'dark';
     world.run(LONGEST_HOLD_MILLIS - TIMINGS.heartbeatMillis - 100);
@@ -248,7 +248,7 @@
     { condition: 'up', isNewLeader: true },
   ] as const) {
     const leader = isNewLeader ? 'a new leader' : 'the same leader';
-    it(`that are ${condition} outlive a late word of an earlier run at their address, under ${leader}`, () => {
+    it(`that are ${condition} are kept despite a late heartbeat of an earlier run at their address, under ${leader}`, () => {
       for (let seed = 1; seed <= 20; seed += 1) {
         const world = started(seed);
         const owner = upstreamOf(world, 'u2');
@@ -258,7 +258,7 @@
           world.elect();
           world.run(10);
         }
-        world.lateWord(owner);
+        world.deliverLateHeartbeat(owner);
         world.run(LONGEST_HOLD_MILLIS + 2000);
         owner.condition = 'up';
         world.run(3000);
@@ -268,7 +268,7 @@
     });
   }
 
-  it('that crashed are replaced within a heartbeat and a second in the median once their next run speaks', () => {
+  it('that crashed are replaced within a heartbeat and a second in the median once their next run sends a heartbeat', () => {
     for (const isNewLeader of [false, true]) {
       const gaps: number[] = [];
       for (let seed = 1; seed <= 40; seed += 1) {
@@ -293,7 +293,7 @@
     }
   });
 
-  it('that join later get keys within three seconds, also while nobody is busy', () => {
+  it('that join later get keys within three seconds, even without load', () => {
     const world = started();
     world.add('u5');
     world.run(3000);
@@ -301,13 +301,13 @@
     expect(world.timeUntilServed(1000)).not.to.equal(null);
   });
 
-  it('take keys under a new fence if they saw a higher one', () => {
+  it('accept keys under a new fence if they have seen a higher one', () => {
     for (let seed = 1; seed <= 10; seed += 1) {
       const world = started(seed);
       const [range] = world.registry.ranges(SERVICE);
       const owner = upstreamOf(world, range?.owner ?? '');
       const spans = [{ from: 100, to: 200, fence: (range?.fence ?? 0) + 1, handover: null }];
-      owner.take(owner.report(world.now), { spans, holdMillis: 1 }, world.now, world.now);
+      owner.applyResponse(owner.report(world.now), { spans, holdMillis: 1 }, world.now, world.now);
       world.apply({ type: 'upstream-withdraw', upstream: 'nobody' });
       // Work on the keys continues for a while, during which the owner counts as serving them.
       world.run(LONGEST_WORK_MILLIS);
@@ -317,7 +317,7 @@
     }
   });
 
-  it('stay alone when the way of granting is changed', () => {
+  it('remain the only holders when the way of granting is changed', () => {
     for (let seed = 1; seed <= 10; seed += 1) {
       const world = started(seed);
       world.declare('request', 2);
@@ -326,15 +326,15 @@
       world.run(300);
       expect(world.registry.services().get(SERVICE)?.definition.rangeGrants?.hasChanged).to.equal(true);
       upstreamOf(world, 'u1').leaving = true;
-      world.run(MOST_HANDOVER_MILLIS);
+      world.run(MAX_HANDOVER_MILLIS);
       expect(world.timeUntilServed(PLANNED_MOVE_MILLIS), `seed ${seed}`).not.to.equal(null);
       expect(world.registry.ranges(SERVICE).some(({ owner }) => owner === 'u1')).to.equal(false);
-      world.run(40_000 - MOST_HANDOVER_MILLIS);
+      world.run(40_000 - MAX_HANDOVER_MILLIS);
       expect(world.timeUntilServed(PLANNED_MOVE_MILLIS), `seed ${seed}`).not.to.equal(null);
     }
   });
 
-  it(`are one at a time under random faults, seeds 1 to ${SEEDS}`, function () {
+  it(`are the only holders under random faults, seeds 1 to ${SEEDS}`, function () {
     this.timeout(120_000);
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       const world = playRandomly(seed);
@@ -349,7 +349,7 @@
    * holders in 24 of 24 seeds, and in 8 of 24 just after an election.
    */
   for (const isAfterElection of [false, true]) {
-    it(`are one at a time when another writer announces one, ${isAfterElection ? 'after an election' : 'no election'}`, () => {
+    it(`are the only holders when another writer announces one, ${isAfterElection ? 'after an election' : 'no election'}`, () => {
       const failures: string[] = [];
       for (let seed = 1; seed <= 24; seed += 1) {
         try {
@@ -382,11 +382,11 @@
     }
   });
 
-  it('would have two under the sabotage missingTakenAsNone', () => {
+  it('have a second holder under the sabotage missingTakenAsNone', () => {
     expect(() => playForeignEntries(1, false, SABOTAGES.missingTakenAsNone)).to.throw(/held by/);
   });
 
-  it(`are one at a time under random faults beside another writer, seeds 1 to ${SEEDS}`, function () {
+  it(`are the only holders under random faults with another writer, seeds 1 to ${SEEDS}`, function () {
     this.timeout(120_000);
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       const world = playRandomly(seed, SABOTAGES.none, true);
@@ -400,7 +400,7 @@
     SABOTAGES.wordTakenUnproved,
     SABOTAGES.holdCountedShort,
   ]) {
-    it(`would have two under the sabotage ${sabotage}`, function () {
+    it(`have a second holder under the sabotage ${sabotage}`, function () {
       this.timeout(60_000);
       const isCaught = (seed: number): boolean => {
         try {
--- a/test/control/heartbeat-upstream.ts
+++ b/test/control/heartbeat-upstream.ts
@@ -24,13 +24,13 @@
   condition: UpstreamCondition = 'up';
   leaving = false;
   /** Whether the report omits the held keys while there are none. */
-  leavesOut = false;
+  omitsEmptyHeld = false;
   sequence = 0;
   /** Handovers received with keys. */
   readonly handovers: string[] = [];
   #rows: HeldRow[] = [];
   /** Revoked keys on which work is still running. */
-  #working: HeldRow[] = [];
+  #busyRows: HeldRow[] = [];
   #released: ReleasedSpan[] = [];
   /** Highest fences seen. */
   readonly #fences: HeldSpan[] = [];
@@ -44,16 +44,16 @@
 
   /** Returns the report of the next heartbeat. */
   report(now: number): HeldKeys {
-    this.#settle(now);
+    this.#expire(now);
     this.sequence += 1;
-    const held = [...this.#rows, ...this.#working].map(({ from, to, fence }) => ({ from, to, fence }));
-    const isLeftOut = this.leavesOut && held.length === 0;
+    const held = [...this.#rows, ...this.#busyRows].map(({ from, to, fence }) => ({ from, to, fence }));
+    const isLeftOut = this.omitsEmptyHeld && held.length === 0;
     return { sequence: this.sequence, held: isLeftOut ? null : held, released: [...this.#released] };
   }
 
   /** Applies a response that arrived in time. */
-  take(report: HeldKeys, keys: GrantedKeys | null, sentAt: number, now: number): void {
-    this.#settle(now);
+  applyResponse(report: HeldKeys, keys: GrantedKeys | null, sentAt: number, now: number): void {
+    this.#expire(now);
     this.#released = this.#released.filter((release) => !report.released.includes(release));
     if (keys === null) {
       return;
@@ -61,8 +61,8 @@
     const until = sentAt + keys.holdMillis * (1 + this.timings.clockRateError);
     const taken = keys.spans.filter((span) => !this.#hasSeenHigher(span));
     for (const row of this.#rows) {
-      for (const rest of subtract(row, taken)) {
-        this.#letGo({ ...row, ...rest }, now);
+      for (const remainder of subtract(row, taken)) {
+        this.#release({ ...row, ...remainder }, now);
       }
     }
     this.#rows = taken.map(({ from, to, fence }) => ({ from, to, fence, until }));
@@ -71,9 +71,9 @@
   }
 
   /** Returns whether keys are being released, so that the next heartbeat is sent soon. */
-  isLettingGo(now: number): boolean {
-    this.#settle(now);
-    return this.#working.length > 0 || this.#released.length > 0;
+  isReleasing(now: number): boolean {
+    this.#expire(now);
+    return this.#busyRows.length > 0 || this.#released.length > 0;
   }
 
   /** Whether its process runs. */
@@ -83,7 +83,7 @@
 
   /** Returns the spans that it would serve or still works on. */
   rowsAt(now: number): readonly HeldSpan[] {
-    return this.isAlive ? [...this.#rows, ...this.#working].filter(({ until }) => now < until) : [];
+    return this.isAlive ? [...this.#rows, ...this.#busyRows].filter(({ until }) => now < until) : [];
   }
 
   /** Returns whether it holds a key or still works on it. */
@@ -91,16 +91,16 @@
     return this.rowsAt(now).some(({ from, to }) => from <= key && key <= to);
   }
 
-  #letGo(row: HeldRow, now: number): void {
+  #release(row: HeldRow, now: number): void {
     const workMillis = this.random() < 0.5 ? 0 : this.random() * LONGEST_WORK_MILLIS;
-    this.#working.push({ ...row, until: now + workMillis });
+    this.#busyRows.push({ ...row, until: now + workMillis });
   }
 
   /** Drops expired holds, which are not reported as released, and completes releases. */
-  #settle(now: number): void {
+  #expire(now: number): void {
     this.#rows = this.#rows.filter(({ until }) => until > now);
-    const done = this.#working.filter(({ until }) => until <= now);
-    this.#working = this.#working.filter(({ until }) => until > now);
+    const done = this.#busyRows.filter(({ until }) => until <= now);
+    this.#busyRows = this.#busyRows.filter(({ until }) => until > now);
     this.#released.push(...done.map(({ from, to }) => ({ from, to, handover: `${this.id}:${from}-${to}` })));
   }
 
--- a/test/control/heartbeat-world.ts
+++ b/test/control/heartbeat-world.ts
@@ -23,7 +23,7 @@
 const COMMIT_MILLIS = 4;
 const QUESTION_TIMEOUT_MILLIS = 300;
 const ANSWER_TIMEOUT_MILLIS = 1000;
-const LETTING_GO_MILLIS = 100;
+const RELEASING_HEARTBEAT_MILLIS = 100;
 /** Time for which a deposed leader still receives heartbeats. */
 const DEPOSED_MILLIS = 1000;
 const SAMPLED_KEYS = Array.from({ length: 128 }, (_, index) => index * 512);
@@ -37,13 +37,13 @@
 };
 
 /** Network faults, as shares of the heartbeats affected. */
-export interface Weather {
+export interface NetworkFaults {
   readonly lateCopies: number;
   readonly lateAnswers: number;
   readonly lostAnswers: number;
 }
 
-const CALM: Weather = { lateCopies: 0, lateAnswers: 0, lostAnswers: 0 };
+const CALM: NetworkFaults = { lateCopies: 0, lateAnswers: 0, lostAnswers: 0 };
 
 /** Faults put into the system on purpose; the holder check must find them. */
 export const SABOTAGES = {
@@ -81,14 +81,14 @@
 export class HeartbeatWorld {
   readonly upstreams = new Map<UpstreamId, HeartbeatUpstream>();
   registry: Registry = createRegistry();
-  weather: Weather = CALM;
+  networkFaults: NetworkFaults = CALM;
   /** Log records of the leaders. */
   readonly records: Readonly<Record<string, unknown>>[] = [];
   readonly #events = new EventQueue();
   #leaderships: Leadership[] = [];
   /** Added to sequences that sabotage makes look new. */
-  #forged = 0;
-  #lateWords = 0;
+  #forgedOffset = 0;
+  #lateHeartbeats = 0;
   #term = 0;
 
   constructor(
@@ -128,7 +128,7 @@
   add(id: UpstreamId, address = `10.0.0.${this.upstreams.size + 1}:80`): HeartbeatUpstream {
     const upstream = new HeartbeatUpstream(id, address, TIMINGS, this.random);
     this.upstreams.set(id, upstream);
-    this.after(this.random() * TIMINGS.heartbeatMillis, () => this.#beat(upstream));
+    this.after(this.random() * TIMINGS.heartbeatMillis, () => this.#sendHeartbeat(upstream));
     return upstream;
   }
 
@@ -138,7 +138,7 @@
       this.#depose(leadership);
     }
     this.#term += 1;
-    const leadership = this.#lead();
+    const leadership = this.#createLeadership();
     this.#leaderships.push(leadership);
   }
 
@@ -160,9 +160,9 @@
   }
 
   /** Delivers the first heartbeat of an earlier, unknown run at an upstream's address now. */
-  lateWord({ id, address }: HeartbeatUpstream): void {
-    this.#lateWords += 1;
-    const sender = { id: `${id}-before-${this.#lateWords}`, address, leaving: false };
+  deliverLateHeartbeat({ id, address }: HeartbeatUpstream): void {
+    this.#lateHeartbeats += 1;
+    const sender = { id: `${id}-before-${this.#lateHeartbeats}`, address, leaving: false };
     this.#deliver(sender, { sequence: 1, held: [], released: [] }, () => {});
   }
 
@@ -204,7 +204,7 @@
     return null;
   }
 
-  #lead(): Leadership {
+  #createLeadership(): Leadership {
     let ownRegistry: Registry | null = null;
     const registry = (): Registry => ownRegistry ?? this.registry;
     const leadership: Leadership = {
@@ -215,7 +215,7 @@
         registry,
         timings: TIMINGS,
         mayHold: (upstream, now) => leadership.coordinator.mayHold(upstream, now),
-        ask: (question) => this.#ask(question, leadership),
+        ask: (question) => this.#answerQuestion(question, leadership),
         log: () => {},
       }),
       coordinator: new RangeCoordinator(
@@ -235,7 +235,7 @@
             const isSabotaged = this.sabotage === SABOTAGES.unconfirmedLeader;
             this.after(2 * NETWORK_MILLIS, () => settle(!leadership.isDeposed || isSabotaged));
           },
-          call: (call) => this.#carry(call, leadership),
+          call: (call) => this.#endCall(call, leadership),
           log: (event, fields) => this.records.push({ event, ...fields }),
           timings:
             this.sabotage === SABOTAGES.holdCountedShort ? { ...TIMINGS, clockRateError: -0.5 } : TIMINGS,
@@ -266,20 +266,22 @@
     return alive[Math.floor(this.random() * alive.length)] ?? alive.at(-1);
   }
 
-  #beat(upstream: HeartbeatUpstream): void {
+  #sendHeartbeat(upstream: HeartbeatUpstream): void {
     if (upstream.condition === 'dark' || upstream.condition === 'ended') {
       return;
     }
     const report = upstream.report(this.now);
-    expectTaken(report);
+    expectAccepted(report);
     const sentAt = this.now;
     let isOver = false;
     const end = (): void => {
       if (!isOver) {
         isOver = true;
-        const isBusy = upstream.isLettingGo(this.now);
-        const wait = isBusy ? LETTING_GO_MILLIS : TIMINGS.heartbeatMillis * (0.97 + this.random() * 0.06);
-        this.after(wait, () => this.#beat(upstream));
+        const isBusy = upstream.isReleasing(this.now);
+        const wait = isBusy
+          ? RELEASING_HEARTBEAT_MILLIS
+          : TIMINGS.heartbeatMillis * (0.97 + this.random() * 0.06);
+        this.after(wait, () => this.#sendHeartbeat(upstream));
       }
     };
     this.after(ANSWER_TIMEOUT_MILLIS, end);
@@ -287,18 +289,18 @@
       return;
     }
     this.#deliver(upstream, report, (keys) => {
-      if (this.random() < this.weather.lostAnswers) {
+      if (this.random() < this.networkFaults.lostAnswers) {
         return;
       }
-      const isLate = this.random() < this.weather.lateAnswers;
+      const isLate = this.random() < this.networkFaults.lateAnswers;
       this.after(NETWORK_MILLIS + (isLate ? this.random() * 1200 : 0), () => {
         if (!isOver && upstream.condition === 'up') {
-          upstream.take(report, keys, sentAt, this.now);
+          upstream.applyResponse(report, keys, sentAt, this.now);
           end();
         }
       });
     });
-    if (this.random() < this.weather.lateCopies) {
+    if (this.random() < this.networkFaults.lateCopies) {
       this.after(500 + this.random() * 3500, () => this.#deliver(upstream, this.#lateCopy(report), () => {}));
     }
   }
@@ -307,8 +309,8 @@
     if (this.sabotage !== SABOTAGES.lateTakenAsNew) {
       return report;
     }
-    this.#forged += 0.0001;
-    return { ...report, sequence: (this.upstreams.size && report.sequence + 50) + this.#forged };
+    this.#forgedOffset += 0.0001;
+    return { ...report, sequence: (this.upstreams.size && report.sequence + 50) + this.#forgedOffset };
   }
 
   #deliver(
@@ -328,8 +330,8 @@
         member.claims.heard(id, this.now);
         member.coordinator.heard({ upstream: id, born: null, report: heard }, answer, this.now);
       };
-      const isNews = known === undefined || (leaving && !known.definition.leaving);
-      if (!isNews || this.registry.isDeparted(id)) {
+      const isNew = known === undefined || (leaving && !known.definition.leaving);
+      if (!isNew || this.registry.isDeparted(id)) {
         take();
         return;
       }
@@ -351,19 +353,22 @@
   }
 
   /** Answers an identity question for the run at an address, unless that one is cut off. */
-  #ask({ id, address, claimant }: IdentityQuestion, { claims }: Leadership): void {
-    const living = [...this.upstreams.values()].find(
+  #answerQuestion({ id, address, claimant }: IdentityQuestion, { claims }: Leadership): void {
+    const liveUpstream = [...this.upstreams.values()].find(
       (upstream) => upstream.address === address && upstream.isAlive,
     );
-    const tell = (millis: number, answer: IdentityAnswer): void =>
+    const answerAfter = (millis: number, answer: IdentityAnswer): void =>
       this.after(millis, () => claims.answered(id, answer, this.now));
     if (this.sabotage === SABOTAGES.wordTakenUnproved) {
-      tell(2 * NETWORK_MILLIS, { type: 'named', upstream: claimant });
-    } else if (living?.condition !== 'up') {
-      tell(QUESTION_TIMEOUT_MILLIS, { type: 'unknown' });
+      answerAfter(2 * NETWORK_MILLIS, { type: 'named', upstream: claimant });
+    } else if (liveUpstream?.condition !== 'up') {
+      answerAfter(QUESTION_TIMEOUT_MILLIS, { type: 'unknown' });
     } else {
-      const isClaimant = living.id === claimant;
-      tell(2 * NETWORK_MILLIS, isClaimant ? { type: 'named', upstream: claimant } : { type: 'another' });
+      const isClaimant = liveUpstream.id === claimant;
+      answerAfter(
+        2 * NETWORK_MILLIS,
+        isClaimant ? { type: 'named', upstream: claimant } : { type: 'another' },
+      );
     }
   }
 
@@ -371,7 +376,7 @@
    * Ends a call. Calls are sent only while the way of granting is changed to them; upstreams accept none, whatever
    * they answer.
    */
-  #carry({ id, upstream }: HolderCall, leadership: Leadership): void {
+  #endCall({ id, upstream }: HolderCall, leadership: Leadership): void {
     const condition = this.upstreams.get(upstream)?.condition ?? 'ended';
     const outcomes: Readonly<Record<typeof condition, HolderOutcome>> = {
       up: { type: 'accepted', handover: null },
@@ -400,7 +405,7 @@
 }
 
 /** The interface must accept every report of an upstream unchanged. */
-function expectTaken({ held }: HeldKeys): void {
+function expectAccepted({ held }: HeldKeys): void {
   const holds = held?.map(({ from, to, fence }) => [from, to, fence]);
   const { success, error } = heldKeysFields.holds.safeParse(holds);
   if (!success) {
--- a/test/control/late-call-answers.test.ts
+++ b/test/control/late-call-answers.test.ts
@@ -14,7 +14,7 @@
 }
 
 /** Two owners, and a third upstream without keys. */
-function declared(): Registry {
+function declaredRegistry(): Registry {
   const registry = createRegistry();
   apply(registry, {
     type: 'declaration-apply',
@@ -42,7 +42,7 @@
 }
 
 /** Revokes the keys of the range that starts at `from` from their owner. */
-function takeOff(registry: Registry, from: number): void {
+function revoke(registry: Registry, from: number): void {
   const range = registry.ranges(SERVICE).find((candidate) => candidate.from === from);
   const { to, fence, owner } = range as NonNullable<typeof range>;
   const updates = [{ from, to, expectedFence: fence, owner: null, former: owner }];
@@ -89,24 +89,24 @@
   // work on its keys has ended, up to 3 s later. If the member was elected again meanwhile, the response was matched
   // with the new leadership's call of the same number: the keys of another owner counted as released while it held
   // them.
-  it('frees no keys of another owner', () => {
-    const registry = declared();
-    takeOff(registry, MIDDLE);
+  it('does not free keys of another owner', () => {
+    const registry = declaredRegistry();
+    revoke(registry, MIDDLE);
     const earlier = new Leadership(registry, 1, 0);
     const release = earlier.releaseOf('u2');
     expect(release).to.not.equal(undefined);
     earlier.coordinator.end(200);
 
-    takeOff(registry, 0);
+    revoke(registry, 0);
     const later = new Leadership(registry, 2, 210);
     expect(later.releaseOf('u1')).to.not.equal(undefined);
     for (const { id } of earlier.calls) {
       later.coordinator.callEnded(id, { type: 'accepted', handover: null }, 420);
     }
     later.run(420, 1000);
-    const given = later.proposed.flatMap((command) =>
+    const proposedUpdates = later.proposed.flatMap((command) =>
       command.type === 'range-update' ? command.updates : [],
     );
-    expect(given.filter(({ owner }) => owner !== null)).to.deep.equal([]);
+    expect(proposedUpdates.filter(({ owner }) => owner !== null)).to.deep.equal([]);
   });
 });
--- a/test/control/range-freed.test.ts
+++ b/test/control/range-freed.test.ts
@@ -20,8 +20,8 @@
   expect(Object.keys(fields)).to.have.members([...(EVENTS['range-freed']?.fields ?? [])]);
 }
 
-describe('the record of a range that is free', () => {
-  it('names the proof where grants ride on heartbeats', () => {
+describe('the log record of a freed range', () => {
+  it('names the proof with grants by heartbeat', () => {
     const world = new HeartbeatWorld();
     for (const id of IDS) {
       world.add(id);
@@ -43,7 +43,7 @@
     expectFields(silent);
   });
 
-  it('names the proof where grants go by calls', () => {
+  it('names the proof with grants by call', () => {
     const world = new RangeWorld();
     for (const id of IDS) {
       world.addHolder(id);
--- a/test/control/range-load.test.ts
+++ b/test/control/range-load.test.ts
@@ -45,13 +45,13 @@
 }
 
 describe('a leader with many ranges', () => {
-  it('renews each of them, and is in time for its own heartbeats meanwhile', () => {
+  it('renews each of them, and sends its own heartbeats in time meanwhile', () => {
     const cost = costOf(1000);
     expect(cost.callsASecond).to.be.within(950, 1100);
     expect(cost.latestHeartbeatMillis).to.be.below(HEARTBEAT_MILLIS);
   });
 
-  it('takes over from another one in time for its own heartbeats, and renews all before they run out', () => {
+  it('sends its own heartbeats in time after taking over, and renews all grants before they expire', () => {
     const load = new RangeLoad(1000, UPSTREAMS);
     load.run(SETTLE_MILLIS);
     expect(load.latestHeartbeatMillis).to.be.below(HEARTBEAT_MILLIS);
@@ -66,14 +66,14 @@
    * of per time; this test failed at 3,000 ranges before renewals were spread.
    */
   for (const rows of [1850, 3000, 6000]) {
-    it(`is in time for its own heartbeats with ${rows} ranges too, when it takes over and later`, () => {
+    it(`sends its own heartbeats in time with ${rows} ranges too, after taking over and later`, () => {
       const load = new RangeLoad(rows, 256);
       load.run(SETTLE_MILLIS + MEASURED_SECONDS * 1000);
       expect(load.latestHeartbeatMillis).to.be.below(HEARTBEAT_MILLIS / 2);
     });
   }
 
-  it('renews more ranges than it has time for in turn, each before it runs out', () => {
+  it('spreads renewals beyond its limit, and renews each range before it expires', () => {
     const rows = 6000;
     const load = new RangeLoad(rows, 256);
     load.run(SETTLE_MILLIS);
@@ -83,19 +83,19 @@
     expect(load.longestRenewalMillis).to.be.below(HOLD_MILLIS * 0.8);
   });
 
-  it('decides owners as often as without any: answers to renewals begin nothing', () => {
+  it('decides owners as often as with few: responses to renewals trigger no decision', () => {
     const few = costOf(UPSTREAMS);
     const many = costOf(800);
     expect(many.decisionsASecond).to.be.at.most(few.decisionsASecond * 1.2);
   });
 
-  it('reads no more of the ranges for a renewal than with few of them', () => {
+  it('reads no more rows per renewal than with few of them', () => {
     const few = costOf(200);
     const many = costOf(800);
     expect(many.readsACall).to.be.at.most(few.readsACall * 1.5);
   });
 
-  it('reads not much more of them a second where heartbeats carry the grants: decisions become rarer', () => {
+  it('reads few more rows a second with grants by heartbeat: decisions become rarer', () => {
     expect(readsASecondByHeartbeat(800)).to.be.at.most(readsASecondByHeartbeat(UPSTREAMS) * 3);
   });
 });
--- a/test/control/range-load.ts
+++ b/test/control/range-load.ts
@@ -24,11 +24,11 @@
 };
 const COMMIT_MILLIS = 4;
 const QUORUM_MILLIS = 2;
-const LEAST_ANSWER_MILLIS = 2;
+const MIN_RESPONSE_MILLIS = 2;
 /** Additional response time of up to this many milliseconds, varied by call. */
-const ANSWER_SPREAD = 5;
+const RESPONSE_SPREAD_MILLIS = 5;
 /** Minimum wait for a tick, as in the daemon. */
-const LEAST_TICK_MILLIS = 1;
+const MIN_TICK_MILLIS = 1;
 /** Time between two heartbeats of the leader to its followers. */
 const LEADER_HEARTBEAT_MILLIS = 150;
 /** Cost of reading one field of a row, measured: 800 rows took 1.8 ms of processor time per pass at 20 reads a row. */
@@ -42,7 +42,7 @@
   readonly #counted = new WeakMap<KeyRange, KeyRange>();
   readonly #lists = new WeakMap<readonly KeyRange[], readonly KeyRange[]>();
 
-  of(ranges: readonly KeyRange[]): readonly KeyRange[] {
+  countedList(ranges: readonly KeyRange[]): readonly KeyRange[] {
     const known = this.#lists.get(ranges);
     const list = known ?? ranges.map((range) => this.#row(range));
     this.#lists.set(ranges, list);
@@ -72,7 +72,7 @@
   readonly #events = new EventQueue();
   readonly #counter = new ReadCounter();
   readonly #registry: Registry = createRegistry();
-  readonly #seen: Registry;
+  readonly #countedRegistry: Registry;
   readonly #leader: RangeCoordinator;
   readonly #mailbox: (() => void)[] = [];
   readonly #carrier: GrantCarrier;
@@ -93,10 +93,10 @@
     this.#fill(rows, upstreams);
     const counter = this.#counter;
     const registry = this.#registry;
-    this.#seen = new Proxy(registry, {
+    this.#countedRegistry = new Proxy(registry, {
       get(target, name) {
         if (name === 'ranges') {
-          return (service: string) => counter.of(target.ranges(service));
+          return (service: string) => counter.countedList(target.ranges(service));
         }
         const value: unknown = Reflect.get(target, name, target);
         return typeof value === 'function' ? value.bind(target) : value;
@@ -104,7 +104,7 @@
     });
     this.#leader = new RangeCoordinator(
       {
-        registry: () => this.#seen,
+        registry: () => this.#countedRegistry,
         term: 1,
         propose: (command, settle) =>
           this.#after(COMMIT_MILLIS, () => {
@@ -113,16 +113,16 @@
             settle({ type: 'applied', result: { type: 'accepted', revision: 1 }, revision: 1 }, this.now);
           }),
         confirm: (_now, _mayWait, settle) => this.#after(QUORUM_MILLIS, () => settle(true)),
-        call: (call) => this.#carry(call),
+        call: (call) => this.#answerCall(call),
         log: () => {},
         timings: TIMINGS,
       },
       0,
     );
     for (let place = 0; place < upstreams; place += 1) {
-      this.#beat(`u${place}`, (place * TIMINGS.heartbeatMillis) / upstreams);
+      this.#sendHeartbeat(`u${place}`, (place * TIMINGS.heartbeatMillis) / upstreams);
     }
-    this.#heartbeat(LEADER_HEARTBEAT_MILLIS);
+    this.#leaderHeartbeat(LEADER_HEARTBEAT_MILLIS);
     this.#post(() => {});
   }
 
@@ -183,22 +183,22 @@
     this.#registry.apply(revision + 1, { requestId: null, actor: 'test', at: 0, command });
   }
 
-  #carry(call: HolderCall): void {
+  #answerCall(call: HolderCall): void {
     this.calls += 1;
     this.#callsInStep += 1;
     const before = this.#grantedAt.get(call.from) ?? this.now;
     this.longestRenewalMillis = Math.max(this.longestRenewalMillis, this.now - before);
     this.#grantedAt.set(call.from, this.now);
-    this.#after(LEAST_ANSWER_MILLIS + (call.id % ANSWER_SPREAD), () =>
+    this.#after(MIN_RESPONSE_MILLIS + (call.id % RESPONSE_SPREAD_MILLIS), () =>
       this.#leader.callEnded(call.id, { type: 'accepted', handover: null }, this.now),
     );
   }
 
-  #beat(upstream: string, millis: number): void {
+  #sendHeartbeat(upstream: string, millis: number): void {
     this.#events.after(millis, () => {
       const report = this.#carrier === GRANT_CARRIERS.heartbeat ? this.#reportOf(upstream) : null;
       this.#post(() => this.#leader.heard({ upstream, born: null, report }, () => {}, this.now));
-      this.#beat(upstream, TIMINGS.heartbeatMillis);
+      this.#sendHeartbeat(upstream, TIMINGS.heartbeatMillis);
     });
   }
 
@@ -209,12 +209,12 @@
     return { sequence: this.#sequence, held, released: [] };
   }
 
-  #heartbeat(dueAt: number): void {
+  #leaderHeartbeat(dueAt: number): void {
     this.#events.after(dueAt - this.now, () => {
       this.#post(() => {
         this.latestHeartbeatMillis = Math.max(this.latestHeartbeatMillis, this.now - dueAt);
       });
-      this.#heartbeat(dueAt + LEADER_HEARTBEAT_MILLIS);
+      this.#leaderHeartbeat(dueAt + LEADER_HEARTBEAT_MILLIS);
     });
   }
 
@@ -226,12 +226,12 @@
   #post(task: () => void): void {
     this.#mailbox.push(task);
     if (!this.#isBusy) {
-      this.#next();
+      this.#runNext();
     }
   }
 
   /** Runs the next task of the mailbox; the loop is busy for the cost of the task. */
-  #next(): void {
+  #runNext(): void {
     const task = this.#mailbox.shift();
     this.#isBusy = task !== undefined;
     if (task === undefined) {
@@ -243,13 +243,13 @@
     task();
     this.#leader.run(this.now);
     const cost = (this.#counter.reads - readsBefore) * READ_MILLIS + this.#callsInStep * CALL_MILLIS;
-    this.#events.after(cost, () => this.#next());
+    this.#events.after(cost, () => this.#runNext());
   }
 
   #sleep(): void {
     this.#wake += 1;
     const wake = this.#wake;
-    const wait = Math.max(LEAST_TICK_MILLIS, this.#leader.nextDeadline() - this.now);
+    const wait = Math.max(MIN_TICK_MILLIS, this.#leader.nextDeadline() - this.now);
     this.#events.after(wait, () => {
       if (wake === this.#wake && !this.#isBusy) {
         this.#post(() => {});
--- a/test/control/range-owners.test.ts
+++ b/test/control/range-owners.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe('owners of ranges', () => {
-  it('are never cold ones that join while others are warm, and get keys once they are warm', () => {
+  it('are never cold upstreams that join while others are warm, which get keys once they are warm', () => {
     const world = started(undefined, { warmupPerSecond: 4.2, warmupSeconds: 3 });
     const cold = world.addHolder('u5', undefined, 'a', null, 3000);
     world.run(3000);
@@ -32,7 +32,7 @@
     expect(world.registry.ranges(SERVICE).some(({ owner }) => owner === 'u5')).to.equal(true);
   });
 
-  it('are cold ones where no other is there', () => {
+  it('are cold upstreams if there is no other', () => {
     const world = new RangeWorld(undefined, { warmupPerSecond: 4.2, warmupSeconds: 3 });
     world.addHolder('u1', undefined, 'a', null, 3000);
     world.elect();
@@ -40,7 +40,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('are given all keys once upstreams stopped coming, evenly', () => {
+  it('are assigned all keys evenly once no more upstreams join', () => {
     const world = started();
     const owners = world.registry.ranges(SERVICE).map(({ owner, from, to }) => [owner, to - from + 1]);
     expect(owners).to.deep.equal(['u1', 'u2', 'u3', 'u4'].map((id) => [id, 16_384]));
@@ -54,7 +54,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('that leave hand over at once, and their heirs start warm', () => {
+  it('that drain hand over at once, and the next owners start warm', () => {
     const world = started();
     const leaving = world.holders.get('u1');
     (leaving as { leaving: boolean }).leaving = true;
@@ -66,7 +66,7 @@
     expect(handovers.length).to.be.at.least(3);
   });
 
-  it('whose run has ended without a word are replaced once it could hold nothing, and no sooner', () => {
+  it('whose run ended without notice are replaced once it can hold nothing, and no sooner', () => {
     const world = started();
     // By then no call of an earlier leader can take effect any more.
     world.run(TIMINGS.lateMillis + LONGEST_HOLD_MILLIS);
@@ -78,7 +78,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('whose run has ended are replaced at once when the next one at their address says so', () => {
+  it('whose run ended are replaced at once when the next run at their address announces itself', () => {
     const world = started();
     const { address } = world.holders.get('u2') as { address: string };
     (world.holders.get('u2') as { state: string }).state = 'ended';
@@ -89,7 +89,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('that fall silent are replaced once they can hold nothing', () => {
+  it('that become silent are replaced once they can hold nothing', () => {
     const world = started();
     (world.holders.get('u2') as { state: string }).state = 'dark';
     world.run(1500);
@@ -98,7 +98,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('that are cut off keep serving until their grants run out, and have no second holder beside them', () => {
+  it('that are cut off keep serving until their grants expire, without a second holder', () => {
     const world = started();
     (world.holders.get('u3') as { state: string }).state = 'cut';
     world.run(LONGEST_HOLD_MILLIS + 2000);
@@ -117,7 +117,7 @@
     { state: 'up', isNewLeader: true },
   ] as const) {
     const leader = isNewLeader ? 'a new leader' : 'the same leader';
-    it(`that are ${state} outlive a late word of an earlier run at their address, under ${leader}`, () => {
+    it(`that are ${state} are kept despite a late heartbeat of an earlier run at their address, under ${leader}`, () => {
       const world = started();
       const owner = world.holders.get('u3') as NonNullable<ReturnType<typeof world.holders.get>>;
       owner.state = state;
@@ -126,7 +126,7 @@
         world.elect();
         world.run(10);
       }
-      world.lateWord(owner);
+      world.deliverLateHeartbeat(owner);
       world.run(LONGEST_HOLD_MILLIS + 2000);
       owner.state = 'up';
       world.run(3000);
@@ -135,14 +135,14 @@
     });
   }
 
-  it('would have a second holder, were any word taken for the word of whoever lives at its address', () => {
+  it('have a second holder if any claim of an address is accepted (sabotage)', () => {
     const world = started();
-    world.takesAnyWord = true;
-    world.lateWord(world.holders.get('u3') as NonNullable<ReturnType<typeof world.holders.get>>);
+    world.acceptsAnyClaim = true;
+    world.deliverLateHeartbeat(world.holders.get('u3') as NonNullable<ReturnType<typeof world.holders.get>>);
     expect(() => world.run(LONGEST_HOLD_MILLIS)).to.throw('held by');
   });
 
-  it('that crashed are replaced as soon as their next run speaks, also under a new leader', () => {
+  it('that crashed are replaced as soon as their next run announces itself, also under a new leader', () => {
     for (const isNewLeader of [false, true]) {
       const world = started();
       const owner = world.holders.get('u3') as NonNullable<ReturnType<typeof world.holders.get>>;
@@ -167,7 +167,7 @@
     expect(world.registry.ranges(SERVICE)).to.equal(before);
   });
 
-  it('are found by a new leader in the middle of a move', () => {
+  it('are assigned by a new leader when the previous one is lost during a move', () => {
     for (let delay = 0; delay < 60; delay += 3) {
       const world = started();
       const leaving = world.holders.get('u1') as NonNullable<ReturnType<typeof world.holders.get>>;
@@ -180,7 +180,7 @@
     }
   });
 
-  it('are renewed by a new leader one after the other, the latest owners first', () => {
+  it('are renewed by a new leader spread over time, the latest owners first', () => {
     const world = started();
     const shards = Array.from({ length: 300 }, (_, index) => ({
       shard: `${SERVICE}/numbers@0/${100 + index * 3}`,
@@ -204,7 +204,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it("are joined, and go back to their neighbours' owners, when the keys cool down", () => {
+  it("have ranges joined, and returned to their neighbours' owners, when the keys cool down", () => {
     const world = started();
     const hot = [{ shard: `${SERVICE}/numbers@0/777`, workMillis: 1500, requests: 75 }];
     const warm = Array.from({ length: 40 }, (_, index) => ({
@@ -226,7 +226,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('are not cut ever finer by owners that go one after the other', () => {
+  it('do not get ever smaller ranges when owners drain one after the other', () => {
     const world = started();
     for (let number = 5; number < 15; number += 1) {
       const [leaver] = [...world.holders.values()].filter(({ leaving }) => !leaving);
@@ -240,7 +240,7 @@
     expect(world.registry.ranges(SERVICE).length).to.be.at.most(24);
   });
 
-  it('that join later get keys within two seconds, also while nobody is busy, and keep them', () => {
+  it('that join later get keys within two seconds, even without load, and keep them', () => {
     const world = started();
     world.addHolder('u5');
     world.run(2000);
@@ -252,7 +252,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('are not granted a range again under a fence that was refused for a higher one', () => {
+  it('are not granted a range again under a fence that was rejected for a higher one', () => {
     const world = started();
     const [range] = world.registry.ranges(SERVICE);
     const owner = world.holders.get(range?.owner ?? '');
@@ -267,7 +267,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('take hot keys off the one that is overwhelmed', () => {
+  it('take over hot keys of an overloaded owner', () => {
     const world = started();
     const shards = Array.from({ length: 200 }, (_, index) => ({
       shard: `${SERVICE}/numbers@0/${100 + index}`,
@@ -285,7 +285,7 @@
   });
 
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    it(`are one at a time under random faults, seed ${seed}`, () => {
+    it(`are the only holders under random faults, seed ${seed}`, () => {
       const generator = xoroshiro128plus(seed);
       const random = (): number => uniformFloat64(generator);
       const world = started(random);
@@ -320,7 +320,7 @@
           runs += 1;
           world.addHolder(`u${runs}`);
         } else if (draw < 0.85) {
-          world.lateWord(holder);
+          world.deliverLateHeartbeat(holder);
         }
         world.run(random() * 1500);
       }
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -59,7 +59,7 @@
     readonly address: string,
   ) {}
 
-  take(call: HolderCall, now: number): HolderOutcome {
+  accept(call: HolderCall, now: number): HolderOutcome {
     for (let key = call.from; key <= call.to; key += 1) {
       if ((this.fences[key] ?? 0) > call.fence) {
         return { type: 'superseded' };
@@ -105,20 +105,20 @@
   #leader: RangeCoordinator | null = null;
   #leadership = 0;
   #claims: AddressClaims | null = null;
-  #lateWords = 0;
+  #lateHeartbeats = 0;
   /** Run at the other end of the connection that carried the first grant under a fence. */
-  readonly #carriedBy = new Map<string, number | null>();
+  readonly #firstGrantRuns = new Map<string, number | null>();
 
   /** Load limits of constrained upstreams. */
   readonly bearings = new Map<UpstreamId, Bearing>();
 
   /** Sabotage: a refused connection counts as the end of the run at the address. */
-  takesRefusalAsEnd = false;
+  countsRefusalAsEnd = false;
 
   /** Sabotage: grants that were sent before may use any connection. */
   ignoresConnections = false;
   /** Sabotage: any sender that claims an address is accepted as the run that lives there. */
-  takesAnyWord = false;
+  acceptsAnyClaim = false;
 
   /** Virtual time. */
   get now(): number {
@@ -183,7 +183,7 @@
     holder.warmupMillis = warmupMillis;
     this.holders.set(id, holder);
     this.announce(holder);
-    this.#beat(holder);
+    this.#sendHeartbeat(holder);
     return holder;
   }
 
@@ -195,9 +195,9 @@
   }
 
   /** Delivers the first heartbeat of an earlier, unknown run at a holder's address now. */
-  lateWord({ id, address }: Holder): void {
-    this.#lateWords += 1;
-    this.announce(new Holder(`${id}-before-${this.#lateWords}`, address));
+  deliverLateHeartbeat({ id, address }: Holder): void {
+    this.#lateHeartbeats += 1;
+    this.announce(new Holder(`${id}-before-${this.#lateHeartbeats}`, address));
   }
 
   /** Elects a new leader; calls and proposals of the previous one may still be in progress. */
@@ -209,7 +209,7 @@
       registry: () => this.registry,
       timings: TIMINGS,
       mayHold: (upstream, now) => this.#leader?.mayHold(upstream, now) ?? true,
-      ask: (question) => this.#ask(question, claims),
+      ask: (question) => this.#answerQuestion(question, claims),
       log: () => {},
     });
     this.#claims = claims;
@@ -227,7 +227,7 @@
             settle({ type: 'applied', result: { type: 'accepted', revision: 1 }, revision: 1 }, this.now);
           }),
         confirm: (_now, _mayWait, settle) => this.after(2 * NETWORK_MILLIS, () => settle(isLeading())),
-        call: (call) => this.#carry(call, leadership),
+        call: (call) => this.#handleCall(call, leadership),
         log: (event, fields) => this.records.push({ event, ...fields }),
         bearings: () => this.bearings,
         timings: TIMINGS,
@@ -286,26 +286,31 @@
   }
 
   /** Answers an identity question for the run at an address, unless that one is cut off. */
-  #ask({ id, address, claimant }: IdentityQuestion, claims: AddressClaims): void {
-    const living = [...this.holders.values()].find((holder) => holder.address === address && holder.isAlive);
-    const tell = (millis: number, answer: IdentityAnswer): void =>
+  #answerQuestion({ id, address, claimant }: IdentityQuestion, claims: AddressClaims): void {
+    const liveHolder = [...this.holders.values()].find(
+      (holder) => holder.address === address && holder.isAlive,
+    );
+    const answerAfter = (millis: number, answer: IdentityAnswer): void =>
       this.after(millis, () => claims.answered(id, answer, this.now));
-    if (this.takesAnyWord) {
-      tell(2 * NETWORK_MILLIS, { type: 'named', upstream: claimant });
-    } else if (living?.state !== 'up') {
-      tell(GRANT_TIMEOUT_MILLIS, { type: 'unknown' });
+    if (this.acceptsAnyClaim) {
+      answerAfter(2 * NETWORK_MILLIS, { type: 'named', upstream: claimant });
+    } else if (liveHolder?.state !== 'up') {
+      answerAfter(GRANT_TIMEOUT_MILLIS, { type: 'unknown' });
     } else {
-      const isClaimant = living.id === claimant;
-      tell(2 * NETWORK_MILLIS, isClaimant ? { type: 'named', upstream: claimant } : { type: 'another' });
+      const isClaimant = liveHolder.id === claimant;
+      answerAfter(
+        2 * NETWORK_MILLIS,
+        isClaimant ? { type: 'named', upstream: claimant } : { type: 'another' },
+      );
     }
   }
 
-  #beat(holder: Holder): void {
+  #sendHeartbeat(holder: Holder): void {
     const known = this.registry.upstreams().get(holder.id)?.definition;
     const isHeard = ['up', 'deaf', 'mute', 'erring'].includes(holder.state);
-    const isNews = known === undefined && !this.registry.isDeparted(holder.id);
+    const isNew = known === undefined && !this.registry.isDeparted(holder.id);
     const isNextRun = holder.born !== null && holder.born !== known?.announced?.born;
-    if (isHeard && (isNews || isNextRun)) {
+    if (isHeard && (isNew || isNextRun)) {
       this.announce(holder);
     }
     if (isHeard && this.registry.upstreams().has(holder.id)) {
@@ -313,13 +318,13 @@
       this.#leader?.heard({ upstream: holder.id, born: holder.born, report: null }, () => {}, this.now);
     }
     if (holder.isAlive) {
-      this.after(HEARTBEAT_MILLIS, () => this.#beat(holder));
+      this.after(HEARTBEAT_MILLIS, () => this.#sendHeartbeat(holder));
     }
   }
 
-  #carry(call: HolderCall, leadership: number): void {
+  #handleCall(call: HolderCall, leadership: number): void {
     this.calls.push(call);
-    const tell = (millis: number, outcome: HolderOutcome): void =>
+    const answerAfter = (millis: number, outcome: HolderOutcome): void =>
       this.after(millis, () => {
         if (this.#leadership === leadership) {
           this.#leader?.callEnded(call.id, outcome, this.now);
@@ -329,30 +334,30 @@
     const first = `${call.upstream} ${call.fence}`;
     const run = holder?.born ?? null;
     const isBound = call.kind === 'grant' && call.isBound && !this.ignoresConnections;
-    if (isBound && this.#carriedBy.get(first) !== run) {
+    if (isBound && this.#firstGrantRuns.get(first) !== run) {
       // The connection that carried this grant first has ended with the run at its other end.
-      tell(0, { type: 'unbound' });
+      answerAfter(0, { type: 'unbound' });
       return;
     }
-    this.#carriedBy.set(first, run);
+    this.#firstGrantRuns.set(first, run);
     // A refusal looks the same on the wire whether no process listens or a device on the path refuses.
     if (holder === undefined || holder.state === 'ended' || ['refused', 'deaf'].includes(holder.state)) {
-      tell(2 * NETWORK_MILLIS, { type: this.takesRefusalAsEnd ? 'ended' : 'refused' });
+      answerAfter(2 * NETWORK_MILLIS, { type: this.countsRefusalAsEnd ? 'ended' : 'refused' });
     } else if (holder.state === 'erring') {
-      tell(2 * NETWORK_MILLIS, { type: 'rejected', status: 502 });
+      answerAfter(2 * NETWORK_MILLIS, { type: 'rejected', status: 502 });
     } else if (holder.state !== 'up') {
-      tell(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
+      answerAfter(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
     } else if (this.random() < holder.lateShare) {
       // The run that read the call may accept it late; if the run ends, the call is lost.
-      this.after(2000 + this.random() * 2000, () => holder.born === run && holder.take(call, this.now));
-      tell(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
+      this.after(2000 + this.random() * 2000, () => holder.born === run && holder.accept(call, this.now));
+      answerAfter(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
     } else {
       this.after(NETWORK_MILLIS, () => {
         if (isBound && holder.born !== run) {
           // The call was in transit on a connection that ended with the run.
-          tell(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
+          answerAfter(GRANT_TIMEOUT_MILLIS, { type: 'silent' });
         } else {
-          tell(NETWORK_MILLIS, holder.take(call, this.now));
+          answerAfter(NETWORK_MILLIS, holder.accept(call, this.now));
         }
       });
     }
--- a/test/control/refused-connections.test.ts
+++ b/test/control/refused-connections.test.ts
@@ -50,9 +50,9 @@
   },
 } as const;
 
-describe('an owner in whose name connections are refused', () => {
+describe('an owner whose connections are refused by a device on the path', () => {
   for (const carrier of ['heartbeats', 'calls'] as const) {
-    it(`has no other beside it, grants by ${carrier}, and its keys are served again`, () => {
+    it(`is the only holder, with grants by ${carrier}, and its keys are served again`, () => {
       for (let seed = 1; seed <= 2 * SEEDS; seed += 1) {
         const { world, set } = WORLDS[carrier](seed);
         world.elect();
@@ -73,9 +73,9 @@
     });
   }
 
-  it('has another beside it, grants by calls, if a refusal counts as the end of its run (sabotage)', () => {
+  it('has a second holder, with grants by calls, if a refusal counts as the end of its run (sabotage)', () => {
     const { world, set } = WORLDS.calls(1);
-    world.takesRefusalAsEnd = true;
+    world.countsRefusalAsEnd = true;
     world.elect();
     world.run(FIRST_GRANTS_MILLIS);
     set('u2', 'refused');
--- a/test/control/refusing-owners.test.ts
+++ b/test/control/refusing-owners.test.ts
@@ -32,8 +32,8 @@
   return world;
 }
 
-describe('an upstream whose calls are refused while its heartbeats come', () => {
-  it('loses its keys once it can hold them no more (calls are refused)', () => {
+describe('an upstream whose calls are refused while its heartbeats arrive', () => {
+  it('loses its keys once it can no longer hold them (calls are refused)', () => {
     const world = started();
     Object.assign(world.holders.get('u2') ?? {}, { state: 'deaf' });
     world.run(LONGEST_HOLD_MILLIS + LOST_AFTER_MILLIS + 1000);
@@ -44,7 +44,7 @@
     ['mute', 'left unanswered'],
     ['erring', 'answered with a failure'],
   ] as const) {
-    it(`loses its keys once it can take no grant late any more (calls are ${how})`, () => {
+    it(`loses its keys once it can no longer accept a late grant (calls are ${how})`, () => {
       const world = started();
       Object.assign(world.holders.get('u2') ?? {}, { state });
       // It is granted its keys again for one hold, and in the worst case accepts the last of these grants late.
@@ -63,14 +63,14 @@
     });
   }
 
-  it('loses them also if that lasts for a minute', () => {
+  it('also loses them if the refusals last for a minute', () => {
     const world = started();
     Object.assign(world.holders.get('u2') ?? {}, { state: 'deaf' });
     world.run(60_000);
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('keeps no keys that it was never told of, and is tried with a few ever more rarely', () => {
+  it('keeps no keys that it was never notified of, and is retried with a few at growing intervals', () => {
     const world = started(3);
     Object.assign(world.addHolder('u4'), { state: 'deaf' });
     const unserved: number[] = [];
@@ -86,9 +86,9 @@
   });
 });
 
-describe('a grant that got no answer and is taken late by an owner that lives', () => {
+describe('an unanswered grant that a live owner accepts late', () => {
   for (const leaving of [false, true]) {
-    it(`makes no second holder if its calls fail from then on while its heartbeats come${leaving ? ', and it leaves' : ''}`, () => {
+    it(`causes no second holder if its calls fail from then on while its heartbeats arrive${leaving ? ', and it drains' : ''}`, () => {
       const world = started();
       const holder = world.holders.get('u2');
       Object.assign(holder ?? {}, { lateShare: 1 });
--- a/test/control/removed-owners.test.ts
+++ b/test/control/removed-owners.test.ts
@@ -13,7 +13,7 @@
 const FIRST_GRANTS_MILLIS = 5000;
 
 describe('an owner of ranges that an operator removes', () => {
-  it('has no other beside it, grants by calls', () => {
+  it('is the only holder, with grants by calls', () => {
     const world = new RangeWorld();
     for (const id of ['u1', 'u2', 'u3', 'u4']) {
       world.addHolder(id);
@@ -26,7 +26,7 @@
     world.run(FIRST_GRANTS_MILLIS);
   });
 
-  it('has no other beside it, grants by heartbeats', () => {
+  it('is the only holder, with grants by heartbeats', () => {
     const world = new HeartbeatWorld();
     for (const id of ['u1', 'u2', 'u3', 'u4']) {
       world.add(id);
--- a/test/control/restarted-owners.test.ts
+++ b/test/control/restarted-owners.test.ts
@@ -22,7 +22,7 @@
   return world;
 }
 
-describe('owners that start again under their id', () => {
+describe('owners that restart under their id', () => {
   it('are replaced at once, under higher fences', () => {
     const world = started();
     const before = world.registry.ranges(SERVICE).find(({ owner }) => owner === 'u2');
@@ -36,7 +36,7 @@
     expect(after.every(({ fence }) => fence > (before?.fence ?? 0))).to.equal(true);
   });
 
-  it('never hold a key under a fence that another run of theirs held it under', () => {
+  it('never hold a key under a fence under which another of their runs held it', () => {
     const world = started();
     world.restart('u2');
     world.run(200);
@@ -45,7 +45,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('would, were grants that were sent before carried by any connection', () => {
+  it('reuse a fence if grants that were sent before may use any connection (sabotage)', () => {
     const world = started();
     world.ignoresConnections = true;
     // Renewals are due before the next run's heartbeat.
@@ -57,7 +57,7 @@
     }).to.throw('which a run before it held');
   });
 
-  it('hold nothing that was granted before while nobody has heard of their next run', () => {
+  it('hold nothing granted before while their next run is still unknown', () => {
     const world = started();
     for (let count = 0; count < 24; count += 1) {
       world.restart(`u${1 + (count % 4)}`, false);
@@ -67,7 +67,7 @@
     expect(world.servedShare()).to.equal(1);
   });
 
-  it('leave no key with two holders, with grants that are taken late, leaders that fall and heartbeats that come late', () => {
+  it('never cause two holders of a key, with late grants, lost leaders and late heartbeats', () => {
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       const generator = xoroshiro128plus(seed);
       const random = (): number => uniformFloat64(generator);
--- a/test/control/weighed-moves.test.ts
+++ b/test/control/weighed-moves.test.ts
@@ -11,7 +11,7 @@
 const WORK_MILLIS = 100;
 
 /** Four owners; for some seconds, keys at the start of the first one's range take twice its capacity. */
-function heated(declared: object): RangeWorld {
+function heatedWorld(declared: object): RangeWorld {
   const world = new RangeWorld(undefined, declared);
   for (const id of ['u1', 'u2', 'u3', 'u4']) {
     world.addHolder(id);
@@ -31,8 +31,10 @@
 }
 
 describe('moves of keys with a declared cost', () => {
-  it('are logged with what they are weighed to cost and gain', () => {
-    const moves = heated({ warmSeconds: 5 }).records.filter(({ event }) => event === 'range-move-weighed');
+  it('are logged with their estimated cost and gain', () => {
+    const moves = heatedWorld({ warmSeconds: 5 }).records.filter(
+      ({ event }) => event === 'range-move-weighed',
+    );
     expect(moves.length).to.be.at.least(1);
     for (const { event, ...fields } of moves) {
       expect(Object.keys(fields)).to.have.members([...(EVENTS['range-move-weighed']?.fields ?? [])]);
@@ -41,14 +43,14 @@
     }
   });
 
-  it('take keys off an overwhelmed owner', () => {
-    const world = heated({ warmSeconds: 5 });
+  it('move keys away from an overloaded owner', () => {
+    const world = heatedWorld({ warmSeconds: 5 });
     const owners = new Set(Array.from({ length: 40 }, (_, key) => key).map((key) => world.servedBy(key)));
     expect(owners.size).to.be.at.least(2);
   });
 
-  it('are not weighed where none is declared, and made all the same', () => {
-    const { records } = heated({});
+  it('are not weighed if no cost is declared, but made all the same', () => {
+    const { records } = heatedWorld({});
     expect(records.some(({ event }) => event === 'range-move-weighed')).to.equal(false);
     expect(records.some(({ event, updates }) => event === 'ranges-decided' && Number(updates) > 0)).to.equal(
       true,
