--- a/src/control/ranges/heartbeat-holders.ts
+++ b/src/control/ranges/heartbeat-holders.ts
@@ -1,5 +1,5 @@
 /**
- * Tracks what upstreams hold that are granted ranges in the responses to their heartbeats.
+ * Tracks the keys held by upstreams that are granted ranges in the responses to their heartbeats.
  *
  * The hold of a granted key starts when the upstream sends the heartbeat. It therefore ends at the latest one longest
  * hold after the response was decided, however late that arrives. An upstream makes one call at a time and waits for
@@ -41,7 +41,7 @@
   latestReport: HeldKeys | null;
   /** Number of in-order heartbeats with information on keys in this leadership. */
   reportCount: number;
-  heardAt: MonotonicMillis;
+  lastSeenAt: MonotonicMillis;
   /** Until this time the upstream cannot have lost the keys it last reported without reporting their release. */
   heldUntil: MonotonicMillis;
   /** Sequence of the last accepted heartbeat, with or without information on keys. */
@@ -82,7 +82,7 @@
       return false;
     }
     holder.sequence = report.sequence;
-    holder.heardAt = now;
+    holder.lastSeenAt = now;
     if (reportsKeys) {
       this.#recordReport(holder, report, now);
     }
@@ -98,8 +98,8 @@
   }
 
   /** Time of the last heartbeat, or the start of this leadership. */
-  heardAt(upstream: UpstreamId): MonotonicMillis {
-    return this.#holders.get(upstream)?.heardAt ?? this.since;
+  lastSeenAt(upstream: UpstreamId): MonotonicMillis {
+    return this.#holders.get(upstream)?.lastSeenAt ?? this.since;
   }
 
   /** Returns `false`: no calls are made to these upstreams. */
@@ -109,8 +109,8 @@
 
   /** Returns the proof that an owner can no longer hold anything, or `null` if there is none. */
   lossProof(upstream: UpstreamId, now: MonotonicMillis): FreeProof | null {
-    const { grantedAt, isNewRun, heardAt } = this.#holderOf(upstream);
-    return now >= this.#holdEnd(isNewRun ? heardAt : grantedAt) ? FREE_PROOFS.bound : null;
+    const { grantedAt, isNewRun, lastSeenAt } = this.#holderOf(upstream);
+    return now >= this.#holdEnd(isNewRun ? lastSeenAt : grantedAt) ? FREE_PROOFS.bound : null;
   }
 
   /** Sequence of the latest heartbeat whose response granted keys; later heartbeats report these keys. */
@@ -219,7 +219,7 @@
       isNewRun: false,
       latestReport: null,
       reportCount: 0,
-      heardAt: this.since,
+      lastSeenAt: this.since,
       heldUntil: Number.NEGATIVE_INFINITY,
       sequence: Number.NEGATIVE_INFINITY,
       grantedSequence: Number.NEGATIVE_INFINITY,
--- a/src/control/ranges/holder-table.ts
+++ b/src/control/ranges/holder-table.ts
@@ -23,7 +23,7 @@
   isConnectionRefused: boolean;
   /** Run that the last failed call was addressed to. */
   failedRun: Incarnation | null;
-  heardAt: MonotonicMillis;
+  lastSeenAt: MonotonicMillis;
 }
 
 export class HolderTable {
@@ -58,7 +58,7 @@
       case 'accepted':
       case 'superseded':
         holder.history.answered(call.id, now);
-        holder.heardAt = now;
+        holder.lastSeenAt = now;
         holder.hasEnded = false;
         break;
       case 'rejected':
@@ -85,7 +85,7 @@
   /** Records a heartbeat. */
   onHeartbeat(upstream: UpstreamId, now: MonotonicMillis): void {
     const holder = this.#holderOf(upstream);
-    holder.heardAt = now;
+    holder.lastSeenAt = now;
     holder.hasEnded = false;
     holder.history.spoke(now);
   }
@@ -152,8 +152,8 @@
   }
 
   /** Time of the last sign of life, or the start of this leadership. */
-  heardAt(upstream: UpstreamId): MonotonicMillis {
-    return this.#holderOf(upstream).heardAt;
+  lastSeenAt(upstream: UpstreamId): MonotonicMillis {
+    return this.#holderOf(upstream).lastSeenAt;
   }
 
   /** Records that the upstream may hold keys until `end` by other means than calls. */
@@ -177,7 +177,7 @@
       hasEnded: false,
       isConnectionRefused: false,
       failedRun: null,
-      heardAt: this.since,
+      lastSeenAt: this.since,
     };
     this.#holders.set(upstream, created);
     return created;
--- a/src/control/ranges/open-heartbeats.ts
+++ b/src/control/ranges/open-heartbeats.ts
@@ -22,7 +22,7 @@
 export class OpenHeartbeats {
   readonly #open = new Map<UpstreamId, OpenHeartbeat>();
   /** Time of each upstream's last heartbeat. */
-  readonly #lastHeardAt = new Map<UpstreamId, MonotonicMillis>();
+  readonly #lastSeenAt = new Map<UpstreamId, MonotonicMillis>();
 
   /** `heartbeatMillis` is the usual time between two heartbeats of an upstream. */
   constructor(private readonly heartbeatMillis: number) {}
@@ -34,7 +34,7 @@
   open(upstream: UpstreamId, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     this.#open.get(upstream)?.answer(null, now);
     this.#open.set(upstream, { openedAt: now, answer });
-    this.#lastHeardAt.set(upstream, now);
+    this.#lastSeenAt.set(upstream, now);
   }
 
   has(upstream: UpstreamId): boolean {
@@ -53,8 +53,9 @@
 
   /** Returns whether the next heartbeat is expected within this time. */
   isExpected(upstream: UpstreamId, withinMillis: number, now: MonotonicMillis): boolean {
-    const heardAt = this.#lastHeardAt.get(upstream);
-    const wait = heardAt === undefined ? Number.POSITIVE_INFINITY : heardAt + this.heartbeatMillis - now;
+    const lastSeenAt = this.#lastSeenAt.get(upstream);
+    const wait =
+      lastSeenAt === undefined ? Number.POSITIVE_INFINITY : lastSeenAt + this.heartbeatMillis - now;
     return wait >= -LATE_SLACK_MILLIS && wait <= withinMillis;
   }
 
@@ -72,9 +73,9 @@
 
   /** Drops upstreams that no longer exist. */
   keepOnly(isKnown: (upstream: UpstreamId) => boolean): void {
-    for (const upstream of this.#lastHeardAt.keys()) {
+    for (const upstream of this.#lastSeenAt.keys()) {
       if (!isKnown(upstream)) {
-        this.#lastHeardAt.delete(upstream);
+        this.#lastSeenAt.delete(upstream);
       }
     }
   }
--- a/src/control/ranges/range-coordinator.ts
+++ b/src/control/ranges/range-coordinator.ts
@@ -258,7 +258,7 @@
   }
 
   #createService(service: ServiceName, record: ServiceRecord, now: MonotonicMillis): LeaderService {
-    const { registry, timings, log, bearings = noLoadLimits } = this.#parts;
+    const { registry, timings, log, bearings: loadLimits = noLoadLimits } = this.#parts;
     const parts = {
       service,
       terms: termsOf(record),
@@ -266,7 +266,7 @@
       timings,
       holders: this.#holders,
       log,
-      bearings,
+      loadLimits,
     };
     return createLeaderService(parts, now);
   }
@@ -361,7 +361,7 @@
     for (const { definition } of registry().upstreams().values()) {
       const { id, leaving, announced } = definition;
       const heartbeats = leaving ? FORGET_DRAINING_HEARTBEATS : FORGET_SILENT_HEARTBEATS;
-      const isSilent = now - this.#holders.heardAt(id) > heartbeats * timings.heartbeatMillis;
+      const isSilent = now - this.#holders.lastSeenAt(id) > heartbeats * timings.heartbeatMillis;
       if (announced !== undefined && isSilent && !this.#isHolder(id)) {
         upstreams.push(id);
       }
--- a/src/control/ranges/range-servers.ts
+++ b/src/control/ranges/range-servers.ts
@@ -20,7 +20,7 @@
 /** Evidence of the upstreams' state. */
 export interface HolderEvidence {
   /** Time of the last sign of life, or the start of this leadership. */
-  heardAt(upstream: UpstreamId): MonotonicMillis;
+  lastSeenAt(upstream: UpstreamId): MonotonicMillis;
   /** Returns whether a call would fail now. */
   isUnreachable(upstream: UpstreamId, now: MonotonicMillis): boolean;
 }
@@ -30,7 +30,7 @@
   readonly registry: () => Registry;
   readonly evidence: HolderEvidence;
   /** Load limits of constrained upstreams. */
-  readonly bearings: () => ReadonlyMap<UpstreamId, Bearing>;
+  readonly loadLimits: () => ReadonlyMap<UpstreamId, Bearing>;
   /** Usual time between two heartbeats of an upstream. */
   readonly heartbeatMillis: number;
 }
@@ -59,20 +59,20 @@
     const limited = new Set<UpstreamId>();
     const counts = countRanges(this.parts.registry().ranges(this.parts.service));
     const registry = this.parts.registry();
-    const bearings = this.parts.bearings();
+    const loadLimits = this.parts.loadLimits();
     const meanMillis = this.speeds.meanMillis ?? DEFAULT_WORK_MILLIS;
     const limitsCold = registry.services().get(this.parts.service)?.definition.warmup !== undefined;
     for (const { definition } of registry.upstreams().values()) {
       const { id, service, announced } = definition;
       const isOfService = service === this.parts.service && announced !== undefined;
       if (isOfService && !registry.isLeaving(definition) && this.#isUsable(id, now)) {
-        const bearing = bearings.get(id);
+        const loadLimit = loadLimits.get(id);
         const isFull = (counts.get(id) ?? 0) >= MAX_RANGES_PER_UPSTREAM;
-        if (bearing !== undefined || (limitsCold && announced.warmupMillis > 0)) {
+        if (loadLimit !== undefined || (limitsCold && announced.warmupMillis > 0)) {
           limited.add(id);
         }
         const server = { upstream: id, slots: announced.slots, speed: this.speeds.of(id), isFull };
-        servers.push(bearing === undefined ? server : withLoadLimit(server, bearing, meanMillis));
+        servers.push(loadLimit === undefined ? server : withLoadLimit(server, loadLimit, meanMillis));
       }
     }
     if (servers.length !== this.#servers.length) {
@@ -93,7 +93,7 @@
 
   #isUsable(upstream: UpstreamId, now: MonotonicMillis): boolean {
     const { evidence, heartbeatMillis } = this.parts;
-    const isRecent = now - evidence.heardAt(upstream) < heartbeatMillis * SILENT_HEARTBEATS;
+    const isRecent = now - evidence.lastSeenAt(upstream) < heartbeatMillis * SILENT_HEARTBEATS;
     return isRecent && !evidence.isUnreachable(upstream, now);
   }
 }
@@ -102,7 +102,7 @@
  * A cold or constrained upstream is marked as full while others can take keys. All requests of a key go to its owner,
  * so callers would be limited to its reduced capacity. A constrained upstream keeps the load it can take, and a cold
  * one is warm within seconds. When such upstreams got keys on joining, 16 requests a second reached owners that could
- * take 4 (trouble days of 98 owners, 106 times in a day).
+ * take 4 (on trouble days with 98 owners, 106 times in a day).
  */
 function markFull(server: RangeServer, limited: ReadonlySet<UpstreamId>): RangeServer {
   return limited.has(server.upstream) ? { ...server, isFull: true } : server;
--- a/src/control/ranges/range-service.ts
+++ b/src/control/ranges/range-service.ts
@@ -397,7 +397,7 @@
   ): void {
     const { service, evidence } = this.#parts;
     const { holder, proof, unownedMillis } = freed;
-    const heardAgoMillis = holder === null ? null : now - evidence.heardAt(holder);
+    const heardAgoMillis = holder === null ? null : now - evidence.lastSeenAt(holder);
     const leadingMillis = now - this.#startedAt;
     this.#parts.log('range-freed', {
       service,
--- a/src/control/ranges/service-in-charge.ts
+++ b/src/control/ranges/service-in-charge.ts
@@ -28,7 +28,7 @@
   readonly holders: HolderTable;
   readonly log: LogRanges;
   /** Load limits of constrained upstreams. */
-  readonly bearings: () => ReadonlyMap<UpstreamId, Bearing>;
+  readonly loadLimits: () => ReadonlyMap<UpstreamId, Bearing>;
 }
 
 /** Returns how the ranges of a service are granted. */
@@ -53,7 +53,7 @@
  * responses to heartbeats.
  */
 function createCallGranted(parts: LeaderServiceParts, now: MonotonicMillis): LeaderService {
-  const { service, terms, registry, timings, holders, log, bearings } = parts;
+  const { service, terms, registry, timings, holders, log, loadLimits } = parts;
   if (terms.hasChanged) {
     const end = now + DEPOSED_GRANTER_MILLIS + longestHoldMillis(timings);
     for (const { definition } of registry().upstreams().values()) {
@@ -67,7 +67,7 @@
       service,
       registry,
       log,
-      bearings,
+      loadLimits,
       evidence: holders,
       heartbeatMillis: timings.heartbeatMillis,
       createCarrier: (carrierParts, _wanted, startedAt) =>
@@ -83,19 +83,19 @@
  * and its keys are then held.
  */
 function createHeartbeatGranted(parts: LeaderServiceParts, now: MonotonicMillis): LeaderService {
-  const { service, terms, registry, timings, log, bearings } = parts;
+  const { service, terms, registry, timings, log, loadLimits } = parts;
   const lastCallTakenAt = now + DEPOSED_GRANTER_MILLIS + timings.lateMillis;
-  const foreignUntil = terms.hasChanged
+  const callGrantsUntil = terms.hasChanged
     ? lastCallTakenAt + longestHoldMillis(timings)
     : Number.NEGATIVE_INFINITY;
-  const holders = new HeartbeatHolders(timings, now, foreignUntil);
+  const holders = new HeartbeatHolders(timings, now, callGrantsUntil);
   const created: { carrier: HeartbeatCarrier | null } = { carrier: null };
   const ranges = new RangeService(
     {
       service,
       registry,
       log,
-      bearings,
+      loadLimits,
       evidence: holders,
       heartbeatMillis: timings.heartbeatMillis,
       createCarrier: (carrierParts, wanted) => {
--- a/test/control/heartbeat-holders.test.ts
+++ b/test/control/heartbeat-holders.test.ts
@@ -160,23 +160,23 @@
   });
 
   it('is no later run while grants by call may still be accepted', () => {
-    const foreignUntil = 50_000;
-    const holders = new HeartbeatHolders(DEFAULT_RANGE_TIMINGS, ELECTED_AT, foreignUntil);
+    const callGrantsUntil = 50_000;
+    const holders = new HeartbeatHolders(DEFAULT_RANGE_TIMINGS, ELECTED_AT, callGrantsUntil);
     holders.heard(heartbeatOf(heartbeat(4), 100), 2000);
     holders.heard(heartbeatOf(heartbeat(1), 200), 2870);
     const inherited = { since: 2500, afterSequence: 4 };
-    expect(holders.freeBy('u1', SPAN, inherited, foreignUntil - 1)).to.equal(null);
-    expect(holders.freeBy('u1', SPAN, inherited, foreignUntil)).not.to.equal(null);
+    expect(holders.freeBy('u1', SPAN, inherited, callGrantsUntil - 1)).to.equal(null);
+    expect(holders.freeBy('u1', SPAN, inherited, callGrantsUntil)).not.to.equal(null);
   });
 
   it('is no heartbeat while grants by call may still be accepted', () => {
-    const foreignUntil = 50_000;
-    const holders = new HeartbeatHolders(DEFAULT_RANGE_TIMINGS, ELECTED_AT, foreignUntil);
+    const callGrantsUntil = 50_000;
+    const holders = new HeartbeatHolders(DEFAULT_RANGE_TIMINGS, ELECTED_AT, callGrantsUntil);
     holders.heard(heartbeatOf(heartbeat(1)), 2000);
     holders.heard(heartbeatOf(heartbeat(2)), 2870);
     const inherited = { since: 2500, afterSequence: 1 };
-    expect(holders.freeBy('u1', SPAN, inherited, foreignUntil - 1)).to.equal(null);
-    expect(holders.freeBy('u1', SPAN, inherited, foreignUntil)).not.to.equal(null);
+    expect(holders.freeBy('u1', SPAN, inherited, callGrantsUntil - 1)).to.equal(null);
+    expect(holders.freeBy('u1', SPAN, inherited, callGrantsUntil)).not.to.equal(null);
   });
 });
 
--- a/test/control/heartbeat-owners.test.ts
+++ b/test/control/heartbeat-owners.test.ts
@@ -2,11 +2,11 @@
 import { expect } from 'chai';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { LONGEST_WORK_MILLIS } from './heartbeat-upstream.js';
+import { MAX_WORK_MILLIS } from './heartbeat-upstream.js';
 import { HeartbeatWorld, SABOTAGES, type Sabotage, SERVICE, TIMINGS } from './heartbeat-world.js';
 
 const FIRST_GRANTS_MILLIS = 4000;
-const LONGEST_HOLD_MILLIS = TIMINGS.holdMillis * (1 + TIMINGS.clockRateError);
+const MAX_HOLD_MILLIS = TIMINGS.holdMillis * (1 + TIMINGS.clockRateError);
 /** Time within which a draining owner hands over its keys after a change of the way of granting. */
 const MAX_HANDOVER_MILLIS = 20_000;
 /** Maximum time without owner in planned moves, such as of short ranges that go to a neighbour's owner. */
@@ -52,7 +52,7 @@
   world.announceAs(owner, { sequenceAhead: 20, leaving: false });
   world.run(300);
   world.announceAs(owner, { sequenceAhead: 40, leaving: true });
-  world.run(2 * LONGEST_HOLD_MILLIS);
+  world.run(2 * MAX_HOLD_MILLIS);
   return world;
 }
 
@@ -136,7 +136,7 @@
     world.run(random() * 2000);
   }
   world.networkFaults = { lateCopies: 0, lateAnswers: 0, lostAnswers: 0 };
-  world.run(8000 + LONGEST_HOLD_MILLIS + 4000);
+  world.run(8000 + MAX_HOLD_MILLIS + 4000);
   return world;
 }
 
@@ -205,7 +205,7 @@
   it('whose run ended without notice are replaced once it can hold nothing, and no sooner', () => {
     const world = started();
     upstreamOf(world, 'u2').condition = 'ended';
-    world.run(LONGEST_HOLD_MILLIS - TIMINGS.heartbeatMillis - 100);
+    world.run(MAX_HOLD_MILLIS - TIMINGS.heartbeatMillis - 100);
     expect(world.servedShare()).to.equal(0.75);
     world.run(3500);
     expect(world.servedShare()).to.equal(1);
@@ -232,7 +232,7 @@
   it('that become silent are replaced once they can hold nothing', () => {
     const world = started();
     upstreamOf(world, 'u2').condition = 'dark';
-    world.run(LONGEST_HOLD_MILLIS - TIMINGS.heartbeatMillis - 100);
+    world.run(MAX_HOLD_MILLIS - TIMINGS.heartbeatMillis - 100);
     expect(world.servedShare()).to.equal(0.75);
     world.run(3500);
     expect(world.servedShare()).to.equal(1);
@@ -259,7 +259,7 @@
           world.run(10);
         }
         world.deliverLateHeartbeat(owner);
-        world.run(LONGEST_HOLD_MILLIS + 2000);
+        world.run(MAX_HOLD_MILLIS + 2000);
         owner.condition = 'up';
         world.run(3000);
         expect(world.registry.isDeparted('u2'), `seed ${seed}`).to.equal(false);
@@ -310,9 +310,9 @@
       owner.applyResponse(owner.report(world.now), { spans, holdMillis: 1 }, world.now, world.now);
       world.apply({ type: 'upstream-withdraw', upstream: 'nobody' });
       // Work on the keys continues for a while, during which the owner counts as serving them.
-      world.run(LONGEST_WORK_MILLIS);
+      world.run(MAX_WORK_MILLIS);
       expect(world.servedShare(), `seed ${seed}`).to.be.below(1);
-      expect(world.timeUntilServed(8000 - LONGEST_WORK_MILLIS), `seed ${seed}`).not.to.equal(null);
+      expect(world.timeUntilServed(8000 - MAX_WORK_MILLIS), `seed ${seed}`).not.to.equal(null);
       expect(world.registry.ranges(SERVICE)[0]?.fence).to.be.above(range?.fence ?? 0);
     }
   });
@@ -342,10 +342,10 @@
     }
   });
 
-  /**
+  /*
    * Guards against two upstreams serving the same keys. A heartbeat without the field for held keys counted as one
    * that holds nothing. With a sequence ahead it freed the keys of a move in progress, and all real heartbeats after
-   * it counted as late, so their sender was not told to release the keys. Two such entries of another writer gave two
+   * it counted as late, so their sender never released the keys. Two such entries of another writer gave two
    * holders in 24 of 24 seeds, and in 8 of 24 just after an election.
    */
   for (const isAfterElection of [false, true]) {
--- a/test/control/heartbeat-upstream.ts
+++ b/test/control/heartbeat-upstream.ts
@@ -8,7 +8,7 @@
 import type { KeySpan } from '../../src/model/key-range.js';
 
 /** Longest time that work continues after its keys were revoked. */
-export const LONGEST_WORK_MILLIS = 400;
+export const MAX_WORK_MILLIS = 400;
 
 interface HeldRow extends HeldSpan {
   readonly until: number;
@@ -92,7 +92,7 @@
   }
 
   #release(row: HeldRow, now: number): void {
-    const workMillis = this.random() < 0.5 ? 0 : this.random() * LONGEST_WORK_MILLIS;
+    const workMillis = this.random() < 0.5 ? 0 : this.random() * MAX_WORK_MILLIS;
     this.#busyRows.push({ ...row, until: now + workMillis });
   }
 
--- a/test/control/heartbeat-world.ts
+++ b/test/control/heartbeat-world.ts
@@ -192,10 +192,10 @@
     return SAMPLED_KEYS.filter((key) => this.servedBy(key) !== null).length / SAMPLED_KEYS.length;
   }
 
-  /** Runs until all sampled keys are served. Returns the time it took, or `null` if it exceeds `most`. */
-  timeUntilServed(most: number): number | null {
+  /** Runs until all sampled keys are served. Returns the time it took, or `null` if it exceeds `maxMillis`. */
+  timeUntilServed(maxMillis: number): number | null {
     const since = this.now;
-    while (this.now - since < most) {
+    while (this.now - since < maxMillis) {
       this.run(5);
       if (this.servedShare() === 1) {
         return this.now - since;
--- a/test/control/range-load.test.ts
+++ b/test/control/range-load.test.ts
@@ -58,7 +58,7 @@
     expect(load.work().calls).to.be.at.least(1000);
   });
 
-  /**
+  /*
    * Guards against a leader that was 0.26 s late for its own heartbeats, and for all other queued work such as an
    * operator's change, at little more than half of its processor's capacity. Renewals are due together; each step
    * starts sixteen of them; their responses arrive together, and the step for each starts sixteen more. So work
--- a/test/control/range-owners.test.ts
+++ b/test/control/range-owners.test.ts
@@ -7,7 +7,7 @@
 const FIRST_GRANTS_MILLIS = 2500;
 /** Number of seeds; set `TERNMOUNT_SEEDS` to run more. */
 const SEEDS = Number(process.env.TERNMOUNT_SEEDS ?? 24);
-const LONGEST_HOLD_MILLIS = TIMINGS.holdMillis * (1 + TIMINGS.clockRateError);
+const MAX_HOLD_MILLIS = TIMINGS.holdMillis * (1 + TIMINGS.clockRateError);
 
 function started(random?: () => number, declared: object = {}): RangeWorld {
   const world = new RangeWorld(random, declared);
@@ -69,10 +69,10 @@
   it('whose run ended without notice are replaced once it can hold nothing, and no sooner', () => {
     const world = started();
     // By then no call of an earlier leader can take effect any more.
-    world.run(TIMINGS.lateMillis + LONGEST_HOLD_MILLIS);
+    world.run(TIMINGS.lateMillis + MAX_HOLD_MILLIS);
     (world.holders.get('u2') as { state: string }).state = 'ended';
     // Its last grant was accepted up to one renewal interval ago.
-    world.run(LONGEST_HOLD_MILLIS - TIMINGS.renewMillis - 100);
+    world.run(MAX_HOLD_MILLIS - TIMINGS.renewMillis - 100);
     expect(world.servedShare()).to.equal(0.75);
     world.run(TIMINGS.renewMillis + 400);
     expect(world.servedShare()).to.equal(1);
@@ -94,14 +94,14 @@
     (world.holders.get('u2') as { state: string }).state = 'dark';
     world.run(1500);
     expect(world.servedShare()).to.equal(0.75);
-    world.run(LONGEST_HOLD_MILLIS + 1000);
+    world.run(MAX_HOLD_MILLIS + 1000);
     expect(world.servedShare()).to.equal(1);
   });
 
   it('that are cut off keep serving until their grants expire, without a second holder', () => {
     const world = started();
     (world.holders.get('u3') as { state: string }).state = 'cut';
-    world.run(LONGEST_HOLD_MILLIS + 2000);
+    world.run(MAX_HOLD_MILLIS + 2000);
     (world.holders.get('u3') as { state: string }).state = 'up';
     world.run(2000);
     expect(world.servedShare()).to.equal(1);
@@ -127,7 +127,7 @@
         world.run(10);
       }
       world.deliverLateHeartbeat(owner);
-      world.run(LONGEST_HOLD_MILLIS + 2000);
+      world.run(MAX_HOLD_MILLIS + 2000);
       owner.state = 'up';
       world.run(3000);
       expect(world.registry.isDeparted('u3')).to.equal(false);
@@ -139,7 +139,7 @@
     const world = started();
     world.acceptsAnyClaim = true;
     world.deliverLateHeartbeat(world.holders.get('u3') as NonNullable<ReturnType<typeof world.holders.get>>);
-    expect(() => world.run(LONGEST_HOLD_MILLIS)).to.throw('held by');
+    expect(() => world.run(MAX_HOLD_MILLIS)).to.throw('held by');
   });
 
   it('that crashed are replaced as soon as their next run announces itself, also under a new leader', () => {
@@ -324,7 +324,7 @@
         }
         world.run(random() * 1500);
       }
-      world.run(LONGEST_HOLD_MILLIS + TIMINGS.lateMillis + 6000);
+      world.run(MAX_HOLD_MILLIS + TIMINGS.lateMillis + 6000);
       expect(world.servedShare()).to.equal(1);
     });
   }
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -149,10 +149,10 @@
   }
 
   /** Ends a run and starts the next one under the same id, which announces itself at once, or at its next heartbeat. */
-  restart(id: UpstreamId, isHeard = true): void {
+  restart(id: UpstreamId, isAnnounced = true): void {
     const holder = this.holders.get(id) as Holder;
     holder.restart((holder.born ?? 0) + 10);
-    if (!isHeard) {
+    if (!isAnnounced) {
       return;
     }
     this.announce(holder);
--- a/test/control/refusing-owners.test.ts
+++ b/test/control/refusing-owners.test.ts
@@ -15,9 +15,9 @@
 import { RangeWorld, TIMINGS } from './range-world.js';
 
 const FIRST_GRANTS_MILLIS = 4000;
-const LONGEST_HOLD_MILLIS = longestHoldMillis(TIMINGS);
+const MAX_HOLD_MILLIS = longestHoldMillis(TIMINGS);
 /** After this time no call of an earlier leader can take effect. */
-const SETTLED_MILLIS = 500 + TIMINGS.lateMillis + LONGEST_HOLD_MILLIS;
+const SETTLED_MILLIS = 500 + TIMINGS.lateMillis + MAX_HOLD_MILLIS;
 const LOST_AFTER_MILLIS = 1500;
 
 function started(count = 4): RangeWorld {
@@ -36,7 +36,7 @@
   it('loses its keys once it can no longer hold them (calls are refused)', () => {
     const world = started();
     Object.assign(world.holders.get('u2') ?? {}, { state: 'deaf' });
-    world.run(LONGEST_HOLD_MILLIS + LOST_AFTER_MILLIS + 1000);
+    world.run(MAX_HOLD_MILLIS + LOST_AFTER_MILLIS + 1000);
     expect(world.servedShare()).to.equal(1);
   });
 
@@ -48,7 +48,7 @@
       const world = started();
       Object.assign(world.holders.get('u2') ?? {}, { state });
       // It is granted its keys again for one hold, and in the worst case accepts the last of these grants late.
-      world.run(LONGEST_HOLD_MILLIS + TIMINGS.lateMillis + LONGEST_HOLD_MILLIS + 1000);
+      world.run(MAX_HOLD_MILLIS + TIMINGS.lateMillis + MAX_HOLD_MILLIS + 1000);
       expect(world.servedShare()).to.equal(1);
       // It is retried with a few keys each time, at growing intervals.
       let servedSeconds = 0;
