--- a/src/control/ranges/free-proof.ts
+++ b/src/control/ranges/free-proof.ts
@@ -13,7 +13,7 @@
   nextRun: 'next-run',
   /** The upstream no longer has a registry record. */
   forgotten: 'forgotten',
-  /** Every grant of the upstream has expired, at the latest possible time. */
+  /** No grant of the upstream can last this long. */
   bound: 'bound',
 } as const;
 export type FreeProof = (typeof FREE_PROOFS)[keyof typeof FREE_PROOFS];
--- a/test/control/heartbeat-answers.test.ts
+++ b/test/control/heartbeat-answers.test.ts
@@ -8,10 +8,7 @@
 const SERVICE = 'menu';
 const MAX_RESPONSE_BYTES = 4096;
 
-/**
- * A registry with one upstream that owns every second one of twice `ranges` blocks of eight keys; the others are
- * unowned.
- */
+/** A registry with one upstream that owns `ranges` blocks of eight keys, separated by unowned blocks of eight keys. */
 function registryWith(ranges: number): Registry {
   const registry = createRegistry();
   const apply = (command: Command): void => {
--- a/test/control/heartbeat-world.ts
+++ b/test/control/heartbeat-world.ts
@@ -261,7 +261,7 @@
   }
 
   /** Picks the member that a heartbeat reaches: for a while a deposed leader answers beside the new one. */
-  #member(): Leadership | undefined {
+  #receivingMember(): Leadership | undefined {
     const alive = this.#leaderships.filter(({ until }) => until > this.now);
     return alive[Math.floor(this.random() * alive.length)] ?? alive.at(-1);
   }
@@ -319,20 +319,20 @@
     answer: (keys: GrantedKeys | null) => void,
   ): void {
     const isSabotaged = this.sabotage === SABOTAGES.missingTakenAsNone;
-    const heard = isSabotaged ? { ...report, held: report.held ?? [] } : report;
+    const received = isSabotaged ? { ...report, held: report.held ?? [] } : report;
     this.after(NETWORK_MILLIS, () => {
-      const member = this.#member();
+      const member = this.#receivingMember();
       if (member === undefined) {
         return;
       }
       const known = member.registry().upstreams().get(id);
-      const take = (): void => {
+      const deliver = (): void => {
         member.claims.heard(id, this.now);
-        member.coordinator.heard({ upstream: id, born: null, report: heard }, answer, this.now);
+        member.coordinator.heard({ upstream: id, born: null, report: received }, answer, this.now);
       };
       const isNew = known === undefined || (leaving && !known.definition.leaving);
       if (!isNew || this.registry.isDeparted(id)) {
-        take();
+        deliver();
         return;
       }
       const announced = { slots: 2, warmupMillis: 0 };
@@ -345,7 +345,7 @@
         this.after(COMMIT_MILLIS, () => {
           if (!member.isDeposed) {
             this.apply({ type: 'upstream-announce', definition });
-            take();
+            deliver();
           }
         });
       });
--- a/test/control/range-load.test.ts
+++ b/test/control/range-load.test.ts
@@ -60,10 +60,10 @@
 
   /*
    * Guards against a leader that was 0.26 s late for its own heartbeats, and for all other queued work such as an
-   * operator's change, at little more than half of its processor's capacity. Renewals are due together; each step
-   * starts sixteen of them; their responses arrive together, and the step for each starts sixteen more. So work
-   * queued behind fifty responses waits for eight hundred calls. The cause was a limit on renewals per step instead
-   * of per time; this test failed at 3,000 ranges before renewals were spread.
+   * operator's change, while it used little more than half of its processor. Renewals were due together; each step
+   * started sixteen of them; their responses arrived together, and the step for each started sixteen more. So work
+   * queued behind fifty responses waited for eight hundred calls. The cause was a limit on renewals per step instead
+   * of per time; this test showed it at 3,000 ranges, before renewals were spread.
    */
   for (const rows of [1850, 3000, 6000]) {
     it(`sends its own heartbeats in time with ${rows} ranges too, after taking over and later`, () => {
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -307,13 +307,13 @@
 
   #sendHeartbeat(holder: Holder): void {
     const known = this.registry.upstreams().get(holder.id)?.definition;
-    const isHeard = ['up', 'deaf', 'mute', 'erring'].includes(holder.state);
+    const isReceived = ['up', 'deaf', 'mute', 'erring'].includes(holder.state);
     const isNew = known === undefined && !this.registry.isDeparted(holder.id);
     const isNextRun = holder.born !== null && holder.born !== known?.announced?.born;
-    if (isHeard && (isNew || isNextRun)) {
+    if (isReceived && (isNew || isNextRun)) {
       this.announce(holder);
     }
-    if (isHeard && this.registry.upstreams().has(holder.id)) {
+    if (isReceived && this.registry.upstreams().has(holder.id)) {
       this.#claims?.heard(holder.id, this.now);
       this.#leader?.heard({ upstream: holder.id, born: holder.born, report: null }, () => {}, this.now);
     }
--- a/test/control/refused-connections.test.ts
+++ b/test/control/refused-connections.test.ts
@@ -1,10 +1,11 @@
 /**
- * Guards against two servers holding the same keys for seconds, as seen when servers were cut off from control.
+ * Guards against two servers holding the same keys for seconds, as seen on days with cuts between servers and
+ * control.
  *
- * An owner is cut off from control, but not from routers, by a device that refuses connections in its place, and its
- * heartbeats stop. The next connection of control to it is refused (a check where ranges are granted by heartbeats, a
- * renewal where they are granted by calls). Control assigns its keys to others while it holds them until its last
- * grant expires, up to 10 s later.
+ * An owner was cut off from control, but not from routers, by a device that refused connections in its place, and its
+ * heartbeats stopped. The next connection of control to it was refused (a check where ranges are granted by
+ * heartbeats, a renewal where they are granted by calls). Control assigned its keys to others while it held them
+ * until its last grant expired, up to 10 s later.
  *
  * The cause was that a refused connection counted as proof that the run at the address had ended. In each play with
  * two holders, control's log had a call to the first one with the outcome `ended` within 0.1 s before the second
--- a/test/control/refusing-owners.test.ts
+++ b/test/control/refusing-owners.test.ts
@@ -1,14 +1,14 @@
 /**
  * Guards against keys that are not served for as long as a cut lasts, and against two holders of the same keys.
  *
- * A device on the path refuses control's calls to an upstream, while the upstream's heartbeats still reach control.
- * Each heartbeat ends the silence that the refused calls began, so the upstream counts as reachable and stays the
- * owner of keys that it was never notified of, or can no longer be notified of.
+ * A device on the path refused control's calls to an upstream, while the upstream's heartbeats still reached control.
+ * Each heartbeat ended the silence that the refused calls began, so the upstream counted as reachable and stayed the
+ * owner of keys that it was never notified of, or could no longer be notified of.
  *
  * Before the fix, these tests gave 0.75 of the keys served after a minute, and key 16384 held by u1 and u2.
  *
- * The time bound of an unanswered grant that its holder accepts late remains an assumption if the holder sends
- * nothing afterwards (range ownership, the bound).
+ * It remains an assumption (range ownership, the bound) that an unanswered grant is accepted within the time bound if
+ * its holder sends nothing afterwards.
  */
 import { expect } from 'chai';
 import { longestHoldMillis } from '../../src/lease/timed-grants.js';
--- a/test/control/removed-owners.test.ts
+++ b/test/control/removed-owners.test.ts
@@ -1,11 +1,11 @@
 /**
  * Guards against two servers holding the same keys after an operator removed one of them while it was up.
  *
- * An operator removes an upstream that owns ranges, which is permitted because only shards are checked. An owner
- * without a record counts as holding nothing, so its keys are reassigned at once, while it still holds them under its
- * last grants.
+ * An operator removed an upstream that owned ranges, which was permitted because only shards were checked. An owner
+ * without a record counted as holding nothing, so its keys were reassigned at once, while it still held them under
+ * its last grants.
  *
- * The cause is that a missing registry record is taken as proof that its holder holds nothing.
+ * The cause was that a missing registry record was taken as proof that its holder held nothing.
  */
 import { HeartbeatWorld } from './heartbeat-world.js';
 import { RangeWorld } from './range-world.js';
