--- a/src/control/address-claims.ts
+++ b/src/control/address-claims.ts
@@ -1,8 +1,9 @@
 /**
- * Which of two runs of upstreams an address belongs to. A word of a run that nobody knows, from the address of one that is known, may be
- * of the next run there, or of an earlier one whose heartbeat was held up on its way while the known one lives and holds keys. It tells
- * nothing of which, nor does silence: a leader that was elected just now has heard nobody, and an upstream that is cut off isn't heard.
- * So the address itself is asked who lives there, over a new connection. Only if it stays unanswered does time decide.
+ * Decides which of two runs of upstreams an address belongs to. A heartbeat of an unregistered run, from the address of a registered
+ * one, may come from the next run at that address, or be a delayed heartbeat of an earlier run while the registered one is alive and
+ * holds keys. The heartbeat doesn't show which, and neither does silence: a newly elected leader has no heartbeats yet, and those of
+ * an upstream that is partitioned off don't arrive. So the leader queries the address over a new connection for the run that serves
+ * it. Time decides only if the address doesn't answer.
  */
 import type { RangeTimings } from '../lease/range-timings.js';
 import { longestHoldMillis } from '../lease/timed-grants.js';
@@ -12,134 +13,134 @@
 import type { IdentityAnswer, IdentityQuestion, QuestionId } from './identity-question.js';
 
 /**
- * An address is asked again after this share of the time between two heartbeats at the earliest: once for each heartbeat, though a
- * sender that wasn't acknowledged calls other members in between, and though heartbeats come a few hundredths early.
+ * Minimum time between two questions to one address, as a share of the heartbeat interval. This allows one question per heartbeat:
+ * a sender without an acknowledgement tries other members in between, and heartbeats arrive a few hundredths early.
  */
-const ASK_AGAIN_HEARTBEATS = 0.8;
-/** Whoever lives says so again; a claim that isn't repeated for so many heartbeats has lapsed. */
-const LAPSED_HEARTBEATS = 3;
-/** Times of runs that are gone are dropped once there are so many more times than runs. */
-const SPARE_TIMES = 64;
-
-/** Why a run is taken in the place of another. */
-const PROOFS = {
-  /** The address named it. */
+const MIN_QUESTION_GAP_HEARTBEATS = 0.8;
+/** A live run repeats its claim with each heartbeat; a claim that isn't repeated for this many heartbeat intervals lapses. */
+const CLAIM_LIFETIME_HEARTBEATS = 3;
+/** Heartbeat times of removed runs are deleted once the times outnumber the registered runs by more than this. */
+const MAX_STALE_TIMES = 64;
+
+/** Why a run replaces another one at its address. */
+const ACCEPT_REASONS = {
+  /** The address answered with the id of this run. */
   namedItself: 'named-itself',
-  /** The address stayed unanswered, it says so since long, and the one before has been silent and can hold nothing any more. */
+  /** The address didn't answer, the claim was repeated for a longest hold, and the previous run was silent and can hold no keys. */
   bound: 'bound',
 } as const;
 
-/** Why a run isn't taken in the place of another, for now. */
-const DOUBTS = {
+/** Why a run doesn't replace another one at its address for now. */
+const REJECT_REASONS = {
   another: 'another-run-answered',
   unknown: 'no-answer',
-  askedLately: 'asked-lately',
+  recentlyAsked: 'asked-lately',
 } as const;
 
-/** Told once whether a run is taken in. */
-export type SettleClaim = (isTaken: boolean, now: MonotonicMillis) => void;
+/** Called once with the decision whether a run is accepted at its address. */
+export type SettleClaim = (isAccepted: boolean, now: MonotonicMillis) => void;
 
 export interface AddressClaimsParts {
   readonly registry: () => Registry;
   readonly timings: RangeTimings;
-  /** Whether an upstream may hold keys, as far as this leader knows. */
+  /** Whether an upstream may hold keys by the state of this leader. */
   readonly mayHold: (upstream: UpstreamId, now: MonotonicMillis) => boolean;
-  /** Has the question asked; `answered` is called once with what came of it. */
+  /** Sends the question; `AddressClaims.onAnswer` is called once with its result. */
   readonly ask: (question: IdentityQuestion) => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-/** A run that claims the address of another. */
+/** The claim of a run to the address of another run. */
 interface Claim {
   readonly since: MonotonicMillis;
-  /** When it was heard last. */
+  /** When the claim was last repeated. */
   at: MonotonicMillis;
 }
 
-/** A question under way. */
+/** A question without an answer yet. */
 interface OpenQuestion {
   readonly definition: UpstreamDefinition;
-  /** Those who wait for what comes of it. */
+  /** Callbacks for the decision. */
   readonly waiting: SettleClaim[];
 }
 
-/** The question that an address was asked last. */
-interface AskedAddress {
+/** The last question to an address. */
+interface LastQuestion {
   readonly question: QuestionId;
   readonly at: MonotonicMillis;
 }
 
 export class AddressClaims {
   readonly #parts: AddressClaimsParts;
-  /** When each run was heard last in this leadership. */
-  readonly #heardAt = new Map<UpstreamId, MonotonicMillis>();
+  /** Time of the last heartbeat of each run in this leadership. */
+  readonly #lastHeartbeatAt = new Map<UpstreamId, MonotonicMillis>();
   readonly #claims = new Map<UpstreamId, Claim>();
-  readonly #asked = new Map<Address, AskedAddress>();
-  readonly #open = new Map<QuestionId, OpenQuestion>();
-  #questions = 0;
+  readonly #lastQuestions = new Map<Address, LastQuestion>();
+  readonly #openQuestions = new Map<QuestionId, OpenQuestion>();
+  #questionCount = 0;
 
   constructor(parts: AddressClaimsParts) {
     this.#parts = parts;
   }
 
   /**
-   * A leadership began or ended: what was heard, claimed and asked before says nothing of now. An answer that still comes may be older
-   * than what a leader in between has taken in.
+   * Discards heartbeat times, claims and open questions when a leadership begins or ends, and rejects the claims that wait. An answer
+   * that arrives later may be older than a registration by a leader in between.
    */
   roleChanged(now: MonotonicMillis): void {
-    const open = [...this.#open.values()];
-    this.#heardAt.clear();
+    const open = [...this.#openQuestions.values()];
+    this.#lastHeartbeatAt.clear();
     this.#claims.clear();
-    this.#open.clear();
+    this.#openQuestions.clear();
     for (const settle of open.flatMap(({ waiting }) => waiting)) {
       settle(false, now);
     }
   }
 
-  /** A heartbeat of a run that is known came. */
+  /** Records a heartbeat of a registered run. */
   heard(upstream: UpstreamId, now: MonotonicMillis): void {
-    this.#heardAt.set(upstream, now);
+    this.#lastHeartbeatAt.set(upstream, now);
     const known = this.#parts.registry().upstreams();
-    if (this.#heardAt.size > known.size + SPARE_TIMES) {
-      dropWhere(this.#heardAt, (_at, run) => !known.has(run));
+    if (this.#lastHeartbeatAt.size > known.size + MAX_STALE_TIMES) {
+      deleteWhere(this.#lastHeartbeatAt, (_at, run) => !known.has(run));
     }
   }
 
-  /** A run that nobody knows says that it lives at its address. `settle` is called at once unless the address has to be asked. */
+  /** Handles the claim of an unregistered run to its address. `settle` is called synchronously unless the address is queried. */
   claim(definition: UpstreamDefinition, now: MonotonicMillis, settle: SettleClaim): void {
-    const known = this.#knownAt(definition);
+    const known = this.#knownRunAt(definition);
     if (known === undefined) {
       settle(true, now);
       return;
     }
-    this.#dropLapsed(now);
+    this.#deleteLapsed(now);
     const { id, address } = definition;
     const { since } = this.#claims.get(id) ?? { since: now };
     this.#claims.set(id, { since, at: now });
-    const asked = this.#asked.get(address);
-    const open = asked && this.#open.get(asked.question);
+    const last = this.#lastQuestions.get(address);
+    const open = last && this.#openQuestions.get(last.question);
     if (open?.definition.id === id) {
       open.waiting.push(settle);
-    } else if (open !== undefined || (asked !== undefined && now < this.#askAgainAt(asked))) {
-      this.#refuse(definition, known, DOUBTS.askedLately);
+    } else if (open !== undefined || (last !== undefined && now < this.#nextQuestionAt(last))) {
+      this.#reject(definition, known, REJECT_REASONS.recentlyAsked);
       settle(false, now);
     } else {
       this.#ask(definition, settle, now);
     }
   }
 
-  /** What came of a question. */
+  /** Handles the result of a question. */
   answered(question: QuestionId, answer: IdentityAnswer, now: MonotonicMillis): void {
-    const open = this.#open.get(question);
-    this.#open.delete(question);
+    const open = this.#openQuestions.get(question);
+    this.#openQuestions.delete(question);
     if (open === undefined) {
       return;
     }
     const { definition, waiting } = open;
-    const known = this.#knownAt(definition);
-    const isTaken = known === undefined || this.#decide(definition, known, answer, now);
+    const known = this.#knownRunAt(definition);
+    const isAccepted = known === undefined || this.#decide(definition, known, answer, now);
     for (const settle of waiting) {
-      settle(isTaken, now);
+      settle(isAccepted, now);
     }
   }
 
@@ -151,47 +152,47 @@
   ): boolean {
     const { id } = definition;
     if (answer.type === 'named' && answer.upstream === id) {
-      this.#take(definition, known, PROOFS.namedItself, now);
+      this.#accept(definition, known, ACCEPT_REASONS.namedItself, now);
       return true;
     }
     if (answer.type === 'unknown' && this.#isPastBound(id, known, now)) {
-      this.#take(definition, known, PROOFS.bound, now);
+      this.#accept(definition, known, ACCEPT_REASONS.bound, now);
       return true;
     }
     const isUnknown = answer.type === 'unknown';
     if (!isUnknown) {
       this.#claims.delete(id);
     }
-    this.#refuse(definition, known, isUnknown ? DOUBTS.unknown : DOUBTS.another);
+    this.#reject(definition, known, isUnknown ? REJECT_REASONS.unknown : REJECT_REASONS.another);
     return false;
   }
 
   /**
-   * A heartbeat is seconds late at most and comes once, so a run that says for a whole longest hold that it lives does live, and one
-   * that wasn't heard meanwhile has lost its keys unless others may tell more of them.
+   * A heartbeat is at most seconds late and arrives once, so a run that repeats its claim for a whole longest hold is alive. A run
+   * without heartbeats in that time has lost its keys, unless `mayHold` still counts it as a possible holder.
    */
   #isPastBound(claimant: UpstreamId, known: UpstreamId, now: MonotonicMillis): boolean {
     const { timings, mayHold } = this.#parts;
     const { since } = this.#claims.get(claimant) ?? { since: now };
-    const isHeard = (this.#heardAt.get(known) ?? Number.NEGATIVE_INFINITY) >= since;
-    return !isHeard && now - since >= longestHoldMillis(timings) && !mayHold(known, now);
+    const hasHeartbeat = (this.#lastHeartbeatAt.get(known) ?? Number.NEGATIVE_INFINITY) >= since;
+    return !hasHeartbeat && now - since >= longestHoldMillis(timings) && !mayHold(known, now);
   }
 
   #ask(definition: UpstreamDefinition, settle: SettleClaim, now: MonotonicMillis): void {
     const { id: claimant, address, service } = definition;
-    this.#questions += 1;
-    const id = this.#questions;
-    this.#asked.set(address, { question: id, at: now });
-    this.#open.set(id, { definition, waiting: [settle] });
+    this.#questionCount += 1;
+    const id = this.#questionCount;
+    this.#lastQuestions.set(address, { question: id, at: now });
+    this.#openQuestions.set(id, { definition, waiting: [settle] });
     const healthPath = this.#parts.registry().services().get(service)?.definition.healthPath ?? null;
     this.#parts.ask({ id, address, claimant, healthPath });
   }
 
-  #askAgainAt({ at }: AskedAddress): MonotonicMillis {
-    return at + this.#parts.timings.heartbeatMillis * ASK_AGAIN_HEARTBEATS;
+  #nextQuestionAt({ at }: LastQuestion): MonotonicMillis {
+    return at + this.#parts.timings.heartbeatMillis * MIN_QUESTION_GAP_HEARTBEATS;
   }
 
-  #knownAt({ id, address }: UpstreamDefinition): UpstreamId | undefined {
+  #knownRunAt({ id, address }: UpstreamDefinition): UpstreamId | undefined {
     for (const { definition } of this.#parts.registry().upstreams().values()) {
       const isOther = definition.id !== id && definition.address === address;
       if (isOther && definition.announced !== undefined) {
@@ -201,36 +202,41 @@
     return undefined;
   }
 
-  #take({ id, address }: UpstreamDefinition, before: UpstreamId, proof: string, now: MonotonicMillis): void {
+  #accept(
+    { id, address }: UpstreamDefinition,
+    previous: UpstreamId,
+    reason: string,
+    now: MonotonicMillis,
+  ): void {
     const claimedAgoMillis = Math.round(now - (this.#claims.get(id)?.since ?? now));
-    const heardAt = this.#heardAt.get(before);
-    const heardAgoMillis = heardAt === undefined ? null : Math.round(now - heardAt);
+    const lastHeartbeatAt = this.#lastHeartbeatAt.get(previous);
+    const heardAgoMillis = lastHeartbeatAt === undefined ? null : Math.round(now - lastHeartbeatAt);
     this.#claims.delete(id);
     this.#parts.log('address-taken', {
       upstream: id,
       address,
-      before,
-      proof,
+      before: previous,
+      proof: reason,
       claimedAgoMillis,
       heardAgoMillis,
     });
   }
 
-  #refuse({ id, address }: UpstreamDefinition, living: UpstreamId, doubt: string): void {
-    this.#parts.log('address-contested', { upstream: id, address, living, doubt });
+  #reject({ id, address }: UpstreamDefinition, registered: UpstreamId, reason: string): void {
+    this.#parts.log('address-contested', { upstream: id, address, living: registered, doubt: reason });
   }
 
-  /** Keeps no more than what the last few heartbeats brought. */
-  #dropLapsed(now: MonotonicMillis): void {
-    const lapsed = now - this.#parts.timings.heartbeatMillis * LAPSED_HEARTBEATS;
-    dropWhere(this.#claims, ({ at }) => at < lapsed);
-    dropWhere(this.#asked, ({ at, question }) => at < lapsed && !this.#open.has(question));
+  /** Keeps only the claims and questions of the last few heartbeat intervals. */
+  #deleteLapsed(now: MonotonicMillis): void {
+    const lapsed = now - this.#parts.timings.heartbeatMillis * CLAIM_LIFETIME_HEARTBEATS;
+    deleteWhere(this.#claims, ({ at }) => at < lapsed);
+    deleteWhere(this.#lastQuestions, ({ at, question }) => at < lapsed && !this.#openQuestions.has(question));
   }
 }
 
-function dropWhere<Key, Value>(map: Map<Key, Value>, isOver: (value: Value, key: Key) => boolean): void {
+function deleteWhere<Key, Value>(map: Map<Key, Value>, matches: (value: Value, key: Key) => boolean): void {
   for (const [key, value] of map) {
-    if (isOver(value, key)) {
+    if (matches(value, key)) {
       map.delete(key);
     }
   }
--- a/src/control/automatic-repair.ts
+++ b/src/control/automatic-repair.ts
@@ -1,23 +1,23 @@
 /**
- * What the leader does by itself for its own cluster: it takes waiting replicas in as spare learners, and puts a spare
- * that holds everything in the place of a voter that was silent for long.
+ * Automatic membership changes by the leader: it adds waiting replicas as spare learners, and replaces a voter that was silent
+ * for too long by a spare that holds all committed entries.
  */
 import type { RaftStatus } from '../consensus/types.js';
 import type { Address, MonotonicMillis, ReplicaId } from '../model/identifiers.js';
 
-/** A waiting replica that didn't ask again for this long is forgotten. */
+/** How long a join request of a replica counts; replicas repeat it until they are members. */
 export const WAITING_REPLICA_MILLIS = 5000;
 
-/** A replica that asked to be taken in. */
+/** A replica that requested to join. */
 export interface WaitingReplica {
   readonly replica: ReplicaId;
   readonly address: Address;
 }
 
-/** A step that the leader takes by itself. */
+/** An automatic change of the membership. */
 export type Repair =
   | ({ readonly type: 'take-in' } & WaitingReplica)
-  /** A spare gets a vote beside the others. */
+  /** A spare becomes an additional voter. */
   | { readonly type: 'add'; readonly newReplica: ReplicaId; readonly address: Address }
   | {
       readonly type: 'replace';
@@ -26,52 +26,52 @@
       readonly address: Address;
     };
 
-interface AskedWaitingReplica extends WaitingReplica {
-  readonly askedAt: MonotonicMillis;
+interface TimedWaitingReplica extends WaitingReplica {
+  readonly requestedAt: MonotonicMillis;
 }
 
 export class AutomaticRepair {
-  readonly #waiting = new Map<ReplicaId, AskedWaitingReplica>();
-  readonly #heardAt = new Map<ReplicaId, MonotonicMillis>();
-  #leadsSince: MonotonicMillis = Number.POSITIVE_INFINITY;
+  readonly #waiting = new Map<ReplicaId, TimedWaitingReplica>();
+  readonly #lastMessageAt = new Map<ReplicaId, MonotonicMillis>();
+  #leaderSince: MonotonicMillis = Number.POSITIVE_INFINITY;
 
   /**
-   * `replaceAfterMillis`: how long a voter may be silent; 0: nothing is done. `mostVoters`: spares get a vote beside the
-   * others up to this number.
+   * `replaceAfterMillis`: how long a voter may be silent; 0 disables automatic repair. `maxVoters`: spares become additional voters
+   * up to this number of voters.
    */
   constructor(
     private readonly replaceAfterMillis: number,
-    private readonly mostVoters = 0,
+    private readonly maxVoters = 0,
   ) {}
 
-  heard(replica: ReplicaId, now: MonotonicMillis): void {
-    this.#heardAt.set(replica, now);
+  onMessage(replica: ReplicaId, now: MonotonicMillis): void {
+    this.#lastMessageAt.set(replica, now);
   }
 
-  asked(replica: ReplicaId, address: Address, now: MonotonicMillis): void {
-    this.#waiting.set(replica, { replica, address, askedAt: now });
+  onJoinRequest(replica: ReplicaId, address: Address, now: MonotonicMillis): void {
+    this.#waiting.set(replica, { replica, address, requestedAt: now });
   }
 
-  roleChanged(leads: boolean, now: MonotonicMillis): void {
-    this.#leadsSince = leads ? Math.min(this.#leadsSince, now) : Number.POSITIVE_INFINITY;
+  onRoleChange(isLeader: boolean, now: MonotonicMillis): void {
+    this.#leaderSince = isLeader ? Math.min(this.#leaderSince, now) : Number.POSITIVE_INFINITY;
   }
 
-  /** Replicas that ask to be taken in and aren't members. */
+  /** Replicas that currently request to join and aren't members. */
   waiting({ membership }: RaftStatus, now: MonotonicMillis): readonly WaitingReplica[] {
-    for (const { replica, askedAt } of this.#waiting.values()) {
-      if (membership.addresses[replica] !== undefined || now - askedAt > WAITING_REPLICA_MILLIS) {
+    for (const { replica, requestedAt } of this.#waiting.values()) {
+      if (membership.addresses[replica] !== undefined || now - requestedAt > WAITING_REPLICA_MILLIS) {
         this.#waiting.delete(replica);
       }
     }
     return [...this.#waiting.values()].map(({ replica, address }) => ({ replica, address }));
   }
 
-  /** How long the leader hasn't heard of another member. */
+  /** Time since the last message of another member, counted from the start of the leadership at the earliest. */
   silentMillis(replica: ReplicaId, now: MonotonicMillis): number {
-    return Math.max(0, now - Math.max(this.#heardAt.get(replica) ?? 0, this.#leadsSince));
+    return Math.max(0, now - Math.max(this.#lastMessageAt.get(replica) ?? 0, this.#leaderSince));
   }
 
-  /** The next step, if one is due. For the leader only. */
+  /** Returns the next change that is due, or `null`. For the leader only. */
   next(status: RaftStatus, now: MonotonicMillis): Repair | null {
     if (this.replaceAfterMillis <= 0) {
       return null;
@@ -91,12 +91,12 @@
       return null;
     }
     const address = membership.addresses[newReplica] ?? '';
-    // An address serves one replica: where a new one is, the one before has lost its disk.
+    // An address serves one replica: if a new replica runs there, the previous one has lost its disk.
     const isGone = (voter: ReplicaId): boolean => isSilent(voter) || membership.addresses[voter] === address;
     const oldReplica = membership.voters.find((voter) => voter !== self && isGone(voter));
     if (oldReplica === undefined) {
-      const mayGrow = membership.voters.length < this.mostVoters;
-      return mayGrow ? { type: 'add', newReplica, address } : null;
+      const canGrow = membership.voters.length < this.maxVoters;
+      return canGrow ? { type: 'add', newReplica, address } : null;
     }
     return { type: 'replace', oldReplica, newReplica, address };
   }
--- a/src/control/change-trace.ts
+++ b/src/control/change-trace.ts
@@ -1,15 +1,15 @@
 /**
- * What became of an operator's change at this member, with the time by part, as one log record: a change that is late shows
- * where it waited, and one that was sent on or refused shows what the member knew of the leader then.
+ * One log record per operator change at this member, with its outcome and the time of each phase. A slow change shows where it
+ * waited; a redirected or rejected one shows which leader this member assumed at that time.
  */
 import type { RaftStatus } from '../consensus/types.js';
 import type { MonotonicMillis } from '../model/identifiers.js';
 import type { OperatorRequest, OperatorResponse } from './types.js';
 
-/** Requests that are traced: changes by hand, which are few. */
+/** Requests that are traced: manual changes, which are rare. */
 export type TracedRequest = Extract<OperatorRequest, { readonly type: 'command' | 'declare' | 'evacuate' }>;
 
-/** When a proposal got how far; `null`: it never did. */
+/** When a proposal reached each phase; `null`: it didn't reach it. */
 export interface ProposalTimes {
   readonly proposedAt: MonotonicMillis;
   /** Committed by a quorum, and on this member's own disk. */
@@ -30,7 +30,7 @@
   readonly answeredMillis: number;
 }
 
-/** What a change is about; a declared version reads as in the audit log, so that its tries at all members are found together. */
+/** Describes a change. A declared version is written as in the audit log, so that one search finds its attempts at all members. */
 export function subjectOf(request: TracedRequest): string {
   switch (request.type) {
     case 'declare':
@@ -42,7 +42,7 @@
   }
 }
 
-/** The record of a change that is answered now; each part counts from the end of the one before. */
+/** Builds the record of a change that is answered at `now`; each phase counts from the end of the previous one. */
 export function changeRecord(
   request: TracedRequest,
   response: OperatorResponse,
--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -1,6 +1,6 @@
 /**
- * A control member as one deterministic core: Raft, the registry, session leases and placement on the leader, and the
- * sides that routers and operators talk to.
+ * A control member as one deterministic core: Raft, the registry, session leases and placement on the leader, and the handling of
+ * routers' messages and operators' requests.
  */
 import { createRaft } from '../consensus/index.js';
 import type { RaftConfig, RaftCore, RaftStatus, RestoredState, RoleEvidence } from '../consensus/types.js';
@@ -36,10 +36,10 @@
 const MAX_ENTRIES_PER_APPEND = 256;
 const MAX_APPENDS_IN_FLIGHT = 8;
 const SNAPSHOT_CHUNK_BYTES = 256 * 1024;
-/** A read that got no answer within this many election timeouts has failed. */
-const READ_TIMEOUTS = 2;
+/** A read without an answer within this many election timeouts fails. */
+const READ_ELECTION_TIMEOUTS = 2;
 
-/** Makes a control member from what it found on its disk. */
+/** Creates a control member from the state restored from its disk. */
 export function createControlNode(
   config: ControlConfig,
   restored: RestoredState,
@@ -62,8 +62,8 @@
   };
 }
 
-/** Where a member starts from. */
-interface StartOfNode {
+/** State of a member at its start. */
+interface StartState {
   readonly snapshotIndex: Revision;
   readonly now: MonotonicMillis;
 }
@@ -75,23 +75,23 @@
   readonly #crashes: CrashReports;
   readonly #operators: OperatorRequests;
   readonly #membership: MembershipChanges;
-  #leader: LeaderDuties | null = null;
+  #leaderDuties: LeaderDuties | null = null;
   #effects: ControlEffect[] = [];
   #wall: WallMillis = 0;
   #now: MonotonicMillis = 0;
   readonly #unowned = new UnownedClock();
-  /** When this member last learned who leads, or that nobody does. */
+  /** When the leader, or the lack of one, last changed at this member. */
   #leaderSince: MonotonicMillis;
   #leaderId: ReplicaId | null = null;
   readonly #snapshots: SnapshotTaker;
   /** Whether routing data changed in this step. */
-  #hasNews = false;
+  #hasRegistryChange = false;
 
-  constructor(config: ControlConfig, raft: RaftCore, registry: Registry, start: StartOfNode) {
+  constructor(config: ControlConfig, raft: RaftCore, registry: Registry, start: StartState) {
     const { snapshotIndex, now } = start;
     this.#config = config;
     this.#leaderSince = now;
-    const readTimeoutMillis = READ_TIMEOUTS * config.raft.electionTimeoutMillis;
+    const readTimeoutMillis = READ_ELECTION_TIMEOUTS * config.raft.electionTimeoutMillis;
     this.#raft = new RaftAdapter({ raft, registry, decodeRegistry, listener: this, readTimeoutMillis });
     const { snapshotEntries } = config;
     this.#snapshots = new SnapshotTaker({ raft: this.#raft, snapshotEntries, snapshotIndex });
@@ -105,8 +105,10 @@
       membership: this.#membership,
       status: (now) => controlStatus(this.#statusSource(now), now),
       heard: (heartbeat, answer, now) =>
-        this.#leader === null ? answer(null, now) : this.#leader.upstreamHeard(heartbeat, answer, now),
-      mayHold: (upstream, now) => this.#leader?.mayHold(upstream, now) ?? true,
+        this.#leaderDuties === null
+          ? answer(null, now)
+          : this.#leaderDuties.onHeartbeat(heartbeat, answer, now),
+      mayHold: (upstream, now) => this.#leaderDuties?.mayHold(upstream, now) ?? true,
       askIdentity: (question) => this.#emit({ type: 'ask-identity', question }),
       takeSnapshot: (now, taken) => this.#snapshots.request(now, taken),
       log: (event, fields) => this.#log('info', event, fields),
@@ -123,11 +125,11 @@
       zone: config.zone,
       send: (connection, message) => this.#emit({ type: 'send-router', connection, message }),
       report: (report, from, now) => {
-        this.#leader?.loadReported(report, now);
-        this.#leader?.fleetReported(report, from, now);
+        this.#leaderDuties?.onLoadReport(report, now);
+        this.#leaderDuties?.onFleetReport(report, from, now);
       },
-      crashes: (report, router) => this.#crashes.take(report, router),
-      upstreams: (report, from, now) => this.#leader?.upstreamsReported(report, from, now) ?? false,
+      crashes: (report, router) => this.#crashes.onReport(report, router),
+      upstreams: (report, from, now) => this.#leaderDuties?.onUpstreamReport(report, from, now) ?? false,
     });
   }
 
@@ -136,10 +138,10 @@
     this.#now = now;
     this.#wall = wall;
     this.#raft.beginStep();
-    this.#take(input, now);
-    this.#settle(now);
-    if (this.#hasNews) {
-      this.#hasNews = false;
+    this.#handle(input, now);
+    this.#runUntilIdle(now);
+    if (this.#hasRegistryChange) {
+      this.#hasRegistryChange = false;
       this.#unowned.look(this.#raft.registry, now);
       this.#routers.notify(now);
     }
@@ -154,7 +156,7 @@
       this.#crashes.nextDeadline(),
       this.#membership.nextDeadline(),
       this.#snapshots.nextDeadline(),
-      this.#leader?.nextDeadline(this.#now) ?? Number.POSITIVE_INFINITY,
+      this.#leaderDuties?.nextDeadline(this.#now) ?? Number.POSITIVE_INFINITY,
     );
   }
 
@@ -163,7 +165,7 @@
   }
 
   rangeWork(): RangeWork | null {
-    return this.#leader?.rangeWork() ?? null;
+    return this.#leaderDuties?.rangeWork() ?? null;
   }
 
   sendPeer(message: Parameters<RaftListener['sendPeer']>[0]): void {
@@ -176,22 +178,22 @@
 
   applied(changes: readonly RegistryChange[], now: MonotonicMillis): void {
     if (changes.length > 0) {
-      this.#hasNews = true;
-      this.#leader?.registryChanged(changes, now);
+      this.#hasRegistryChange = true;
+      this.#leaderDuties?.onRegistryChange(changes, now);
       this.#logOwnership(changes);
     }
   }
 
-  /** On the leader only, so that each change is logged once. */
+  /** Logs changes of ownership, on the leader only so that each change is logged once. */
   #logOwnership(changes: readonly RegistryChange[]): void {
-    if (this.#leader !== null) {
+    if (this.#leaderDuties !== null) {
       this.#effects.push(...ownershipLog(changes));
     }
   }
 
   restored(): void {
     this.#snapshots.restored();
-    this.#hasNews = true;
+    this.#hasRegistryChange = true;
   }
 
   roleChanged({ leaderHeardAt, quorumLostAt }: RoleEvidence, now: MonotonicMillis): void {
@@ -203,10 +205,10 @@
       this.#leaderId = leader;
       this.#leaderSince = now;
     }
-    this.#leader?.end(now);
-    this.#leader = role === 'leader' ? this.#beginLeadership(now) : null;
+    this.#leaderDuties?.end(now);
+    this.#leaderDuties = role === 'leader' ? this.#beginLeadership(now) : null;
     this.#operators.roleChanged(now);
-    this.#membership.roleChanged(now);
+    this.#membership.onRoleChange(now);
   }
 
   #beginLeadership(now: MonotonicMillis): LeaderDuties {
@@ -224,16 +226,16 @@
     return new LeaderDuties(parts, this.#raft.status().term, now);
   }
 
-  #take(input: ControlInput, now: MonotonicMillis): void {
+  #handle(input: ControlInput, now: MonotonicMillis): void {
     switch (input.type) {
       case 'tick':
         break;
       case 'peer-message':
-        this.#membership.heard(input.message.from, now);
+        this.#membership.onPeerMessage(input.message.from, now);
         this.#raft.feed({ type: 'message', message: input.message });
         break;
       case 'join-request':
-        this.#membership.joinRequested(input.replica, input.address, now);
+        this.#membership.onJoinRequest(input.replica, input.address, now);
         break;
       case 'persisted':
         this.#raft.feed({ type: 'persisted', persistId: input.persistId });
@@ -243,16 +245,16 @@
         break;
       case 'router-gone':
         this.#routers.gone(input.connection);
-        this.#leader?.routerGone(input.connection);
+        this.#leaderDuties?.onRouterDisconnect(input.connection);
         break;
       case 'upstream-answer':
-        this.#leader?.upstreamAnswered(input.upstream, input.sequence, input.answer, now);
+        this.#leaderDuties?.onSessionResponse(input.upstream, input.sequence, input.answer, now);
         break;
       case 'upstream-failed':
-        this.#leader?.upstreamFailed(input.upstream, input.sequence, now);
+        this.#leaderDuties?.onSessionFailure(input.upstream, input.sequence, now);
         break;
       case 'holder-answer':
-        this.#leader?.holderAnswered(input.call, input.outcome, now);
+        this.#leaderDuties?.onHolderCallEnd(input.call, input.outcome, now);
         break;
       case 'identity-answer':
         this.#operators.identified(input.question, input.answer, now);
@@ -263,15 +265,15 @@
     }
   }
 
-  /** Lets every part work until none has anything left for the Raft core. */
-  #settle(now: MonotonicMillis): void {
+  /** Runs all parts until none of them has input left for the Raft core. */
+  #runUntilIdle(now: MonotonicMillis): void {
     this.#raft.feed({ type: 'tick' });
     while (this.#raft.run(now) || this.#snapshots.run(now)) {
       this.#operators.run(now);
       this.#routers.run(now);
       this.#crashes.run(now, this.#wall);
       this.#membership.run(now);
-      this.#leader?.run(now);
+      this.#leaderDuties?.run(now);
     }
   }
 
@@ -287,10 +289,10 @@
     return {
       raft: this.#raft.status(),
       registry: this.#raft.registry,
-      sessions: this.#leader?.sessions() ?? [],
-      services: this.#leader?.measures(now) ?? [],
-      needs: this.#leader?.needs(now) ?? [],
-      fleet: this.#leader?.fleet(now) ?? null,
+      sessions: this.#leaderDuties?.sessions() ?? [],
+      services: this.#leaderDuties?.measures(now) ?? [],
+      needs: this.#leaderDuties?.needs(now) ?? [],
+      fleet: this.#leaderDuties?.fleet(now) ?? null,
       routers: this.#routers.routers(),
       departed: this.#routers.departed(now),
       unowned: this.#unowned.list(this.#raft.registry, now),
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -1,22 +1,22 @@
-/** What operators see of a control member and, on the leader, of the upstreams' sessions. */
+/** The status of a control member for operators, including the upstreams' sessions on the leader. */
 import type { RaftStatus } from '../consensus/types.js';
 import type { MonotonicMillis, ReplicaId, UpstreamId } from '../model/identifiers.js';
 import type { Registry } from '../registry/types.js';
 import type { WaitingReplica } from './automatic-repair.js';
 import type { DepartedRouter } from './departed-routers.js';
 import type { FleetStatus } from './fleet-room/fleet-room.js';
-import type { HeardSession } from './leader-duties.js';
+import type { ObservedSession } from './leader-duties.js';
 import type { ConnectedRouter } from './router-requests.js';
 import type { ServiceMeasures } from './service-measures.js';
 import type { NeedyUpstream, OperatorResponse, UpstreamHealth } from './types.js';
 import type { UnownedShards } from './unowned-clock.js';
 
-/** What the status is put together from. */
+/** Input of the status. */
 export interface ControlStatusSource {
   readonly raft: RaftStatus;
   readonly registry: Registry;
   /** Empty on members that don't lead. */
-  readonly sessions: readonly HeardSession[];
+  readonly sessions: readonly ObservedSession[];
   /** Empty on members that don't lead. */
   readonly services: readonly ServiceMeasures[];
   readonly routers: readonly ConnectedRouter[];
@@ -31,10 +31,10 @@
   readonly memberSilentMillis: Readonly<Record<ReplicaId, number>>;
 }
 
-/** The response to `get-status`. */
+/** Builds the response to `get-status`. */
 export function controlStatus(source: ControlStatusSource, now: MonotonicMillis): OperatorResponse {
   const { raft, registry, sessions, unowned, waitingReplicas, memberSilentMillis } = source;
-  const moving = [...registry.upstreams().keys()].map((upstream) => movingTo(registry, upstream));
+  const moving = [...registry.upstreams().keys()].map((upstream) => countMovesTo(registry, upstream));
   return {
     type: 'status',
     raft,
@@ -82,18 +82,18 @@
   ];
 }
 
-function healthOf(view: HeardSession, registry: Registry, now: MonotonicMillis): UpstreamHealth {
+function healthOf(view: ObservedSession, registry: Registry, now: MonotonicMillis): UpstreamHealth {
   return {
     upstream: view.upstream,
     state: view.failing ? 'unreachable' : view.phase,
-    silentMillis: view.heardAt === null ? null : now - view.heardAt,
+    silentMillis: view.lastResponseAt === null ? null : now - view.lastResponseAt,
     shards: registry.shardsOwnedBy(view.upstream).size,
     draining: view.answer?.draining.length ?? 0,
   };
 }
 
 /** Number of owned shards with a planned move to an upstream. */
-function movingTo(registry: Registry, upstream: UpstreamId): number {
+function countMovesTo(registry: Registry, upstream: UpstreamId): number {
   const owners = [...registry.shardsMovingTo(upstream)].map(
     (shard) => registry.shards().get(shard)?.owner ?? null,
   );
--- a/src/control/crash-reports.ts
+++ b/src/control/crash-reports.ts
@@ -1,6 +1,6 @@
 /**
- * What routers report of requests under which upstreams ended, on its way into the log, and the time after which suspects are
- * released. Any member takes reports; only the leader's proposals come to anything, and a router tells again what wasn't taken.
+ * Proposes routers' reports of requests during which upstreams crashed, and releases suspects whose time is over. Any member accepts
+ * reports, but only proposals of the leader take effect; routers repeat a report until it is in the configuration.
  */
 import {
   type ClearedSuspect,
@@ -13,8 +13,8 @@
 import type { ProposeCommand } from './propose-command.js';
 import type { RaftAdapter } from './raft-adapter.js';
 
-/** How often the leader looks for suspects whose time is over. */
-const SWEEP_MILLIS = 1000;
+/** How often the leader checks for suspects whose time is over. */
+const SWEEP_INTERVAL_MILLIS = 1000;
 
 export interface CrashReportsParts {
   readonly raft: RaftAdapter;
@@ -34,15 +34,15 @@
     this.#terms = parts.terms ?? DEFAULT_QUARANTINE_TERMS;
   }
 
-  /** A router's report; `null`: a router that this member doesn't know by name. */
-  take(report: CrashReport, router: RouterId | null): void {
+  /** Handles a report; `router` is `null` if this member has no name for its sender. */
+  onReport(report: CrashReport, router: RouterId | null): void {
     const { raft, propose } = this.#parts;
-    const cleared = report.cleared.filter((suspect) => this.#isKnown(suspect));
+    const cleared = report.cleared.filter((suspect) => this.#isCurrentSuspect(suspect));
     if (cleared.length > 0) {
       this.#parts.log('suspects-succeeded', { router, isLeader: raft.isLeader(), cleared });
       propose({ type: 'suspects-clear', cleared }, () => {});
     }
-    const crashes = report.crashes.filter((crash) => this.#isNews(crash));
+    const crashes = report.crashes.filter((crash) => this.#isUnrecorded(crash));
     if (crashes.length > 0) {
       this.#parts.log('crashes-reported', { router, isLeader: raft.isLeader(), crashes });
       propose({ type: 'crashes-note', crashes, terms: this.#terms }, () => {});
@@ -55,7 +55,7 @@
     if (now < this.#sweepNotBefore || !raft.isLeader()) {
       return;
     }
-    this.#sweepNotBefore = now + SWEEP_MILLIS;
+    this.#sweepNotBefore = now + SWEEP_INTERVAL_MILLIS;
     if (raft.registry.suspects().some(({ until }) => until <= wall)) {
       propose({ type: 'suspects-expire', terms: this.#terms }, () => {});
     }
@@ -67,12 +67,12 @@
     return isIdle ? Number.POSITIVE_INFINITY : this.#sweepNotBefore;
   }
 
-  #isKnown({ fingerprint, revision }: ClearedSuspect): boolean {
+  #isCurrentSuspect({ fingerprint, revision }: ClearedSuspect): boolean {
     const suspect = this.#parts.raft.registry.suspect(fingerprint);
     return suspect !== undefined && suspect.revision <= revision;
   }
 
-  #isNews({ fingerprint, run }: UpstreamCrash): boolean {
+  #isUnrecorded({ fingerprint, run }: UpstreamCrash): boolean {
     const suspect = this.#parts.raft.registry.suspect(fingerprint);
     return suspect === undefined || !suspect.runs.includes(run);
   }
--- a/src/control/departed-routers.ts
+++ b/src/control/departed-routers.ts
@@ -1,10 +1,10 @@
-/** Routers whose last connection ended, so that operators see since when one is gone. */
+/** Routers whose last connection ended, so that operators see how long a router has been disconnected. */
 import type { MonotonicMillis, Revision, RouterId } from '../model/identifiers.js';
 
-/** How long a router that is gone is shown. */
+/** How long a disconnected router is listed. */
 export const DEPARTED_ROUTER_MILLIS = 10 * 60_000;
 
-/** A router as it was last heard. */
+/** The last reported state of a router. */
 export interface DepartedRouter {
   readonly router: RouterId;
   readonly revision: Revision;
--- a/src/control/first-grants.ts
+++ b/src/control/first-grants.ts
@@ -1,16 +1,16 @@
 /**
- * Holds back shards that were never granted until the upstreams had time to answer, so that the first one to answer
- * doesn't get them all.
+ * Delays the first grant of shards until the upstreams had time to respond, so that the first upstream to respond doesn't get
+ * all shards.
  */
 import type { MonotonicMillis, ShardId } from '../model/identifiers.js';
 
-/** Wait after the first upstream is ready, and after one was added. */
+/** Wait after the first upstream is ready, and after an upstream was added. */
 const SETTLE_MILLIS = 500;
 
-/** How the upstreams of the service stand. */
+/** Readiness of the upstreams of a service. */
 export interface Readiness {
   readonly anyReady: boolean;
-  /** Each is ready, leaving, or answered once and doesn't any more. One that never did may be about to start. */
+  /** Each upstream is ready, draining, or responded before and no longer does. One that never responded may still be starting. */
   readonly allHeardOf: boolean;
 }
 
@@ -24,14 +24,14 @@
     return this.#shards.size;
   }
 
-  /** A new key map: its shards wait anew. */
+  /** Starts over for a new key map, whose shards are all new. */
   startOver(): void {
     this.#shards.clear();
     this.#readySince = undefined;
     this.#isSettled = false;
   }
 
-  /** Keeps a shard back; `false` if there is nothing to wait for any more. */
+  /** Holds back a shard; returns `false` if the wait is over and the shard may be granted. */
   hold(shard: ShardId): boolean {
     if (!this.#isSettled) {
       this.#shards.add(shard);
@@ -43,12 +43,12 @@
     this.#shards.delete(shard);
   }
 
-  /** An upstream was added. */
+  /** Records that an upstream was added, which gets time to respond. */
   upstreamAdded(now: MonotonicMillis): void {
     this.#addedAt = now;
   }
 
-  /** Shards held back, once the wait is over; at most `limit` at a time. */
+  /** Removes and returns up to `limit` of the shards held back, once the wait is over. */
   takeSettled(readiness: Readiness, limit: number, now: MonotonicMillis): ShardId[] {
     if (!this.#isSettled && this.#shards.size > 0 && readiness.anyReady) {
       this.#readySince ??= now;
@@ -56,7 +56,7 @@
       const isComplete = readiness.allHeardOf && now >= this.#addedAt + SETTLE_MILLIS;
       this.#isSettled = isTimeUp || isComplete;
     }
-    return this.#isSettled ? this.#take(limit) : [];
+    return this.#isSettled ? this.#takeUpTo(limit) : [];
   }
 
   nextDeadline(now: MonotonicMillis): MonotonicMillis {
@@ -70,7 +70,7 @@
     return Math.min(Number.POSITIVE_INFINITY, ...ends);
   }
 
-  #take(limit: number): ShardId[] {
+  #takeUpTo(limit: number): ShardId[] {
     const taken: ShardId[] = [];
     for (const shard of this.#shards) {
       if (taken.length === limit) {
--- a/src/control/heartbeat-news.ts
+++ b/src/control/heartbeat-news.ts
@@ -1,20 +1,20 @@
 /**
- * Which heartbeats say something that isn't in the registry yet, and which come late: after a later one of their run, or after the
- * first one of a later run under the same id. Most heartbeats say what is known and cost no entry of the log.
+ * Detects heartbeats with changes that the registry lacks, and late ones, which arrive after a later heartbeat of their run or after
+ * the first heartbeat of a later run with the same id. Most heartbeats change nothing and need no log entry.
  */
 import type { MonotonicMillis, UpstreamId, WallMillis } from '../model/identifiers.js';
 import type { UpstreamDefinition } from '../model/service.js';
 import type { Registry } from '../registry/types.js';
 
-/** A cold upstream whose time grew by more than this since its last heartbeat has turned cold anew; less is its clock. */
-const COLDER_MILLIS = 250;
-/** What is remembered of upstreams that are gone is dropped once there are so many more of them than upstreams. */
-const SPARE_UPSTREAMS = 64;
+/** A cold upstream whose remaining warm-up exceeds the expected one by more than this has turned cold again; less is clock error. */
+const COLD_RESTART_MARGIN_MILLIS = 250;
+/** Entries of removed upstreams are deleted once the entries outnumber the upstreams by more than this. */
+const MAX_STALE_ENTRIES = 64;
 
-/** The latest heartbeat of an upstream that this member heard. */
+/** The latest heartbeat of an upstream at this member. */
 interface LatestHeartbeat {
   readonly born: WallMillis | null;
-  /** `null`: it didn't say. */
+  /** `null`: the heartbeat had none. */
   readonly sequence: number | null;
   readonly warmupMillis: number;
   readonly at: MonotonicMillis;
@@ -25,7 +25,7 @@
 
   constructor(private readonly registry: () => Registry) {}
 
-  /** Whether a heartbeat is an old one that was held up on its way. */
+  /** Whether a heartbeat was delayed and is out of date. */
   isLate({ id, announced }: UpstreamDefinition, sequence: number | null): boolean {
     const latest = this.#latest.get(id);
     const known = this.registry().upstreams().get(id)?.definition.announced?.born;
@@ -37,7 +37,7 @@
     return isSameRun && sequence !== null && latest.sequence !== null && sequence < latest.sequence;
   }
 
-  /** Whether what a heartbeat says has to be agreed on. */
+  /** Whether a heartbeat contains a change that has to be committed. */
   isNews(definition: UpstreamDefinition, now: MonotonicMillis): boolean {
     const { id, announced, leaving } = definition;
     const registry = this.registry();
@@ -49,17 +49,17 @@
       return true;
     }
     const isNextRun = (announced?.born ?? 0) > (known.announced?.born ?? 0);
-    return isNextRun || (leaving && !known.leaving) || this.#changedWarmth(definition, known, now);
+    return isNextRun || (leaving && !known.leaving) || this.#hasWarmthChanged(definition, known, now);
   }
 
-  /** A heartbeat that isn't late was heard. `sequence`: `null` leaves the order of those before as it was. */
+  /** Records a heartbeat that isn't late. A `sequence` of `null` keeps the last sequence number of the run. */
   heard({ id, announced }: UpstreamDefinition, sequence: number | null, now: MonotonicMillis): void {
     const { born = null, warmupMillis = 0 } = announced ?? {};
     const before = this.#latest.get(id);
     const known = before?.born === born ? before.sequence : null;
     this.#latest.set(id, { born, sequence: sequence ?? known, warmupMillis, at: now });
     const upstreams = this.registry().upstreams();
-    if (this.#latest.size > upstreams.size + SPARE_UPSTREAMS) {
+    if (this.#latest.size > upstreams.size + MAX_STALE_ENTRIES) {
       for (const upstream of this.#latest.keys()) {
         if (!upstreams.has(upstream)) {
           this.#latest.delete(upstream);
@@ -68,8 +68,8 @@
     }
   }
 
-  /** Only where a service declares what its upstreams bear while they are cold does anyone go by that. */
-  #changedWarmth(
+  /** Warm-up matters only for a service that declares the capacity of its upstreams while they are cold. */
+  #hasWarmthChanged(
     { id, announced }: UpstreamDefinition,
     known: UpstreamDefinition,
     now: MonotonicMillis,
@@ -77,13 +77,13 @@
     if (this.registry().services().get(known.service)?.definition.warmup === undefined) {
       return false;
     }
-    const says = announced?.warmupMillis ?? 0;
+    const reportedMillis = announced?.warmupMillis ?? 0;
     const isKnownCold = (known.announced?.warmupMillis ?? 0) > 0;
-    if (says === 0 || !isKnownCold) {
-      return says > 0 !== isKnownCold;
+    if (reportedMillis === 0 || !isKnownCold) {
+      return reportedMillis > 0 !== isKnownCold;
     }
     const latest = this.#latest.get(id);
-    const expected = latest === undefined ? says : latest.warmupMillis - (now - latest.at);
-    return says > expected + COLDER_MILLIS;
+    const expected = latest === undefined ? reportedMillis : latest.warmupMillis - (now - latest.at);
+    return reportedMillis > expected + COLD_RESTART_MARGIN_MILLIS;
   }
 }
--- a/src/control/identity-question.ts
+++ b/src/control/identity-question.ts
@@ -1,23 +1,23 @@
-/** Asking an address which run of an upstream lives there. */
+/** The question to an address which run of an upstream serves it. */
 import type { Address, UpstreamId } from '../model/identifiers.js';
 
-/** Numbers the questions of one member. */
+/** Sequence number of a question, unique within one member. */
 export type QuestionId = number;
 
 export interface IdentityQuestion {
   readonly id: QuestionId;
   readonly address: Address;
-  /** The run that says that it lives there. */
+  /** The run that claims the address. */
   readonly claimant: UpstreamId;
-  /** Where its service answers for its health; `null`: at the usual path. */
+  /** Health check path of its service; `null`: the default path. */
   readonly healthPath: string | null;
 }
 
-/** What came of a question. */
+/** The result of a question. */
 export type IdentityAnswer =
-  /** Who is there named itself. */
+  /** The run at the address returned its id. */
   | { readonly type: 'named'; readonly upstream: UpstreamId }
-  /** Who is there isn't the run that was asked for. */
+  /** The run at the address isn't the claimant. */
   | { readonly type: 'another' }
-  /** Nobody answered, or without a name. */
+  /** There was no answer, or one without an id. */
   | { readonly type: 'unknown' };
--- a/src/control/imbalance-watch.ts
+++ b/src/control/imbalance-watch.ts
@@ -1,12 +1,12 @@
-/** Since when the load of a service has been spread unevenly. */
+/** Tracks how long the load of a service has been imbalanced. */
 import type { MonotonicMillis } from '../model/identifiers.js';
 import type { LoadSpread } from '../placement/index.js';
 import type { ImbalanceMeasure } from './service-measures.js';
 
-/** Largest load against the lower bound above which a service counts as imbalanced: the planner's greatest tolerance. */
+/** A service counts as imbalanced if its largest load exceeds the lower bound by this factor, the planner's largest tolerance. */
 export const IMBALANCE_BOUND = 1.5;
-/** Loads that weren't taken for this long say nothing of now. */
-const FRESH_MILLIS = 10_000;
+/** Loads older than this are out of date. */
+const SPREAD_LIFETIME_MILLIS = 10_000;
 
 const UNKNOWN: ImbalanceMeasure = { imbalance: null, imbalanceOverBound: null, imbalancedSinceMillis: null };
 
@@ -15,22 +15,22 @@
   #lookedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   #since: MonotonicMillis | null = null;
 
-  /** When it last looked. */
+  /** When `look` was last called. */
   get lookedAt(): MonotonicMillis {
     return this.#lookedAt;
   }
 
-  /** Takes the spread as it is now. `isWatched`: the service asks for balance. */
-  look(spread: LoadSpread | null, isWatched: boolean, now: MonotonicMillis): void {
-    const isLapsed = now - this.#lookedAt > FRESH_MILLIS;
+  /** Records the current spread. `requiresBalance`: the placement of the service penalizes imbalance. */
+  look(spread: LoadSpread | null, requiresBalance: boolean, now: MonotonicMillis): void {
+    const isLapsed = now - this.#lookedAt > SPREAD_LIFETIME_MILLIS;
     const since = isLapsed ? null : this.#since;
     this.#spread = spread;
     this.#lookedAt = now;
-    this.#since = spread !== null && isWatched && isImbalanced(spread) ? (since ?? now) : null;
+    this.#since = spread !== null && requiresBalance && isImbalanced(spread) ? (since ?? now) : null;
   }
 
   measure(now: MonotonicMillis): ImbalanceMeasure {
-    if (this.#spread === null || now - this.#lookedAt > FRESH_MILLIS) {
+    if (this.#spread === null || now - this.#lookedAt > SPREAD_LIFETIME_MILLIS) {
       return UNKNOWN;
     }
     const { most, mean, hottest } = this.#spread;
@@ -42,7 +42,7 @@
   }
 }
 
-/** Placing whole shards one after the other on the least loaded upstream keeps to the mean and the hottest shard together. */
+/** Greedy placement of whole shards on the least loaded upstream never exceeds the sum of the mean and the hottest shard. */
 function isImbalanced({ most, mean, hottest }: LoadSpread): boolean {
   return most > IMBALANCE_BOUND * Math.max(mean, hottest) && most > mean + hottest;
 }
--- a/src/control/join-watch.ts
+++ b/src/control/join-watch.ts
@@ -1,12 +1,12 @@
-/** Decides when a replica asks the members to take it in, and whom it asks. */
+/** Decides when a replica requests to join the cluster, and to which addresses it sends the request. */
 import type { RaftStatus } from '../consensus/types.js';
 import type { Address } from '../model/identifiers.js';
 
 /**
- * Its own log can't tell a replica that it was voted out while it was cut off: that log ends before. Such a replica is
- * a voter of a membership that is past, hears no leader and gets no answer to its pre-votes. So a member asks, too, when it
- * has had no leader at two looks in a row; an election takes less than the time between them. A leader passes over the
- * question of a replica that is a member.
+ * A replica that was removed while it was partitioned off can't see this in its own log, which ends before the removal. It remains a
+ * voter of an outdated membership, gets no messages of a leader and no answers to its pre-votes. So a member, too, requests to join if
+ * it has had no leader at two checks in a row; an election takes less than the time between them. The leader ignores join requests
+ * of members.
  */
 export class JoinWatch {
   #hadLeader = true;
@@ -16,7 +16,7 @@
     return this.#isAsking;
   }
 
-  /** Takes the status of this replica, about once a second. */
+  /** Checks the status of this replica; called about once a second. */
   look({ self, leader, membership }: RaftStatus): void {
     const hasLeader = leader !== null;
     const isMember = membership.addresses[self] !== undefined;
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Whom to ask: those that the settings name, and the other members by this replica's log; those of long ago may be gone. Where this
-   * replica lost its disk, that log may name the one before it at its own address.
+   * Addresses for the join request: the configured ones, since members of an old log may no longer exist, and those of the other
+   * members in this replica's log. If this replica lost its disk, that log may list its predecessor at this replica's own address.
    */
   addresses(configured: readonly Address[], { self, membership }: RaftStatus): Address[] {
     const own = membership.addresses[self];
--- a/src/control/leader-duties.ts
+++ b/src/control/leader-duties.ts
@@ -1,6 +1,6 @@
 /**
- * What a control member does while it leads: session leases and the placement of shards. It begins once the registry
- * holds everything that earlier leaders committed, and keeps nothing from one leadership to the next.
+ * The tasks of a control member while it is the leader: session leases and the placement of shards. They begin once the registry
+ * holds everything that earlier leaders committed, and keep no state from one leadership to the next.
  */
 
 import type { SessionCall, SessionChange, SessionView } from '../lease/granter-types.js';
@@ -27,15 +27,15 @@
 import type { ConnectionId, ControlConfig, NeedyUpstream, RangeWork } from './types.js';
 
 /**
- * Shortest time between the beginnings of two quorum rounds. Renewals ask for their round a sixteenth of the renewal time
- * ahead, so nothing waits for this, and with many upstreams one round stands for all that fell due meanwhile.
+ * Minimum time between the starts of two quorum rounds. Renewals request their round a sixteenth of the renewal time ahead, so this
+ * delays nothing, and with many upstreams one round covers all renewals that are due by then.
  */
-const ROUND_GAP_MILLIS = 20;
-/** How long to wait before a quorum round that failed is tried again. */
+const MIN_ROUND_INTERVAL_MILLIS = 20;
+/** Delay before a failed quorum round is retried. */
 const ROUND_RETRY_MILLIS = 20;
 
-/** A leader that hears no quorum steps down after one election timeout; as long again is for clocks and the way of a message. */
-const DEPOSED_TIMEOUTS = 2;
+/** A leader without a quorum steps down after one election timeout; the second one allows for clock error and message delay. */
+const DEPOSED_ELECTION_TIMEOUTS = 2;
 
 export interface LeaderDutiesParts {
   readonly config: ControlConfig;
@@ -43,19 +43,19 @@
   readonly propose: ProposeCommand;
   readonly call: (call: SessionCall) => void;
   readonly callHolder: (call: HolderCall) => void;
-  /** How many routers there are, about. */
+  /** Approximate number of routers. */
   readonly routers: () => number;
   readonly sendRouter: (connection: ConnectionId, message: ControlToRouter) => void;
   readonly log: LogRanges;
 }
 
-/** A session with the time of the upstream's last answer of any kind in this leadership. */
-export interface HeardSession extends SessionView {
-  readonly heardAt: MonotonicMillis | null;
+/** A session with the time of the upstream's last response of any kind in this leadership. */
+export interface ObservedSession extends SessionView {
+  readonly lastResponseAt: MonotonicMillis | null;
 }
 
 export class LeaderDuties {
-  readonly #heardAt = new Map<UpstreamId, MonotonicMillis>();
+  readonly #lastResponseAt = new Map<UpstreamId, MonotonicMillis>();
   readonly #parts: LeaderDutiesParts;
   readonly #granter: LeaseGranter;
   readonly #proposals: LeaderProposals;
@@ -64,9 +64,9 @@
   readonly #needs: UpstreamNeeds;
   readonly #fleet: FleetRoom;
   #isReady = false;
-  #isRoundOut = false;
+  #isRoundPending = false;
   #roundNotBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
-  #isOver = false;
+  #hasEnded = false;
 
   constructor(parts: LeaderDutiesParts, term: Term, electedAt: MonotonicMillis) {
     const { config, propose } = parts;
@@ -93,7 +93,7 @@
         routers: parts.routers,
         registry: () => parts.raft.registry,
         propose,
-        deposedMillis: DEPOSED_TIMEOUTS * config.raft.electionTimeoutMillis,
+        deposedMillis: DEPOSED_ELECTION_TIMEOUTS * config.raft.electionTimeoutMillis,
       },
       electedAt,
     );
@@ -107,7 +107,7 @@
         term,
         propose,
         confirm: (now, mayWait, settle) =>
-          parts.raft.read(now, (confirmed) => settle(confirmed && !this.#isOver), mayWait),
+          parts.raft.read(now, (confirmed) => settle(confirmed && !this.#hasEnded), mayWait),
         call: parts.callHolder,
         log: parts.log,
         bearings: () => this.#needs.bearings(),
@@ -118,64 +118,64 @@
     this.#catchUp(electedAt);
   }
 
-  /** The leadership is over: answers that still come to this object change nothing. */
+  /** Ends the leadership; responses that arrive later have no effect on this object. */
   end(now: MonotonicMillis): void {
-    this.#isOver = true;
+    this.#hasEnded = true;
     this.#ranges.end(now);
   }
 
-  /** Routing data changed. */
-  registryChanged(changes: readonly RegistryChange[], now: MonotonicMillis): void {
+  /** Handles changes of the routing data. */
+  onRegistryChange(changes: readonly RegistryChange[], now: MonotonicMillis): void {
     if (this.#isReady) {
       this.#ranges.registryChanged(now);
       this.#coordinator.registryChanged(changes);
     }
   }
 
-  loadReported(report: LoadReport, now: MonotonicMillis): void {
+  onLoadReport(report: LoadReport, now: MonotonicMillis): void {
     if (this.#isReady) {
       this.#coordinator.loadReported(report, now);
       this.#ranges.loadReported(report, now);
     }
   }
 
-  /** What a router saw of upstreams without keys; it is told what the fleet knows. */
-  fleetReported(report: LoadReport, from: ConnectionId, now: MonotonicMillis): void {
-    if (this.#isOver) {
+  /** Handles a router's report on upstreams without keys, and sends it the changes of the fleet view. */
+  onFleetReport(report: LoadReport, from: ConnectionId, now: MonotonicMillis): void {
+    if (this.#hasEnded) {
       return;
     }
-    const news = this.#fleet.take(report, from, now);
-    if (news !== null) {
-      this.#parts.sendRouter(from, news);
+    const update = this.#fleet.take(report, from, now);
+    if (update !== null) {
+      this.#parts.sendRouter(from, update);
     }
   }
 
-  /** Speeds of upstreams and room of zones that routers were told. */
+  /** Speeds of upstreams and capacities of zones as sent to routers. */
   fleet(now: MonotonicMillis): FleetStatus {
     return this.#fleet.status(now);
   }
 
-  /** What a router heard upstreams say, and the permits that it asks for; `false`: it is to ask again. */
-  upstreamsReported(report: UpstreamReport, from: ReportingRouter, now: MonotonicMillis): boolean {
-    if (this.#isOver) {
+  /** Handles a router's report of upstream notices and its request for permits; returns `false` if the router has to retry. */
+  onUpstreamReport(report: UpstreamReport, from: ReportingRouter, now: MonotonicMillis): boolean {
+    if (this.#hasEnded) {
       return false;
     }
     this.#needs.take(report, from, now);
     return true;
   }
 
-  /** Upstreams that say that they are in need. */
+  /** Upstreams with a request limit or a back-off in effect. */
   needs(now: MonotonicMillis): NeedyUpstream[] {
     return this.#needs.list(now);
   }
 
-  routerGone(connection: ConnectionId): void {
+  onRouterDisconnect(connection: ConnectionId): void {
     this.#needs.gone(connection);
     this.#fleet.gone(connection);
   }
 
-  /** A heartbeat of an upstream came; `answer` is told once what it renews. */
-  upstreamHeard(heartbeat: HeardHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
+  /** Handles a heartbeat of an upstream; `answer` is called once with what the heartbeat renews. */
+  onHeartbeat(heartbeat: HeardHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     if (this.#isReady) {
       this.#ranges.heard(heartbeat, answer, now);
     } else {
@@ -183,34 +183,34 @@
     }
   }
 
-  /** A call to an upstream that takes plain grants ended. */
-  holderAnswered(call: HolderCallId, outcome: HolderOutcome, now: MonotonicMillis): void {
+  /** Handles the end of a call to an upstream that uses plain grants. */
+  onHolderCallEnd(call: HolderCallId, outcome: HolderOutcome, now: MonotonicMillis): void {
     this.#ranges.callEnded(call, outcome, now);
   }
 
-  /** Whether an upstream may hold ranges of keys; before this leader has caught up, any may. */
+  /** Whether an upstream may hold ranges of keys; `true` for any upstream until this leader has caught up. */
   mayHold(upstream: UpstreamId, now: MonotonicMillis): boolean {
     return !this.#isReady || this.#ranges.mayHold(upstream, now);
   }
 
-  upstreamAnswered(
+  onSessionResponse(
     upstream: UpstreamId,
     sequence: number,
     answer: SessionAnswer,
     now: MonotonicMillis,
   ): void {
-    this.#heardAt.set(upstream, now);
+    this.#lastResponseAt.set(upstream, now);
     this.#granter.answered(upstream, sequence, answer, now);
     this.#coordinator.sessionChanged(upstream);
   }
 
-  upstreamFailed(upstream: UpstreamId, sequence: number, now: MonotonicMillis): void {
+  onSessionFailure(upstream: UpstreamId, sequence: number, now: MonotonicMillis): void {
     this.#granter.failed(upstream, sequence, now);
     this.#coordinator.sessionChanged(upstream);
   }
 
   run(now: MonotonicMillis): void {
-    if (!this.#isReady || this.#isOver) {
+    if (!this.#isReady || this.#hasEnded) {
       return;
     }
     this.#needs.run(now);
@@ -243,20 +243,20 @@
     return this.#ranges.work();
   }
 
-  sessions(): HeardSession[] {
+  sessions(): ObservedSession[] {
     return this.#granter
       .views()
-      .map((view) => ({ ...view, heardAt: this.#heardAt.get(view.upstream) ?? null }));
+      .map((view) => ({ ...view, lastResponseAt: this.#lastResponseAt.get(view.upstream) ?? null }));
   }
 
-  /** What is measured of each keyed service in this leadership. */
+  /** Measurements of each keyed service in this leadership. */
   measures(now: MonotonicMillis): ServiceMeasures[] {
     return this.#coordinator.measures(now);
   }
 
   #catchUp(now: MonotonicMillis): void {
     this.#parts.raft.read(now, (confirmed, settledAt) => {
-      if (this.#isOver) {
+      if (this.#hasEnded) {
         return;
       }
       if (!confirmed) {
@@ -277,17 +277,17 @@
     }
   }
 
-  /** One round at a time; renewals that fall due meanwhile share the next. */
+  /** Runs one round at a time; renewals that become due during a round share the next one. */
   #confirmLeadership(now: MonotonicMillis): void {
-    if (this.#isRoundOut || now < this.#roundNotBefore || !this.#granter.wantsRound(now)) {
+    if (this.#isRoundPending || now < this.#roundNotBefore || !this.#granter.wantsRound(now)) {
       return;
     }
-    this.#isRoundOut = true;
-    this.#roundNotBefore = now + ROUND_GAP_MILLIS;
+    this.#isRoundPending = true;
+    this.#roundNotBefore = now + MIN_ROUND_INTERVAL_MILLIS;
     const mark = this.#granter.markRound();
     this.#parts.raft.read(now, (confirmed, settledAt) => {
-      this.#isRoundOut = false;
-      if (confirmed && !this.#isOver) {
+      this.#isRoundPending = false;
+      if (confirmed && !this.#hasEnded) {
         this.#granter.confirmed(mark, settledAt);
       } else {
         this.#roundNotBefore = settledAt + ROUND_RETRY_MILLIS;
--- a/src/control/leader-proposals.ts
+++ b/src/control/leader-proposals.ts
@@ -1,15 +1,15 @@
-/** The leader's own commands: each is proposed once at a time, and not at once again after it changed nothing. */
+/** The leader's own commands. Each has at most one open proposal, and is retried after a delay if it wasn't accepted. */
 import { DeadlineQueue } from '../lease/deadline-queue.js';
 import type { MonotonicMillis } from '../model/identifiers.js';
 import type { LeaderCommand } from '../registry/types.js';
 import type { ProposeCommand } from './propose-command.js';
 
-/** How long a command that changed nothing is left alone. */
+/** Delay before a command that wasn't accepted may be proposed again. */
 export const RETRY_MILLIS = 200;
 
 export class LeaderProposals {
   readonly #propose: ProposeCommand;
-  /** Names of commands that are under way or that changed nothing lately. */
+  /** Names of commands that have an open proposal or whose retry isn't due yet. */
   readonly #blocked = new Set<string>();
   readonly #retries = new DeadlineQueue<string>();
 
@@ -22,26 +22,26 @@
     return !this.#blocked.has(name);
   }
 
-  /** Proposes a command which settles everything that `names` stand for. */
+  /** Proposes a command and blocks all of `names` until it is accepted or its retry is due. */
   propose(names: readonly string[], command: LeaderCommand): void {
     for (const name of names) {
       this.#blocked.add(name);
     }
-    this.proposeOnce(command, (isMade, now) => {
+    this.proposeOnce(command, (isAccepted, now) => {
       for (const name of names) {
-        this.#settle(name, isMade, now);
+        this.#settle(name, isAccepted, now);
       }
     });
   }
 
-  /** Proposes a command that the caller itself keeps track of. */
+  /** Proposes a command without blocking any name; the calling code tracks it. */
   proposeOnce(command: LeaderCommand, settle: (isMade: boolean, now: MonotonicMillis) => void): void {
     this.#propose(command, (outcome, now) => {
       settle(outcome.type === 'applied' && outcome.result.type === 'accepted', now);
     });
   }
 
-  /** Frees the names whose time is over. */
+  /** Unblocks the names whose retry is due. */
   expire(now: MonotonicMillis): void {
     for (const name of this.#retries.takeDue(now)) {
       this.#blocked.delete(name);
--- a/src/control/leadership-transfer.ts
+++ b/src/control/leadership-transfer.ts
@@ -1,11 +1,11 @@
-/** A planned handover of leadership to another voter, which an operator or a planned stop asks for. */
+/** A planned transfer of leadership to another voter, requested by an operator or by a planned stop. */
 import type { RaftStatus } from '../consensus/types.js';
 import type { MonotonicMillis, ReplicaId } from '../model/identifiers.js';
 import type { RaftAdapter } from './raft-adapter.js';
 import type { ControlConfig, OperationId, OperatorResponse } from './types.js';
 
-/** A transfer that took no effect within this many election timeouts has failed. */
-const TRANSFER_TIMEOUTS = 4;
+/** A transfer without effect within this many election timeouts has failed. */
+const TRANSFER_ELECTION_TIMEOUTS = 4;
 
 export interface LeadershipTransferParts {
   readonly raft: RaftAdapter;
@@ -18,7 +18,7 @@
   readonly deadline: MonotonicMillis;
 }
 
-/** At most one transfer is under way. */
+/** At most one transfer is in progress. */
 export class LeadershipTransfer {
   #transfer: Transfer | null = null;
 
@@ -28,7 +28,7 @@
     return this.#transfer !== null;
   }
 
-  /** For the leader only. `to`: `null` leaves the choice to the leader, which takes the voter that holds most. */
+  /** Starts a transfer; for the leader only. If `to` is `null`, the voter with the most complete log becomes the leader. */
   begin(operation: OperationId, to: ReplicaId | null, now: MonotonicMillis): void {
     const { raft, config, answer } = this.parts;
     const target = to ?? mostAdvancedVoter(raft.status());
@@ -36,12 +36,12 @@
       answer(operation, { type: 'rejected', message: 'no other voter, or a transfer is under way' });
       return;
     }
-    const deadline = now + TRANSFER_TIMEOUTS * config.raft.electionTimeoutMillis;
+    const deadline = now + TRANSFER_ELECTION_TIMEOUTS * config.raft.electionTimeoutMillis;
     this.#transfer = { operation, deadline };
     raft.feed({ type: 'transfer', to: target });
   }
 
-  /** Answers the transfer under way if it took effect or its time is up. */
+  /** Answers the transfer in progress if it took effect or timed out. */
   finish(now: MonotonicMillis): void {
     const transfer = this.#transfer;
     if (transfer === null) {
--- a/src/control/linearizable-reads.ts
+++ b/src/control/linearizable-reads.ts
@@ -1,19 +1,19 @@
 /**
- * Linearizable reads of one control member: each waits until the Raft core names the index that it must see, and then
- * until the registry holds that.
+ * Linearizable reads of one control member. Each read waits until the Raft core returns its read index, and then until the registry
+ * has applied that index.
  */
 import type { MonotonicMillis, Revision } from '../model/identifiers.js';
 
 /** `true`: linearizable as of the request. `false`: no leader confirmed it. */
 export type SettleRead = (confirmed: boolean, now: MonotonicMillis) => void;
 
-/** Not confirmed yet. */
+/** A read that isn't confirmed yet. */
 interface PendingRead {
   readonly expiresAt: MonotonicMillis;
   readonly settle: SettleRead;
 }
 
-/** Confirmed, for a registry that holds all up to `index`. */
+/** A confirmed read, which needs a registry with all entries up to `index`. */
 interface ConfirmedRead {
   readonly index: Revision;
   readonly settle: SettleRead;
@@ -23,15 +23,15 @@
   readonly #pending = new Map<number, PendingRead>();
   #confirmed: ConfirmedRead[] = [];
 
-  /** Reads that aren't confirmed within `timeoutMillis` count as failed. */
+  /** Reads that aren't confirmed within `timeoutMillis` fail. */
   constructor(private readonly timeoutMillis: number) {}
 
-  /** Begins a read under the number by which the Raft core will name it. */
+  /** Begins a read; the Raft core refers to it by `readId`. */
   begin(readId: number, now: MonotonicMillis, settle: SettleRead): void {
     this.#pending.set(readId, { expiresAt: now + this.timeoutMillis, settle });
   }
 
-  /** A leader confirmed the read as of `index`; `revision`: what the registry holds now. */
+  /** Handles the confirmation of a read as of `index` by a leader; `revision` is the current one of the registry. */
   confirm(readId: number, index: Revision, revision: Revision, now: MonotonicMillis): void {
     const read = this.#pending.get(readId);
     this.#pending.delete(readId);
@@ -50,14 +50,14 @@
     }
   }
 
-  /** Settles a read that no leader confirmed. */
+  /** Fails a read that no leader confirmed. */
   fail(readId: number, now: MonotonicMillis): void {
     const read = this.#pending.get(readId);
     this.#pending.delete(readId);
     read?.settle(false, now);
   }
 
-  /** Fails the reads whose time is up. */
+  /** Fails the reads that timed out. */
   expire(now: MonotonicMillis): void {
     for (const [readId, read] of [...this.#pending]) {
       if (now >= read.expiresAt) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** When the next read's time is up. */
+  /** When the next read times out. */
   nextDeadline(): MonotonicMillis {
     return Math.min(...[...this.#pending.values()].map((read) => read.expiresAt));
   }
--- a/src/control/membership-changes.ts
+++ b/src/control/membership-changes.ts
@@ -1,4 +1,4 @@
-/** Changes of the control cluster itself: learners, replacement of replicas, transfer of leadership. */
+/** Membership changes of the control cluster: learners, replacement of replicas and transfer of leadership. */
 import type { Address, MonotonicMillis, ReplicaId } from '../model/identifiers.js';
 import { AutomaticRepair, type WaitingReplica } from './automatic-repair.js';
 import { LeadershipTransfer } from './leadership-transfer.js';
@@ -13,7 +13,7 @@
   readonly answer: (operation: OperationId, response: OperatorResponse) => void;
 }
 
-/** What a leader knows of other replicas. */
+/** The leader's view of the other replicas. */
 export interface MembershipView {
   readonly waitingReplicas: readonly WaitingReplica[];
   readonly memberSilentMillis: Readonly<Record<ReplicaId, number>>;
@@ -32,8 +32,8 @@
   readonly #transfer: LeadershipTransfer;
   #nextPollAt: MonotonicMillis = Number.POSITIVE_INFINITY;
   readonly #repair: AutomaticRepair;
-  /** Whether a spare that is taken in by itself has yet to be settled. */
-  #takesIn = false;
+  /** Whether the proposal of an automatically added spare is pending. */
+  #isAddingSpare = false;
 
   constructor(parts: MembershipChangesParts) {
     this.#parts = parts;
@@ -43,7 +43,7 @@
     this.#repair = new AutomaticRepair(config.replaceAfterMillis, config.mostVoters);
   }
 
-  /** Begins what an operator asks for; `answer` is called at its end. Only a leader does any of it. */
+  /** Begins a change requested by an operator; `answer` is called at its end. Only the leader performs changes. */
   begin(operation: OperationId, request: MembershipRequest, now: MonotonicMillis): void {
     const { raft, answer } = this.#parts;
     if (!raft.isLeader()) {
@@ -68,17 +68,17 @@
     }
   }
 
-  /** A message of another member came. */
-  heard(replica: ReplicaId, now: MonotonicMillis): void {
-    this.#repair.heard(replica, now);
+  /** Records a message of another member. */
+  onPeerMessage(replica: ReplicaId, now: MonotonicMillis): void {
+    this.#repair.onMessage(replica, now);
   }
 
-  /** A replica that is no member asks to be taken in. */
-  joinRequested(replica: ReplicaId, address: Address, now: MonotonicMillis): void {
-    this.#repair.asked(replica, address, now);
+  /** Records the request to join of a replica that isn't a member. */
+  onJoinRequest(replica: ReplicaId, address: Address, now: MonotonicMillis): void {
+    this.#repair.onJoinRequest(replica, address, now);
   }
 
-  /** What a leader knows of other replicas; nothing on other members. */
+  /** The leader's view of the other replicas; empty on other members. */
   view(now: MonotonicMillis): MembershipView {
     const { raft } = this.#parts;
     if (!raft.isLeader()) {
@@ -93,21 +93,21 @@
     };
   }
 
-  roleChanged(now: MonotonicMillis): void {
-    const leads = this.#parts.raft.isLeader();
-    this.#repair.roleChanged(leads, now);
-    this.#takesIn = false;
-    if (!leads) {
+  onRoleChange(now: MonotonicMillis): void {
+    const isLeader = this.#parts.raft.isLeader();
+    this.#repair.onRoleChange(isLeader, now);
+    this.#isAddingSpare = false;
+    if (!isLeader) {
       this.#replacement.abandon();
     }
     this.#transfer.finish(now);
   }
 
-  /** Takes the steps that are due, and answers what has come to its end. */
+  /** Performs the steps that are due, and answers the operations that have ended. */
   run(now: MonotonicMillis): void {
     this.#transfer.finish(now);
     if (this.#retry.isDue(now)) {
-      this.#repairByItself(now);
+      this.#repairAutomatically(now);
     }
     this.#replacement.run(now);
     const isBusy = this.#replacement.isUnderWay || this.#transfer.isUnderWay || !this.#retry.isDue(now);
@@ -135,9 +135,9 @@
     });
   }
 
-  #repairByItself(now: MonotonicMillis): void {
+  #repairAutomatically(now: MonotonicMillis): void {
     const { raft } = this.#parts;
-    if (this.#replacement.isUnderWay || this.#takesIn || !raft.isLeader()) {
+    if (this.#replacement.isUnderWay || this.#isAddingSpare || !raft.isLeader()) {
       return;
     }
     const repair = this.#repair.next(raft.status(), now);
@@ -147,9 +147,9 @@
       this.#replacement.begin({ ...repair, oldReplica: null, operation: null });
     } else if (repair?.type === 'take-in') {
       const { replica, address } = repair;
-      this.#takesIn = true;
+      this.#isAddingSpare = true;
       raft.proposeMembership({ type: 'add-learner', replica, address }, (outcome) => {
-        this.#takesIn = false;
+        this.#isAddingSpare = false;
         if (outcome.type !== 'applied') {
           this.#retry.refused(now);
         }
--- a/src/control/membership-retry.ts
+++ b/src/control/membership-retry.ts
@@ -1,10 +1,10 @@
-/** When a leader may propose the next change of the membership after the Raft core refused one. */
+/** When the leader may propose the next membership change after the Raft core rejected one. */
 import type { MonotonicMillis } from '../model/identifiers.js';
 
-/** How often a change that waits for a replica is looked at. */
+/** How often a change that waits for a replica is checked. */
 export const MEMBERSHIP_POLL_MILLIS = 50;
 
-/** The control core settles many times within one step: a refused proposal is tried again at the next poll only. */
+/** The control core runs its parts many times within one step, so a rejected proposal is retried only at the next poll. */
 export class MembershipRetry {
   #notBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
--- a/src/control/messages.ts
+++ b/src/control/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between routers and control members, and from replicas that join, carried by frames of `src/wire/`. */
+/** Messages between routers and control members, and from joining replicas, in the frames of `src/wire/`. */
 import type { ClaimantId, ClaimResult, StoredAnswer } from '../ledger/types.js';
 import type { ClearedSuspect, UpstreamCrash } from '../model/crash-suspect.js';
 import type { FleetReport, FleetVersion, UpstreamSpeed, ZoneRoom } from '../model/fleet-view.js';
@@ -19,7 +19,7 @@
 import type { HeardUpstream, IssuedPermits } from '../model/upstream-notice.js';
 import type { RoutingDelta, RoutingSnapshot } from '../registry/types.js';
 
-/** From a replica that is no member yet to the members; repeated until it is one. */
+/** Sent to the members by a replica that isn't a member, and repeated until it is one. */
 export interface JoinRequest {
   readonly type: 'join-request';
   readonly replica: ReplicaId;
@@ -28,47 +28,47 @@
 
 export { type ConfigLeaseTimings, DEFAULT_CONFIG_LEASE_TIMINGS } from '../model/configuration-lease.js';
 
-/** Refreshes the configuration lease and fetches what changed. */
+/** Renews the configuration lease and fetches the changes since `have`. */
 export interface SyncRequest {
   readonly type: 'sync-request';
   readonly router: RouterId;
   readonly incarnation: Incarnation;
   readonly zone: Zone;
-  /** Router's clock when it sent this; the lease counts from here. */
+  /** Send time by the router's clock; the lease starts at this time. */
   readonly stamp: MonotonicMillis;
-  /** Last revision held; 0: none, send a snapshot. */
+  /** Last revision that the router holds; 0: none, a snapshot is needed. */
   readonly have: Revision;
 }
 export interface SyncResponse {
   readonly type: 'sync-response';
   readonly stamp: MonotonicMillis;
-  /** Set when a quorum confirmed, after the request arrived, that nothing later than `revision` was acknowledged. */
+  /** Whether a quorum confirmed, after the request arrived, that nothing later than `revision` was acknowledged. */
   readonly confirmed: boolean;
   readonly revision: Revision;
   readonly snapshot: RoutingSnapshot | null;
   readonly delta: RoutingDelta | null;
   readonly leader: Address | null;
-  /** Internal addresses of all voters, for a router whose settings name others. */
+  /** Internal addresses of all voters, for a router whose settings list other addresses. */
   readonly members: readonly Address[];
-  /** Its places among the routers; `null`: not known. */
+  /** The router's time slots in the use of cold upstreams; `null`: unknown. */
   readonly turn: RouterTurn | null;
 }
 /**
- * What changed since the revision that a router asked with, at once. It is committed, but nobody says that it is the latest: the
- * response to the request follows.
+ * The changes since the last revision that the router holds, sent immediately. They are committed, but not confirmed to be the
+ * latest ones; the `SyncResponse` to a request follows separately.
  */
 export interface SyncNews {
   readonly type: 'sync-news';
   readonly delta: RoutingDelta;
 }
-/** Says that there is something to fetch. Only a hint. */
+/** A hint that there are changes to fetch. */
 export interface ChangeNotice {
   readonly type: 'change-notice';
   readonly revision: Revision;
 }
 /**
- * Work that a router saw done since its last report. Sent to the leader; one that is lost isn't repeated. It names
- * a bounded number of shards: light ones stand for others of their kind, so only sums over reports are meaningful.
+ * Work that upstreams did through a router since its last report. Sent to the leader; a lost report isn't repeated. The number of
+ * shards in it is bounded: light shards represent others of their kind, so only sums over reports are meaningful.
  */
 export interface LoadReport {
   readonly type: 'load-report';
@@ -76,25 +76,25 @@
   readonly shards: readonly {
     readonly shard: ShardId;
     readonly workMillis: number;
-    /** Requests that the work is of. */
+    /** Number of requests behind `workMillis`. */
     readonly requests: number;
   }[];
-  /** Work at upstreams without keys, and demand for them; absent from an older router, and from one without such upstreams. */
+  /** Work at upstreams without keys, and demand for them; absent if the router is older or has no such upstreams. */
   readonly fleet?: FleetReport;
 }
-/** Answers a `LoadReport` that has a `FleetReport`: what changed since the version that it names. Never sent to others. */
+/** Response to a `LoadReport` with a `FleetReport`: the changes since the version in that report. Sent only to its sender. */
 export interface FleetNews {
   readonly type: 'fleet-news';
   readonly version: FleetVersion;
-  /** Whether this is all there is, and what was known before is to be forgotten. */
+  /** Whether this is the complete view, which replaces any earlier one. */
   readonly isWhole: boolean;
-  /** Speed 1 for one that is no longer known to differ. */
+  /** Speed 1 for an upstream that is no longer known to differ. */
   readonly speeds: readonly UpstreamSpeed[];
   readonly zones: readonly ZoneRoom[];
 }
 /**
- * Requests under which upstreams ended, and suspects that succeeded since. Sent to the leader, and again until the
- * configuration shows that it was taken.
+ * Requests during which upstreams crashed, and suspects that succeeded since. Sent to the leader, and repeated until the
+ * configuration contains it.
  */
 export interface CrashReport {
   readonly type: 'crash-report';
@@ -102,26 +102,26 @@
   readonly cleared: readonly ClearedSuspect[];
 }
 /**
- * What a router heard upstreams say of themselves, and how many permits it wants for requests that wait at those with a limit. Sent to the
- * leader, and again as long as it holds.
+ * Notices that a router received from upstreams, and the number of permits that it needs for requests waiting for upstreams with a
+ * limit. Sent to the leader, and repeated while it applies.
  */
 export interface UpstreamReport {
   readonly type: 'upstream-report';
-  /** Router's clock when it sent this; permits count from here. */
+  /** Send time by the router's clock; permits are valid from this time. */
   readonly stamp: MonotonicMillis;
   readonly upstreams: readonly HeardUpstream[];
 }
-/** Answers an `UpstreamReport`, at once or when there is a permit. What was asked for and isn't named waits. */
+/** Response to an `UpstreamReport`, immediately or once a permit is available. Requests for permits that it doesn't list stay pending. */
 export interface UpstreamPermits {
   readonly type: 'upstream-permits';
   readonly stamp: MonotonicMillis;
-  /** How long the report had been here when this was sent. */
+  /** Time between the arrival of the report and the sending of this response. */
   readonly waitedMillis: number;
   readonly leader: Address | null;
-  /** Empty from a member that doesn't lead. */
+  /** Empty if the sender isn't the leader. */
   readonly upstreams: readonly IssuedPermits[];
 }
-/** Sent to the leader; idempotent for one claimant. */
+/** Sent to the leader; repeating it for one claimant has no further effect. */
 export interface ClaimRequest {
   readonly type: 'claim-request';
   readonly claimant: ClaimantId;
@@ -131,16 +131,16 @@
   readonly issuedAt: WallMillis;
 }
 
-/** Answers a `ClaimRequest`. */
+/** Response to a `ClaimRequest`. */
 export interface ClaimResponse {
   readonly type: 'claim-response';
   readonly claimant: ClaimantId;
-  /** `null`: not the leader, or no quorum; nothing is known of the claim. */
+  /** `null`: the sender isn't the leader or has no quorum; the result is unknown. */
   readonly result: ClaimResult | null;
   readonly leader: Address | null;
 }
 
-/** Tells the leader how a claimed request ended. */
+/** Reports the outcome of a claimed request to the leader. */
 export interface SettleRequest {
   readonly type: 'settle-request';
   readonly claimant: ClaimantId;
@@ -150,7 +150,7 @@
   readonly answer: StoredAnswer | null;
 }
 
-/** Answers a `SettleRequest`; `settled` `false`: ask again, or ask `leader`. */
+/** Response to a `SettleRequest`; if `settled` is `false`, the router retries, at `leader` if given. */
 export interface SettleResponse {
   readonly type: 'settle-response';
   readonly claimant: ClaimantId;
@@ -158,7 +158,7 @@
   readonly leader: Address | null;
 }
 
-/** What routers send to control members. */
+/** Messages from routers to control members. */
 export type RouterToControl =
   | SyncRequest
   | ClaimRequest
@@ -167,7 +167,7 @@
   | CrashReport
   | UpstreamReport;
 
-/** What control members send to routers. */
+/** Messages from control members to routers. */
 export type ControlToRouter =
   | SyncResponse
   | SyncNews
@@ -177,12 +177,12 @@
   | UpstreamPermits
   | FleetNews;
 
-/** First frame of a connection, both ways. */
+/** First frame of a connection, in both directions. */
 export interface Greeting {
   readonly type: 'greeting';
   readonly cluster: ClusterId;
   readonly kind: 'control' | 'router';
   readonly name: string;
-  /** Where the sender is. */
+  /** Zone of the sender. */
   readonly zone: Zone;
 }
--- a/test/control/address-claims.test.ts
+++ b/test/control/address-claims.test.ts
@@ -1,4 +1,4 @@
-/** A heartbeat that was held up on its way, while another run of an upstream lives at its sender's address. */
+/** Delayed heartbeats of a run of an upstream whose address is in use by another run. */
 import { expect } from 'chai';
 import { AddressClaims } from '../../src/control/address-claims.js';
 import type { IdentityQuestion } from '../../src/control/identity-question.js';
@@ -9,11 +9,11 @@
 import { type Cluster, startCluster } from './cluster-harness.js';
 
 const ADDRESS = '10.0.0.7:80';
-/** Heartbeats come once a second unless settings say otherwise. */
+/** Default heartbeat interval. */
 const HEARTBEAT_MILLIS = 1000;
-/** Heartbeats come a few hundredths early. */
-const ASK_AGAIN_HEARTBEATS = 0.8;
-/** A hold of 6 s by a clock that is slow by 2 %. */
+/** Heartbeats arrive a few hundredths early. */
+const MIN_QUESTION_GAP_HEARTBEATS = 0.8;
+/** A hold of 6 s on a clock that is 2 % slow. */
 const LONGEST_HOLD_MILLIS = 6120;
 
 function definitionOf(id: string, address = ADDRESS): UpstreamDefinition {
@@ -29,13 +29,13 @@
   return cluster.ask(announcement(id, address)).type;
 }
 
-function known(cluster: Cluster): string[] {
+function registeredRuns(cluster: Cluster): string[] {
   const response = cluster.ask({ type: 'get-upstreams' });
   const upstreams = response.type === 'upstreams' ? response.upstreams : [];
   return upstreams.map(({ definition }) => definition.id).filter((id) => id.startsWith('run-'));
 }
 
-/** The second run of a server lives at its address; the first one's heartbeats never came. */
+/** Starts a cluster with the second run of a server at its address; no heartbeat of the first run has arrived. */
 function startSecond(): Cluster {
   const { cluster } = startCluster(3);
   for (let count = 0; count < 3; count += 1) {
@@ -46,40 +46,40 @@
 }
 
 describe('a heartbeat from the address of another run', () => {
-  it('undoes nothing while that run is heard', () => {
+  it('does not displace that run while its heartbeats arrive', () => {
     const cluster = startSecond();
     expect(beat(cluster, 'run-1')).to.not.equal('heartbeat-taken');
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
     expect(beat(cluster, 'run-2')).to.equal('heartbeat-taken');
     expect(beat(cluster, 'run-1')).to.not.equal('heartbeat-taken');
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
   });
 
-  it('is taken at once where its sender lives, whether that run was heard just now or is silent for a while', () => {
+  it('is accepted at once if its sender answers at the address, whether that run is silent or not', () => {
     for (const silentMillis of [200, 2 * HEARTBEAT_MILLIS]) {
       const cluster = startSecond();
       beat(cluster, 'run-2');
       cluster.run(silentMillis);
       cluster.living.set(ADDRESS, 'run-3');
       expect(beat(cluster, 'run-3'), `after ${silentMillis} ms`).to.equal('heartbeat-taken');
-      expect(known(cluster)).to.deep.equal(['run-3']);
+      expect(registeredRuns(cluster)).to.deep.equal(['run-3']);
       expect(beat(cluster, 'run-2')).to.equal('heartbeat-taken');
-      expect(known(cluster)).to.deep.equal(['run-3']);
+      expect(registeredRuns(cluster)).to.deep.equal(['run-3']);
       expect(cluster.questions).to.deep.equal([ADDRESS]);
     }
   });
 
-  it('is never taken while another one answers there', () => {
+  it('is never accepted while another run answers at the address', () => {
     const cluster = startSecond();
     cluster.living.set(ADDRESS, 'run-2');
     for (const end = cluster.time + 3 * LONGEST_HOLD_MILLIS; cluster.time < end; ) {
       cluster.run(HEARTBEAT_MILLIS);
       expect(beat(cluster, 'run-1'), `at ${cluster.time}`).to.not.equal('heartbeat-taken');
     }
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
   });
 
-  it('is taken from an address without an answer only if it comes again and again for a longest hold, and that run is silent', () => {
+  it('is accepted without an answer of the address only after it is repeated for a longest hold in which that run is silent', () => {
     const cluster = startSecond();
     cluster.run(10 * HEARTBEAT_MILLIS);
     const since = cluster.time;
@@ -87,13 +87,13 @@
       expect(beat(cluster, 'run-3'), `after ${cluster.time - since} ms`).to.not.equal('heartbeat-taken');
       cluster.run(HEARTBEAT_MILLIS);
     }
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
     cluster.run(since + LONGEST_HOLD_MILLIS - cluster.time);
     expect(beat(cluster, 'run-3')).to.equal('heartbeat-taken');
-    expect(known(cluster)).to.deep.equal(['run-3']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-3']);
   });
 
-  it('proves nothing by being repeated while that run is heard, or after a pause', () => {
+  it('is not accepted for being repeated while heartbeats of that run arrive, or after gaps', () => {
     for (const isHeard of [true, false]) {
       const cluster = startSecond();
       for (const end = cluster.time + 3 * LONGEST_HOLD_MILLIS; cluster.time < end; ) {
@@ -103,11 +103,11 @@
           expect(beat(cluster, 'run-2')).to.equal('heartbeat-taken');
         }
       }
-      expect(known(cluster)).to.deep.equal(['run-2']);
+      expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
     }
   });
 
-  it('has its address asked about once a heartbeat at most, and not at all where nobody is known', () => {
+  it('causes at most one question per heartbeat, and none if no run is registered at the address', () => {
     const cluster = startSecond();
     expect(cluster.questions).to.deep.equal([]);
     const since = cluster.time;
@@ -116,10 +116,13 @@
       cluster.run(100);
     }
     const heartbeats = (cluster.time - since) / HEARTBEAT_MILLIS;
-    expect(cluster.questions.length).to.be.within(heartbeats / 2, heartbeats / ASK_AGAIN_HEARTBEATS + 1);
+    expect(cluster.questions.length).to.be.within(
+      heartbeats / 2,
+      heartbeats / MIN_QUESTION_GAP_HEARTBEATS + 1,
+    );
   });
 
-  it('is not acknowledged by a leader that is deposed while it asks, whatever the answer says then', () => {
+  it('is not acknowledged by a leader that is deposed before the answer, whatever the answer is', () => {
     const cluster = startSecond();
     const deposed = cluster.leader();
     const operation = cluster.request(announcement('run-3'), deposed);
@@ -128,10 +131,10 @@
     cluster.cut.delete(deposed.id);
     cluster.run(2 * HEARTBEAT_MILLIS);
     expect(cluster.answers.get(operation)?.type).to.equal('unknown');
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
   });
 
-  // Read, not seen: what an address said in an earlier leadership may be older than what a leader in between has taken in.
+  // An answer from an earlier leadership may be older than a registration by a leader in between. Found by review, not by a failure.
   it('is settled once, when the leadership changes', () => {
     const registry = createRegistry();
     const command = { type: 'upstream-announce', definition: definitionOf('run-2') } as const;
@@ -145,7 +148,7 @@
       log: () => {},
     });
     const settled: boolean[] = [];
-    claims.claim(definitionOf('run-3'), 0, (isTaken) => settled.push(isTaken));
+    claims.claim(definitionOf('run-3'), 0, (isAccepted) => settled.push(isAccepted));
     expect(settled).to.deep.equal([]);
     claims.roleChanged(10);
     expect(settled).to.deep.equal([false]);
@@ -153,32 +156,32 @@
     expect(settled).to.deep.equal([false]);
   });
 
-  // Seen: keys had two holders after all members had restarted. A leader that was elected just now has heard nobody, so the late
-  // first heartbeat of a run before ended the run that lives at the address; the living one then counted as gone for good.
-  it('undoes nothing under a leader that was elected just now', () => {
+  // Guards against two holders of one key after a restart of all members: a newly elected leader has no heartbeats yet, so a delayed
+  // first heartbeat of an earlier run ended the live run at the address, which then counted as departed for good.
+  it('does not displace that run under a newly elected leader', () => {
     const cluster = startSecond();
     const deposed = cluster.leader();
     cluster.kill(deposed);
     cluster.runUntil(() => cluster.leader() !== undefined, 5000);
     cluster.run(50);
     expect(beat(cluster, 'run-1')).to.not.equal('heartbeat-taken');
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
     expect(beat(cluster, 'run-2')).to.equal('heartbeat-taken');
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
   });
 
-  it('undoes nothing while that run is cut off', () => {
+  it('does not displace that run while it is partitioned off', () => {
     const cluster = startSecond();
     cluster.run(5 * HEARTBEAT_MILLIS);
     expect(beat(cluster, 'run-1')).to.not.equal('heartbeat-taken');
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
     expect(beat(cluster, 'run-2')).to.equal('heartbeat-taken');
-    expect(known(cluster)).to.deep.equal(['run-2']);
+    expect(registeredRuns(cluster)).to.deep.equal(['run-2']);
   });
 
-  it('concerns nobody at other addresses', () => {
+  it('does not affect runs at other addresses', () => {
     const cluster = startSecond();
     expect(beat(cluster, 'run-4', '10.0.0.8:80')).to.equal('heartbeat-taken');
-    expect(known(cluster)).to.have.members(['run-2', 'run-4']);
+    expect(registeredRuns(cluster)).to.have.members(['run-2', 'run-4']);
   });
 });
--- a/test/control/applied-in-parts.test.ts
+++ b/test/control/applied-in-parts.test.ts
@@ -36,7 +36,7 @@
 }
 
 describe('a burst of committed entries', () => {
-  it('is applied in parts over several steps, in order, and reads wait for all of it', () => {
+  it('is applied in order over several steps, and reads wait for all entries', () => {
     const adapter = new RaftAdapter({
       raft: new BurstRaft(),
       registry: createRegistry(),
@@ -58,7 +58,7 @@
       expect(reads).to.deep.equal([]);
       adapter.beginStep();
       while (adapter.run(now)) {
-        // Until nothing is left that this step may do.
+        // Runs until this step has nothing left to do.
       }
       revisions.push(adapter.registry.revision);
       const isDone = adapter.registry.revision === ENTRIES;
--- a/test/control/change-trace.test.ts
+++ b/test/control/change-trace.test.ts
@@ -1,4 +1,4 @@
-/** A change by hand leaves one record at each member that it reached: where its time went, or what the member knew of the leader. */
+/** A manual change logs one record at each member that it reaches, with the time of each phase or the leader that the member assumed. */
 import { expect } from 'chai';
 import { DEFAULT_CONFIG_LEASE_TIMINGS } from '../../src/control/messages.js';
 import { EVENTS } from '../../src/logging/events.js';
@@ -6,7 +6,7 @@
 import { Cluster, SERVICE } from './cluster-harness.js';
 
 const ELECTION_TIMEOUT_MILLIS = 300;
-/** Of the harness: a message and a write take 1 ms each. */
+/** In the harness, a message and a write take 1 ms each. */
 const COMMIT_MILLIS = 4;
 
 function startCluster(): Cluster {
@@ -35,8 +35,8 @@
   return cluster.logs.filter(({ event }) => event === 'change-settled');
 }
 
-describe('the record of a change by hand', () => {
-  it('says how long its commit took, and that nothing else did', () => {
+describe('the record of a manual change', () => {
+  it('contains the time of the commit, and no time for other phases', () => {
     const cluster = startCluster();
     const leader = cluster.leader();
     const answer = cluster.ask(declaration(1));
@@ -57,7 +57,7 @@
     expect(answer).to.deep.include({ result: { type: 'accepted', revision } });
   });
 
-  it('has exactly the fields that the table of events names', () => {
+  it('has exactly the fields of the event table', () => {
     const cluster = startCluster();
     cluster.ask(declaration(1));
     expect(Object.keys(records(cluster)[0]?.fields ?? {})).to.have.members([
@@ -65,7 +65,7 @@
     ]);
   });
 
-  it('says what refused it', () => {
+  it('contains the reason for a rejection', () => {
     const cluster = startCluster();
     cluster.ask(declaration(1));
     cluster.ask(declaration(2, 0));
@@ -76,7 +76,7 @@
     });
   });
 
-  it('says which leader a member that follows knew', () => {
+  it('contains the leader that a follower assumed', () => {
     const cluster = startCluster();
     const leader = cluster.leader();
     const follower = [...cluster.members.values()].find(({ id }) => id !== leader.id);
@@ -93,7 +93,7 @@
     });
   });
 
-  it('says how long it waited for a commit that did not come', () => {
+  it('contains the wait for a commit that did not happen', () => {
     const cluster = startCluster();
     const leader = cluster.leader();
     for (const { id } of cluster.members.values()) {
@@ -110,7 +110,7 @@
     );
   });
 
-  it('counts the wait for routers apart from the commit', () => {
+  it('counts the wait for routers separately from the commit', () => {
     const cluster = startCluster();
     cluster.change({ type: 'service-apply', definition: SERVICE, expected: null }, true);
     const [record] = records(cluster);
--- a/test/control/cluster-harness.ts
+++ b/test/control/cluster-harness.ts
@@ -1,4 +1,4 @@
-/** Control members and holders on one virtual clock, with checks that no shard is served by two holders at once. */
+/** Control members and holders on one virtual clock, with checks that at most one holder serves each shard at any time. */
 import { expect } from 'chai';
 import type { RestoredState } from '../../src/consensus/types.js';
 import { createControlNode } from '../../src/control/control-node.js';
@@ -27,7 +27,7 @@
 const SYNC_MILLIS = 1;
 const CALL_TIMEOUT_MILLIS = 300;
 const CHECK_MILLIS = 5;
-const KEYS_TRIED = 2000;
+const MAX_KEYS_TRIED = 2000;
 
 interface Member {
   readonly id: ReplicaId;
@@ -53,15 +53,15 @@
   readonly servers = new Map<UpstreamId, Server>();
   readonly answers = new Map<string, OperatorResponse>();
   readonly routerMessages: { readonly connection: string; readonly message: ControlToRouter }[] = [];
-  /** Session requests that left, for checks of their size. */
+  /** Session requests that were sent, for checks of their size. */
   readonly calls: SessionRequest[] = [];
-  /** What members logged, in order. */
+  /** Log records of the members, in order. */
   readonly logs: { readonly member: ReplicaId; readonly event: string; readonly fields: LogFields }[] = [];
-  /** Peers that neither hear nor are heard. */
+  /** Members that are partitioned off: they neither send nor receive messages. */
   readonly cut = new Set<string>();
   /** The run that answers at an address; others don't answer. */
   readonly living = new Map<Address, UpstreamId>();
-  /** Addresses that were asked who lives there, in their order. */
+  /** Addresses that were queried for their run, in order. */
   readonly questions: Address[] = [];
   readonly #events = new EventQueue();
   #nextCheckAt = 0;
@@ -88,13 +88,13 @@
     return server;
   }
 
-  /** A replica with an empty disk; nobody knows of it yet. */
+  /** Starts a replica with an empty disk that isn't in the membership. */
   addMember(id: ReplicaId): Member {
     this.#startMember(id, null);
     return this.members.get(id) as Member;
   }
 
-  /** The replica asks every member to be taken in. */
+  /** Sends a join request of the replica to every member. */
   askToJoin(id: ReplicaId): void {
     const address = addressOf(id);
     for (const member of this.members.values()) {
@@ -119,12 +119,12 @@
     member.alive = false;
   }
 
-  /** Runs the virtual clock on by `millis`. */
+  /** Advances the virtual clock by `millis`. */
   run(millis: number): void {
     this.runUntil(() => false, millis);
   }
 
-  /** Runs until `isDone`, at most `millis`; returns the time that took. */
+  /** Runs until `isDone`, for at most `millis`; returns the elapsed time. */
   runUntil(isDone: () => boolean, millis: number): number {
     const start = this.time;
     const end = start + millis;
@@ -141,7 +141,7 @@
     return operation;
   }
 
-  /** Makes a change and runs until it is answered. */
+  /** Sends a change and runs until it is answered. */
   change(command: OperatorCommand, wait = false): OperatorResponse {
     const requestId = `request-${this.#operation + 1}`;
     const operation = this.request({ type: 'command', requestId, actor: 'test', command, wait });
@@ -168,7 +168,7 @@
     return response.type === 'shards' ? response.shards : [];
   }
 
-  /** The server which would serve this shard now, if any. */
+  /** The server that would serve this shard now, or `null`. */
   serving(shard: ShardId): UpstreamId | null {
     const key = this.#keyOfShard.get(shard) as string;
     const serving = [...this.servers.values()].filter((server) => this.#serves(server, shard, key));
@@ -176,10 +176,10 @@
     return serving[0]?.state === 'up' ? serving[0].id : null;
   }
 
-  /** Learns a key of each shard of a key map, so that the checks can ask the fences. */
+  /** Finds a key of each shard of a key map for the checks of the fences; returns the shards. */
   watch(keyMap: KeyMap): ShardId[] {
     const found = new Set<ShardId>();
-    for (let number = 0; number < KEYS_TRIED; number += 1) {
+    for (let number = 0; number < MAX_KEYS_TRIED; number += 1) {
       const shard = shardOfKey(keyMap, `key${number}`);
       if (shard !== undefined) {
         this.#keyOfShard.set(shard, `key${number}`);
@@ -193,7 +193,7 @@
     return this.#keyOfShard.get(shard) as string;
   }
 
-  /** Asks the fence and lets the request go at once; a frozen server is judged by its clock. */
+  /** Whether the fence admits a request, which finishes immediately. A frozen server is checked at its current clock. */
   #serves(server: Server, shard: ShardId, key: string): boolean {
     if (server.state === 'dead') {
       return false;
@@ -240,7 +240,7 @@
     if (!hasRun) {
       const due = deadlines.filter(({ at }) => at <= this.time);
       expect(
-        due.length === 0 || this.#noteTick(),
+        due.length === 0 || this.#isTickExpected(),
         `a member keeps asking for ticks at ${this.time}`,
       ).to.equal(true);
       for (const { member } of due) {
@@ -252,8 +252,8 @@
 
   #ticks = { at: 0, count: 0 };
 
-  /** A core which asks for a tick at the present time again and again would keep a shell spinning. */
-  #noteTick(): boolean {
+  /** Returns `false` for a core that requests a tick at the same time too often; it would keep the I/O layer in a busy loop. */
+  #isTickExpected(): boolean {
     this.#ticks =
       this.#ticks.at === this.time
         ? { at: this.time, count: this.#ticks.count + 1 }
@@ -279,11 +279,11 @@
       return;
     }
     for (const effect of member.core.step(input, this.time, 1_000_000 + this.time)) {
-      this.#carryOut(member, effect);
+      this.#execute(member, effect);
     }
   }
 
-  #carryOut(member: Member, effect: ControlEffect): void {
+  #execute(member: Member, effect: ControlEffect): void {
     switch (effect.type) {
       case 'send-peer': {
         const to = this.members.get(effect.message.to);
@@ -337,7 +337,7 @@
     }
     const serve = (): void => {
       const answer = server.holder.handleSession(request, server.clock(this.time));
-      server.noteEvents();
+      server.handleEvents();
       this.#later(NETWORK_MILLIS, () =>
         this.#step(member, { type: 'upstream-answer', upstream, sequence, answer }),
       );
@@ -385,7 +385,7 @@
   };
 }
 
-/** A cluster with a leader, the service and as many servers, all shards granted. */
+/** Starts a cluster with a leader, the service and `serverCount` servers, and waits until all shards are granted. */
 export function startCluster(
   serverCount: number,
   options: ClusterOptions = {},
--- a/test/control/cluster-server.ts
+++ b/test/control/cluster-server.ts
@@ -2,14 +2,14 @@
 import { createGrantHolder, type GrantHolder, type Ticket } from '../../src/lease/index.js';
 import type { Epoch, ShardId, UpstreamId } from '../../src/model/identifiers.js';
 
-/** It has a clock with its own origin and rate. */
+/** A server whose clock has its own origin and rate. */
 export class Server {
   holder: GrantHolder;
   state: 'up' | 'frozen' | 'dead' = 'up';
-  /** Calls that reached it while it was frozen. */
+  /** Calls that arrived while the server was frozen. */
   readonly backlog: (() => void)[] = [];
   readonly epochs = new Map<ShardId, Epoch>();
-  /** Answers `markWarmed` at once when told to warm. */
+  /** Whether a `warm` event is followed by `markWarmed` at once. */
   warms = true;
   incarnationNumber = 1;
 
@@ -37,7 +37,7 @@
     return `${this.id}#${this.incarnationNumber}`;
   }
 
-  noteEvents(): void {
+  handleEvents(): void {
     for (const event of this.holder.takeEvents()) {
       if (event.type === 'granted') {
         this.epochs.set(event.shard, event.epoch);
--- a/test/control/coordinator-slices.test.ts
+++ b/test/control/coordinator-slices.test.ts
@@ -1,4 +1,4 @@
-/** Coordination of more shards than one run takes: everything is granted, and a new leader voids nothing. */
+/** Coordination of more shards than one run handles: all shards are granted, and a new leader voids no grant. */
 import { expect } from 'chai';
 import { SHARDS_PER_RUN } from '../../src/control/registry-load.js';
 import { CoordinatorRig } from '../../src/dev/bench/models/placement/coordinator-rig.js';
@@ -22,27 +22,27 @@
   return rig;
 }
 
-function heldBy(rig: CoordinatorRig): number[] {
+function heldCounts(rig: CoordinatorRig): number[] {
   return SERVERS.map((id) => rig.heldBy(id));
 }
 
 describe('coordination in slices', () => {
   it('grants all shards, spread evenly', () => {
     const rig = startedRig();
-    rig.runUntil(() => heldBy(rig).every((held) => held === SHARDS / SERVERS.length));
-    expect(SERVERS.map((id) => rig.registry.shardsOwnedBy(id).size)).to.deep.equal(heldBy(rig));
+    rig.runUntil(() => heldCounts(rig).every((held) => held === SHARDS / SERVERS.length));
+    expect(SERVERS.map((id) => rig.registry.shardsOwnedBy(id).size)).to.deep.equal(heldCounts(rig));
   });
 
   it('voids no grant when a new leader takes over', () => {
     const rig = startedRig();
-    rig.runUntil(() => heldBy(rig).every((held) => held === SHARDS / SERVERS.length));
-    const before = heldBy(rig);
+    rig.runUntil(() => heldCounts(rig).every((held) => held === SHARDS / SERVERS.length));
+    const before = heldCounts(rig);
     const { revision } = rig.registry;
     rig.changeLeader();
     for (let step = 0; step < 1000; step += 1) {
       rig.now += 1;
       rig.step();
-      expect(heldBy(rig)).to.deep.equal(before);
+      expect(heldCounts(rig)).to.deep.equal(before);
     }
     expect(rig.registry.revision).to.equal(revision);
   });
--- a/test/control/heartbeat-news.test.ts
+++ b/test/control/heartbeat-news.test.ts
@@ -1,4 +1,4 @@
-/** Which heartbeats cost an entry of the log, and which say nothing of now. */
+/** Heartbeats that need a log entry, and late ones, which are ignored. */
 import { expect } from 'chai';
 import { HeartbeatNews } from '../../src/control/heartbeat-news.js';
 import type { UpstreamDefinition } from '../../src/model/service.js';
@@ -18,10 +18,10 @@
   };
 }
 
-/** What a member knows of one upstream whose heartbeats it hears. */
-class Listener {
+/** A member that receives the heartbeats of one upstream. */
+class Receiver {
   readonly registry = createRegistry();
-  readonly news = new HeartbeatNews(() => this.registry);
+  readonly filter = new HeartbeatNews(() => this.registry);
 
   constructor(declaresWarmup: boolean) {
     const warmup = declaresWarmup ? { warmupPerSecond: 4.2, warmupSeconds: 3 } : {};
@@ -39,12 +39,12 @@
   }
 
   /** `late`, `news` or `known`. */
-  hear(definition: UpstreamDefinition, sequence: number, now: number): string {
-    if (this.news.isLate(definition, sequence)) {
+  receive(definition: UpstreamDefinition, sequence: number, now: number): string {
+    if (this.filter.isLate(definition, sequence)) {
       return 'late';
     }
-    const isNews = this.news.isNews(definition, now);
-    this.news.heard(definition, sequence, now);
+    const isNews = this.filter.isNews(definition, now);
+    this.filter.heard(definition, sequence, now);
     if (isNews) {
       this.#apply({ type: 'upstream-announce', definition });
     }
@@ -57,36 +57,36 @@
 }
 
 describe('heartbeats of an upstream', () => {
-  it('cost an entry when it turns cold and when it is warm, not while its time runs out', () => {
-    const listener = new Listener(true);
-    expect(listener.hear(definitionOf({ warmupMillis: 3000 }), 1, 0)).to.equal('news');
-    expect(listener.hear(definitionOf({ warmupMillis: 2130 }), 2, 870)).to.equal('known');
-    expect(listener.hear(definitionOf({ warmupMillis: 1260 }), 3, 1740)).to.equal('known');
-    expect(listener.hear(definitionOf({ warmupMillis: 3000 }), 4, 2610)).to.equal('news');
-    expect(listener.hear(definitionOf(), 5, 5800)).to.equal('news');
-    expect(listener.hear(definitionOf(), 6, 6700)).to.equal('known');
-    expect(listener.hear(definitionOf({ warmupMillis: 900 }), 7, 7600)).to.equal('news');
+  it('need an entry when the upstream turns cold and when it is warm, not while the warm-up proceeds', () => {
+    const receiver = new Receiver(true);
+    expect(receiver.receive(definitionOf({ warmupMillis: 3000 }), 1, 0)).to.equal('news');
+    expect(receiver.receive(definitionOf({ warmupMillis: 2130 }), 2, 870)).to.equal('known');
+    expect(receiver.receive(definitionOf({ warmupMillis: 1260 }), 3, 1740)).to.equal('known');
+    expect(receiver.receive(definitionOf({ warmupMillis: 3000 }), 4, 2610)).to.equal('news');
+    expect(receiver.receive(definitionOf(), 5, 5800)).to.equal('news');
+    expect(receiver.receive(definitionOf(), 6, 6700)).to.equal('known');
+    expect(receiver.receive(definitionOf({ warmupMillis: 900 }), 7, 7600)).to.equal('news');
   });
 
-  it('cost no entry for warmth where nobody goes by it', () => {
-    const listener = new Listener(false);
-    expect(listener.hear(definitionOf({ warmupMillis: 3000 }), 1, 0)).to.equal('news');
-    expect(listener.hear(definitionOf(), 2, 4000)).to.equal('known');
+  it('need no entry for warm-up if the service declares none', () => {
+    const receiver = new Receiver(false);
+    expect(receiver.receive(definitionOf({ warmupMillis: 3000 }), 1, 0)).to.equal('news');
+    expect(receiver.receive(definitionOf(), 2, 4000)).to.equal('known');
   });
 
-  it('that come late say nothing: of an earlier time, or of a run before', () => {
-    const listener = new Listener(true);
-    expect(listener.hear(definitionOf({ born: 100 }), 7, 0)).to.equal('news');
-    expect(listener.hear(definitionOf({ born: 100, warmupMillis: 3000 }), 6, 10)).to.equal('late');
-    expect(listener.hear(definitionOf({ born: 200 }), 1, 20)).to.equal('news');
-    expect(listener.hear(definitionOf({ born: 100 }), 8, 30)).to.equal('late');
-    expect(listener.hear(definitionOf({ born: 200 }), 2, 40)).to.equal('known');
+  it('are late after a later heartbeat of their run or of a later run', () => {
+    const receiver = new Receiver(true);
+    expect(receiver.receive(definitionOf({ born: 100 }), 7, 0)).to.equal('news');
+    expect(receiver.receive(definitionOf({ born: 100, warmupMillis: 3000 }), 6, 10)).to.equal('late');
+    expect(receiver.receive(definitionOf({ born: 200 }), 1, 20)).to.equal('news');
+    expect(receiver.receive(definitionOf({ born: 100 }), 8, 30)).to.equal('late');
+    expect(receiver.receive(definitionOf({ born: 200 }), 2, 40)).to.equal('known');
   });
 
-  it('of a run before are late also at a member that heard of the next one by the log alone', () => {
-    const listener = new Listener(true);
-    listener.hear(definitionOf({ born: 200 }), 1, 0);
-    const other = new HeartbeatNews(() => listener.registry);
+  it('of an earlier run are late also at a member that has the next run only from the log', () => {
+    const receiver = new Receiver(true);
+    receiver.receive(definitionOf({ born: 200 }), 1, 0);
+    const other = new HeartbeatNews(() => receiver.registry);
     expect(other.isLate(definitionOf({ born: 100 }), 50)).to.equal(true);
     expect(other.isLate(definitionOf({ born: 200 }), 1)).to.equal(false);
   });
--- a/test/control/membership-changes.test.ts
+++ b/test/control/membership-changes.test.ts
@@ -1,12 +1,12 @@
-/** What the leader does while the Raft core turns its proposals down. */
+/** Membership changes of a leader whose Raft core rejects its proposals. */
 import { expect } from 'chai';
 import { MembershipChanges } from '../../src/control/membership-changes.js';
 import type { RaftAdapter } from '../../src/control/raft-adapter.js';
 
 const POLL_MILLIS = 50;
 
-/** A leader whose Raft core refuses every change of the membership at once. */
-class RefusingRaft {
+/** A leader whose Raft core rejects every membership change at once. */
+class RejectingRaft {
   proposals = 0;
 
   isLeader(): boolean {
@@ -37,9 +37,9 @@
   }
 }
 
-describe('replacement that is refused for now', () => {
-  it('proposes once a poll, however often the control core settles', () => {
-    const raft = new RefusingRaft();
+describe('a replacement that is temporarily rejected', () => {
+  it('is proposed once per poll, however often the control core runs its parts', () => {
+    const raft = new RejectingRaft();
     const config = { replaceAfterMillis: 0 } as never;
     const changes = new MembershipChanges({ config, raft: raft as unknown as RaftAdapter, answer: () => {} });
     const address = '127.0.0.4:1';
--- a/test/control/sync-news.test.ts
+++ b/test/control/sync-news.test.ts
@@ -1,9 +1,9 @@
-/** What control members tell routers that are behind, and when they renew their leases. */
+/** Updates from control members to routers that lack changes, and renewals of the routers' leases. */
 import { expect } from 'chai';
 import type { ControlToRouter, SyncRequest } from '../../src/control/messages.js';
 import { type Cluster, startCluster, upstream } from './cluster-harness.js';
 
-/** Longer than renewals gather and a heartbeat takes. */
+/** Longer than the time for which renewals are gathered plus a heartbeat. */
 const RENEWED_MILLIS = 600;
 
 function ask(cluster: Cluster, have: number, member = cluster.leader()): ControlToRouter['type'][] {
@@ -27,7 +27,7 @@
 }
 
 describe('syncs of routers', () => {
-  it('give the whole configuration, confirmed, to a router that has none', () => {
+  it('return the whole configuration, confirmed, to a router that has none', () => {
     const { cluster } = startCluster(3);
     ask(cluster, 0);
     cluster.run(100);
@@ -36,7 +36,7 @@
     expect(response?.snapshot?.revision).to.equal(response?.revision);
   });
 
-  it('give news at once to a router that is behind, and the confirmation later', () => {
+  it('return an update at once to a router that lacks changes, and the confirmation later', () => {
     const { cluster } = startCluster(3);
     ask(cluster, 0);
     cluster.run(100);
@@ -55,7 +55,7 @@
     expect(latest(cluster, 'sync-response')).to.include({ stamp, confirmed: true, snapshot: null });
   });
 
-  /** Changes one upstream; nobody asks for it. */
+  /** Changes one upstream without a sync request. */
   function change(cluster: Cluster, id: string): void {
     cluster.ask({
       type: 'command',
@@ -66,7 +66,7 @@
     });
   }
 
-  it('are not needed for changes: routers that hold all before are sent them', () => {
+  it('are not needed for changes, which are pushed to routers with all earlier ones', () => {
     const { cluster } = startCluster(3);
     ask(cluster, 0);
     cluster.run(100);
@@ -82,7 +82,7 @@
     expect(latest(cluster, 'change-notice')).to.equal(undefined);
   });
 
-  it('are not needed for many changes at once: they come together', () => {
+  it('are not needed for many changes at once, which are sent in batches', () => {
     const { cluster } = startCluster(3);
     ask(cluster, 0);
     cluster.run(200);
@@ -92,16 +92,16 @@
       cluster.run(5);
     }
     cluster.run(100);
-    const news = cluster.routerMessages.slice(before);
-    expect(news.every(({ message }) => message.type === 'sync-news')).to.equal(true);
-    expect(news.length).to.be.within(2, 8);
-    const changes = news.flatMap(({ message }) =>
+    const updates = cluster.routerMessages.slice(before);
+    expect(updates.every(({ message }) => message.type === 'sync-news')).to.equal(true);
+    expect(updates.length).to.be.within(2, 8);
+    const changes = updates.flatMap(({ message }) =>
       message.type === 'sync-news' ? message.delta.changes : [],
     );
     expect(changes.filter(({ type }) => type === 'upstream')).to.have.length(40);
   });
 
-  it('confirm nothing without a quorum', () => {
+  it('are not confirmed without a quorum', () => {
     const { cluster } = startCluster(3);
     ask(cluster, 0);
     cluster.run(100);
