--- a/test/control/heartbeat-news.test.ts
+++ b/test/control/heartbeat-news.test.ts
@@ -43,12 +43,12 @@
     if (this.filter.isLate(definition, sequence)) {
       return 'late';
     }
-    const isNews = this.filter.isNews(definition, now);
+    const hasUpdate = this.filter.isNews(definition, now);
     this.filter.heard(definition, sequence, now);
-    if (isNews) {
+    if (hasUpdate) {
       this.#apply({ type: 'upstream-announce', definition });
     }
-    return isNews ? 'news' : 'known';
+    return hasUpdate ? 'news' : 'known';
   }
 
   #apply(command: Parameters<typeof this.registry.apply>[1]['command']): void {
