--- a/src/control/move-tracker.ts
+++ b/src/control/move-tracker.ts
@@ -1,13 +1,13 @@
 /**
- * How far each planned move is, as far as the registry doesn't say. A new leader starts from nothing: a move is taken
- * to be warming until its target has warmed, time is up, or the source's own answer shows that it was told to stop.
+ * Tracks the progress of planned moves that isn't stored in the registry. A new leader starts without this state: a move counts
+ * as warming until its target has warmed, the timeout has passed, or the source's answer shows that it was ordered to stop.
  */
 import { DeadlineQueue } from '../lease/deadline-queue.js';
 import type { SessionView } from '../lease/granter-types.js';
 import type { Epoch, MonotonicMillis, ShardId } from '../model/identifiers.js';
 import type { ShardRecord } from '../registry/types.js';
 
-/** A target that hasn't warmed by then gets the shard cold, unless the configuration says otherwise. */
+/** Default time after which a target that hasn't warmed is granted the shard cold. */
 export const WARM_TIMEOUT_MILLIS = 1000;
 
 interface Move {
@@ -20,69 +20,69 @@
 export class MoveTracker {
   readonly #moves = new Map<ShardId, Move>();
   readonly #timeouts = new DeadlineQueue<ShardId>();
-  /** Epochs of grants which the owner said that it takes no new work under; nothing makes it take any again. */
+  /** Epochs of grants under which the owner has reported that it accepts no new work. This state isn't reversible. */
   readonly #stopped = new Map<ShardId, Epoch>();
   readonly #warmTimeoutMillis: number;
 
-  /** `warmTimeoutMillis`: longest wait for a target to warm; 0: none. */
+  /** `warmTimeoutMillis`: maximum wait for a target to warm; 0 means no wait. */
   constructor(warmTimeoutMillis: number = WARM_TIMEOUT_MILLIS) {
     this.#warmTimeoutMillis = warmTimeoutMillis;
   }
 
-  /** Takes a shard's record as it is now. */
+  /** Applies the current record of a shard. */
   update(record: ShardRecord, now: MonotonicMillis): void {
     const { shard, owner, movingTo, epoch, revision } = record;
     if (owner === null || this.#stopped.get(shard) !== epoch) {
       this.#stopped.delete(shard);
     }
     if (owner === null || movingTo === null) {
-      this.#end(shard);
+      this.#removeMove(shard);
       return;
     }
-    const known = this.#moves.get(shard);
-    if (known?.revision !== revision) {
-      this.#moves.set(shard, { revision, seenAt: now, revoked: known?.revoked ?? false });
+    const current = this.#moves.get(shard);
+    if (current?.revision !== revision) {
+      this.#moves.set(shard, { revision, seenAt: now, revoked: current?.revoked ?? false });
       this.#timeouts.set(shard, now + this.#warmTimeoutMillis);
     }
   }
 
-  /** The shard is gone. */
+  /** Removes the state of a shard that no longer exists. */
   forget(shard: ShardId): void {
     this.#stopped.delete(shard);
-    this.#end(shard);
+    this.#removeMove(shard);
   }
 
-  /** Whether the owner of this shard is to stop new work on it now. */
+  /** Returns whether the owner of this shard has to stop new work on it now. */
   isRevoked({ shard, epoch }: ShardRecord): boolean {
     return this.#stopped.get(shard) === epoch || (this.#moves.get(shard)?.revoked ?? false);
   }
 
-  /** The owner's answer shows that it takes no new work on the shard. */
-  noteStopped({ shard, epoch }: ShardRecord): void {
+  /** Records that the owner's answer lists the shard as accepting no new work. */
+  recordStopped({ shard, epoch }: ShardRecord): void {
     this.#stopped.set(shard, epoch);
   }
 
-  /** Revokes the shard once its target is ready. A target that doesn't answer is no reason to stop the source. */
-  noteTarget({ shard }: ShardRecord, target: SessionView | undefined, now: MonotonicMillis): void {
+  /** Revokes the shard once its target is ready. The source isn't stopped for a target that doesn't answer. */
+  updateTarget({ shard }: ShardRecord, target: SessionView | undefined, now: MonotonicMillis): void {
     const move = this.#moves.get(shard);
     if (move === undefined || target?.phase !== 'leased' || target.failing) {
       return;
     }
-    const timeIsUp = now >= move.seenAt + this.#warmTimeoutMillis;
-    move.revoked ||= timeIsUp || (target.answer?.warmed.includes(shard) ?? false);
+    const isTimedOut = now >= move.seenAt + this.#warmTimeoutMillis;
+    move.revoked ||= isTimedOut || (target.answer?.warmed.includes(shard) ?? false);
   }
 
-  /** Shards whose targets had time enough to warm. */
+  /** Removes and returns the shards whose warm timeout has passed. */
   takeTimedOut(now: MonotonicMillis): ShardId[] {
     return this.#timeouts.takeDue(now);
   }
 
-  /** When the next move stops waiting for its target to warm. */
+  /** Returns when the next warm timeout passes. */
   nextDeadline(): MonotonicMillis {
     return this.#timeouts.next();
   }
 
-  #end(shard: ShardId): void {
+  #removeMove(shard: ShardId): void {
     if (this.#moves.delete(shard)) {
       this.#timeouts.delete(shard);
     }
--- a/src/control/operator-requests.ts
+++ b/src/control/operator-requests.ts
@@ -1,4 +1,4 @@
-/** Operators' requests: commands go through the log, queries are linearizable reads. */
+/** Handles operators' requests: commands go through the log, queries are linearizable reads. */
 import { longestLeaseMillis } from '../lease/lease-bound.js';
 import { DEFAULT_RANGE_TIMINGS } from '../lease/range-timings.js';
 import { GRANT_CARRIERS } from '../model/grant-carrier.js';
@@ -27,18 +27,18 @@
   readonly membership: MembershipChanges;
   readonly answer: (operation: OperationId, response: OperatorResponse) => void;
   readonly status: (now: MonotonicMillis) => OperatorResponse;
-  /** A heartbeat of an upstream came to the leader; `answer` is told once what it renews. */
+  /** Handles an upstream's heartbeat that reached the leader; calls `answer` once with the grants that it renews. */
   readonly heard: (heartbeat: HeardHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis) => void;
-  /** Whether an upstream may hold keys, as far as a leader knows. */
+  /** Returns whether an upstream may hold keys, judged by the leader's current state. */
   readonly mayHold: (upstream: UpstreamId, now: MonotonicMillis) => boolean;
-  /** Has an address asked who lives there; `identified` is called with what came of it. */
+  /** Requests the identity of the upstream at an address; `onIdentityResponse` receives the response. */
   readonly askIdentity: (question: IdentityQuestion) => void;
-  readonly takeSnapshot: (now: MonotonicMillis, taken: () => void) => void;
+  readonly takeSnapshot: (now: MonotonicMillis, onTaken: () => void) => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-/** Characters of a foreign name that an answer repeats. */
-const MOST_SHOWN = 100;
+/** Maximum number of characters of an unknown service name that an error message repeats. */
+const MAX_SHOWN_CHARACTERS = 100;
 
 type WithdrawRequest = Extract<OperatorRequest, { readonly type: 'withdraw' }>;
 type AnnounceRequest = Extract<OperatorRequest, { readonly type: 'announce' }>;
@@ -58,7 +58,7 @@
   }
 >;
 
-/** An accepted change that may not be in force on every router yet. */
+/** An accepted change that some routers may not apply yet. */
 interface WaitingChange {
   readonly operation: OperationId;
   readonly request: CommandRequest;
@@ -70,13 +70,13 @@
 export class OperatorRequests {
   readonly #parts: OperatorRequestsParts;
   readonly #addresses: AddressClaims;
-  readonly #news: HeartbeatNews;
+  readonly #heartbeats: HeartbeatNews;
   #waiting: WaitingChange[] = [];
 
   constructor(parts: OperatorRequestsParts) {
     this.#parts = parts;
     const registry = (): Registry => parts.raft.registry;
-    this.#news = new HeartbeatNews(registry);
+    this.#heartbeats = new HeartbeatNews(registry);
     this.#addresses = new AddressClaims({
       registry,
       timings: parts.config.ranges ?? DEFAULT_RANGE_TIMINGS,
@@ -86,12 +86,12 @@
     });
   }
 
-  /** A leadership began or ended, here or elsewhere. */
+  /** Handles the begin or end of a leadership, of this member or another. */
   roleChanged(now: MonotonicMillis): void {
     this.#addresses.roleChanged(now);
   }
 
-  /** An address was asked who lives there. */
+  /** Handles the response to an identity request. */
   identified(question: QuestionId, answer: IdentityAnswer, now: MonotonicMillis): void {
     this.#addresses.answered(question, answer, now);
   }
@@ -100,7 +100,7 @@
     const { answer, membership } = this.#parts;
     switch (request.type) {
       case 'command':
-        this.#command(operation, request);
+        this.#runCommand(operation, request);
         break;
       case 'get-services':
       case 'get-upstreams':
@@ -112,7 +112,7 @@
         this.#query(operation, request, now);
         break;
       case 'declare':
-        this.#traced(operation, request, request.change);
+        this.#proposeTraced(operation, request, request.change);
         break;
       case 'evacuate':
         this.#evacuate(operation, request);
@@ -138,7 +138,7 @@
     }
   }
 
-  /** Answers those who wait for a change that is now in force everywhere. */
+  /** Answers waiting requests whose change is now in force on every router. */
   run(now: MonotonicMillis): void {
     const due = this.#waiting.filter((change) => now > change.inForceAt);
     this.#waiting = this.#waiting.filter((change) => now <= change.inForceAt);
@@ -152,7 +152,7 @@
     return Math.min(Number.POSITIVE_INFINITY, ...deadlines);
   }
 
-  #command(operation: OperationId, request: CommandRequest): void {
+  #runCommand(operation: OperationId, request: CommandRequest): void {
     const { actor, requestId, command, wait } = request;
     const settle: SettleProposal = (outcome, now, times) => {
       if (wait && outcome.type === 'applied' && outcome.result.type === 'accepted') {
@@ -164,8 +164,8 @@
     this.#parts.propose(command, settle, { actor, requestId });
   }
 
-  /** A change by hand that is safe to send again: it needs no entry in the table of request ids. */
-  #traced(
+  /** Proposes an operator's change that is idempotent, so it needs no entry in the table of request ids. */
+  #proposeTraced(
     operation: OperationId,
     request: Exclude<TracedRequest, CommandRequest>,
     command: DeclarationChange | EvacuationCommand,
@@ -175,7 +175,7 @@
     this.#parts.propose(command, settle, { actor: request.actor, requestId: null });
   }
 
-  /** Answers a change by hand, and leaves a record of where its time went. */
+  /** Answers an operator's change and logs how long each of its steps took. */
   #settle(
     operation: OperationId,
     request: TracedRequest,
@@ -188,14 +188,14 @@
     this.#parts.log('change-settled', { ...changeRecord(request, response, raft.status(), times, now) });
   }
 
-  /** Whoever misspells a zone should hear of it, and not believe that it is out of use. */
+  /** Answers `not-found` for an unknown zone, so that a misspelled name isn't mistaken for an evacuated zone. */
   #evacuate(operation: OperationId, request: EvacuateRequest): void {
     const { zone, isOut } = request;
     if (!this.#isKnownZone(zone)) {
       this.#parts.answer(operation, { type: 'result', result: { type: 'not-found' }, inForce: false });
       return;
     }
-    this.#traced(operation, request, { type: isOut ? 'evacuation-start' : 'evacuation-end', zone });
+    this.#proposeTraced(operation, request, { type: isOut ? 'evacuation-start' : 'evacuation-end', zone });
   }
 
   #isKnownZone(zone: Zone): boolean {
@@ -212,7 +212,7 @@
     this.#parts.propose(command, settle, { actor: upstream, requestId: null });
   }
 
-  /** Most heartbeats say what is known; only news goes through the log. */
+  /** Only heartbeats with changes go through the log; most of them repeat what is already recorded. */
   #announce(operation: OperationId, request: AnnounceRequest, now: MonotonicMillis): void {
     const { raft, answer } = this.#parts;
     const { definition, report } = request;
@@ -222,43 +222,43 @@
       return;
     }
     const sequence = report?.sequence ?? null;
-    if (this.#news.isLate(definition, sequence)) {
-      // Its sender has spoken since, or has ended: whatever it says is past, and proves nothing of now.
+    if (this.#heartbeats.isLate(definition, sequence)) {
+      // A later heartbeat was received, or the run has ended: this one is outdated and proves nothing about the present.
       answer(operation, { type: 'heartbeat-taken', keys: null });
       return;
     }
-    const stranger = this.#strangerOf(definition);
-    if (stranger !== null) {
-      answer(operation, { type: 'result', result: { type: 'invalid', message: stranger }, inForce: false });
+    const error = this.#unknownServiceError(definition);
+    if (error !== null) {
+      answer(operation, { type: 'result', result: { type: 'invalid', message: error }, inForce: false });
       return;
     }
-    const isNews = this.#news.isNews(definition, now);
-    this.#news.heard(definition, this.#isOrdering(request) ? sequence : null, now);
-    if (!isNews) {
-      this.#takeHeartbeat(operation, request, now);
+    const hasChanged = this.#heartbeats.isNews(definition, now);
+    this.#heartbeats.heard(definition, this.#setsSequence(request) ? sequence : null, now);
+    if (!hasChanged) {
+      this.#acceptHeartbeat(operation, request, now);
       return;
     }
     if (!raft.isLeader()) {
-      this.#takeIn(operation, request);
+      this.#proposeAnnouncement(operation, request);
       return;
     }
-    this.#addresses.claim(definition, now, (isTaken) => {
-      if (isTaken) {
-        this.#takeIn(operation, request);
+    this.#addresses.claim(definition, now, (isAccepted) => {
+      if (isAccepted) {
+        this.#proposeAnnouncement(operation, request);
       } else {
-        // It isn't acknowledged: a run that really is the next one says so again.
+        // The heartbeat isn't acknowledged: if the run really is the next one at this address, it announces itself again.
         answer(operation, { type: 'unknown' });
       }
     });
   }
 
-  /** What a heartbeat says goes through the log; then the heartbeat is like any other. */
-  #takeIn(operation: OperationId, request: AnnounceRequest): void {
+  /** Puts a heartbeat's definition into the log, then handles the heartbeat like any other. */
+  #proposeAnnouncement(operation: OperationId, request: AnnounceRequest): void {
     const { definition } = request;
     const settle = (outcome: ProposalOutcome, settledAt: MonotonicMillis): void => {
-      const isTaken = outcome.type === 'applied' && outcome.result.type === 'accepted';
-      if (isTaken) {
-        this.#takeHeartbeat(operation, request, settledAt);
+      const isAccepted = outcome.type === 'applied' && outcome.result.type === 'accepted';
+      if (isAccepted) {
+        this.#acceptHeartbeat(operation, request, settledAt);
       } else {
         this.#parts.answer(operation, this.#responseTo(outcome));
       }
@@ -268,16 +268,16 @@
   }
 
   /**
-   * Whether what comes with a lower sequence is late from now on. Where grants ride on heartbeats, upstreams name their keys: what
-   * says nothing of keys may be another writer's, whose sequence must not silence the owner.
+   * Returns whether heartbeats with a lower sequence count as late from now on. Where heartbeats carry grants, upstreams list their
+   * keys: a heartbeat without keys may come from another writer, whose sequence must not make the owner's heartbeats late.
    */
-  #isOrdering({ definition, report }: AnnounceRequest): boolean {
+  #setsSequence({ definition, report }: AnnounceRequest): boolean {
     const service = this.#parts.raft.registry.services().get(definition.service);
     const isByHeartbeat = service !== undefined && termsOf(service).carrier === GRANT_CARRIERS.heartbeat;
     return !isByHeartbeat || report === null || saysOfKeys(report);
   }
 
-  #takeHeartbeat(
+  #acceptHeartbeat(
     operation: OperationId,
     { definition, report }: AnnounceRequest,
     now: MonotonicMillis,
@@ -290,22 +290,24 @@
   }
 
   /**
-   * Why nobody can use what a heartbeat names; `null`: it may be used. An upstream that is known stays so, and before anything is
-   * declared every service may be one that will be.
+   * Returns the error for a heartbeat that names an unknown service, or `null` if it is acceptable. A registered upstream stays
+   * acceptable, and before anything is declared any service may still be declared later.
    */
-  #strangerOf({ id, service }: UpstreamDefinition): string | null {
+  #unknownServiceError({ id, service }: UpstreamDefinition): string | null {
     const { registry } = this.#parts.raft;
     const isUndeclared = registry.declaredDocument() === null;
     const isKnown = isUndeclared || registry.services().has(service) || registry.upstreams().has(id);
-    return isKnown ? null : `service: there is no service ${JSON.stringify(service.slice(0, MOST_SHOWN))}`;
+    return isKnown
+      ? null
+      : `service: there is no service ${JSON.stringify(service.slice(0, MAX_SHOWN_CHARACTERS))}`;
   }
 
   /**
    * A change at revision R was applied here at `now`, so it was committed before. A router's configuration lease counts
    * from the stamp of a sync that a read round confirmed after the sync was sent. If that round began after the commit,
    * the answer covers R. Otherwise the stamp is older than the commit, and the lease has ended one lease after `now`,
-   * with an allowance for the clocks' rates. Either way no router serves an older revision after that. This holds
-   * for routers that this member never heard of, and whoever leads meanwhile.
+   * with an allowance for the clocks' rates. Either way no router serves an older revision after that. This also holds
+   * for routers that never connected to this member, and across changes of leader.
    */
   #awaitRouters(change: Omit<WaitingChange, 'inForceAt'>, now: MonotonicMillis): void {
     const { configLeaseMillis, clockRateError } = this.#parts.config.configLease;
--- a/src/control/ownership-log.ts
+++ b/src/control/ownership-log.ts
@@ -1,4 +1,4 @@
-/** Log records of changes of ownership: one for each upstream, one for all shards of a batch. */
+/** Log records of ownership changes: one for each upstream, and one for all shards of a batch. */
 import type { DeclarationRecord } from '../model/declaration.js';
 import type { RegistryChange } from '../registry/types.js';
 import type { ControlEffect } from './types.js';
@@ -10,7 +10,7 @@
 type EvacuationChange = Extract<RegistryChange, { readonly type: 'evacuation' }>;
 type ShardChange = Extract<RegistryChange, { readonly type: 'shard' }>;
 
-/** What a batch of changes is logged as. */
+/** Returns the log records of a batch of changes. */
 export function ownershipLog(changes: readonly RegistryChange[]): LogEffect[] {
   const upstreams = changes.filter((change) => change.type === 'upstream');
   const shards = changes.filter((change) => change.type === 'shard');
@@ -43,7 +43,7 @@
   return [{ type: 'log', level: 'info', event: 'range-changed', fields }];
 }
 
-/** A suspect that is gone succeeded, was released, or its time is over: `suspects-succeeded` and `operator-change` say which. */
+/** A removed suspect has succeeded, was released, or has expired; `suspects-succeeded` and `operator-change` distinguish these. */
 function suspectRecord({ fingerprint, record }: SuspectChange): LogEffect {
   if (record === null) {
     return { type: 'log', level: 'info', event: 'suspect-released', fields: { fingerprint } };
--- a/src/control/ownership-measures.ts
+++ b/src/control/ownership-measures.ts
@@ -1,15 +1,15 @@
 /**
- * Churn and time without owner of the shards of one service, counted from the changes of the registry since this
- * leadership began. It holds only shards that have no owner or move, so each change costs the same however many there are.
- * Times are whole milliseconds: sums of them are exact, so that no total ever falls.
+ * Counts ownership changes and unowned time of the shards of one service, from the registry changes since this leadership
+ * began. Only shards that are unowned or moving are stored, so the cost of a change doesn't depend on the number of shards.
+ * Times are whole milliseconds: their sums are exact, so that no total ever decreases.
  */
 import type { Epoch, MonotonicMillis, ShardId, UpstreamId } from '../model/identifiers.js';
 import type { ShardRecord } from '../registry/types.js';
 import { MinuteCount } from './minute-count.js';
 
 /**
- * Why a shard was granted. `lost`: the lease of the owner before was over, or it was restarted. `other`: a move that an
- * earlier leader began, or a grant that its holder gave up unasked.
+ * Why a shard was granted. `lost`: the previous owner's lease expired, or that owner restarted. `other`: a move that an
+ * earlier leader began, or a grant that its holder released without an order.
  */
 export const OWNER_CHANGE_REASONS = ['first-grant', 'balance', 'drain', 'operator', 'lost', 'other'] as const;
 export type OwnerChangeReason = (typeof OWNER_CHANGE_REASONS)[number];
@@ -21,20 +21,20 @@
 export interface OwnershipCounts {
   /** Grants by reason. */
   readonly ownerChanges: Readonly<Record<OwnerChangeReason, number>>;
-  /** Those of the last minute, first grants left out. */
+  /** Grants of the last minute, without first grants. */
   readonly ownerChangesLastMinute: number;
-  /** Sum over shards of the time without an owner, up to now. */
+  /** Sum over all shards of the time without an owner, up to now. */
   readonly unownedShardMillis: number;
-  /** Shards whose holder gave them up and that were granted again. */
+  /** Grants of shards that the previous holder had released. */
   readonly handovers: number;
-  /** Sum of the times from the holder's answer that it gave the shard up to the next grant; part of the time unowned. */
+  /** Sum of the times from the holder's answer with the release to the next grant; included in the unowned time. */
   readonly handoverGapMillis: number;
 }
 
-interface Vacancy {
+interface UnownedPeriod {
   readonly since: MonotonicMillis;
   readonly reason: OwnerChangeReason;
-  /** The holder gave the shard up while this leader looked on. */
+  /** The holder released the shard during this leadership. */
   readonly isHandover: boolean;
 }
 
@@ -43,62 +43,66 @@
   readonly reason: MoveReason;
 }
 
-interface GivenUpGrant {
+interface ReleasedGrant {
   readonly epoch: Epoch;
   readonly at: MonotonicMillis;
 }
 
 export class OwnershipMeasures {
-  readonly #vacancies = new Map<ShardId, Vacancy>();
-  /** Sum of `since` over the vacancies: the time that they have lasted needs no look at each. */
+  readonly #unowned = new Map<ShardId, UnownedPeriod>();
+  /** Sum of `since` over the unowned periods, so that their total duration is computed without iterating over them. */
   #sinceSum = 0;
   readonly #moves = new Map<ShardId, PlannedMove>();
-  readonly #givenUp = new Map<ShardId, GivenUpGrant>();
+  readonly #released = new Map<ShardId, ReleasedGrant>();
   readonly #ownerChanges = Object.fromEntries(OWNER_CHANGE_REASONS.map((reason) => [reason, 0])) as Record<
     OwnerChangeReason,
     number
   >;
   readonly #lastMinute = new MinuteCount();
-  #begunAt: MonotonicMillis = 0;
-  #closedMillis = 0;
+  #startedAt: MonotonicMillis = 0;
+  #endedMillis = 0;
   #handovers = 0;
   #handoverGapMillis = 0;
 
-  /** Begins with a key map; what was known of the one before is dropped, and what was counted is kept. */
+  /** Starts with a new key map; drops the state of the previous one and keeps the counts. */
   begin(now: MonotonicMillis): void {
-    this.#begunAt = Math.floor(now);
-    this.#closedMillis += this.#openMillis(now);
-    this.#vacancies.clear();
+    this.#startedAt = Math.floor(now);
+    this.#endedMillis += this.#ongoingMillis(now);
+    this.#unowned.clear();
     this.#sinceSum = 0;
     this.#moves.clear();
-    this.#givenUp.clear();
+    this.#released.clear();
   }
 
-  /** Takes a shard that had no owner when it began; each is to be taken before it is granted. */
-  takeVacant(record: ShardRecord): void {
-    if (!this.#vacancies.has(record.shard)) {
-      this.#open(record.shard, { since: this.#begunAt, reason: reasonOfVacant(record), isHandover: false });
+  /** Adds a shard that had no owner at the start. To be called for each such shard before it is granted. */
+  addUnowned(record: ShardRecord): void {
+    if (!this.#unowned.has(record.shard)) {
+      this.#startPeriod(record.shard, {
+        since: this.#startedAt,
+        reason: reasonForUnowned(record),
+        isHandover: false,
+      });
     }
   }
 
-  /** Notes why a move that the registry now has was planned. A move that nothing was noted of is an operator's. */
-  moveStarted(shard: ShardId, to: UpstreamId, reason: MoveReason): void {
+  /** Records the reason of a planned move that the registry now contains. A move without a recorded reason counts as an operator's. */
+  recordMoveStart(shard: ShardId, to: UpstreamId, reason: MoveReason): void {
     this.#moves.set(shard, { to, reason });
   }
 
-  /** The holder of a grant answered that it gave it up for good. */
-  givenUp(shard: ShardId, epoch: Epoch, now: MonotonicMillis): void {
-    if (this.#givenUp.get(shard)?.epoch !== epoch) {
-      this.#givenUp.set(shard, { epoch, at: Math.floor(now) });
+  /** Records that the holder of a grant has reported its final release. */
+  recordRelease(shard: ShardId, epoch: Epoch, now: MonotonicMillis): void {
+    if (this.#released.get(shard)?.epoch !== epoch) {
+      this.#released.set(shard, { epoch, at: Math.floor(now) });
     }
   }
 
-  /** Takes the next record of a shard of the current key map, in the order of the log. */
-  recordChanged(record: ShardRecord, now: MonotonicMillis): void {
+  /** Applies the next record of a shard of the current key map, in the order of the log. */
+  applyRecord(record: ShardRecord, now: MonotonicMillis): void {
     if (record.owner !== null) {
-      this.#owned(record, Math.floor(now));
-    } else if (!this.#vacancies.has(record.shard)) {
-      this.#ended(record, Math.floor(now));
+      this.#applyOwned(record, Math.floor(now));
+    } else if (!this.#unowned.has(record.shard)) {
+      this.#applyUnowned(record, Math.floor(now));
     }
   }
 
@@ -106,14 +110,14 @@
     return {
       ownerChanges: { ...this.#ownerChanges },
       ownerChangesLastMinute: this.#lastMinute.count(now),
-      unownedShardMillis: this.#closedMillis + this.#openMillis(now),
+      unownedShardMillis: this.#endedMillis + this.#ongoingMillis(now),
       handovers: this.#handovers,
       handoverGapMillis: this.#handoverGapMillis,
     };
   }
 
-  #owned({ shard, movingTo }: ShardRecord, now: MonotonicMillis): void {
-    this.#close(shard, now);
+  #applyOwned({ shard, movingTo }: ShardRecord, now: MonotonicMillis): void {
+    this.#endPeriod(shard, now);
     if (movingTo === null) {
       this.#moves.delete(shard);
     } else if (this.#moves.get(shard)?.to !== movingTo) {
@@ -121,33 +125,33 @@
     }
   }
 
-  #ended({ shard, epoch }: ShardRecord, now: MonotonicMillis): void {
-    const givenUp = this.#givenUp.get(shard);
-    const isHandover = givenUp?.epoch === epoch;
-    const moved = this.#moves.get(shard)?.reason ?? 'other';
-    this.#givenUp.delete(shard);
+  #applyUnowned({ shard, epoch }: ShardRecord, now: MonotonicMillis): void {
+    const released = this.#released.get(shard);
+    const isHandover = released?.epoch === epoch;
+    const moveReason = this.#moves.get(shard)?.reason ?? 'other';
+    this.#released.delete(shard);
     this.#moves.delete(shard);
-    this.#open(shard, {
-      since: isHandover ? givenUp.at : now,
-      reason: isHandover ? moved : 'lost',
+    this.#startPeriod(shard, {
+      since: isHandover ? released.at : now,
+      reason: isHandover ? moveReason : 'lost',
       isHandover,
     });
   }
 
-  #open(shard: ShardId, vacancy: Vacancy): void {
-    this.#vacancies.set(shard, vacancy);
-    this.#sinceSum += vacancy.since;
+  #startPeriod(shard: ShardId, period: UnownedPeriod): void {
+    this.#unowned.set(shard, period);
+    this.#sinceSum += period.since;
   }
 
-  #close(shard: ShardId, now: MonotonicMillis): void {
-    const vacancy = this.#vacancies.get(shard);
-    if (vacancy === undefined) {
+  #endPeriod(shard: ShardId, now: MonotonicMillis): void {
+    const period = this.#unowned.get(shard);
+    if (period === undefined) {
       return;
     }
-    const { since, reason, isHandover } = vacancy;
-    this.#vacancies.delete(shard);
+    const { since, reason, isHandover } = period;
+    this.#unowned.delete(shard);
     this.#sinceSum -= since;
-    this.#closedMillis += now - since;
+    this.#endedMillis += now - since;
     this.#ownerChanges[reason] += 1;
     if (reason !== 'first-grant') {
       this.#lastMinute.add(now);
@@ -158,13 +162,13 @@
     }
   }
 
-  #openMillis(now: MonotonicMillis): number {
-    return this.#vacancies.size * Math.floor(now) - this.#sinceSum;
+  #ongoingMillis(now: MonotonicMillis): number {
+    return this.#unowned.size * Math.floor(now) - this.#sinceSum;
   }
 }
 
-/** A shard that had no owner when this leadership began; the target of an earlier leader's move is kept. */
-function reasonOfVacant({ epoch, movingTo }: ShardRecord): OwnerChangeReason {
+/** Returns the reason for a shard that was unowned when this leadership began. The target of an earlier leader's move is kept. */
+function reasonForUnowned({ epoch, movingTo }: ShardRecord): OwnerChangeReason {
   if (epoch === 0) {
     return 'first-grant';
   }
--- a/src/control/pending-proposals.ts
+++ b/src/control/pending-proposals.ts
@@ -1,9 +1,9 @@
-/** Proposals of one control member, from when they are made until it is known what became of them. */
+/** The proposals of one control member whose outcome is still unknown. */
 import type { MonotonicMillis, Revision, Term } from '../model/identifiers.js';
 import type { CommandResult } from '../registry/types.js';
 import type { ProposalTimes } from './change-trace.js';
 
-/** What became of a proposal. */
+/** The outcome of a proposal. */
 export type ProposalOutcome =
   | { readonly type: 'applied'; readonly result: CommandResult; readonly revision: Revision }
   /** Nothing was changed and nothing will be. */
@@ -12,33 +12,33 @@
   /** The change may or may not be made later. */
   | { readonly type: 'unknown' };
 
-/** Told once what became of a proposal, and where it is known when it got how far. */
+/** Called once with the outcome of a proposal and, where available, the times of its stages. */
 export type SettleProposal = (outcome: ProposalOutcome, now: MonotonicMillis, times?: ProposalTimes) => void;
 
-/** Not settled yet. */
+/** A proposal that isn't settled yet. */
 interface OpenProposal {
   times: ProposalTimes;
   readonly settle: SettleProposal;
 }
 
-/** In the log of the leader of `term`, not applied yet. */
+/** A proposal that is in the log of the leader of `term` but isn't applied yet. */
 interface AcceptedProposal extends OpenProposal {
   readonly term: Term;
 }
 
 export class PendingProposals {
-  /** By the number under which the Raft core was given them. */
+  /** By the proposal id passed to the Raft core. */
   readonly #proposed = new Map<number, OpenProposal>();
-  /** By their index in the log. */
+  /** By the index in the log. */
   readonly #accepted = new Map<Revision, AcceptedProposal>();
 
-  /** Begins a proposal under the number by which the Raft core will name it. */
-  begin(proposalId: number, settle: SettleProposal, now: MonotonicMillis): void {
+  /** Adds a proposal under the id that the Raft core uses for it. */
+  add(proposalId: number, settle: SettleProposal, now: MonotonicMillis): void {
     const times = { proposedAt: now, committedAt: null, appliedAt: null };
     this.#proposed.set(proposalId, { settle, times });
   }
 
-  /** The proposal has its place in the log. */
+  /** Records the index at which a proposal was appended to the log. */
   accept(proposalId: number, index: Revision, term: Term): void {
     const proposed = this.#proposed.get(proposalId);
     this.#proposed.delete(proposalId);
@@ -47,7 +47,7 @@
     }
   }
 
-  /** The Raft core refused the proposal. */
+  /** Settles a proposal that the Raft core rejected. */
   reject(proposalId: number, reason: string, now: MonotonicMillis): void {
     const proposed = this.#proposed.get(proposalId);
     this.#proposed.delete(proposalId);
@@ -56,16 +56,16 @@
     proposed?.settle(outcome, now, proposed.times);
   }
 
-  /** The entry at `index` is committed and may be applied; that can come later. */
-  committed(index: Revision, now: MonotonicMillis): void {
+  /** Records that the entry at `index` is committed; it may be applied later. */
+  recordCommitted(index: Revision, now: MonotonicMillis): void {
     const accepted = this.#accepted.get(index);
     if (accepted !== undefined) {
       accepted.times = { ...accepted.times, committedAt: now };
     }
   }
 
-  /** An entry was applied; one of another term stands where the proposal stood, whose fate is then unknown. */
-  applied(index: Revision, term: Term, result: CommandResult, now: MonotonicMillis): void {
+  /** Settles the proposal at an applied entry. If the entry is of another term, it has replaced the proposal, whose outcome is then unknown. */
+  recordApplied(index: Revision, term: Term, result: CommandResult, now: MonotonicMillis): void {
     const accepted = this.#accepted.get(index);
     this.#accepted.delete(index);
     if (accepted === undefined) {
@@ -73,12 +73,12 @@
     }
     const { settle } = accepted;
     const times = { ...accepted.times, appliedAt: now };
-    const isOurs = accepted.term === term;
-    settle(isOurs ? { type: 'applied', result, revision: index } : { type: 'unknown' }, now, times);
+    const isOwnEntry = accepted.term === term;
+    settle(isOwnEntry ? { type: 'applied', result, revision: index } : { type: 'unknown' }, now, times);
   }
 
-  /** Nothing more is heard of proposals up to `index`: their entries are in a snapshot, or another leader decides. */
-  lose(index: Revision, now: MonotonicMillis): void {
+  /** Settles proposals up to `index` as unknown: their entries are in a snapshot, or another leader decides about them. */
+  abandon(index: Revision, now: MonotonicMillis): void {
     for (const [accepted, proposal] of [...this.#accepted]) {
       if (accepted <= index) {
         this.#accepted.delete(accepted);
--- a/src/control/placement-proposals.ts
+++ b/src/control/placement-proposals.ts
@@ -1,31 +1,31 @@
-/** Turns what the planner decided into commands, many shards in each, and has those looked at anew that came to nothing. */
+/** Turns the planner's decisions into batched commands, and schedules another check of their shards once a command is settled. */
 import { DeadlineQueue } from '../lease/deadline-queue.js';
 import type { Epoch, Incarnation, MonotonicMillis, ShardId, UpstreamId } from '../model/identifiers.js';
 import type { PlacementMove } from '../placement/index.js';
 import type { LeaderCommand, Registry } from '../registry/types.js';
 import { type LeaderProposals, RETRY_MILLIS } from './leader-proposals.js';
 
-/** Shards in one command; an entry then stays far below the largest frame. */
+/** Maximum number of shards in a command, which keeps its entry far below the maximum frame size. */
 const SHARDS_PER_COMMAND = 1000;
 
 export interface PlacementProposalsParts {
   readonly proposals: LeaderProposals;
   readonly registry: () => Registry;
   readonly incarnationOf: (upstream: UpstreamId) => Incarnation | null;
-  /** Whether an upstream can take a grant now. */
+  /** Returns whether an upstream can be granted a shard now. */
   readonly isReady: (upstream: UpstreamId) => boolean;
-  /** The registry has a move that was proposed. */
-  readonly moveStarted: (move: PlacementMove) => void;
+  /** Called once a proposed move is in the registry. */
+  readonly onMoveStarted: (move: PlacementMove) => void;
 }
 
-/** A grant that its holder gave up for good. */
+/** A grant whose holder has released it for good. */
 export interface ShardRelease {
   readonly shard: ShardId;
   /** Epoch of the grant. */
   readonly epoch: Epoch;
 }
 
-/** A shard and the upstream that is to be granted it. */
+/** A shard and the upstream to which it is to be granted. */
 interface ShardTarget {
   readonly shard: ShardId;
   readonly to: UpstreamId;
@@ -33,8 +33,8 @@
 
 export class PlacementProposals {
   readonly #parts: PlacementProposalsParts;
-  /** Shards to look at anew, because a command about them was settled or couldn't be made. */
-  readonly #looks = new DeadlineQueue<ShardId>();
+  /** When to check shards again whose command was settled or couldn't be proposed. */
+  readonly #rechecks = new DeadlineQueue<ShardId>();
 
   constructor(parts: PlacementProposalsParts) {
     this.#parts = parts;
@@ -48,31 +48,31 @@
     }
     for (const batch of inBatches(handovers)) {
       const started = batch.map(({ shard, to }) => ({ shard, to, epoch: this.#epochOf(shard) }));
-      this.#send(batch, { type: 'move-start', moves: started }, () => this.#noteStarted(batch));
+      this.#send(batch, { type: 'move-start', moves: started }, () => this.#reportStarted(batch));
     }
   }
 
   /**
-   * Proposes that these shards have no owner any more, each under its epoch, and that targets of planned moves are
-   * granted theirs. The grants don't wait for the releases to be committed: the log keeps the order, and the registry
+   * Proposes to clear the owners of these shards, each under its epoch, and to grant those with a planned move to
+   * their targets. The grants don't wait for the releases to be committed: the log keeps the order, and the registry
    * refuses a grant whose shard isn't released.
    */
   release(releases: readonly ShardRelease[], now: MonotonicMillis): void {
     const { proposals } = this.#parts;
-    const due = releases.filter((release) => proposals.isFree(nameOf(release)));
+    const due = releases.filter((release) => proposals.isFree(proposalName(release)));
     for (const batch of inBatches(due)) {
-      proposals.propose(batch.map(nameOf), { type: 'shard-release', releases: batch });
+      proposals.propose(batch.map(proposalName), { type: 'shard-release', releases: batch });
       const targets = batch.flatMap(({ shard }) => this.#targetOf(shard));
       this.#grant(targets, now);
     }
   }
 
-  takeDue(now: MonotonicMillis): ShardId[] {
-    return this.#looks.takeDue(now);
+  takeDueRechecks(now: MonotonicMillis): ShardId[] {
+    return this.#rechecks.takeDue(now);
   }
 
   nextDeadline(): MonotonicMillis {
-    return this.#looks.next();
+    return this.#rechecks.next();
   }
 
   #grant(batch: readonly ShardTarget[], now: MonotonicMillis): void {
@@ -81,7 +81,7 @@
       return incarnation === null ? [] : [{ shard, to, incarnation, expectedEpoch: this.#epochOf(shard) }];
     });
     if (grants.length < batch.length) {
-      this.#lookAgain(batch, now + RETRY_MILLIS);
+      this.#scheduleRecheck(batch, now + RETRY_MILLIS);
     }
     if (grants.length > 0) {
       this.#send(grants, { type: 'grant-batch', grants });
@@ -91,31 +91,31 @@
   #send(
     shards: readonly { readonly shard: ShardId }[],
     command: LeaderCommand,
-    made: () => void = () => {},
+    onApplied: () => void = () => {},
   ): void {
-    this.#parts.proposals.proposeOnce(command, (isMade, now) => {
-      if (isMade) {
-        made();
+    this.#parts.proposals.proposeOnce(command, (isApplied, now) => {
+      if (isApplied) {
+        onApplied();
       }
-      this.#lookAgain(shards, isMade ? now : now + RETRY_MILLIS);
+      this.#scheduleRecheck(shards, isApplied ? now : now + RETRY_MILLIS);
     });
   }
 
-  #noteStarted(moves: readonly PlacementMove[]): void {
+  #reportStarted(moves: readonly PlacementMove[]): void {
     for (const move of moves) {
       if (this.#parts.registry().shards().get(move.shard)?.movingTo === move.to) {
-        this.#parts.moveStarted(move);
+        this.#parts.onMoveStarted(move);
       }
     }
   }
 
-  #lookAgain(shards: readonly { readonly shard: ShardId }[], at: MonotonicMillis): void {
+  #scheduleRecheck(shards: readonly { readonly shard: ShardId }[], at: MonotonicMillis): void {
     for (const { shard } of shards) {
-      this.#looks.set(shard, at);
+      this.#rechecks.set(shard, at);
     }
   }
 
-  /** The target of a planned move, if there is one that can take a grant. */
+  /** Returns the target of a planned move, if there is one and it can be granted the shard. */
   #targetOf(shard: ShardId): ShardTarget[] {
     const to = this.#parts.registry().shards().get(shard)?.movingTo ?? null;
     return to !== null && this.#parts.isReady(to) ? [{ shard, to }] : [];
@@ -126,7 +126,7 @@
   }
 }
 
-function nameOf({ shard, epoch }: ShardRelease): string {
+function proposalName({ shard, epoch }: ShardRelease): string {
   return `release ${shard} ${epoch}`;
 }
 
--- a/src/control/raft-adapter.ts
+++ b/src/control/raft-adapter.ts
@@ -1,6 +1,6 @@
 /**
- * Joins the Raft core with the registry: proposals answer with what the registry made of them, reads answer once the
- * registry holds what they may see.
+ * Connects the Raft core with the registry: a proposal is settled with the result of the registry, a read once the
+ * registry contains everything that was committed when the read began.
  */
 import type {
   LogEntry,
@@ -17,12 +17,12 @@
 import { LinearizableReads, type SettleRead } from './linearizable-reads.js';
 import { PendingProposals, type SettleProposal } from './pending-proposals.js';
 
-/** What the adapter hands to the control node. */
+/** Callbacks of the adapter to the control node. */
 export interface RaftListener {
   sendPeer(message: RaftMessage): void;
   persist(request: PersistRequest): void;
   applied(changes: readonly RegistryChange[], now: MonotonicMillis): void;
-  /** The registry was replaced by that of a snapshot. */
+  /** Called after the registry was replaced by the one in a snapshot. */
   restored(now: MonotonicMillis): void;
   roleChanged(evidence: RoleEvidence, now: MonotonicMillis): void;
 }
@@ -31,7 +31,7 @@
   RaftInput,
   { readonly type: 'add-learner' | 'change-voters' | 'remove-learner' }
 >;
-/** A membership change without the number that the adapter gives it. */
+/** A membership change without the proposal id, which the adapter assigns. */
 export type MembershipProposal = MembershipInput extends infer Input
   ? Input extends MembershipInput
     ? Omit<Input, 'proposalId'>
@@ -43,12 +43,12 @@
   readonly registry: Registry;
   readonly decodeRegistry: (bytes: Uint8Array) => Registry;
   readonly listener: RaftListener;
-  /** Reads which take longer count as failed. */
+  /** Time after which a read fails. */
   readonly readTimeoutMillis: number;
 }
 
 /**
- * Bytes of entries that one step applies; what is left waits for the next step. Entries of many grants come in bursts,
+ * Bytes of entries after which a step applies no more; the rest waits for the next step. Entries of many grants come in bursts,
  * and a leader that applied a whole burst at once would miss its heartbeats.
  */
 const BYTES_APPLIED_PER_STEP = 64 * 1024;
@@ -62,7 +62,7 @@
   readonly #inputs: RaftInput[] = [];
   readonly #proposals = new PendingProposals();
   readonly #reads: LinearizableReads;
-  /** Committed entries that the registry hasn't taken yet. */
+  /** Committed entries that aren't applied to the registry yet. */
   #committed: LogEntry[] = [];
   #bytesLeft = 0;
   #lastRunAt: MonotonicMillis = 0;
@@ -89,52 +89,52 @@
     return this.status().role === 'leader';
   }
 
-  /** Address of the leader's internal port, if there is one that is known. */
+  /** Returns the address of the leader's internal port; `null`: no leader is known, or its address isn't. */
   leaderAddress(): Address | null {
     const { leader, membership } = this.status();
     return leader === null ? null : (membership.addresses[leader] ?? null);
   }
 
-  /** Addresses of the internal ports of all voters, in a fixed order. */
+  /** Returns the addresses of the internal ports of all voters, sorted. */
   voterAddresses(): Address[] {
     const { voters, addresses } = this.status().membership;
     return voters.flatMap((voter) => addresses[voter] ?? []).sort();
   }
 
-  /** Queues an input for the Raft core; `run` hands it over. */
+  /** Queues an input for the Raft core; `run` passes it on. */
   feed(input: RaftInput): void {
     this.#inputs.push(input);
   }
 
   propose(envelope: CommandEnvelope, settle: SettleProposal, now: MonotonicMillis): void {
-    const proposalId = this.#number();
-    this.#proposals.begin(proposalId, settle, now);
+    const proposalId = this.#takeNumber();
+    this.#proposals.add(proposalId, settle, now);
     this.feed({ type: 'propose', proposalId, data: encoder.encode(JSON.stringify(envelope)) });
   }
 
-  /** Settled when the change's entry is applied; a joint change is then still under way. */
+  /** Proposes a membership change. It is settled when its entry is applied; a joint change is then still under way. */
   proposeMembership(proposal: MembershipProposal, settle: SettleProposal): void {
-    const proposalId = this.#number();
-    this.#proposals.begin(proposalId, settle, this.#lastRunAt);
+    const proposalId = this.#takeNumber();
+    this.#proposals.add(proposalId, settle, this.#lastRunAt);
     this.feed({ ...proposal, proposalId });
   }
 
   /**
-   * A linearizable read: settled when this member's registry holds all that was committed when it was asked for.
-   * `mayWait`: it costs no messages of its own, and takes up to a heartbeat longer.
+   * Begins a linearizable read, which is settled when this member's registry contains everything that was committed at the call.
+   * `mayWait`: the read sends no messages of its own and takes up to a heartbeat interval longer.
    */
   read(now: MonotonicMillis, settle: SettleRead, mayWait = false): void {
-    const readId = this.#number();
+    const readId = this.#takeNumber();
     this.#reads.begin(readId, now, settle);
     this.feed({ type: 'read', readId, mayWait });
   }
 
-  /** A step of the control node begins: entries may be applied up to the bound. */
+  /** Called at the start of each step of the control node; resets the bound on applied bytes. */
   beginStep(): void {
     this.#bytesLeft = BYTES_APPLIED_PER_STEP;
   }
 
-  /** Hands queued inputs to the Raft core until nothing is left to do. Returns whether there was any. */
+  /** Passes queued inputs to the Raft core until the queue is empty. Returns whether there was any work. */
   run(now: MonotonicMillis): boolean {
     this.#lastRunAt = now;
     this.#reads.expire(now);
@@ -142,7 +142,7 @@
     for (let input = this.#inputs.shift(); input !== undefined; input = this.#inputs.shift()) {
       busy = true;
       for (const effect of this.#parts.raft.step(input, now)) {
-        this.#carryOut(effect, now);
+        this.#execute(effect, now);
       }
     }
     return busy;
@@ -155,13 +155,13 @@
     return Math.min(this.#parts.raft.nextDeadline(), this.#reads.nextDeadline());
   }
 
-  #number(): number {
+  #takeNumber(): number {
     const number = this.#nextNumber;
     this.#nextNumber += 1;
     return number;
   }
 
-  #carryOut(effect: RaftEffect, now: MonotonicMillis): void {
+  #execute(effect: RaftEffect, now: MonotonicMillis): void {
     const { listener } = this.#parts;
     switch (effect.type) {
       case 'send':
@@ -172,13 +172,13 @@
         break;
       case 'apply':
         this.#committed.push(...effect.entries);
-        this.#noteCommitted(effect.entries, now);
+        this.#recordCommitted(effect.entries, now);
         this.#applyCommitted(now);
         break;
       case 'restore':
         this.#committed = [];
         this.#registry = this.#parts.decodeRegistry(effect.snapshot.data);
-        this.#proposals.lose(effect.snapshot.lastIndex, now);
+        this.#proposals.abandon(effect.snapshot.lastIndex, now);
         listener.restored(now);
         this.#reads.release(this.#registry.revision, now);
         break;
@@ -196,7 +196,7 @@
         break;
       case 'role-changed':
         if (effect.role !== 'leader' || effect.term !== this.#term) {
-          this.#proposals.lose(Number.POSITIVE_INFINITY, now);
+          this.#proposals.abandon(Number.POSITIVE_INFINITY, now);
         }
         this.#term = effect.term;
         listener.roleChanged(effect.evidence, now);
@@ -204,13 +204,13 @@
     }
   }
 
-  #noteCommitted(entries: readonly LogEntry[], now: MonotonicMillis): void {
+  #recordCommitted(entries: readonly LogEntry[], now: MonotonicMillis): void {
     for (const { index } of entries) {
-      this.#proposals.committed(index, now);
+      this.#proposals.recordCommitted(index, now);
     }
   }
 
-  /** Applies what the bound of this step lets through; returns whether there was anything. */
+  /** Applies committed entries up to the bound of this step; returns whether there were any. */
   #applyCommitted(now: MonotonicMillis): boolean {
     let count = 0;
     while (count < this.#committed.length && this.#bytesLeft > 0) {
@@ -228,7 +228,7 @@
 
   #settleApplied(entry: LogEntry, now: MonotonicMillis): void {
     const result = this.#applyEntry(entry, now);
-    this.#proposals.applied(entry.index, entry.term, result, now);
+    this.#proposals.recordApplied(entry.index, entry.term, result, now);
   }
 
   #applyEntry(entry: LogEntry, now: MonotonicMillis): CommandResult {
--- a/src/control/registry-load.ts
+++ b/src/control/registry-load.ts
@@ -1,10 +1,10 @@
-/** What a coordinator still has to take over from the registry. It is taken in slices, so that no step takes long. */
+/** The part of the registry that a coordinator still has to read at its start. It reads in slices, so that no step takes long. */
 import type { ShardId, UpstreamId } from '../model/identifiers.js';
 
-/** Shards that are taken over, first granted or looked at anew in one run. */
+/** Maximum number of shards that one run reads from the registry, grants for the first time or checks again. */
 export const SHARDS_PER_RUN = 2000;
 
-/** An upstream with all of its shards, or a shard by itself. */
+/** An upstream with all of its shards, or a single shard. */
 export type LoadItem =
   | { readonly type: 'upstream'; readonly upstream: UpstreamId }
   | { readonly type: 'shard'; readonly shard: ShardId };
@@ -23,7 +23,7 @@
     return this.#position === this.#upstreams.length + this.#shards.length;
   }
 
-  /** The next thing to take over; `undefined` if nothing is left. */
+  /** Returns the next item to read; `undefined` if nothing is left. */
   next(): LoadItem | undefined {
     const upstream = this.#upstreams[this.#position];
     const shard = this.#shards[this.#position - this.#upstreams.length];
@@ -34,8 +34,8 @@
     return shard === undefined ? undefined : { type: 'shard', shard };
   }
 
-  /** Upstreams that weren't taken over yet. */
-  upstreamsLeft(): readonly UpstreamId[] {
+  /** Returns the upstreams that haven't been read yet. */
+  remainingUpstreams(): readonly UpstreamId[] {
     return this.#upstreams.slice(this.#position);
   }
 }
--- a/src/control/replica-replacement.ts
+++ b/src/control/replica-replacement.ts
@@ -1,6 +1,6 @@
 /**
- * Puts a replica in the place of another, or beside all others, step by step: the new one becomes a learner, holds
- * everything that is committed, and gets its vote when the old one loses its own.
+ * Replaces a replica by another, or adds one, in steps: the new replica becomes a learner, catches up with
+ * everything that is committed, and becomes a voter in the same change that removes the old replica's vote.
  */
 import type { RaftStatus } from '../consensus/types.js';
 import type { Address, MonotonicMillis, ReplicaId, Revision } from '../model/identifiers.js';
@@ -15,31 +15,31 @@
   readonly answer: (operation: OperationId, response: OperatorResponse) => void;
 }
 
-/** What is to be replaced. */
+/** A requested replacement. */
 export interface RequestedReplacement {
-  /** Who is answered at its end; `null`: started by the leader itself. */
+  /** The operation to answer at the end; `null`: the leader started the replacement itself. */
   readonly operation: OperationId | null;
-  /** `null`: the new one votes beside all others. */
+  /** `null`: the new replica is added to the existing voters. */
   readonly oldReplica: ReplicaId | null;
   readonly newReplica: ReplicaId;
   readonly address: Address;
 }
 
 /**
- * `start`: nothing proposed yet. `busy`: a proposal is under way. `learner`: the new one is to hold everything. `joint`:
- * the swap is in the log.
+ * `start`: nothing is proposed yet. `busy`: a proposal is under way. `learner`: the new replica is catching up. `joint`:
+ * the change of voters is in the log.
  */
 type Stage = 'start' | 'busy' | 'learner' | 'joint';
 
 interface Replacement extends RequestedReplacement {
-  /** The latest that asked for it. */
+  /** The latest operation that requested it. */
   operation: OperationId | null;
   stage: Stage;
-  /** Index that must be applied before the swap counts as made. */
+  /** Index that must be committed, and held by the new replica, before the replacement counts as complete. */
   finalIndex: Revision | null;
 }
 
-/** At most one replacement is under way. */
+/** Runs at most one replacement at a time. */
 export class ReplicaReplacement {
   readonly #parts: ReplicaReplacementParts;
   #replacement: Replacement | null = null;
@@ -52,14 +52,14 @@
     return this.#replacement !== null;
   }
 
-  /** Leadership was lost: whether the replacement will be made isn't known. */
+  /** Called when leadership is lost: the outcome of the replacement is then unknown. */
   abandon(): void {
     if (this.#replacement !== null) {
       this.#finish(this.#replacement.operation, { type: 'unknown' });
     }
   }
 
-  /** Takes the next step if it is due. */
+  /** Performs the next step if it is due. */
   run(now: MonotonicMillis): void {
     const { raft, retry } = this.#parts;
     if (retry.isDue(now) && this.#replacement !== null && raft.isLeader()) {
@@ -67,17 +67,17 @@
     }
   }
 
-  /** Begins a replacement, or joins the one under way if it is the same. For the leader only. */
+  /** Begins a replacement, or joins the one under way if it is the same. Called on the leader only. */
   begin(change: RequestedReplacement): void {
     const { operation, oldReplica, newReplica, address } = change;
-    if (this.#replacement !== null && !this.#giveWay(this.#replacement, change)) {
+    if (this.#replacement !== null && !this.#supersede(this.#replacement, change)) {
       this.#joinReplacement(this.#replacement, change);
       return;
     }
     const { voters } = this.#parts.raft.status().membership;
-    const oldVotes = oldReplica !== null && voters.includes(oldReplica);
-    const isDone = voters.includes(newReplica) && !oldVotes;
-    if (!isDone && oldReplica !== null && !oldVotes) {
+    const isOldVoter = oldReplica !== null && voters.includes(oldReplica);
+    const isDone = voters.includes(newReplica) && !isOldVoter;
+    if (!isDone && oldReplica !== null && !isOldVoter) {
       this.#reply(operation, { type: 'rejected', message: `${oldReplica} is not a voter` });
       return;
     }
@@ -86,13 +86,13 @@
   }
 
   /**
-   * A replacement whose new replica hasn't been let in gives way to another one that is asked for: the first may
-   * name a replica that will never come. Its learner, if there is one, is taken out again.
+   * Ends the running replacement in favour of another one requested by an operator, since its new replica may never start. This isn't
+   * possible while a proposal is under way or once the change of voters is in the log. A learner is removed again. Returns whether it ended.
    */
-  #giveWay(running: Replacement, { operation, oldReplica, newReplica }: RequestedReplacement): boolean {
+  #supersede(running: Replacement, { operation, oldReplica, newReplica }: RequestedReplacement): boolean {
     const isSame = running.oldReplica === oldReplica && running.newReplica === newReplica;
-    const isLetIn = running.stage === 'joint' || running.stage === 'busy';
-    if (operation === null || isSame || isLetIn) {
+    const isInProgress = running.stage === 'joint' || running.stage === 'busy';
+    if (operation === null || isSame || isInProgress) {
       return false;
     }
     const { raft } = this.#parts;
@@ -100,12 +100,12 @@
     if (running.newReplica !== newReplica && learners.includes(running.newReplica)) {
       raft.proposeMembership({ type: 'remove-learner', replica: running.newReplica }, () => {});
     }
-    const message = `given up: ${newReplica} was asked for in place of ${running.newReplica}`;
+    const message = `superseded: ${newReplica} was requested instead of ${running.newReplica}`;
     this.#finish(running.operation, { type: 'rejected', message });
     return true;
   }
 
-  /** A resend of the replacement under way gets its answer in place of the one before. */
+  /** A repeated request for the running replacement is answered at its end, in place of the earlier request. */
   #joinReplacement(running: Replacement, change: RequestedReplacement): void {
     const { operation, oldReplica, newReplica } = change;
     if (running.oldReplica !== oldReplica || running.newReplica !== newReplica) {
@@ -123,10 +123,10 @@
         this.#ensureLearner(replacement, status, now);
         break;
       case 'learner':
-        this.#swapWhenCaughtUp(replacement, status, now);
+        this.#changeVotersWhenCaughtUp(replacement, status, now);
         break;
       case 'joint':
-        this.#finishWhenSwapped(replacement, status);
+        this.#finishWhenComplete(replacement, status);
         break;
       case 'busy':
         break;
@@ -142,8 +142,8 @@
     this.#proposeStep(replacement, { type: 'add-learner', replica, address }, 'start', 'learner', now);
   }
 
-  /** The new replica has synced everything committed before the old one's vote goes. */
-  #swapWhenCaughtUp(replacement: Replacement, status: RaftStatus, now: MonotonicMillis): void {
+  /** Proposes the change of voters once the new replica has synced everything committed. */
+  #changeVotersWhenCaughtUp(replacement: Replacement, status: RaftStatus, now: MonotonicMillis): void {
     const { oldReplica, newReplica } = replacement;
     if ((status.matchIndexes[newReplica] ?? 0) < status.commitIndex) {
       return;
@@ -153,23 +153,23 @@
     this.#proposeStep(replacement, { type: 'change-voters', voters }, 'learner', 'joint', now);
   }
 
-  #finishWhenSwapped(replacement: Replacement, status: RaftStatus): void {
+  #finishWhenComplete(replacement: Replacement, status: RaftStatus): void {
     const { membership, lastIndex } = status;
     const isVoter = membership.voters.includes(replacement.newReplica);
     const { oldReplica } = replacement;
-    const oldVotes = oldReplica !== null && membership.voters.includes(oldReplica);
-    if (!isVoter || oldVotes || membership.outgoingVoters.length > 0) {
+    const isOldVoter = oldReplica !== null && membership.voters.includes(oldReplica);
+    if (!isVoter || isOldVoter || membership.outgoingVoters.length > 0) {
       return;
     }
     replacement.finalIndex ??= lastIndex;
-    const holds = (status.matchIndexes[replacement.newReplica] ?? 0) >= replacement.finalIndex;
-    const isOwnSwap = replacement.newReplica === status.self;
-    if (status.commitIndex >= replacement.finalIndex && (holds || isOwnSwap)) {
+    const isCaughtUp = (status.matchIndexes[replacement.newReplica] ?? 0) >= replacement.finalIndex;
+    const isSelf = replacement.newReplica === status.self;
+    if (status.commitIndex >= replacement.finalIndex && (isCaughtUp || isSelf)) {
       this.#finish(replacement.operation, { type: 'membership', membership, repaired: true });
     }
   }
 
-  /** Refusals that pass by themselves are tried again at the next poll. */
+  /** Proposes one step. A rejected proposal is retried later, since the cause may be temporary. */
   #proposeStep(
     replacement: Replacement,
     proposal: MembershipProposal,
@@ -202,7 +202,7 @@
   }
 }
 
-/** How an operator is told that a change of the membership wasn't made. */
+/** Returns the response to an operator for a membership change that failed. */
 export function proposalFailure(
   outcome: Exclude<ProposalOutcome, { readonly type: 'applied' }>,
   leader: Address | null,
--- a/src/control/router-requests.ts
+++ b/src/control/router-requests.ts
@@ -1,6 +1,6 @@
 /**
- * The side of a control member that routers talk to: configuration leases and routing data from any member, claims
- * and settlements in the ledger from the leader.
+ * Handles the messages of routers: any member serves configuration leases and routing data, the leader
+ * also serves claims and settlements in the ledger.
  */
 import type { Incarnation, MonotonicMillis, Revision, RouterId, Zone } from '../model/identifiers.js';
 import type { RoundPlace, RouterTurn } from '../model/router-turn.js';
@@ -24,12 +24,12 @@
 import type { ConnectionId } from './types.js';
 
 /**
- * Shortest time between two rounds of news; changes that come meanwhile share the next one. Each round wakes every router, and
+ * Minimum time between two rounds of updates; changes in between share the next round. Each round wakes every router, and
  * costs it about 1.5 ms of processor time (800 ranges, three of them changed); owners of ranges change up to 20 times a second.
  */
-const NEWS_GAP_MILLIS = 50;
+const MIN_UPDATE_INTERVAL_MILLIS = 50;
 
-/** What is known of a connected router. */
+/** A connected router, as of its last sync request. */
 export interface ConnectedRouter {
   readonly router: RouterId;
   readonly incarnation: Incarnation;
@@ -38,34 +38,34 @@
   readonly heardAt: MonotonicMillis;
 }
 
-/** Which router a report is of. */
+/** The sender of a report. */
 export interface ReportingRouter {
   readonly connection: ConnectionId;
-  /** `null`: it hasn't asked for its configuration yet. */
+  /** `null`: it hasn't sent a sync request yet. */
   readonly router: RouterId | null;
 }
 
 export interface RouterRequestsParts {
   readonly raft: RaftAdapter;
   readonly configLease: ConfigLeaseTimings;
-  /** Zone of this member; `undefined`: not known. */
+  /** Zone of this member; `undefined`: unknown. */
   readonly zone?: Zone | undefined;
   readonly propose: ProposeCommand;
   readonly send: (connection: ConnectionId, message: ControlToRouter) => void;
   readonly report: (report: LoadReport, from: ConnectionId, now: MonotonicMillis) => void;
-  /** `router`: `null` for one that hasn't asked for its configuration yet. */
+  /** Handles a crash report; `router` is `null` if the sender hasn't sent a sync request yet. */
   readonly crashes: (report: CrashReport, router: RouterId | null) => void;
-  /** `false`: this member doesn't lead. */
+  /** Handles a report about upstreams; returns `false` if this member isn't the leader. */
   readonly upstreams: (report: UpstreamReport, from: ReportingRouter, now: MonotonicMillis) => boolean;
 }
 
 export class RouterRequests {
   readonly #parts: RouterRequestsParts;
   readonly #routers = new Map<ConnectionId, ConnectedRouter>();
-  /** Up to which revision a router was sent all there is. */
-  readonly #told = new Map<ConnectionId, Revision>();
-  #hasNews = false;
-  #newsNotBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
+  /** The revision up to which each router was sent all changes. */
+  readonly #sentRevisions = new Map<ConnectionId, Revision>();
+  #hasUpdate = false;
+  #earliestUpdateAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   readonly #departed = new DepartedRouters();
   readonly #syncs: SyncReads;
 
@@ -95,7 +95,7 @@
         this.#parts.crashes(message, this.#routers.get(connection)?.router ?? null);
         break;
       case 'upstream-report':
-        this.#takeReport(connection, message, now);
+        this.#handleUpstreamReport(connection, message, now);
         break;
     }
   }
@@ -103,62 +103,62 @@
   gone(connection: ConnectionId): void {
     const router = this.#routers.get(connection);
     this.#routers.delete(connection);
-    this.#told.delete(connection);
+    this.#sentRevisions.delete(connection);
     if (router !== undefined && !this.routers().some((other) => other.router === router.router)) {
       this.#departed.left(router);
     }
-    this.#syncs.gone(connection);
+    this.#syncs.removeConnection(connection);
   }
 
-  /** Begins the read that waits for its time, and sends the news that do. */
+  /** Begins reads and sends updates that are due. */
   run(now: MonotonicMillis): void {
     this.#syncs.run(now);
-    this.#sendNews(now);
+    this.#sendUpdates(now);
   }
 
   nextDeadline(): MonotonicMillis {
-    const newsAt = this.#hasNews ? this.#newsNotBefore : Number.POSITIVE_INFINITY;
-    return Math.min(this.#syncs.nextDeadline(), newsAt);
+    const updateAt = this.#hasUpdate ? this.#earliestUpdateAt : Number.POSITIVE_INFINITY;
+    return Math.min(this.#syncs.nextDeadline(), updateAt);
   }
 
-  /** Something that routers hold has changed. */
+  /** Called after a change of routing data. */
   notify(now: MonotonicMillis): void {
-    this.#hasNews = true;
-    this.#sendNews(now);
+    this.#hasUpdate = true;
+    this.#sendUpdates(now);
   }
 
-  /** Sends what changed to the routers that have a lease by this member; others ask another one. */
-  #sendNews(now: MonotonicMillis): void {
-    if (!this.#hasNews || now < this.#newsNotBefore) {
+  /** Sends changes to the routers that have a lease from this member; the others sync with another member. */
+  #sendUpdates(now: MonotonicMillis): void {
+    if (!this.#hasUpdate || now < this.#earliestUpdateAt) {
       return;
     }
-    this.#hasNews = false;
-    this.#newsNotBefore = now + NEWS_GAP_MILLIS;
+    this.#hasUpdate = false;
+    this.#earliestUpdateAt = now + MIN_UPDATE_INTERVAL_MILLIS;
     const { configLeaseMillis } = this.#parts.configLease;
     for (const [connection, { heardAt }] of this.#routers) {
       if (now - heardAt < configLeaseMillis) {
-        this.#tell(connection);
+        this.#sendUpdate(connection);
       }
     }
   }
 
-  /** A router that holds nothing yet, or too little for changes to help, is told to ask. */
-  #tell(connection: ConnectionId): void {
+  /** Sends a router its missing changes. If it has no data or too old data for a delta, it gets a notice to sync instead. */
+  #sendUpdate(connection: ConnectionId): void {
     const { revision } = this.#parts.raft.registry;
-    const told = this.#told.get(connection) ?? 0;
-    if (told >= revision) {
+    const sentRevision = this.#sentRevisions.get(connection) ?? 0;
+    if (sentRevision >= revision) {
       return;
     }
-    const delta = this.#newsSince(told);
+    const delta = this.#deltaSince(sentRevision);
     if (delta === null) {
       this.#parts.send(connection, { type: 'change-notice', revision });
       return;
     }
-    this.#told.set(connection, delta.to);
+    this.#sentRevisions.set(connection, delta.to);
     this.#parts.send(connection, { type: 'sync-news', delta });
   }
 
-  /** How many routers there are, about: those of a zone ask the member there, where they can. */
+  /** Estimated number of all routers: those connected here times the number of members, since routers prefer the member of their zone. */
   get count(): number {
     return this.#routers.size * Math.max(1, this.#parts.raft.voterAddresses().length);
   }
@@ -167,7 +167,7 @@
     return [...this.#routers.values()];
   }
 
-  /** Those that are gone since a while ago. */
+  /** Returns the routers that disconnected recently. */
   departed(now: MonotonicMillis): readonly DepartedRouter[] {
     return this.#departed.list(now);
   }
@@ -176,18 +176,18 @@
     const { router, incarnation, zone, have } = request;
     this.#routers.set(connection, { router, incarnation, zone, revision: have, heardAt: now });
     this.#departed.isBack(router);
-    const news = this.#newsSince(have);
-    if (news !== null) {
-      this.#parts.send(connection, { type: 'sync-news', delta: news });
+    const delta = this.#deltaSince(have);
+    if (delta !== null) {
+      this.#parts.send(connection, { type: 'sync-news', delta });
     }
-    const held = news?.to ?? have;
-    this.#told.set(connection, held);
-    const isRenewal = have > 0 && held >= this.#parts.raft.registry.revision;
-    this.#syncs.add({ connection, request: { ...request, have: held } }, isRenewal, now);
+    const heldRevision = delta?.to ?? have;
+    this.#sentRevisions.set(connection, heldRevision);
+    const isRenewal = have > 0 && heldRevision >= this.#parts.raft.registry.revision;
+    this.#syncs.add({ connection, request: { ...request, have: heldRevision } }, isRenewal, now);
   }
 
-  /** What a router that holds `have` lacks; `null`: nothing, or more than can be told as changes. */
-  #newsSince(have: Revision): RoutingDelta | null {
+  /** Returns the changes after revision `have`; `null`: there are none, or the delta isn't available any more. */
+  #deltaSince(have: Revision): RoutingDelta | null {
     const { registry } = this.#parts.raft;
     return have > 0 && have < registry.revision ? (registry.routingDelta(have) ?? null) : null;
   }
@@ -198,33 +198,33 @@
     }
   }
 
-  /** A router that is ahead of this member gets nothing to apply, and no confirmation. */
+  /** A router with a newer revision than this member gets no data and no confirmation. */
   #syncResponse(connection: ConnectionId, request: SyncRequest, confirmed: boolean): SyncResponse {
     const { raft } = this.#parts;
     const { registry } = raft;
-    const isNews = request.have < registry.revision;
-    const delta = this.#newsSince(request.have);
-    if (isNews) {
-      this.#told.set(connection, registry.revision);
+    const isBehind = request.have < registry.revision;
+    const delta = this.#deltaSince(request.have);
+    if (isBehind) {
+      this.#sentRevisions.set(connection, registry.revision);
     }
     return {
       type: 'sync-response',
       stamp: request.stamp,
       confirmed: confirmed && request.have <= registry.revision,
       revision: registry.revision,
-      snapshot: isNews && delta === null ? registry.routingSnapshot() : null,
+      snapshot: isBehind && delta === null ? registry.routingSnapshot() : null,
       delta,
       leader: raft.leaderAddress(),
       members: raft.voterAddresses(),
-      turn: this.#turnOf(connection),
+      turn: this.#timeSlotOf(connection),
     };
   }
 
   /**
-   * Routers of a zone ask the member there, where they can; another one that numbers some of them takes itself for one of several that
-   * do, so that all together never count too few.
+   * Returns the time slots of a router. Routers sync with the member of their zone where they can; a member of another zone that
+   * numbers some of them assumes that every member does, so that the total is never too low.
    */
-  #turnOf(connection: ConnectionId): RouterTurn | null {
+  #timeSlotOf(connection: ConnectionId): RouterTurn | null {
     const router = this.#routers.get(connection);
     if (router === undefined) {
       return null;
@@ -236,13 +236,13 @@
     const peers = all.filter(({ zone }) => zone === router.zone);
     const members = Math.max(1, this.#parts.raft.voterAddresses().length);
     return {
-      inZone: placeOf(router, peers, router.zone === this.#parts.zone ? 1 : members),
-      inAll: placeOf(router, all, members),
+      inZone: positionOf(router, peers, router.zone === this.#parts.zone ? 1 : members),
+      inAll: positionOf(router, all, members),
     };
   }
 
-  /** Permits come from the leader; another member says who that is. */
-  #takeReport(connection: ConnectionId, report: UpstreamReport, now: MonotonicMillis): void {
+  /** Permits come from the leader; any other member answers with the leader's address. */
+  #handleUpstreamReport(connection: ConnectionId, report: UpstreamReport, now: MonotonicMillis): void {
     const router = this.#routers.get(connection)?.router ?? null;
     if (!this.#parts.upstreams(report, { connection, router }, now)) {
       const { stamp } = report;
@@ -276,8 +276,8 @@
   }
 }
 
-/** `members`: how many number routers like these. */
-function placeOf(router: ConnectedRouter, peers: readonly ConnectedRouter[], members: number): RoundPlace {
+/** `members`: the assumed number of members that number these routers. */
+function positionOf(router: ConnectedRouter, peers: readonly ConnectedRouter[], members: number): RoundPlace {
   return { phaseShare: peers.indexOf(router) / peers.length, routers: peers.length * members };
 }
 
--- a/src/control/service-coordinator.ts
+++ b/src/control/service-coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's work on the shards of one keyed service: grants those without owner, moves them off leaving or crowded
- * upstreams, and orders each upstream what to hold, warm and give up. It works on what changed since the last run.
+ * The leader's coordination of the shards of one keyed service: grants unowned shards, moves shards off draining or overloaded
+ * upstreams, and orders each upstream which shards to hold, warm and release. It processes what changed since the last run.
  */
 import type { LeaseGranter } from '../lease/lease-granter.js';
 import { type MonotonicMillis, parseShardId, type ShardId, type UpstreamId } from '../model/identifiers.js';
@@ -11,20 +11,20 @@
 import { PlacementProposals } from './placement-proposals.js';
 import { RegistryLoad, SHARDS_PER_RUN } from './registry-load.js';
 import type { ServiceMeasures } from './service-measures.js';
-import { neverGranted, ServiceMeter } from './service-meter.js';
+import { neverGrantedRecord, ServiceMeter } from './service-meter.js';
 import { ShardHandovers } from './shard-handovers.js';
 import { UpstreamRoster } from './upstream-roster.js';
 
-/** A new leader hears of loads for this long before it balances by them. */
-const LISTEN_MILLIS = 10_000;
-/** Load below which shards count as idle, in milliseconds of work a second. */
-const LEAST_LOAD = 1;
+/** How long a new leader collects load reports before it balances by them. */
+const BALANCE_DELAY_MILLIS = 10_000;
+/** Load below which shards count as idle, in milliseconds of work per second. */
+const MIN_SHARD_LOAD = 1;
 
 export interface CoordinatorParts {
   readonly granter: LeaseGranter;
   readonly proposals: LeaderProposals;
   readonly registry: () => Registry;
-  /** Longest wait of a move for its target to warm; the default if left out. */
+  /** Maximum wait of a move for its target to warm; the default if omitted. */
   readonly warmTimeoutMillis?: number | undefined;
 }
 
@@ -38,45 +38,45 @@
   readonly #firstGrants = new FirstGrants();
   readonly #meter: ServiceMeter;
   #service: ServiceRecord;
-  /** Placement waits until all of it is taken over. */
-  #load: RegistryLoad;
+  /** Placement waits until the scan of the registry is complete. */
+  #scan: RegistryLoad;
   #isPlanDue = true;
 
   constructor(parts: CoordinatorParts, service: ServiceRecord, now: MonotonicMillis) {
     this.#parts = parts;
     this.#service = service;
     this.#meter = new ServiceMeter(parts.registry, service, now);
-    this.#planner = createPlanner(settingsOf(service), now + LISTEN_MILLIS);
+    this.#planner = createPlanner(settingsOf(service), now + BALANCE_DELAY_MILLIS);
     this.#roster = new UpstreamRoster({ ...parts, planner: this.#planner }, service);
     this.#handovers = new ShardHandovers(
-      { ...parts, givenUp: (shard, epoch, at) => this.#meter.givenUp(shard, epoch, at) },
+      { ...parts, onReleased: (shard, epoch, at) => this.#meter.recordRelease(shard, epoch, at) },
       service,
     );
     this.#proposals = new PlacementProposals({
       ...parts,
       incarnationOf: (upstream) => this.#roster.incarnationOf(upstream),
       isReady: (upstream) => this.#roster.isReady(upstream),
-      moveStarted: (move) => this.#meter.moveStarted(move),
+      onMoveStarted: (move) => this.#meter.recordMoveStart(move),
     });
     const upstreams = [...parts.registry().upstreams().values()]
       .filter(({ definition }) => definition.service === service.definition.name)
       .map(({ definition }) => definition.id);
-    this.#load = new RegistryLoad(upstreams, this.#shardsToTake());
+    this.#scan = new RegistryLoad(upstreams, this.#shardsToScan());
   }
 
-  /** The service is gone, or not keyed any more. */
+  /** Called when the service is removed or no longer keyed. */
   end(): void {
     this.#roster.removeAll();
   }
 
   serviceChanged(service: ServiceRecord, now: MonotonicMillis): void {
-    const isOtherKeyMap = this.#service.generation !== service.generation;
+    const hasNewKeyMap = this.#service.generation !== service.generation;
     this.#service = service;
     this.#planner.configure(settingsOf(service));
     this.#roster.setService(service, now);
     this.#handovers.setService(service);
     this.#meter.setService(service, now);
-    if (isOtherKeyMap) {
+    if (hasNewKeyMap) {
       this.#changeKeyMap(now);
     }
     this.#isPlanDue = true;
@@ -87,26 +87,26 @@
     if (record === undefined) {
       this.#roster.remove(upstream);
     } else {
-      this.#takeUpstream(record, now);
+      this.#setUpstream(record, now);
     }
     this.#isPlanDue = true;
   }
 
-  /** A shard's record changed, or is to be looked at anew. */
+  /** Called after a change of a shard's record, or to check the shard again. */
   shardChanged(shard: ShardId, now: MonotonicMillis): void {
     const record = this.#parts.registry().shards().get(shard);
     const parts = parseShardId(shard);
     if (parts?.generation === this.#service.generation) {
-      this.#takeShard(record ?? neverGranted(shard), parts.keyspace, now);
+      this.#setShard(record ?? neverGrantedRecord(shard), parts.keyspace, now);
     } else {
       this.#retireShard(shard, record, now);
     }
     this.#isPlanDue = true;
   }
 
-  /** A shard's record changed; told of every change, in the order of the log. */
-  recordChanged(shard: ShardId, record: ShardRecord | null, now: MonotonicMillis): void {
-    this.#meter.recordChanged(shard, record, now);
+  /** Applies a change of a shard's record. To be called for every change, in the order of the log. */
+  applyRecord(shard: ShardId, record: ShardRecord | null, now: MonotonicMillis): void {
+    this.#meter.applyRecord(shard, record, now);
     this.shardChanged(shard, now);
   }
 
@@ -114,7 +114,7 @@
     return this.#meter.measures(now);
   }
 
-  /** An upstream answered or failed to. */
+  /** Called after an answer of an upstream or its failure to answer. */
   sessionChanged(upstream: UpstreamId, now: MonotonicMillis): void {
     if (!this.#roster.has(upstream)) {
       return;
@@ -125,16 +125,16 @@
 
   loadReported(works: readonly ReportedWork[], now: MonotonicMillis): void {
     this.#loads.report(works, now);
-    if (this.#meter.wantsLoads(this.#planner, now)) {
-      this.#takeLoads(now);
+    if (this.#meter.needsLoads(this.#planner, now)) {
+      this.#updateLoads(now);
     }
   }
 
-  /** Proposes what is to change next. */
+  /** Processes due work and proposes the next changes. */
   run(now: MonotonicMillis): void {
-    this.#takeOver(now);
+    this.#scanRegistry(now);
     this.#handovers.run(now);
-    for (const shard of this.#proposals.takeDue(now)) {
+    for (const shard of this.#proposals.takeDueRechecks(now)) {
       this.shardChanged(shard, now);
     }
     this.#roster.run(now);
@@ -145,7 +145,7 @@
   }
 
   nextDeadline(now: MonotonicMillis): MonotonicMillis {
-    if (!this.#load.isDone) {
+    if (!this.#scan.isDone) {
       return now;
     }
     return Math.min(
@@ -157,9 +157,9 @@
     );
   }
 
-  /** Under a new key map nothing is granted before every shard of the old one is given up. */
+  /** Under a new key map nothing is granted until every shard of the old one is released. */
   #mayPlace(): boolean {
-    return this.#load.isDone && this.#parts.registry().retiredOwned(this.#service.definition.name).size === 0;
+    return this.#scan.isDone && this.#parts.registry().retiredOwned(this.#service.definition.name).size === 0;
   }
 
   #place(now: MonotonicMillis): void {
@@ -170,7 +170,7 @@
       }
     }
     if (now >= this.#planner.nextDeadline()) {
-      this.#takeLoads(now);
+      this.#updateLoads(now);
     } else if (!this.#isPlanDue) {
       return;
     }
@@ -178,54 +178,54 @@
     this.#proposals.propose(this.#planner.plan(now), now);
   }
 
-  #takeLoads(now: MonotonicMillis): void {
-    this.#planner.setLeastLoad(this.#loads.weightOf(LEAST_LOAD, now));
+  #updateLoads(now: MonotonicMillis): void {
+    this.#planner.setLeastLoad(this.#loads.weightOf(MIN_SHARD_LOAD, now));
     for (const { shard, load } of this.#loads.takeChanged()) {
       this.#planner.setLoad(shard, load);
     }
-    this.#meter.loadsTaken(this.#planner, now);
+    this.#meter.updateImbalance(this.#planner, now);
   }
 
-  /** Shards that no upstream brings along: those without owner, and those of older key maps that are to be revoked. */
-  #shardsToTake(): ShardId[] {
+  /** Shards that the scan doesn't find through their upstreams: unowned ones, and those of older key maps, which are to be revoked. */
+  #shardsToScan(): ShardId[] {
     const registry = this.#parts.registry();
     const { name } = this.#service.definition;
     return [...registry.retiredOwned(name), ...registry.unownedShards(name)];
   }
 
   #changeKeyMap(now: MonotonicMillis): void {
-    this.#planner = createPlanner(settingsOf(this.#service), now + LISTEN_MILLIS);
+    this.#planner = createPlanner(settingsOf(this.#service), now + BALANCE_DELAY_MILLIS);
     this.#roster.setPlanner(this.#planner);
     this.#loads = new LoadTracker();
     this.#firstGrants.startOver();
-    this.#load = new RegistryLoad(this.#load.upstreamsLeft(), this.#shardsToTake());
+    this.#scan = new RegistryLoad(this.#scan.remainingUpstreams(), this.#shardsToScan());
   }
 
-  #takeOver(now: MonotonicMillis): void {
-    for (let taken = 0; taken < SHARDS_PER_RUN && !this.#load.isDone; taken += 1) {
-      const item = this.#load.next();
+  #scanRegistry(now: MonotonicMillis): void {
+    for (let count = 0; count < SHARDS_PER_RUN && !this.#scan.isDone; count += 1) {
+      const item = this.#scan.next();
       if (item?.type === 'shard') {
-        this.#meter.takeOver(item.shard);
+        this.#meter.addScanned(item.shard);
         this.shardChanged(item.shard, now);
       } else if (item !== undefined && !this.#roster.has(item.upstream)) {
         const record = this.#parts.registry().upstreams().get(item.upstream);
-        taken += record === undefined ? 0 : this.#takeUpstream(record, now);
+        count += record === undefined ? 0 : this.#setUpstream(record, now);
       }
     }
   }
 
   /**
-   * Opens an upstream's session together with every order about it: the first orders it is sent are a complete list.
-   * Returns the number of its shards.
+   * Adds or updates an upstream. A new one's session is opened together with all of its orders, since the first orders sent to it are a
+   * complete list. Returns the number of shards processed.
    */
-  #takeUpstream(record: UpstreamRecord, now: MonotonicMillis): number {
+  #setUpstream(record: UpstreamRecord, now: MonotonicMillis): number {
     const { id } = record.definition;
     const isNew = !this.#roster.has(id);
     this.#roster.set(record, now);
     if (!isNew) {
       return 0;
     }
-    if (this.#load.isDone) {
+    if (this.#scan.isDone) {
       this.#firstGrants.upstreamAdded(now);
     }
     const registry = this.#parts.registry();
@@ -236,7 +236,7 @@
     return shards.length;
   }
 
-  #takeShard(record: ShardRecord, keyspace: string, now: MonotonicMillis): void {
+  #setShard(record: ShardRecord, keyspace: string, now: MonotonicMillis): void {
     const { shard, owner, movingTo } = record;
     this.#handovers.update(record, now);
     if (owner === null && record.epoch === 0 && this.#firstGrants.hold(shard)) {
--- a/src/control/service-meter.ts
+++ b/src/control/service-meter.ts
@@ -1,4 +1,4 @@
-/** Measures one keyed service on the leader, from what its coordinator sees. */
+/** Measures one keyed service on the leader, from the events of its coordinator. */
 import { type Epoch, type MonotonicMillis, parseShardId, type ShardId } from '../model/identifiers.js';
 import { BALANCE_MILLIS, type MeasuredPlanner, type PlacementMove } from '../placement/index.js';
 import type { Registry, ServiceRecord, ShardRecord } from '../registry/types.js';
@@ -6,12 +6,12 @@
 import { type MoveReason, OwnershipMeasures } from './ownership-measures.js';
 import type { ServiceMeasures } from './service-measures.js';
 
-/** A shard without a record was never granted. */
-export function neverGranted(shard: ShardId): ShardRecord {
+/** Returns the record of a shard that was never granted, which has none in the registry. */
+export function neverGrantedRecord(shard: ShardId): ShardRecord {
   return { shard, owner: null, incarnation: null, epoch: 0, movingTo: null, revision: 0 };
 }
 
-/** Shards of older key maps get no further grant, so nothing is measured of them. */
+/** Shards of older key maps get no further grant, so they aren't measured. */
 export class ServiceMeter {
   readonly #registry: () => Registry;
   readonly #ownership = new OwnershipMeasures();
@@ -25,48 +25,48 @@
   }
 
   setService(service: ServiceRecord, now: MonotonicMillis): void {
-    const isOtherKeyMap = this.#service.generation !== service.generation;
+    const hasNewKeyMap = this.#service.generation !== service.generation;
     this.#service = service;
-    if (isOtherKeyMap) {
+    if (hasNewKeyMap) {
       this.#imbalance = new ImbalanceWatch();
       this.#ownership.begin(now);
     }
   }
 
-  /** Takes over a shard from the registry. Nothing is placed before all are, so each is measured to its next grant. */
-  takeOver(shard: ShardId): void {
-    const record = this.#registry().shards().get(shard) ?? neverGranted(shard);
+  /** Adds a shard during the scan of the registry. Nothing is placed before the scan ends, so each shard is measured up to its next grant. */
+  addScanned(shard: ShardId): void {
+    const record = this.#registry().shards().get(shard) ?? neverGrantedRecord(shard);
     if (record.owner === null && this.#isCurrent(shard)) {
-      this.#ownership.takeVacant(record);
+      this.#ownership.addUnowned(record);
     }
   }
 
-  /** Takes each change of a shard's record, in the order of the log. */
-  recordChanged(shard: ShardId, record: ShardRecord | null, now: MonotonicMillis): void {
+  /** Applies a change of a shard's record. To be called for every change, in the order of the log. */
+  applyRecord(shard: ShardId, record: ShardRecord | null, now: MonotonicMillis): void {
     if (this.#isCurrent(shard)) {
-      this.#ownership.recordChanged(record ?? neverGranted(shard), now);
+      this.#ownership.applyRecord(record ?? neverGrantedRecord(shard), now);
     }
   }
 
-  /** The holder of a grant answered that it gave it up for good. */
-  givenUp(shard: ShardId, epoch: Epoch, now: MonotonicMillis): void {
+  /** Records that the holder of a grant has reported its final release. */
+  recordRelease(shard: ShardId, epoch: Epoch, now: MonotonicMillis): void {
     if (this.#isCurrent(shard)) {
-      this.#ownership.givenUp(shard, epoch, now);
+      this.#ownership.recordRelease(shard, epoch, now);
     }
   }
 
-  /** The registry has a move that the planner made. */
-  moveStarted({ shard, to, reason }: PlacementMove): void {
-    this.#ownership.moveStarted(shard, to, reasonOf(reason));
+  /** Records a planned move that the registry now contains. */
+  recordMoveStart({ shard, to, reason }: PlacementMove): void {
+    this.#ownership.recordMoveStart(shard, to, reasonOf(reason));
   }
 
-  /** Whether the loads are to be taken for the measure alone, since the planner doesn't ask for them. */
-  wantsLoads(planner: MeasuredPlanner, now: MonotonicMillis): boolean {
+  /** Returns whether the planner's loads need an update for the measurement alone, because the planner itself doesn't request one. */
+  needsLoads(planner: MeasuredPlanner, now: MonotonicMillis): boolean {
     return !Number.isFinite(planner.nextDeadline()) && now - this.#imbalance.lookedAt >= BALANCE_MILLIS;
   }
 
-  /** The planner has the loads of now. */
-  loadsTaken(planner: MeasuredPlanner, now: MonotonicMillis): void {
+  /** Updates the imbalance after the planner received the current loads. */
+  updateImbalance(planner: MeasuredPlanner, now: MonotonicMillis): void {
     const isWatched = this.#service.definition.placement.imbalance > 0;
     this.#imbalance.look(planner.spread(), isWatched, now);
   }
@@ -85,7 +85,7 @@
   }
 }
 
-/** Moves off an upstream that leaves, or that may not hold the shard any more, are drains. */
+/** Moves off an upstream that drains, or that may no longer hold the shard, count as drains. */
 function reasonOf(reason: PlacementMove['reason']): MoveReason {
   return reason === 'balance' ? 'balance' : 'drain';
 }
--- a/src/control/shard-coordinator.ts
+++ b/src/control/shard-coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's work on ownership, divided by service. All of it follows from the registry, from what upstreams answer
- * in this leadership and from the loads that routers report; it works on what changed since the last run.
+ * The leader's coordination of shard ownership, divided by service. Its state derives from the registry, from the answers of upstreams
+ * during this leadership and from the loads that routers report; it processes what changed since the last run.
  */
 import type { MonotonicMillis, ServiceName, UpstreamId, Zone } from '../model/identifiers.js';
 import type { ReportedWork } from '../placement/index.js';
@@ -14,23 +14,23 @@
 export class ShardCoordinator {
   readonly #parts: CoordinatorParts;
   readonly #services = new Map<ServiceName, ServiceCoordinator>();
-  readonly #serviceOf = new Map<UpstreamId, ServiceName>();
-  /** Changes that weren't taken yet; a run takes a bounded number. */
+  readonly #serviceByUpstream = new Map<UpstreamId, ServiceName>();
+  /** Changes that aren't applied yet; a run applies a bounded number. */
   readonly #changes: RegistryChange[] = [];
-  readonly #sessions = new Set<UpstreamId>();
+  readonly #changedSessions = new Set<UpstreamId>();
 
   constructor(parts: CoordinatorParts) {
     this.#parts = parts;
   }
 
-  /** Takes the registry as it is now; from here on it is told of each change. */
+  /** Starts from the current registry; every later change is to be passed to `registryChanged`. */
   begin(now: MonotonicMillis): void {
     const registry = this.#parts.registry();
     for (const service of registry.services().values()) {
       this.#serviceChanged(service.definition.name, service, now);
     }
     for (const { definition } of registry.upstreams().values()) {
-      this.#serviceOf.set(definition.id, definition.service);
+      this.#serviceByUpstream.set(definition.id, definition.service);
     }
   }
 
@@ -40,9 +40,9 @@
     }
   }
 
-  /** An upstream answered or failed to. */
+  /** Called after an answer of an upstream or its failure to answer. */
   sessionChanged(upstream: UpstreamId): void {
-    this.#sessions.add(upstream);
+    this.#changedSessions.add(upstream);
   }
 
   loadReported({ shards }: LoadReport, now: MonotonicMillis): void {
@@ -58,21 +58,21 @@
     }
   }
 
-  /** Brings sessions into line with the registry and proposes what is to change next. */
+  /** Updates sessions according to the registry and proposes the next changes. */
   run(now: MonotonicMillis): void {
     for (const change of this.#changes.splice(0, SHARDS_PER_RUN)) {
-      this.#take(change, now);
+      this.#apply(change, now);
     }
-    for (const upstream of this.#sessions) {
-      this.#serviceNamed(this.#serviceOf.get(upstream))?.sessionChanged(upstream, now);
+    for (const upstream of this.#changedSessions) {
+      this.#findService(this.#serviceByUpstream.get(upstream))?.sessionChanged(upstream, now);
     }
-    this.#sessions.clear();
+    this.#changedSessions.clear();
     for (const service of this.#services.values()) {
       service.run(now);
     }
   }
 
-  /** What is measured of each keyed service. */
+  /** Returns the measurements of each keyed service. */
   measures(now: MonotonicMillis): ServiceMeasures[] {
     return [...this.#services.values()].map((service) => service.measures(now));
   }
@@ -88,7 +88,7 @@
     return deadline;
   }
 
-  #take(change: RegistryChange, now: MonotonicMillis): void {
+  #apply(change: RegistryChange, now: MonotonicMillis): void {
     switch (change.type) {
       case 'service':
         this.#serviceChanged(change.name, change.record, now);
@@ -100,24 +100,24 @@
         this.#upstreamChanged(change.id, change.record?.definition.service, now);
         break;
       case 'shard':
-        this.#services.get(serviceOfShard(change.shard))?.recordChanged(change.shard, change.record, now);
+        this.#services.get(serviceOfShard(change.shard))?.applyRecord(change.shard, change.record, now);
         break;
     }
   }
 
   #serviceChanged(name: ServiceName, record: ServiceRecord | null, now: MonotonicMillis): void {
-    const known = this.#services.get(name);
+    const existing = this.#services.get(name);
     if (record === null || !record.definition.keyed || hasRanges(record)) {
-      known?.end();
+      existing?.end();
       this.#services.delete(name);
-    } else if (known === undefined) {
+    } else if (existing === undefined) {
       this.#services.set(name, new ServiceCoordinator(this.#parts, record, now));
     } else {
-      known.serviceChanged(record, now);
+      existing.serviceChanged(record, now);
     }
   }
 
-  /** Its upstreams are to get nothing new, or may again. */
+  /** Updates the upstreams of a zone that was evacuated or brought back into use. */
   #zoneChanged(zone: Zone, now: MonotonicMillis): void {
     for (const { definition } of this.#parts.registry().upstreams().values()) {
       if (definition.zone === zone) {
@@ -127,16 +127,16 @@
   }
 
   #upstreamChanged(upstream: UpstreamId, declared: ServiceName | undefined, now: MonotonicMillis): void {
-    const service = declared ?? this.#serviceOf.get(upstream);
+    const service = declared ?? this.#serviceByUpstream.get(upstream);
     if (declared === undefined) {
-      this.#serviceOf.delete(upstream);
+      this.#serviceByUpstream.delete(upstream);
     } else {
-      this.#serviceOf.set(upstream, declared);
+      this.#serviceByUpstream.set(upstream, declared);
     }
-    this.#serviceNamed(service)?.upstreamChanged(upstream, now);
+    this.#findService(service)?.upstreamChanged(upstream, now);
   }
 
-  #serviceNamed(name: ServiceName | undefined): ServiceCoordinator | undefined {
+  #findService(name: ServiceName | undefined): ServiceCoordinator | undefined {
     return name === undefined ? undefined : this.#services.get(name);
   }
 }
--- a/src/control/shard-handovers.ts
+++ b/src/control/shard-handovers.ts
@@ -1,6 +1,6 @@
 /**
- * The orders about the shards of one service, and the handovers under way: when a target is warm enough for the source
- * to stop, and which grants their holders have given up.
+ * Maintains the orders about the shards of one service, and the handovers under way: when a target is warm enough for the source
+ * to stop, and which grants their holders have released.
  */
 import type { LeaseGranter } from '../lease/lease-granter.js';
 import {
@@ -18,17 +18,17 @@
 export interface ShardHandoversParts {
   readonly granter: LeaseGranter;
   readonly registry: () => Registry;
-  /** Longest wait of a move for its target to warm; the default if left out. */
+  /** Maximum wait of a move for its target to warm; the default if omitted. */
   readonly warmTimeoutMillis?: number | undefined;
-  /** A holder gave a grant up for good; may be told more than once. */
-  readonly givenUp: (shard: ShardId, epoch: Epoch, now: MonotonicMillis) => void;
+  /** Called when a holder has released a grant for good; may be called more than once for the same grant. */
+  readonly onReleased: (shard: ShardId, epoch: Epoch, now: MonotonicMillis) => void;
 }
 
 export class ShardHandovers {
   readonly #parts: ShardHandoversParts;
   readonly #orders: OrderBook;
   #moves: MoveTracker;
-  /** Grants that their holders gave up while the registry still has them, by their epochs. */
+  /** Epochs of grants that their holders have released and that are still in the registry. */
   readonly #released = new Map<ShardId, Epoch>();
   #service: ServiceRecord;
 
@@ -46,36 +46,36 @@
     this.#service = service;
   }
 
-  /** Takes the record of a shard of the current key map as it is now. */
+  /** Applies the current record of a shard of the current key map. */
   update(record: ShardRecord, now: MonotonicMillis): void {
     this.#moves.update(record, now);
-    this.#dropOldRelease(record.shard, record);
-    this.#giveOrders(record, now);
+    this.#dropStaleRelease(record.shard, record);
+    this.#setOrders(record, now);
   }
 
-  /** Takes the record of a shard of an older key map: its owner, if there is one, gives it up. */
+  /** Applies the record of a shard of an older key map: its owner, if there is one, is ordered to release it. */
   retire(shard: ShardId, record: ShardRecord | undefined, now: MonotonicMillis): void {
     this.#moves.forget(shard);
-    this.#dropOldRelease(shard, record);
+    this.#dropStaleRelease(shard, record);
     this.#orders.set(shard, retiringOrders(record, this.#service), now);
   }
 
-  /** An upstream answered or failed to. */
+  /** Called after an answer of an upstream or its failure to answer. */
   sessionChanged(upstream: UpstreamId, now: MonotonicMillis): void {
-    this.#noteGivenUp(upstream, now);
+    this.#recordReleases(upstream, now);
     for (const shard of this.#parts.registry().shardsMovingTo(upstream)) {
-      this.#noteTarget(shard, now);
+      this.#updateTarget(shard, now);
     }
   }
 
-  /** Looks at moves whose targets had time enough to warm. */
+  /** Updates moves whose warm timeout has passed. */
   run(now: MonotonicMillis): void {
     for (const shard of this.#moves.takeTimedOut(now)) {
-      this.#noteTarget(shard, now);
+      this.#updateTarget(shard, now);
     }
   }
 
-  /** Grants that their holders gave up for good and that the registry still has. */
+  /** Returns the grants that their holders have released for good and that are still in the registry. */
   releases(): ShardRelease[] {
     return [...this.#released].map(([shard, epoch]) => ({ shard, epoch }));
   }
@@ -84,49 +84,49 @@
     return this.#moves.nextDeadline();
   }
 
-  /** A release counts for the very grant that the holder gave up, and never for a later one. */
-  #dropOldRelease(shard: ShardId, record: ShardRecord | undefined): void {
+  /** Drops a release that is done or outdated: it applies only to the grant that the holder released, never to a later one. */
+  #dropStaleRelease(shard: ShardId, record: ShardRecord | undefined): void {
     if (record === undefined || record.owner === null || record.epoch !== this.#released.get(shard)) {
       this.#released.delete(shard);
     }
   }
 
-  /** Looks for shards that the upstream's last answer says it doesn't serve, though the registry says it owns them. */
-  #noteGivenUp(upstream: UpstreamId, now: MonotonicMillis): void {
+  /** Records shards that the registry assigns to the upstream but that its last answer lists as draining or released. */
+  #recordReleases(upstream: UpstreamId, now: MonotonicMillis): void {
     const answer = this.#parts.granter.view(upstream)?.answer;
     for (const { shard } of answer?.draining ?? []) {
-      this.#noteStopped(shard, upstream, now);
+      this.#recordStopped(shard, upstream, now);
     }
     for (const { shard, revision } of answer?.released ?? []) {
       const epoch = this.#parts.registry().shards().get(shard)?.epoch ?? 0;
-      if (revision > epoch && this.#noteStopped(shard, upstream, now)) {
+      if (revision > epoch && this.#recordStopped(shard, upstream, now)) {
         this.#released.set(shard, epoch);
-        this.#parts.givenUp(shard, epoch, now);
+        this.#parts.onReleased(shard, epoch, now);
       }
     }
   }
 
-  /** Returns whether the registry has this shard as owned by this very run of the upstream. */
-  #noteStopped(shard: ShardId, upstream: UpstreamId, now: MonotonicMillis): boolean {
+  /** Returns whether the registry assigns this shard to the current run of the upstream. */
+  #recordStopped(shard: ShardId, upstream: UpstreamId, now: MonotonicMillis): boolean {
     const record = this.#parts.registry().shards().get(shard);
     const incarnation = this.#parts.granter.view(upstream)?.incarnation;
     if (record === undefined || record.owner !== upstream || record.incarnation !== incarnation) {
       return false;
     }
-    this.#moves.noteStopped(record);
-    this.#giveOrders(record, now);
+    this.#moves.recordStopped(record);
+    this.#setOrders(record, now);
     return true;
   }
 
-  #noteTarget(shard: ShardId, now: MonotonicMillis): void {
+  #updateTarget(shard: ShardId, now: MonotonicMillis): void {
     const record = this.#parts.registry().shards().get(shard);
     if (record !== undefined) {
-      this.#moves.noteTarget(record, this.#parts.granter.view(record.movingTo ?? ''), now);
-      this.#giveOrders(record, now);
+      this.#moves.updateTarget(record, this.#parts.granter.view(record.movingTo ?? ''), now);
+      this.#setOrders(record, now);
     }
   }
 
-  #giveOrders(record: ShardRecord, now: MonotonicMillis): void {
+  #setOrders(record: ShardRecord, now: MonotonicMillis): void {
     if (parseShardId(record.shard)?.generation === this.#service.generation) {
       const orders = currentOrders(record, this.#service, this.#moves.isRevoked(record));
       this.#orders.set(record.shard, orders, now);
--- a/src/control/shard-orders.ts
+++ b/src/control/shard-orders.ts
@@ -1,21 +1,21 @@
-/** Orders about single shards as they follow from the registry, and who was given which. */
+/** Derives orders about single shards from the registry, and tracks which upstreams have which orders. */
 import type { LeaseGranter } from '../lease/lease-granter.js';
 import type { KeyMap, ShardOrder } from '../lease/types.js';
 import { type MonotonicMillis, parseShardId, type ShardId, type UpstreamId } from '../model/identifiers.js';
 import type { ServiceRecord, ShardRecord } from '../registry/types.js';
 
-/** An order and the upstream that is to follow it. */
+/** An order and its recipient. */
 export interface AddressedOrder {
   readonly upstream: UpstreamId;
   readonly order: ShardOrder;
 }
 
-/** How the keys of a service map to shards, in the form that upstreams are sent. */
+/** Returns the mapping from the keys of a service to shards, in the form that is sent to upstreams. */
 export function keyMapOf({ definition, generation }: ServiceRecord): KeyMap {
   return { service: definition.name, generation, keyspaces: definition.keyspaces };
 }
 
-/** Orders about a shard of the current key map. `isRevoked`: its owner is to stop new work on it. */
+/** Returns the orders about a shard of the current key map. `isRevoked`: its owner has to stop new work on it. */
 export function currentOrders(
   record: ShardRecord,
   service: ServiceRecord,
@@ -32,7 +32,7 @@
     : [...orders, { upstream: movingTo, order: warmOrder(record) }];
 }
 
-/** Orders about a shard of an older key map: its owner gives it up. */
+/** Returns the orders about a shard of an older key map, whose owner has to release it. */
 export function retiringOrders(record: ShardRecord | undefined, service: ServiceRecord): AddressedOrder[] {
   const owner = record?.owner ?? null;
   return record === undefined || owner === null
@@ -40,11 +40,11 @@
     : [{ upstream: owner, order: revokeOrder(record, service) }];
 }
 
-/** Tells the owner to stop new work on a shard. Its revision is above that of the grant in every case. */
+/** Returns the order to stop new work on a shard. Its revision is always above that of the grant. */
 function revokeOrder(record: ShardRecord, service: ServiceRecord): ShardOrder {
   const parts = parseShardId(record.shard);
-  const remapped = parts?.generation === service.generation ? 0 : service.generation;
-  const revision = Math.max(record.revision, remapped, record.epoch + 1);
+  const newGeneration = parts?.generation === service.generation ? 0 : service.generation;
+  const revision = Math.max(record.revision, newGeneration, record.epoch + 1);
   return { type: 'revoke', shard: record.shard, revision };
 }
 
@@ -56,30 +56,30 @@
   return { type: 'warm', shard, revision };
 }
 
-/** Hands orders to the granter and withdraws those that are no longer in force. */
+/** Passes orders to the granter and withdraws the ones no longer in force. */
 export class OrderBook {
   readonly #granter: LeaseGranter;
-  readonly #addressees = new Map<ShardId, readonly UpstreamId[]>();
+  readonly #recipients = new Map<ShardId, readonly UpstreamId[]>();
 
   constructor(granter: LeaseGranter) {
     this.#granter = granter;
   }
 
-  /** Puts exactly these orders about a shard in force. */
+  /** Replaces all orders about a shard by these. */
   set(shard: ShardId, orders: readonly AddressedOrder[], now: MonotonicMillis): void {
-    const addressees = orders.map(({ upstream }) => upstream);
-    for (const upstream of this.#addressees.get(shard) ?? []) {
-      if (!addressees.includes(upstream)) {
+    const recipients = orders.map(({ upstream }) => upstream);
+    for (const upstream of this.#recipients.get(shard) ?? []) {
+      if (!recipients.includes(upstream)) {
         this.#granter.dropOrder(upstream, shard, now);
       }
     }
     for (const { upstream, order } of orders) {
       this.#granter.setOrder(upstream, order, now);
     }
-    if (addressees.length > 0) {
-      this.#addressees.set(shard, addressees);
+    if (recipients.length > 0) {
+      this.#recipients.set(shard, recipients);
     } else {
-      this.#addressees.delete(shard);
+      this.#recipients.delete(shard);
     }
   }
 }
--- a/src/control/shard-query.ts
+++ b/src/control/shard-query.ts
@@ -1,8 +1,8 @@
-/** Operators' reads of shards. Those of one shard or one owner look at no others: a list of all may be long. */
+/** Operators' queries of shards. A query of one shard or one owner doesn't iterate over all shards, which may be many. */
 import type { Registry, ShardRecord } from '../registry/types.js';
 import type { OperatorRequest } from './types.js';
 
-/** Which shards an operator asks for. */
+/** An operator's query of shards. */
 export type ShardQuery = Extract<OperatorRequest, { readonly type: 'get-shards' }>;
 
 function candidatesOf(registry: Registry, { shard, owner }: ShardQuery): readonly ShardRecord[] {
@@ -17,7 +17,7 @@
   return [...records.values()];
 }
 
-/** Records that fit every part of the query; shards that never had an owner have none. */
+/** Returns the records that match every part of the query. Shards that were never granted have no record. */
 export function findShards(registry: Registry, query: ShardQuery): ShardRecord[] {
   const { service, owner } = query;
   const prefix = service === null ? '' : `${service}/`;
--- a/src/control/snapshot-taker.ts
+++ b/src/control/snapshot-taker.ts
@@ -1,24 +1,24 @@
-/** Takes snapshots of the registry in slices between other work, and tells those who asked for one when it is taken. */
+/** Takes snapshots of the registry in slices between other work, and calls back the requesters of a snapshot once it is taken. */
 import type { MonotonicMillis, Revision } from '../model/identifiers.js';
 import type { Registry, RegistrySnapshotEncoder } from '../registry/types.js';
 import type { RaftAdapter } from './raft-adapter.js';
 
-/** Least time between two slices, which leaves the member to its other work. */
-const PAUSE_MILLIS = 5;
-/** A snapshot is due once the log holds this share of as many entries as the state has records, or more. */
-const RECORDS_SHARE = 0.25;
+/** Minimum time between two slices, so that the member can do other work. */
+const SLICE_PAUSE_MILLIS = 5;
+/** A snapshot is due once the log has grown by at least this many entries for each record in the registry. */
+const ENTRIES_PER_RECORD = 0.25;
 
 export interface SnapshotTakerParts {
   readonly raft: RaftAdapter;
-  /** Least entries between two snapshots. */
+  /** Minimum number of log entries between two snapshots. */
   readonly snapshotEntries: number;
-  /** Index of the snapshot that the member started from; 0: none. */
+  /** Index of the snapshot from which the member started; 0: none. */
   readonly snapshotIndex: Revision;
 }
 
 export class SnapshotTaker {
   readonly #parts: SnapshotTakerParts;
-  /** Index of the last snapshot, or of the one that is being taken. */
+  /** Index of the last snapshot, or of the one in progress. */
   #snapshotIndex: Revision;
   #encoder: RegistrySnapshotEncoder | null = null;
   #nextSliceAt: MonotonicMillis = Number.POSITIVE_INFINITY;
@@ -29,25 +29,25 @@
     this.#snapshotIndex = parts.snapshotIndex;
   }
 
-  /** Begins a snapshot if there is something new; calls back once it is taken. */
-  request(now: MonotonicMillis, taken: () => void): void {
+  /** Begins a snapshot if the registry has changed since the last one; calls `onTaken` once it is taken, or at once if nothing changed. */
+  request(now: MonotonicMillis, onTaken: () => void): void {
     if (this.#encoder === null && this.#registry.revision <= this.#snapshotIndex) {
-      taken();
+      onTaken();
       return;
     }
-    this.#waiting.push(taken);
+    this.#waiting.push(onTaken);
     if (this.#encoder === null) {
       this.#begin(now);
     }
   }
 
-  /** The registry was replaced by that of the leader's snapshot. */
+  /** Called after the registry was replaced by the leader's snapshot; ends the snapshot in progress. */
   restored(): void {
     this.#snapshotIndex = this.#registry.revision;
     this.#end();
   }
 
-  /** Begins a snapshot that is due, and writes one slice if it is time. True: one was handed to Raft. */
+  /** Begins a snapshot that is due, and encodes a slice that is due. Returns whether a snapshot was passed to Raft. */
   run(now: MonotonicMillis): boolean {
     if (this.#encoder === null && this.#isDue()) {
       this.#begin(now);
@@ -57,7 +57,7 @@
     }
     const data = this.#encoder.step();
     if (data === null) {
-      this.#nextSliceAt = now + PAUSE_MILLIS;
+      this.#nextSliceAt = now + SLICE_PAUSE_MILLIS;
       return false;
     }
     this.#parts.raft.feed({ type: 'snapshot-taken', lastIndex: this.#encoder.revision, data });
@@ -75,7 +75,7 @@
 
   #isDue(): boolean {
     const { revision, recordCount } = this.#registry;
-    const entries = Math.max(this.#parts.snapshotEntries, recordCount * RECORDS_SHARE);
+    const entries = Math.max(this.#parts.snapshotEntries, recordCount * ENTRIES_PER_RECORD);
     return revision - this.#snapshotIndex >= entries;
   }
 
@@ -90,8 +90,8 @@
     this.#nextSliceAt = Number.POSITIVE_INFINITY;
     const waiting = this.#waiting;
     this.#waiting = [];
-    for (const taken of waiting) {
-      taken();
+    for (const onTaken of waiting) {
+      onTaken();
     }
   }
 }
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -1,5 +1,5 @@
 /**
- * Inputs and effects of the control node: Raft, registry, lease granter, placement and the router-facing side in one
+ * Inputs and effects of the control node, which combines Raft, registry, lease granter, placement and the handling of routers in one
  * deterministic core. The daemon and the simulator drive the same core.
  */
 import type {
@@ -44,26 +44,26 @@
 import type { ServiceMeasures } from './service-measures.js';
 import type { UnownedShards } from './unowned-clock.js';
 
-/** Names one connection of a router, or one operator request, as the shell numbers them. */
+/** Identifies a router connection; assigned by the I/O layer. */
 export type ConnectionId = string;
 
-/** Names one operator request, as the shell numbers them. */
+/** Identifies an operator request; assigned by the I/O layer. */
 export type OperationId = string;
 
-/** What operators ask of a control member. */
+/** A request of an operator to a control member. */
 export type OperatorRequest =
   | {
       readonly type: 'command';
       readonly requestId: string;
       readonly actor: string;
       readonly command: OperatorCommand;
-      /** Answer only when the change is in force on every router. */
+      /** Whether to answer only once the change is in force on every router. */
       readonly wait: boolean;
     }
   /** A linearizable read. */
   | { readonly type: 'get-services' }
   | { readonly type: 'get-upstreams' }
-  /** Shards of one service (`null`: of all), of one owner, or one shard. */
+  /** The shards of one service (`null`: of all), of one owner, or one shard. */
   | {
       readonly type: 'get-shards';
       readonly service: ServiceName | null;
@@ -71,23 +71,23 @@
       readonly shard?: ShardId;
     }
   | { readonly type: 'get-ledger'; readonly service: ServiceName; readonly key: string }
-  /** A change of the declared document; it carries its own precondition and may be sent again. */
+  /** A change of the declared document; it contains its own precondition and may be sent again. */
   | { readonly type: 'declare'; readonly actor: string; readonly change: DeclarationChange }
-  /** Whether the upstreams of a zone get nothing new from now on, or may again. May be sent again. */
+  /** Starts (`isOut`) or ends the evacuation of a zone, whose upstreams get nothing new. May be sent again. */
   | { readonly type: 'evacuate'; readonly actor: string; readonly zone: Zone; readonly isOut: boolean }
-  /** A linearizable read of the zones out of use. */
+  /** A linearizable read of the evacuated zones. */
   | { readonly type: 'get-evacuations' }
-  /** A linearizable read of requests under which upstreams ended. */
+  /** A linearizable read of requests suspected of crashing upstreams. */
   | { readonly type: 'get-suspects' }
   /** A linearizable read of the declared document. */
   | { readonly type: 'get-declaration' }
-  /** A heartbeat of an upstream; `report`: which keys it holds, if it says so. */
+  /** A heartbeat of an upstream; `report`: the keys that it holds, if it reports them. */
   | { readonly type: 'announce'; readonly definition: UpstreamDefinition; readonly report: HeldKeys | null }
-  /** `born`: start of the run that will end; left out if it doesn't say. */
+  /** Sent by an upstream that will end; `born`: start of its run, omitted if not reported. */
   | { readonly type: 'withdraw'; readonly upstream: UpstreamId; readonly born?: WallMillis }
   | { readonly type: 'get-status' }
   | { readonly type: 'add-learner'; readonly replica: ReplicaId; readonly address: Address }
-  /** Takes a new replica in as a learner and lets it vote once it holds everything. */
+  /** Adds a new replica as a learner and makes it a voter once it has caught up. */
   | { readonly type: 'add-voter'; readonly replica: ReplicaId; readonly address: Address }
   | {
       readonly type: 'replace-replica';
@@ -98,28 +98,28 @@
   | { readonly type: 'transfer-leadership'; readonly to: ReplicaId | null }
   | { readonly type: 'take-snapshot' };
 
-/** What the leader knows of one upstream's session. */
+/** The state of one upstream's session on the leader. */
 export interface UpstreamHealth {
   readonly upstream: UpstreamId;
   readonly state: 'leased' | 'greeting' | 'ending' | 'unreachable';
-  /** Milliseconds since the last answer; `null`: none yet. */
+  /** Milliseconds since the last answer; `null`: no answer yet. */
   readonly silentMillis: number | null;
   readonly shards: number;
   readonly draining: number;
 }
 
-/** An upstream that says that it is in need, as the leader heard last. */
+/** An upstream with a rate limit or back-offs, as of the last reports to the leader. */
 export interface NeedyUpstream {
   readonly upstream: UpstreamId;
-  /** Requests a second that it takes from all routers together; `null`: it names no limit. */
+  /** Maximum number of requests per second from all routers together; `null`: it reports no limit. */
   readonly perSecond: number | null;
-  /** How long ago the limit was heard, in milliseconds. */
+  /** How long ago the limit was reported, in milliseconds. */
   readonly heardAgoMillis: number | null;
-  /** Routers that it asked for rest which isn't over. */
+  /** Number of routers with a back-off of this upstream in effect. */
   readonly restingRouters: number;
 }
 
-/** How an `OperatorRequest` ended. Each request gets exactly one. */
+/** The response to an `OperatorRequest`. Each request gets exactly one. */
 export type OperatorResponse =
   | { readonly type: 'result'; readonly result: CommandResult; readonly inForce: boolean }
   | { readonly type: 'services'; readonly revision: Revision; readonly services: readonly ServiceRecord[] }
@@ -131,7 +131,7 @@
       readonly revision: Revision;
       readonly evacuations: readonly EvacuationRecord[];
     }
-  /** `null`: nothing was declared as one document. */
+  /** `null`: no document was declared. */
   | { readonly type: 'declaration'; readonly document: DeclaredDocument | null }
   | { readonly type: 'ledger'; readonly record: LedgerRecord | null }
   | {
@@ -139,7 +139,7 @@
       readonly raft: RaftStatus;
       readonly revision: Revision;
       readonly upstreams: readonly UpstreamHealth[];
-      /** Leader only: what is measured of each keyed service. */
+      /** Leader only: measurements of each keyed service. */
       readonly services: readonly ServiceMeasures[];
       readonly routers: readonly {
         readonly router: string;
@@ -148,41 +148,41 @@
         /** `false`: its last connection to this member ended. */
         readonly connected: boolean;
       }[];
-      /** Milliseconds since this member last learned who leads, or that nobody does. */
+      /** Milliseconds since this member's view of the leader last changed, including to no leader. */
       readonly leaderSinceMillis: number;
       readonly unowned: readonly UnownedShards[];
-      /** Leader only: replicas that ask to be taken in. */
+      /** Leader only: replicas that request to join. */
       readonly waitingReplicas: readonly { readonly replica: ReplicaId; readonly address: Address }[];
-      /** Leader only: milliseconds since each other member was heard. */
+      /** Leader only: milliseconds since the last message of each other member. */
       readonly memberSilentMillis: Readonly<Record<ReplicaId, number>>;
       readonly unownedShards: number;
       readonly movingShards: number;
-      /** Ranges of numeric keys, and those that have no owner at this moment. */
+      /** Number of ranges of numeric keys, and how many of them currently have no owner. */
       readonly ranges?: { readonly total: number; readonly withoutOwner: number };
-      /** Zones out of use. */
+      /** The evacuated zones. */
       readonly evacuations?: readonly Zone[];
-      /** Leader only: upstreams that say that they are in need. */
+      /** Leader only: upstreams with a rate limit or back-offs. */
       readonly needs?: readonly NeedyUpstream[];
-      /** Speeds of upstreams and room of zones, as routers were told; `null` on members that don't lead. */
+      /** Speeds of upstreams and capacity of zones, as last sent to routers; `null` on members that don't lead. */
       readonly fleet?: FleetStatus | null;
-      /** Requests under which upstreams ended, and those of them that routers refuse. */
+      /** Number of requests suspected of crashing upstreams, and how many of them routers reject. */
       readonly suspects?: { readonly total: number; readonly quarantined: number };
     }
   | { readonly type: 'membership'; readonly membership: Membership; readonly repaired: boolean }
   | { readonly type: 'done' }
-  /** A heartbeat was taken; `keys`: all that the upstream is to hold, `null`: nothing is renewed. */
+  /** A heartbeat was accepted; `keys`: all keys that the upstream is to hold, `null`: nothing is renewed. */
   | { readonly type: 'heartbeat-taken'; readonly keys: GrantedKeys | null }
   /** Nothing was changed. */
   | { readonly type: 'not-leader'; readonly leader: Address | null }
   | { readonly type: 'rejected'; readonly message: string }
-  /** The change may or may not be made later; a resend with the same request id tells. */
+  /** The change may or may not be made later; sending it again with the same request id returns its outcome. */
   | { readonly type: 'unknown' };
 
-/** What a control core is told. */
+/** An input of the control core. */
 export type ControlInput =
   | { readonly type: 'tick' }
   | { readonly type: 'peer-message'; readonly message: RaftMessage }
-  /** A replica that is no member asks to be taken in. */
+  /** A replica that isn't a member requests to join. */
   | { readonly type: 'join-request'; readonly replica: ReplicaId; readonly address: Address }
   | { readonly type: 'persisted'; readonly persistId: number }
   | { readonly type: 'router-message'; readonly connection: ConnectionId; readonly message: RouterToControl }
@@ -198,7 +198,7 @@
   | { readonly type: 'identity-answer'; readonly question: QuestionId; readonly answer: IdentityAnswer }
   | { readonly type: 'operator-request'; readonly operation: OperationId; readonly request: OperatorRequest };
 
-/** What the host of a control core has to carry out, in this order. */
+/** An effect that the host of the control core has to execute, in the order in which effects are returned. */
 export type ControlEffect =
   | { readonly type: 'send-peer'; readonly message: RaftMessage }
   | { readonly type: 'persist'; readonly request: PersistRequest }
@@ -230,43 +230,43 @@
   readonly raft: RaftTimings;
   readonly lease: LeaseTimings;
   readonly configLease: ConfigLeaseTimings;
-  /** Log entries after which a snapshot is taken. */
+  /** Minimum number of log entries between two snapshots. */
   readonly snapshotEntries: number;
   /**
-   * Replace a voter by itself once it was silent this long and a spare learner is caught up, and take waiting replicas in
+   * The leader replaces a voter that has been silent this long once a spare learner has caught up, and accepts waiting replicas
    * as spares; 0: never.
    */
   readonly replaceAfterMillis: number;
-  /** Spares get a vote of their own up to this many voters; left out: only in the place of another. */
+  /** Spares become additional voters up to this number of voters; if omitted, they only replace other voters. */
   readonly mostVoters?: number;
-  /** Longest wait of a planned move for its target to load the shard; 0: no wait, the target gets it cold. */
+  /** Maximum wait of a planned move for its target to load the shard; 0: no wait, the target is granted the shard cold. */
   readonly warmTimeoutMillis?: number;
-  /** Grants to upstreams that announce themselves; the defaults if left out. */
+  /** Timings of grants to upstreams that announce themselves; the defaults if omitted. */
   readonly ranges?: RangeTimings;
-  /** Requests under which upstreams end; the defaults if left out. */
+  /** Quarantine of requests that crash upstreams; the defaults if omitted. */
   readonly quarantine?: QuarantineTerms;
-  /** Zone of this member; left out: not known. */
+  /** Zone of this member; omitted if unknown. */
   readonly zone?: Zone;
-  /** Zones that there are beside those of known upstreams; orders for any other one are refused. */
+  /** Known zones besides those of registered upstreams; evacuations of any other zone are refused. */
   readonly zones?: readonly Zone[];
 }
 
-/** What a leader has to keep up of key ranges, and what it did for that since it was elected. */
+/** The leader's workload for key ranges, with counters since its election. */
 export interface RangeWork {
   readonly ranges: number;
-  /** Calls to upstreams that haven't ended. */
+  /** Number of unfinished calls to upstreams. */
   readonly openCalls: number;
-  /** Calls that began. */
+  /** Number of calls begun. */
   readonly calls: number;
-  /** Times at which owners were decided. */
+  /** Number of decisions about owners. */
   readonly decisions: number;
-  /** Planned moves that were weighed and began, and the milliseconds of waiting that they were weighed to cost and gain. */
+  /** Number of planned moves that began after an estimate of cost and gain, and the sums of both estimates in milliseconds of waiting. */
   readonly weighedMoves: number;
   readonly moveCostMillis: number;
   readonly moveGainMillis: number;
 }
 
-/** `now` is monotonic; `wall` is stamped on commands. */
+/** `now` is monotonic; `wall` is the timestamp of commands. */
 export interface ControlCore {
   step(input: ControlInput, now: number, wall: WallMillis): ControlEffect[];
   nextDeadline(): number;
@@ -275,5 +275,5 @@
   rangeWork(): RangeWork | null;
 }
 
-/** What a control member found on its disk. */
+/** The state that a control member restored from disk. */
 export type ControlRestoredState = RestoredState;
--- a/src/control/unowned-clock.ts
+++ b/src/control/unowned-clock.ts
@@ -1,12 +1,12 @@
-/** Since when a service has shards without an owner, as this member saw it. */
+/** Tracks since when each service has had shards without an owner, as observed by this member. */
 import type { MonotonicMillis, ServiceName } from '../model/identifiers.js';
 import type { Registry } from '../registry/types.js';
 
-/** Shards of a service that nobody owns. */
+/** The unowned shards of a service. */
 export interface UnownedShards {
   readonly service: ServiceName;
   readonly shards: number;
-  /** How long there has been at least one. */
+  /** How long at least one shard has been unowned. */
   readonly sinceMillis: number;
 }
 
--- a/src/control/upstream-roster.ts
+++ b/src/control/upstream-roster.ts
@@ -1,6 +1,6 @@
 /**
- * The upstreams of one keyed service: what the granter is told of each session beside orders, how each stands as a
- * target of placement, and when a leaving one stops to take work.
+ * The upstreams of one keyed service: their session targets in the granter, their states as targets of
+ * placement, and when a draining upstream has to stop accepting work.
  */
 import type { SessionView } from '../lease/granter-types.js';
 import type { LeaseGranter } from '../lease/lease-granter.js';
@@ -10,8 +10,8 @@
 import type { Readiness } from './first-grants.js';
 import { keyMapOf } from './shard-orders.js';
 
-/** A leaving upstream serves this long while its shards move away; then it takes no new work of any kind. */
-const LEAVE_MILLIS = 1500;
+/** How long a draining upstream keeps serving while its shards move away; afterwards it accepts no new work of any kind. */
+const MAX_DRAIN_MILLIS = 1500;
 
 export interface UpstreamRosterParts {
   readonly granter: LeaseGranter;
@@ -21,9 +21,9 @@
 
 interface Member {
   record: UpstreamRecord;
-  /** How the planner was told that it stands. */
+  /** The state last passed to the planner. */
   state: ServerState;
-  /** Set once it is to take no new work. */
+  /** Set once the upstream has to stop accepting new work. */
   drained: boolean;
 }
 
@@ -31,8 +31,8 @@
   readonly #parts: UpstreamRosterParts;
   #planner: PlacementPlanner;
   readonly #members = new Map<UpstreamId, Member>();
-  /** Leaving upstreams that still take work, with the time from which they leave. */
-  readonly #leavingSince = new Map<UpstreamId, MonotonicMillis>();
+  /** Draining upstreams that still accept work, with the times at which draining began. */
+  readonly #drainingSince = new Map<UpstreamId, MonotonicMillis>();
   #service: ServiceRecord;
 
   constructor(parts: UpstreamRosterParts, service: ServiceRecord) {
@@ -45,37 +45,37 @@
     return this.#members.has(upstream);
   }
 
-  /** Incarnation that holds the session of an upstream. */
+  /** Returns the incarnation that holds an upstream's session. */
   incarnationOf(upstream: UpstreamId): Incarnation | null {
     return this.#members.get(upstream)?.record.incarnation ?? null;
   }
 
-  /** Whether an upstream can take a grant now. */
+  /** Returns whether an upstream can be granted a shard now. */
   isReady(upstream: UpstreamId): boolean {
     return this.#members.get(upstream)?.state === 'ready';
   }
 
-  /** Takes the declaration and session of an upstream as the registry has them now. */
+  /** Applies the current registry record of an upstream. */
   set(record: UpstreamRecord, now: MonotonicMillis): void {
     const { id } = record.definition;
-    const leaving = this.#parts.registry().isLeaving(record.definition);
-    const known = this.#members.get(id);
-    const member = known ?? { record, state: 'lost', drained: false };
+    const isLeaving = this.#parts.registry().isLeaving(record.definition);
+    const existing = this.#members.get(id);
+    const member = existing ?? { record, state: 'lost', drained: false };
     member.record = record;
     this.#members.set(id, member);
-    if (!leaving) {
-      this.#leavingSince.delete(id);
+    if (!isLeaving) {
+      this.#drainingSince.delete(id);
       member.drained = false;
-    } else if (!member.drained && !this.#leavingSince.has(id)) {
-      this.#leavingSince.set(id, now);
+    } else if (!member.drained && !this.#drainingSince.has(id)) {
+      this.#drainingSince.set(id, now);
     }
-    this.#tellGranter(member, now);
-    this.#tellPlanner(member);
+    this.#updateGranter(member, now);
+    this.#updatePlanner(member);
   }
 
   remove(upstream: UpstreamId): void {
     this.#members.delete(upstream);
-    this.#leavingSince.delete(upstream);
+    this.#drainingSince.delete(upstream);
     this.#parts.granter.dropSession(upstream);
     this.#planner.removeServer(upstream);
   }
@@ -86,30 +86,30 @@
     }
   }
 
-  /** The service's declaration changed. */
+  /** Applies a changed declaration of the service. */
   setService(service: ServiceRecord, now: MonotonicMillis): void {
     this.#service = service;
     for (const member of this.#members.values()) {
-      this.#tellGranter(member, now);
-      this.#tellPlanner(member);
+      this.#updateGranter(member, now);
+      this.#updatePlanner(member);
     }
   }
 
-  /** Takes another planner, which is told of every upstream. */
+  /** Replaces the planner, and adds every upstream to the new one. */
   setPlanner(planner: PlacementPlanner): void {
     this.#planner = planner;
     for (const member of this.#members.values()) {
-      this.#tellPlanner(member);
+      this.#updatePlanner(member);
     }
   }
 
-  /** An upstream answered or failed to; returns whether it stands otherwise now. */
+  /** Called after an answer of an upstream or its failure to answer; returns whether its state has changed. */
   sessionChanged(upstream: UpstreamId): boolean {
     const member = this.#members.get(upstream);
     if (member === undefined || member.state === this.#stateOf(member)) {
       return false;
     }
-    this.#tellPlanner(member);
+    this.#updatePlanner(member);
     return true;
   }
 
@@ -117,29 +117,29 @@
     const members = [...this.#members.values()];
     return {
       anyReady: members.some(({ state }) => state === 'ready'),
-      allHeardOf: members.every((member) => this.#isHeardOf(member)),
+      allHeardOf: members.every((member) => this.#isStateKnown(member)),
     };
   }
 
-  /** Ends the work of upstreams which leave and have no shards left, or had time enough. */
+  /** Stops new work on draining upstreams that own no shards any more or whose drain time has passed. */
   run(now: MonotonicMillis): void {
-    for (const [upstream, since] of [...this.#leavingSince]) {
+    for (const [upstream, since] of [...this.#drainingSince]) {
       const member = this.#members.get(upstream);
       const ownsNothing = this.#parts.registry().shardsOwnedBy(upstream).size === 0;
-      if (member !== undefined && (ownsNothing || now >= since + LEAVE_MILLIS)) {
-        this.#leavingSince.delete(upstream);
+      if (member !== undefined && (ownsNothing || now >= since + MAX_DRAIN_MILLIS)) {
+        this.#drainingSince.delete(upstream);
         member.drained = true;
-        this.#tellGranter(member, now);
+        this.#updateGranter(member, now);
       }
     }
   }
 
   nextDeadline(): MonotonicMillis {
-    const [earliest] = this.#leavingSince.values();
-    return earliest === undefined ? Number.POSITIVE_INFINITY : earliest + LEAVE_MILLIS;
+    const [earliest] = this.#drainingSince.values();
+    return earliest === undefined ? Number.POSITIVE_INFINITY : earliest + MAX_DRAIN_MILLIS;
   }
 
-  #tellGranter({ record, drained }: Member, now: MonotonicMillis): void {
+  #updateGranter({ record, drained }: Member, now: MonotonicMillis): void {
     const { definition, incarnation } = record;
     const target = {
       upstream: definition.id,
@@ -151,7 +151,7 @@
     this.#parts.granter.setTarget(target, now);
   }
 
-  #tellPlanner(member: Member): void {
+  #updatePlanner(member: Member): void {
     const { id, mayHold, zone } = member.record.definition;
     const capacity = this.#service.definition.slotsPerUpstream;
     member.state = this.#stateOf(member);
@@ -163,18 +163,18 @@
     if (!isAnswering(record, view)) {
       return 'lost';
     }
-    const asksToLeave = view?.answer?.leaving ?? false;
-    return this.#parts.registry().isLeaving(record.definition) || asksToLeave ? 'draining' : 'ready';
+    const isShuttingDown = view?.answer?.leaving ?? false;
+    return this.#parts.registry().isLeaving(record.definition) || isShuttingDown ? 'draining' : 'ready';
   }
 
-  #isHeardOf({ record, state }: Member): boolean {
+  #isStateKnown({ record, state }: Member): boolean {
     const view = this.#parts.granter.view(record.definition.id);
     const isGone = view?.failing === true && view.answeredAt !== null;
     return state !== 'lost' || this.#parts.registry().isLeaving(record.definition) || isGone;
   }
 }
 
-/** Whether an upstream's session is open and it answers. */
+/** Returns whether an upstream has an open session and answers. */
 function isAnswering({ incarnation }: UpstreamRecord, view: SessionView | undefined): boolean {
   const isLeased = view?.phase === 'leased' && view.incarnation === incarnation;
   return isLeased && incarnation !== null && !view.failing;
--- a/test/control/ownership-measures.test.ts
+++ b/test/control/ownership-measures.test.ts
@@ -1,4 +1,4 @@
-/** Counts of owner changes and of time without owner, from records and from a whole cluster. */
+/** Counts of owner changes and of unowned time, from records and from a whole cluster. */
 import { expect } from 'chai';
 import { OwnershipMeasures } from '../../src/control/ownership-measures.js';
 import { SHARDS_PER_RUN } from '../../src/control/registry-load.js';
@@ -17,19 +17,19 @@
 const VACANT = record({ owner: null, incarnation: null });
 const GRANTED = record({ owner: 'u2', incarnation: 'u2#1', epoch: 9 });
 
-/** Measures of shards that have owners. */
-function begun(): OwnershipMeasures {
+/** Returns measures started with shards that all have owners. */
+function startedMeasures(): OwnershipMeasures {
   const measures = new OwnershipMeasures();
   measures.begin(0);
   return measures;
 }
 
-describe('measures of ownership', () => {
+describe('ownership measures', () => {
   it('count a lost shard from the end of its session to the next grant', () => {
-    const measures = begun();
-    measures.recordChanged(VACANT, 1000);
+    const measures = startedMeasures();
+    measures.applyRecord(VACANT, 1000);
     expect(measures.counts(1400).unownedShardMillis).to.equal(400);
-    measures.recordChanged(GRANTED, 1500);
+    measures.applyRecord(GRANTED, 1500);
     const counts = measures.counts(9000);
     expect(counts.unownedShardMillis).to.equal(500);
     expect(counts.ownerChanges).to.include({ lost: 1, balance: 0, 'first-grant': 0 });
@@ -37,91 +37,91 @@
   });
 
   it("count a handover from the holder's answer, under the reason of its move", () => {
-    const measures = begun();
-    measures.moveStarted('s', 'u2', 'balance');
-    measures.recordChanged(record({ movingTo: 'u2' }), 1000);
-    measures.givenUp('s', 1, 2000);
-    measures.givenUp('s', 1, 2002);
-    measures.recordChanged({ ...VACANT, movingTo: 'u2' }, 2005);
-    measures.recordChanged(GRANTED, 2007);
+    const measures = startedMeasures();
+    measures.recordMoveStart('s', 'u2', 'balance');
+    measures.applyRecord(record({ movingTo: 'u2' }), 1000);
+    measures.recordRelease('s', 1, 2000);
+    measures.recordRelease('s', 1, 2002);
+    measures.applyRecord({ ...VACANT, movingTo: 'u2' }, 2005);
+    measures.applyRecord(GRANTED, 2007);
     const counts = measures.counts(3000);
     expect(counts.ownerChanges).to.include({ balance: 1, lost: 0 });
     expect(counts).to.include({ handovers: 1, handoverGapMillis: 7, unownedShardMillis: 7 });
   });
 
-  it('take a move that the leader did not plan for an operator’s, also in the place of one that it did', () => {
-    const measures = begun();
-    measures.moveStarted('s', 'u2', 'balance');
-    measures.recordChanged(record({ movingTo: 'u2' }), 1000);
-    measures.recordChanged(record({ movingTo: 'u3' }), 1100);
-    measures.givenUp('s', 1, 2000);
-    measures.recordChanged({ ...VACANT, movingTo: 'u3' }, 2000);
-    measures.recordChanged(GRANTED, 2000);
+  it('count a move that the leader did not plan as an operator’s, also if it replaces a planned move', () => {
+    const measures = startedMeasures();
+    measures.recordMoveStart('s', 'u2', 'balance');
+    measures.applyRecord(record({ movingTo: 'u2' }), 1000);
+    measures.applyRecord(record({ movingTo: 'u3' }), 1100);
+    measures.recordRelease('s', 1, 2000);
+    measures.applyRecord({ ...VACANT, movingTo: 'u3' }, 2000);
+    measures.applyRecord(GRANTED, 2000);
     expect(measures.counts(2000).ownerChanges).to.include({ operator: 1, balance: 0 });
   });
 
-  it('call a move lost whose source was lost, and forget a move that was called off', () => {
-    const measures = begun();
-    measures.recordChanged(record({ movingTo: 'u2' }), 1000);
-    measures.recordChanged({ ...VACANT, movingTo: 'u2' }, 1100);
-    measures.recordChanged(GRANTED, 1200);
-    measures.recordChanged({ ...GRANTED, movingTo: 'u1' }, 1300);
-    measures.recordChanged(GRANTED, 1400);
-    measures.givenUp('s', 9, 1500);
-    measures.recordChanged({ ...GRANTED, owner: null }, 1500);
-    measures.recordChanged(record({ epoch: 12 }), 1600);
+  it('count a move whose source was lost as lost, and forget a cancelled move', () => {
+    const measures = startedMeasures();
+    measures.applyRecord(record({ movingTo: 'u2' }), 1000);
+    measures.applyRecord({ ...VACANT, movingTo: 'u2' }, 1100);
+    measures.applyRecord(GRANTED, 1200);
+    measures.applyRecord({ ...GRANTED, movingTo: 'u1' }, 1300);
+    measures.applyRecord(GRANTED, 1400);
+    measures.recordRelease('s', 9, 1500);
+    measures.applyRecord({ ...GRANTED, owner: null }, 1500);
+    measures.applyRecord(record({ epoch: 12 }), 1600);
     expect(measures.counts(2000).ownerChanges).to.include({ lost: 1, operator: 0, other: 1 });
   });
 
-  it('tell first grants from shards that an earlier leader left without owner', () => {
+  it('distinguish first grants from shards that were unowned under an earlier leader', () => {
     const measures = new OwnershipMeasures();
     measures.begin(100);
-    measures.takeVacant(record({ shard: 'new', owner: null, epoch: 0 }));
-    measures.takeVacant(record({ shard: 'old', owner: null }));
-    measures.takeVacant(record({ shard: 'moving', owner: null, movingTo: 'u2' }));
+    measures.addUnowned(record({ shard: 'new', owner: null, epoch: 0 }));
+    measures.addUnowned(record({ shard: 'old', owner: null }));
+    measures.addUnowned(record({ shard: 'moving', owner: null, movingTo: 'u2' }));
     for (const shard of ['new', 'old', 'moving']) {
-      measures.recordChanged({ ...GRANTED, shard }, 200);
+      measures.applyRecord({ ...GRANTED, shard }, 200);
     }
     const counts = measures.counts(200);
     expect(counts.ownerChanges).to.include({ 'first-grant': 1, lost: 1, other: 1 });
     expect(counts).to.include({ unownedShardMillis: 300, ownerChangesLastMinute: 2 });
   });
 
-  it('keep what was counted when the key map changes', () => {
-    const measures = begun();
-    measures.recordChanged(VACANT, 1000);
+  it('keep the counts when the key map changes', () => {
+    const measures = startedMeasures();
+    measures.applyRecord(VACANT, 1000);
     measures.begin(1500);
-    measures.takeVacant(record({ shard: 't', owner: null, epoch: 0 }));
+    measures.addUnowned(record({ shard: 't', owner: null, epoch: 0 }));
     expect(measures.counts(2000).unownedShardMillis).to.equal(500 + 500);
   });
 
-  it('take a shard that was lost before it was taken over as lost then', () => {
+  it('count a shard that is lost before it is added as lost at that time', () => {
     const measures = new OwnershipMeasures();
     measures.begin(100);
-    measures.recordChanged(VACANT, 1000);
-    measures.takeVacant(VACANT);
+    measures.applyRecord(VACANT, 1000);
+    measures.addUnowned(VACANT);
     expect(measures.counts(1400).unownedShardMillis).to.equal(400);
-    measures.recordChanged(GRANTED, 1500);
+    measures.applyRecord(GRANTED, 1500);
     expect(measures.counts(1500)).to.deep.include({ unownedShardMillis: 500, ownerChangesLastMinute: 1 });
   });
 
-  it('never fall, whatever fractions the clock has: a counter that falls looks like one that starts over', () => {
-    const measures = begun();
+  it('never decrease with fractional clock times, since a decrease looks like a counter reset', () => {
+    const measures = startedMeasures();
     let before = 0;
     for (let step = 1; step <= 2000; step += 1) {
       const shard = `s${step % 7}`;
       const now = 1e6 + Math.floor(step / 10) * 0.1;
-      measures.recordChanged({ ...(step % 3 === 0 ? GRANTED : VACANT), shard }, now);
+      measures.applyRecord({ ...(step % 3 === 0 ? GRANTED : VACANT), shard }, now);
       const { unownedShardMillis } = measures.counts(now);
       expect(unownedShardMillis).to.be.at.least(before);
       before = unownedShardMillis;
     }
   });
 
-  it('forget changes after a minute, and only in the count of the last one', () => {
-    const measures = begun();
-    measures.recordChanged(VACANT, 1000);
-    measures.recordChanged(GRANTED, 1000);
+  it('drop changes older than a minute from the count of the last minute only', () => {
+    const measures = startedMeasures();
+    measures.applyRecord(VACANT, 1000);
+    measures.applyRecord(GRANTED, 1000);
     expect(measures.counts(MINUTE).ownerChangesLastMinute).to.equal(1);
     expect(measures.counts(MINUTE + 1000).ownerChangesLastMinute).to.equal(0);
     expect(measures.counts(10 * MINUTE).ownerChanges.lost).to.equal(1);
@@ -135,8 +135,8 @@
   return services[0] as ServiceMeasures;
 }
 
-describe('measures of a service, on the leader', () => {
-  it('follow first grants, a drain, an operator’s move and a lost upstream', () => {
+describe('service measures on the leader', () => {
+  it('cover first grants, a drain, an operator’s move and a lost upstream', () => {
     const { cluster, shards } = startCluster(3);
     const isServed = () => shards.every((shard) => cluster.serving(shard) !== null);
     expect(measuresOf(cluster)).to.include({ ownedShards: 6, unownedShards: 0, handovers: 0 });
@@ -195,7 +195,7 @@
     expect(measuresOf(cluster).ownerChanges).to.include({ other: drained, drain: 0, operator: 0, lost: 0 });
   });
 
-  it('are of the present leadership, and of the leader only', () => {
+  it('start with the current leadership, and exist only on the leader', () => {
     const { cluster } = startCluster(2);
     const old = cluster.leader();
     cluster.cut.add(old.id);
@@ -209,7 +209,7 @@
     expect(status).to.deep.include({ services: [] });
   });
 
-  it('tell the imbalance of the loads that routers report', () => {
+  it('report the imbalance of the loads that routers report', () => {
     const { cluster, shards } = startCluster(2, { service: { ...SERVICE, movesPerMinute: 0 } });
     expect(measuresOf(cluster)).to.include({ imbalance: null, imbalanceOverBound: null });
     const owners = new Map(cluster.shards().map(({ shard, owner }) => [shard, owner]));
@@ -232,7 +232,7 @@
   });
 });
 
-describe('measures of more shards than one run takes', () => {
+describe('measures of more shards than one run processes', () => {
   const SHARDS = 2 * SHARDS_PER_RUN + 500;
   const keyspaces = [{ name: 'all', kind: 'prefix' as const, match: '', shards: SHARDS }];
 
--- a/test/control/ownership.test.ts
+++ b/test/control/ownership.test.ts
@@ -22,22 +22,22 @@
     }
   });
 
-  it('renews leases for as long as nothing fails', () => {
+  it('renews leases while nothing fails', () => {
     const { cluster, shards } = startCluster(3);
     const idle = cluster.runUntil(() => !allServed(cluster, shards), 20_000);
     expect(idle).to.equal(20_000);
   });
 
   for (const seed of [1, 2, 3, 4, 5]) {
-    it(`gives a killed owner's shards to others within the bound, with the leader killed too (seed ${seed})`, () => {
+    it(`grants a killed owner's shards to others within the bound when the leader is killed too (seed ${seed})`, () => {
       const { cluster, shards } = startCluster(3, { seed });
       cluster.run(1000 + 130 * seed);
       const lost = shardsOf(cluster, shards, 'u1');
       cluster.server('u1').state = 'dead';
       cluster.kill(cluster.leader());
-      const taken = cluster.runUntil(() => allServed(cluster, lost), 10_000);
+      const elapsed = cluster.runUntil(() => allServed(cluster, lost), 10_000);
       expect(lost).to.have.length(2);
-      expect(taken).to.be.below(NEW_OWNER_MILLIS);
+      expect(elapsed).to.be.below(NEW_OWNER_MILLIS);
       expect(allServed(cluster, shards)).to.equal(true);
     });
   }
@@ -51,7 +51,7 @@
     expect(cluster.shards()).to.deep.equal(before);
   });
 
-  it('refuses a server that froze, lost its shards and came back', () => {
+  it('rejects the effects of a server that froze, lost its shards and resumed', () => {
     const { cluster, shards } = startCluster(3);
     const frozen = cluster.server('u1');
     const [shard] = shardsOf(cluster, shards, 'u1') as [ShardId];
@@ -70,17 +70,17 @@
     expect(ticket && frozen.holder.confirmEffect(ticket, frozen.clock(cluster.time))).to.equal(false);
   });
 
-  it('waits for the lease of a restarted server before its shards go on', () => {
+  it('waits for the lease of a restarted server before its shards are granted again', () => {
     const { cluster, shards } = startCluster(2);
     const lost = shardsOf(cluster, shards, 'u1');
     cluster.server('u1').restart();
-    const taken = cluster.runUntil(() => allServed(cluster, lost), 10_000);
-    expect(taken).to.be.below(NEW_OWNER_MILLIS);
+    const elapsed = cluster.runUntil(() => allServed(cluster, lost), 10_000);
+    expect(elapsed).to.be.below(NEW_OWNER_MILLIS);
     const records = cluster.shards().filter(({ shard }) => lost.includes(shard));
     expect(records.every(({ incarnation }) => incarnation !== 'u1#1')).to.equal(true);
   });
 
-  it('moves shards off a leaving server, finishing what runs there', () => {
+  it('moves shards off a draining server after its running requests finish', () => {
     const { cluster, shards } = startCluster(3);
     const leaving = cluster.server('u1');
     const [shard] = shardsOf(cluster, shards, 'u1') as [ShardId];
--- a/test/control/placement.test.ts
+++ b/test/control/placement.test.ts
@@ -1,4 +1,4 @@
-/** Placement as the control leader carries it out: batches, handovers, drains, losses, loads. */
+/** Placement as executed by the control leader: batches, handovers, drains, losses, loads. */
 import { expect } from 'chai';
 import type { LoadReport } from '../../src/control/messages.js';
 import { RandomSource } from '../../src/dev/virtual/random-source.js';
@@ -25,7 +25,7 @@
   return counts;
 }
 
-/** Sums up over `millis` the milliseconds in which each shard had no server. */
+/** Runs the cluster for `millis` and returns the sum over all shards of the milliseconds without a server. */
 function unservedMillis(cluster: Cluster, shards: readonly ShardId[], millis: number): number {
   let unserved = 0;
   for (let passed = 0; passed < millis; passed += 1) {
@@ -49,7 +49,7 @@
     expect(epochs.size).to.equal(1);
   });
 
-  it('gives shards to all servers that start together, also if none ran when they were declared', () => {
+  it('grants shards to all servers that start together, also if none was running when they were declared', () => {
     const cluster = new Cluster();
     cluster.runUntil(() => cluster.leader() !== undefined, 5000);
     cluster.change({ type: 'service-apply', definition: MANY, expected: null });
@@ -72,7 +72,7 @@
     expect(countsOf(cluster)).to.deep.equal({ u2: 20, u3: 20, u4: 20 });
   });
 
-  it('drains a server by handovers without waiting for the budget of moves', () => {
+  it('drains a server by handovers without waiting for the move budget', () => {
     const { cluster, shards } = startCluster(4, { service: { ...MANY, movesPerMinute: 0 } });
     cluster.change({
       type: 'upstream-apply',
@@ -85,7 +85,7 @@
     expect(unserved).to.be.at.most(15 * 8);
   });
 
-  it('hands a drained shard over cold if its target does not warm in time', () => {
+  it('hands over a drained shard cold if its target does not warm in time', () => {
     const { cluster, shards } = startCluster(3, { service: MANY });
     cluster.server('u2').warms = false;
     cluster.server('u3').warms = false;
@@ -98,7 +98,7 @@
     expect(countsOf(cluster)).to.deep.equal({ u2: 30, u3: 30 });
   });
 
-  it('relieves the owner of a hot shard by the loads that routers report', () => {
+  it('moves shards off the owner of a hot shard by the loads that routers report', () => {
     const { cluster, shards } = startCluster(4, { service: MANY });
     const hot = shards[0] as ShardId;
     const owner = cluster.serving(hot) as string;
@@ -124,7 +124,7 @@
     expect(ownersOf(cluster)).to.deep.equal(before);
   });
 
-  it('fills a server that joins, within the budget of moves', () => {
+  it('moves shards to a server that joins, within the move budget', () => {
     const { cluster } = startCluster(3, { service: { ...MANY, movesPerMinute: 6 } });
     cluster.addServer('u4');
     cluster.change({ type: 'upstream-apply', definition: upstream('u4'), expected: null });
@@ -142,7 +142,7 @@
     expect(countsOf(cluster)).to.deep.equal({ u1: 30, u2: 30, u3: 30 });
   });
 
-  it('keeps shards with their owners through a change of leaders in the middle of a drain', () => {
+  it('keeps shards with their owners when the leader changes during a drain', () => {
     const { cluster, shards } = startCluster(4, { service: MANY });
     cluster.change({
       type: 'upstream-apply',
@@ -156,7 +156,7 @@
   });
 });
 
-/** What may happen to the cluster while shards move about. */
+/** Disturbances of the cluster while shards are moving. */
 const DISTURBANCES: readonly ((cluster: Cluster, id: string, random: RandomSource) => void)[] = [
   (cluster, id) => change(cluster, id, true),
   (cluster, id) => change(cluster, id, false),
@@ -199,10 +199,10 @@
   }
 }
 
-describe('ownership while shards move about', () => {
+describe('ownership while shards are moving', () => {
   for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
-    // The harness asks the fence of every server for every shard, every 5 ms.
-    it(`is never of two servers, and of one in the end (seed ${seed})`, () => {
+    // The harness checks the fence of every server for every shard, every 5 ms.
+    it(`is never held by two servers, and is held by one at the end (seed ${seed})`, () => {
       const random = new RandomSource(seed);
       const { cluster, shards } = startCluster(4, { service: { ...MANY, movesPerMinute: 6000 }, seed });
       const servers = [...cluster.servers.keys()];
--- a/test/control/replacement.test.ts
+++ b/test/control/replacement.test.ts
@@ -1,4 +1,4 @@
-/** Replacement of a lost replica, asked for by an operator or by the leader itself. */
+/** Replacement of a lost replica, requested by an operator or started by the leader itself. */
 import { expect } from 'chai';
 import type { Membership, RaftStatus } from '../../src/consensus/types.js';
 import { JoinWatch } from '../../src/control/join-watch.js';
@@ -24,7 +24,7 @@
   return cluster.leader().core.status().membership;
 }
 
-/** A follower that can be lost. */
+/** Returns a live follower. */
 function follower(cluster: Cluster): ReplicaId {
   const found = [...cluster.members.values()].find(({ id, alive }) => alive && id !== cluster.leader().id);
   return found?.id as ReplicaId;
@@ -56,7 +56,7 @@
   return cluster.ask({ type: 'replace-replica', oldReplica, newReplica, address });
 }
 
-/** Runs on while the replica asks to be taken in, as its daemon does. */
+/** Runs the cluster while the replica requests to join, as its daemon does. */
 function runAsking(cluster: Cluster, id: ReplicaId, millis: number): void {
   for (let passed = 0; passed < millis; passed += ASK_MILLIS) {
     cluster.askToJoin(id);
@@ -66,7 +66,7 @@
 
 describe('replacement of a replica', () => {
   for (const snapshotEntries of [10_000, 5]) {
-    it(`loses nothing when a second one is lost right after (snapshots each ${snapshotEntries})`, () => {
+    it(`loses no data when a second replica is lost right after (snapshots each ${snapshotEntries})`, () => {
       const cluster = startCluster({ config: { snapshotEntries } });
       const ids = declare(cluster, 30);
       const lost = follower(cluster);
@@ -82,7 +82,7 @@
     });
   }
 
-  it('takes a new replica in beside the others', () => {
+  it('adds a new replica to the others', () => {
     const cluster = startCluster({ members: 1 });
     declare(cluster, 3);
     for (const id of ['m2', 'm3']) {
@@ -98,7 +98,7 @@
     expect(declared(cluster)).to.have.length(3);
   });
 
-  it('is made after all when it is asked for again, whenever its leader is lost', () => {
+  it('completes when it is requested again, whenever its leader is lost', () => {
     for (let millis = 0; millis <= 80; millis += 8) {
       const cluster = startCluster({ members: 5, seed: millis });
       const ids = declare(cluster, 5);
@@ -116,7 +116,7 @@
     }
   });
 
-  it('is not disturbed by the one that was replaced when it comes back', () => {
+  it('is not disturbed by the replaced replica when it returns', () => {
     const cluster = startCluster();
     const away = follower(cluster);
     cluster.cut.add(away);
@@ -129,7 +129,7 @@
     expect(cluster.leader().id).to.not.equal(away);
   });
 
-  it('gives way to another one while its new replica is not let in', () => {
+  it('is superseded by another one while its new replica has not joined', () => {
     const cluster = startCluster();
     const lost = follower(cluster);
     lose(cluster, lost);
@@ -149,7 +149,7 @@
     expect(membership(cluster).voters).to.include('m4').and.to.not.include(lost);
   });
 
-  it('does not count as repaired while the new one is silent', () => {
+  it('does not count as repaired while the new replica is silent', () => {
     const cluster = startCluster();
     const lost = follower(cluster);
     lose(cluster, lost);
@@ -169,16 +169,15 @@
 });
 
 /**
- * Operators' changes went unanswered at some members for good. Two of five voters were cut off for six seconds. After two the leader
- * put spares in their places. Back again, each was a voter by its own log, so it didn't ask to be taken in, and no member of the
- * leader's: it got no appends, nobody answered its pre-votes, and it told each caller that no leader was known. Cause: whether a
- * replica is a member was read from its own log, which ends where it was cut off. Evidence: in this simulator, ten seconds after its return the
- * one that was away was a pre-candidate without a leader.
+ * Guards against a replaced voter that stays without a leader after its return. Two of five voters are cut off for six seconds, and
+ * replaced by spares after two. By its own log, which ends where it was cut off, each is still a voter, so it doesn't request to join;
+ * by the leader's log it is no member, so it gets no appends and no answers to its pre-votes. Ten seconds after its return in this
+ * simulator, it was still a pre-candidate without a leader, and answered operators' changes with no known leader.
  */
 describe('a voter that was replaced while it was cut off', () => {
   const SPARES = ['m6', 'm7'];
 
-  /** Each member asks as its daemon does: when its own watch says so. */
+  /** Each member requests to join when its join watch reports it, as its daemon does. */
   class AskingCluster {
     readonly cluster = startCluster({ members: 5, config: { replaceAfterMillis: REPLACE_AFTER_MILLIS } });
     readonly #watches = new Map<ReplicaId, JoinWatch>();
@@ -213,8 +212,8 @@
     }
   }
 
-  /** Cuts one off until a spare votes in its place, and lets it back. */
-  function replaceOneThatIsAway(asking: AskingCluster): ReplicaId {
+  /** Cuts a follower off until a spare votes in its place, then reconnects it. */
+  function replaceCutOffVoter(asking: AskingCluster): ReplicaId {
     const { cluster } = asking;
     const away = follower(cluster);
     cluster.cut.add(away);
@@ -224,9 +223,9 @@
     return away;
   }
 
-  it('knows the leader again soon after it is back, and sends operators on to it', () => {
+  it('follows the leader soon after its return, and redirects operators to it', () => {
     const asking = new AskingCluster();
-    const away = replaceOneThatIsAway(asking);
+    const away = replaceCutOffVoter(asking);
     asking.run(4000);
     const { cluster } = asking;
     const leader = cluster.leader().id;
@@ -235,10 +234,10 @@
     expect(answer.type).to.equal('evacuations');
   });
 
-  it('is a spare from then on: it votes again in the place of the next that is lost', () => {
+  it('becomes a spare, which replaces the next lost voter', () => {
     const asking = new AskingCluster();
     const { cluster } = asking;
-    const away = replaceOneThatIsAway(asking);
+    const away = replaceCutOffVoter(asking);
     asking.run(4000);
     for (const spare of SPARES) {
       if (!membership(cluster).voters.includes(spare)) {
@@ -251,15 +250,15 @@
     expect(membership(cluster).voters).to.include(away);
   });
 
-  it('does not disturb the leader that it comes back to', () => {
+  it('does not disturb the leader on its return', () => {
     const asking = new AskingCluster();
     const { term } = asking.cluster.leader().core.status();
-    replaceOneThatIsAway(asking);
+    replaceCutOffVoter(asking);
     asking.run(10_000);
     expect(asking.cluster.leader().core.status().term).to.equal(term);
   });
 
-  it('leaves those at rest that have a leader, and all at their start', () => {
+  it('does not make members join that have a leader, or that are starting', () => {
     const asking = new AskingCluster();
     const ids = [...asking.cluster.members.keys()];
     expect(ids.filter((id) => asking.isAsking(id))).to.deep.equal([]);
@@ -270,7 +269,7 @@
     expect(starting.isAsking).to.equal(false);
   });
 
-  it('asks the members of its own log beside those of its settings, each once and never itself', () => {
+  it('contacts the members in its log and in its settings, each once and never itself', () => {
     const { cluster } = new AskingCluster();
     const status = cluster.members.get('m1')?.core.status() as RaftStatus;
     const { addresses } = status.membership;
@@ -285,7 +284,7 @@
 describe('replacement by the leader itself', () => {
   const config = { replaceAfterMillis: REPLACE_AFTER_MILLIS };
 
-  it('puts a spare in the place of a voter that was silent for long enough', () => {
+  it('replaces a voter that was silent for long enough by a spare', () => {
     const cluster = startCluster({ config });
     const ids = declare(cluster, 10);
     cluster.addMember('m4');
@@ -302,7 +301,7 @@
     expect(declared(cluster)).to.have.members(ids);
   });
 
-  it('takes in a replica that asks after the loss, and repairs with it', () => {
+  it('accepts a replica that requests to join after the loss, and repairs with it', () => {
     const cluster = startCluster({ config });
     const lost = follower(cluster);
     lose(cluster, lost);
@@ -312,7 +311,7 @@
     expect(membership(cluster).voters).to.include('m4').and.to.not.include(lost);
   });
 
-  it('leaves voters alone that answer, and a silent one without a spare', () => {
+  it('keeps voters that answer, and a silent one if there is no spare', () => {
     const cluster = startCluster({ config });
     const before = membership(cluster).voters;
     cluster.run(20_000);
@@ -321,7 +320,7 @@
     expect(membership(cluster).voters).to.deep.equal(before);
   });
 
-  it('does nothing where it is off, but shows who waits and who is silent', () => {
+  it('does nothing if disabled, but reports waiting replicas and silent voters', () => {
     const cluster = startCluster();
     cluster.addMember('m4');
     const lost = follower(cluster);
