--- a/src/control/operator-requests.ts
+++ b/src/control/operator-requests.ts
@@ -282,11 +282,11 @@
     { definition, report }: AnnounceRequest,
     now: MonotonicMillis,
   ): void {
-    const { heard, answer } = this.#parts;
+    const { heard: handleHeartbeat, answer } = this.#parts;
     const { id: upstream, announced } = definition;
     this.#addresses.heard(upstream, now);
     const heartbeat = { upstream, born: announced?.born ?? null, report };
-    heard(heartbeat, (keys) => answer(operation, { type: 'heartbeat-taken', keys }), now);
+    handleHeartbeat(heartbeat, (keys) => answer(operation, { type: 'heartbeat-taken', keys }), now);
   }
 
   /**
