--- a/src/control/daemon/admin-server.ts
+++ b/src/control/daemon/admin-server.ts
@@ -1,4 +1,4 @@
-/** Task that owns the admin port: metrics and health, and in front of them the operators' API if there is one. */
+/** Task that owns the admin port: metrics, health, and the operators' API if there is one. */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import type Koa from 'koa';
 import type { Registry as MetricsRegistry } from 'prom-client';
@@ -9,15 +9,14 @@
 export interface AdminServerOptions {
   readonly listen: Address;
   readonly metrics: MetricsRegistry;
-  /** Facts for `/healthz`; `healthy: false` gives 503. */
+  /** Content of `/healthz`; with `healthy: false` its status is 503. */
   readonly health: () => { readonly healthy: boolean };
   readonly app: Koa | null;
 }
 
-/** Listens on the admin port. */
 export async function startAdminServer(options: AdminServerOptions): Promise<HttpListener> {
-  const rest: RequestListener = options.app?.callback() ?? notFound;
-  const monitor = createMonitorListener(options.metrics, options.health, rest);
+  const fallback: RequestListener = options.app?.callback() ?? notFound;
+  const monitor = createMonitorListener(options.metrics, options.health, fallback);
   return HttpListener.listen(options.listen, DEFAULT_HTTP_LIMITS, monitor);
 }
 
--- a/src/control/daemon/append-split.ts
+++ b/src/control/daemon/append-split.ts
@@ -1,28 +1,28 @@
-/** Cuts an append request that is too large for one frame into several that follow on one another. */
+/** Splits an append request that is too large for one frame into several consecutive requests. */
 import type { AppendRequest, LogEntry } from '../../consensus/types.js';
 
-/** Bytes of an entry in a frame beside its data, and of a request beside its entries; generous. */
+/** Upper bounds of the encoded size of an entry without its data, and of a request without its entries. */
 const ENTRY_OVERHEAD_BYTES = 32;
 const REQUEST_OVERHEAD_BYTES = 4096;
 
-/** Requests of about `maxBytes` at most each; an entry that is larger by itself stands alone. */
+/** Returns requests of about `maxBytes` or less; an entry that alone exceeds this gets a request of its own. */
 export function splitAppend(request: AppendRequest, maxBytes: number): AppendRequest[] {
-  const room = maxBytes - REQUEST_OVERHEAD_BYTES;
+  const maxEntryBytes = maxBytes - REQUEST_OVERHEAD_BYTES;
   const parts: LogEntry[][] = [[]];
-  let used = 0;
+  let usedBytes = 0;
   for (const entry of request.entries) {
     const size = entry.data.length + ENTRY_OVERHEAD_BYTES;
-    if (used > 0 && used + size > room) {
+    if (usedBytes > 0 && usedBytes + size > maxEntryBytes) {
       parts.push([]);
-      used = 0;
+      usedBytes = 0;
     }
     parts[parts.length - 1]?.push(entry);
-    used += size;
+    usedBytes += size;
   }
-  return parts.length === 1 ? [request] : chain(request, parts);
+  return parts.length === 1 ? [request] : toConsecutiveRequests(request, parts);
 }
 
-function chain(request: AppendRequest, parts: readonly LogEntry[][]): AppendRequest[] {
+function toConsecutiveRequests(request: AppendRequest, parts: readonly LogEntry[][]): AppendRequest[] {
   let { previousIndex, previousTerm } = request;
   return parts.map((entries) => {
     const part = { ...request, previousIndex, previousTerm, entries };
--- a/src/control/daemon/control-daemon.ts
+++ b/src/control/daemon/control-daemon.ts
@@ -1,4 +1,4 @@
-/** The control daemon: the deterministic control core with its files, sockets, timers and operators. */
+/** The control daemon: runs the deterministic control core with its files, sockets, timers and operator requests. */
 import { randomInt } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { RaftStatus } from '../../consensus/types.js';
@@ -37,20 +37,20 @@
 import type { StepReport } from './step-meter.js';
 import { UpstreamSessions } from './upstream-sessions.js';
 
-const RECONCILE_MILLIS = 1000;
-const LEADER_CHECK_MILLIS = 10;
+const RECONCILE_INTERVAL_MILLIS = 1000;
+const LEADER_CHECK_INTERVAL_MILLIS = 10;
 const MAX_SEED = 2 ** 31 - 1;
 
-/** What a replica was found to be when its data folder was opened. */
+/** A replica's identity and restored state after opening its data folder. */
 export interface OpenedReplica {
   readonly replica: ReplicaId;
   readonly restored: ControlRestoredState;
   readonly files: ReplicaFiles;
-  /** Writes that wait for room on the disk fail from now on, so that a stop isn't held up. */
+  /** Makes writes that wait for free disk space fail, so that they don't delay a stop. */
   readonly stopWaiting?: () => void;
 }
 
-/** Makes the core; replaced in tests. */
+/** Creates the core; replaced in tests. */
 export type CreateControlCore = (
   config: ControlConfig,
   restored: ControlRestoredState,
@@ -58,7 +58,7 @@
 ) => ControlCore;
 
 export class ControlDaemon {
-  /** Resolves if the daemon can't go on: its disk failed, or its core did. The process must then end. */
+  /** Resolves when the disk or the core failed. The process must then exit. */
   readonly failed: Promise<Error>;
   readonly replica: ReplicaId;
   private readonly core: ControlCore;
@@ -75,11 +75,11 @@
   private readonly log: Logger = createLogger('control');
   private admin: HttpListener | undefined;
   private reconcileTimer: NodeJS.Timeout | undefined;
-  private fail: (error: Error) => void = () => {};
+  private resolveFailed: (error: Error) => void = () => {};
   private stopping: Promise<void> | undefined;
   private lastSteps: StepReport | null = null;
-  /** Counts of the report before, to tell of differences. */
-  private lastWork: RangeWork | null = null;
+  /** Counts at the previous report, to log differences. */
+  private lastRangeWork: RangeWork | null = null;
 
   constructor(
     private readonly settings: ControlDaemonSettings,
@@ -87,7 +87,7 @@
     createCore: CreateControlCore,
   ) {
     this.failed = new Promise((resolve) => {
-      this.fail = resolve;
+      this.resolveFailed = resolve;
     });
     this.replica = opened.replica;
     this.timings = controlTimings(settings);
@@ -100,13 +100,13 @@
     );
     this.coreTask = new CoreTask(
       this.core,
-      (effect) => this.carryOut(effect),
-      (error) => this.giveUp(error),
-      (report) => this.stepsMeasured(report),
+      (effect) => this.execute(effect),
+      (error) => this.onFatalError(error),
+      (report) => this.onStepReport(report),
     );
     this.persistTask = new PersistTask(opened.files, {
       persisted: (persistId) => this.coreTask.post({ type: 'persisted', persistId }),
-      failed: (error) => this.giveUp(error),
+      failed: (error) => this.onFatalError(error),
     });
     this.peers = new PeerLinks({
       self: this.replica,
@@ -142,18 +142,18 @@
       app: this.settings.createAdminApp?.(this) ?? null,
     });
     this.peers.reconcile();
-    this.reconcileTimer = setInterval(() => this.peers.reconcile(), RECONCILE_MILLIS);
+    this.reconcileTimer = setInterval(() => this.peers.reconcile(), RECONCILE_INTERVAL_MILLIS);
     this.coreTask.start();
     this.joining.start();
     this.log.info('started', { replica: this.replica, listen: this.address, admin: this.adminAddress });
   }
 
-  /** Internal address, with the real port. */
+  /** Internal address, with the actual port. */
   get address(): Address {
     return this.internal.address;
   }
 
-  /** Admin address, with the real port. */
+  /** Admin address, with the actual port. */
   get adminAddress(): Address {
     return this.admin?.address ?? this.settings.admin;
   }
@@ -162,17 +162,17 @@
     return this.core.status();
   }
 
-  /** Takes over other members to ask, for as long as this replica is none. */
+  /** Replaces the members that join requests are sent to while this replica is not a member. */
   usePeers(peers: readonly Address[]): void {
     this.joining.usePeers(peers);
   }
 
-  /** Carries out an operator's request. */
+  /** Executes an operator's request. */
   operate(request: OperatorRequest): Promise<OperatorResponse> {
     return this.operations.run(request);
   }
 
-  /** Planned stop: hands leadership on, answers what is under way, then closes everything. */
+  /** Planned stop: transfers leadership, completes requests in progress, then closes everything. */
   stop(): Promise<void> {
     this.stopping ??= this.shutDown();
     return this.stopping;
@@ -180,7 +180,7 @@
 
   private async shutDown(): Promise<void> {
     this.log.info('stopping', { replica: this.replica });
-    await this.handLeadershipOn();
+    await this.transferLeadership();
     await this.admin?.stop({ idleMillis: this.timings.idleMillis });
     this.operations.abandon();
     clearInterval(this.reconcileTimer);
@@ -194,39 +194,39 @@
     this.log.info('stopped', { replica: this.replica });
   }
 
-  private async handLeadershipOn(): Promise<void> {
+  private async transferLeadership(): Promise<void> {
     const { role, membership } = this.core.status();
     if (role !== 'leader' || membership.voters.length < 2) {
       return;
     }
     void this.operate({ type: 'transfer-leadership', to: null });
-    const until = performance.now() + this.timings.transferMillis;
-    while (this.core.status().role === 'leader' && performance.now() < until) {
-      await sleep(LEADER_CHECK_MILLIS);
+    const deadline = performance.now() + this.timings.transferMillis;
+    while (this.core.status().role === 'leader' && performance.now() < deadline) {
+      await sleep(LEADER_CHECK_INTERVAL_MILLIS);
     }
   }
 
-  private giveUp(error: Error): void {
+  private onFatalError(error: Error): void {
     this.log.error('failed', { replica: this.replica, error });
     this.coreTask.stop();
-    this.fail(error);
+    this.resolveFailed(error);
   }
 
-  private stepsMeasured(report: StepReport): void {
+  private onStepReport(report: StepReport): void {
     this.lastSteps = report;
     const work = this.core.rangeWork();
-    const before = work === null ? null : this.lastWork;
-    this.lastWork = work;
+    const previous = work === null ? null : this.lastRangeWork;
+    this.lastRangeWork = work;
     this.log.info('core-load', {
       ...roundedMillis(report),
       ranges: work?.ranges ?? null,
       openCalls: work?.openCalls ?? null,
-      calls: work === null ? null : work.calls - (before?.calls ?? 0),
-      decisions: work === null ? null : work.decisions - (before?.decisions ?? 0),
+      calls: work === null ? null : work.calls - (previous?.calls ?? 0),
+      decisions: work === null ? null : work.decisions - (previous?.decisions ?? 0),
     });
   }
 
-  private carryOut(effect: ControlEffect): void {
+  private execute(effect: ControlEffect): void {
     switch (effect.type) {
       case 'send-peer':
         this.peers.send(effect.message);
@@ -277,14 +277,14 @@
       limits,
       log: this.log,
       owner: {
-        peerMessage: (message) => this.coreTask.post({ type: 'peer-message', message }),
-        joinRequested: ({ replica, address }) =>
+        onPeerMessage: (message) => this.coreTask.post({ type: 'peer-message', message }),
+        onJoinRequest: ({ replica, address }) =>
           this.coreTask.post({ type: 'join-request', replica, address }),
-        peerConnected: (replica, connection) => this.peers.connected(replica, connection),
-        peerDisconnected: (replica, connection) => this.peers.disconnected(replica, connection),
-        routerMessage: (connection, message) =>
+        onPeerConnected: (replica, connection) => this.peers.connected(replica, connection),
+        onPeerDisconnected: (replica, connection) => this.peers.disconnected(replica, connection),
+        onRouterMessage: (connection, message) =>
           this.coreTask.post({ type: 'router-message', connection, message }),
-        routerGone: (connection) => this.coreTask.post({ type: 'router-gone', connection }),
+        onRouterDisconnected: (connection) => this.coreTask.post({ type: 'router-gone', connection }),
       },
     });
   }
--- a/src/control/daemon/core-task.ts
+++ b/src/control/daemon/core-task.ts
@@ -1,38 +1,38 @@
-/** Task that owns the control core: one input at a time, effects carried out in their order, ticks when they are due. */
+/** Task that owns the control core: one input at a time, effects executed in order, ticks when they are due. */
 import { toError } from '../../errors/ternmount-error.js';
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import type { ControlCore, ControlEffect, ControlInput } from '../types.js';
 import { StepMeter, type StepReport } from './step-meter.js';
 
-/** Shortest wait for a tick, so that a deadline that doesn't move can't keep the process busy. */
-const MIN_TICK_MILLIS = 1;
-/** How often it is looked at how late the process is. */
-const PROBE_MILLIS = 100;
+/** Minimum delay of a tick, so that a deadline in the past can't keep the process busy. */
+const MIN_TICK_DELAY_MILLIS = 1;
+/** How often the delay of the event loop is measured. */
+const DELAY_INTERVAL_MILLIS = 100;
 
 export class CoreTask {
   private readonly mailbox: ControlInput[] = [];
   private timer: NodeJS.Timeout | undefined;
-  private probeTimer: NodeJS.Timeout | undefined;
+  private delayTimer: NodeJS.Timeout | undefined;
   private stepping = false;
   private stopped = false;
   private readonly meter = new StepMeter(performance.now());
 
   constructor(
     private readonly core: ControlCore,
-    private readonly carryOut: (effect: ControlEffect) => void,
-    /** The core threw, so its state can't be trusted any more. */
-    private readonly failed: (error: Error) => void,
-    /** What the steps of about a second cost. */
-    private readonly measured: (report: StepReport) => void = () => {},
+    private readonly onEffect: (effect: ControlEffect) => void,
+    /** Called when the core threw: its state is unreliable from then on. */
+    private readonly onFailure: (error: Error) => void,
+    /** Called about every second with the cost of the steps. */
+    private readonly onReport: (report: StepReport) => void = () => {},
   ) {}
 
-  /** Starts the ticks. */
+  /** Starts ticks and delay measurements. */
   start(): void {
     this.probe(performance.now());
     this.post({ type: 'tick' });
   }
 
-  /** Hands an input to the core; effects of inputs posted before come first. */
+  /** Passes an input to the core; effects of inputs posted earlier are executed first. */
   post(input: ControlInput): void {
     if (this.stopped) {
       return;
@@ -46,7 +46,7 @@
   stop(): void {
     this.stopped = true;
     clearTimeout(this.timer);
-    clearTimeout(this.probeTimer);
+    clearTimeout(this.delayTimer);
   }
 
   private drain(): void {
@@ -57,7 +57,7 @@
       }
     } catch (thrown) {
       this.stop();
-      this.failed(toError(thrown));
+      this.onFailure(toError(thrown));
     } finally {
       this.stepping = false;
     }
@@ -65,15 +65,15 @@
   }
 
   private step(input: ControlInput): void {
-    const beganAt = performance.now();
-    for (const effect of this.core.step(input, beganAt, Date.now())) {
-      this.carryOut(effect);
+    const startedAt = performance.now();
+    for (const effect of this.core.step(input, startedAt, Date.now())) {
+      this.onEffect(effect);
     }
     const endedAt = performance.now();
-    this.meter.stepped(input.type, beganAt, endedAt);
+    this.meter.stepped(input.type, startedAt, endedAt);
     const report = this.meter.take(endedAt);
     if (report !== null) {
-      this.measured(report);
+      this.onReport(report);
     }
   }
 
@@ -83,14 +83,14 @@
       return;
     }
     const now = performance.now();
-    const wait = Math.max(MIN_TICK_MILLIS, Math.ceil(this.core.nextDeadline() - now));
-    this.timer = setTimeout(() => this.post({ type: 'tick' }), wait);
+    const delayMillis = Math.max(MIN_TICK_DELAY_MILLIS, Math.ceil(this.core.nextDeadline() - now));
+    this.timer = setTimeout(() => this.post({ type: 'tick' }), delayMillis);
   }
 
-  /** Ticks are put off by whatever comes before them, so what else waits is told by a timer of its own. */
+  /** Measures the event loop delay with a separate timer, because each input reschedules the tick timer. */
   private probe(dueAt: MonotonicMillis): void {
     const now = performance.now();
     this.meter.probed(dueAt, now);
-    this.probeTimer = setTimeout(() => this.probe(now + PROBE_MILLIS), PROBE_MILLIS);
+    this.delayTimer = setTimeout(() => this.probe(now + DELAY_INTERVAL_MILLIS), DELAY_INTERVAL_MILLIS);
   }
 }
--- a/src/control/daemon/holder-calls.ts
+++ b/src/control/daemon/holder-calls.ts
@@ -1,4 +1,4 @@
-/** Task that carries calls to upstreams which take plain grants. A call without an answer has its connection reset. */
+/** Task that calls upstreams with plain grants over HTTP. If a call times out, its connection is reset. */
 import { Agent, type IncomingMessage, request } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Logger } from '../../logging/logger.js';
@@ -9,9 +9,9 @@
 
 export interface HolderCallsOptions {
   readonly protocol: HolderProtocol;
-  /** A grant that wasn't answered in this time failed. */
+  /** Timeout of grants. */
   readonly grantMillis: number;
-  /** The same for a release, which is answered once what runs has ended. */
+  /** Timeout of releases, which upstreams answer once running requests have ended. */
   readonly releaseMillis: number;
   readonly localAddress?: string | undefined;
   readonly log: Logger;
@@ -22,23 +22,23 @@
 const KEEP_ALIVE_MILLIS = 4000;
 const OK = 200;
 const CONFLICT = 409;
-/** The call names a run, and another one is at the address. */
+/** Status if the run at the address isn't the one that the call names. */
 const MISDIRECTED_REQUEST = 421;
 
-/** One connection to an upstream whose runs share its id. Whoever is at its other end stays the same for as long as it lives. */
+/** A single connection to an upstream whose runs share its id. Its remote end is the same run for its whole lifetime. */
 class RunConnection {
   readonly agent = new Agent({ keepAlive: true, maxSockets: 1, timeout: KEEP_ALIVE_MILLIS });
-  /** Fences of grants that it carried. */
+  /** Fences of grants sent over this connection. */
   readonly fences = new Set<Epoch>();
   #socket: Socket | null = null;
 
-  /** Whether a request goes over the same connection as those before. */
-  isSame(socket: Socket): boolean {
+  /** Whether a request uses the same socket as the requests before it. */
+  isSameSocket(socket: Socket): boolean {
     this.#socket ??= socket;
     return this.#socket === socket;
   }
 
-  get isOver(): boolean {
+  get isEnded(): boolean {
     return this.#socket?.destroyed ?? false;
   }
 }
@@ -53,7 +53,7 @@
 
   constructor(private readonly options: HolderCallsOptions) {}
 
-  /** Makes a call; `ended` is told once how it ended. */
+  /** Makes a call; `ended` is called exactly once with its outcome. */
   call(call: HolderCall): void {
     const { protocol, grantMillis, releaseMillis, localAddress } = this.options;
     const isGrant = call.kind === 'grant';
@@ -61,10 +61,10 @@
     const body = JSON.stringify(bodyOf(call));
     let socket: Socket | undefined;
     let isConnected = false;
-    let isOver = false;
+    let isEnded = false;
     const end = (outcome: HolderOutcome): void => {
-      if (!isOver) {
-        isOver = true;
+      if (!isEnded) {
+        isEnded = true;
         clearTimeout(timer);
         this.report(call, outcome);
       }
@@ -99,8 +99,8 @@
     outgoing.on('socket', (assigned) => {
       socket = assigned;
       isConnected = !assigned.connecting;
-      if (connection?.isSame(assigned) === false) {
-        // Its connection ended between two calls, and the agent made another one: nothing has been written on that.
+      if (connection?.isSameSocket(assigned) === false) {
+        // The connection closed between two calls and the agent opened another one, to which nothing has been written.
         end({ type: 'unbound' });
         outgoing.destroy();
         return;
@@ -128,19 +128,19 @@
     }
   }
 
-  /** The connection for grants to an upstream whose runs share its id; `null`: its id names its run, so any connection will do. */
+  /** The connection for grants to an upstream whose runs share its id; `null` if the id identifies the run, so that any connection may be used. */
   private connectionFor({ upstream, run }: GrantCall): RunConnection | null {
     if (run === upstream) {
       return null;
     }
-    const known = this.runConnections.get(upstream);
-    if (known !== undefined && !known.isOver) {
-      return known;
+    const existing = this.runConnections.get(upstream);
+    if (existing !== undefined && !existing.isEnded) {
+      return existing;
     }
-    known?.agent.destroy();
-    const made = new RunConnection();
-    this.runConnections.set(upstream, made);
-    return made;
+    existing?.agent.destroy();
+    const created = new RunConnection();
+    this.runConnections.set(upstream, created);
+    return created;
   }
 
   private outcomeOf({ statusCode = 0, headers }: IncomingMessage): HolderOutcome {
@@ -182,7 +182,7 @@
   return { type: error.code === 'ECONNREFUSED' ? 'refused' : 'not-sent' };
 }
 
-/** What wasn't delivered yet must not arrive later. */
+/** Resets the connection, so that undelivered data can't arrive later. */
 function reset(socket: Socket | undefined): void {
   if (socket !== undefined && !socket.destroyed && !socket.connecting) {
     socket.resetAndDestroy();
--- a/src/control/daemon/identity-questions.ts
+++ b/src/control/daemon/identity-questions.ts
@@ -1,4 +1,4 @@
-/** Task that asks addresses which run of an upstream lives there. Each question goes out over a connection of its own. */
+/** Task that queries addresses for the run of an upstream there. Each query uses a connection of its own. */
 import { type IncomingMessage, request } from 'node:http';
 import type { Logger } from '../../logging/logger.js';
 import { HEALTH_PATH } from '../../model/health-path.js';
@@ -8,14 +8,14 @@
 
 export interface IdentityQuestionsOptions {
   readonly protocol: HolderProtocol;
-  /** Without an answer in this time nothing is known. */
+  /** Without a response within this time the answer is `unknown`. */
   readonly timeoutMillis: number;
   readonly localAddress?: string | undefined;
   readonly log: Logger;
   readonly answered: (question: QuestionId, answer: IdentityAnswer) => void;
 }
 
-/** The question names a run, and another one is at the address. */
+/** Status if the run at the address isn't the one that the query names. */
 const MISDIRECTED_REQUEST = 421;
 const UNKNOWN: IdentityAnswer = { type: 'unknown' };
 
@@ -26,14 +26,14 @@
     this.#options = options;
   }
 
-  /** Asks; `answered` is told once what came of it. */
+  /** Sends a query; `answered` is called exactly once with its result. */
   ask(question: IdentityQuestion): void {
     const { protocol, timeoutMillis, localAddress } = this.#options;
     const { host, port } = parseAddress(question.address);
-    let isOver = false;
+    let isEnded = false;
     const end = (answer: IdentityAnswer, reason: string): void => {
-      if (!isOver) {
-        isOver = true;
+      if (!isEnded) {
+        isEnded = true;
         clearTimeout(timer);
         outgoing.destroy();
         this.#report(question, answer, reason);
@@ -49,13 +49,15 @@
       ...(localAddress && { localAddress }),
     });
     const timer = setTimeout(() => end(UNKNOWN, 'timeout'), timeoutMillis);
-    outgoing.on('response', (response) => end(this.#answerOf(response), `status ${response.statusCode}`));
+    outgoing.on('response', (response) =>
+      end(this.#parseResponse(response), `status ${response.statusCode}`),
+    );
     outgoing.on('error', (error: NodeJS.ErrnoException) => end(UNKNOWN, error.code ?? error.message));
     outgoing.end();
   }
 
-  /** The head of the answer says it all. */
-  #answerOf({ statusCode, headers }: IncomingMessage): IdentityAnswer {
+  /** Status and headers suffice; the body is ignored. */
+  #parseResponse({ statusCode, headers }: IncomingMessage): IdentityAnswer {
     if (statusCode === MISDIRECTED_REQUEST) {
       return { type: 'another' };
     }
--- a/src/control/daemon/internal-server.ts
+++ b/src/control/daemon/internal-server.ts
@@ -1,4 +1,4 @@
-/** Task that owns the internal port: messages of other replicas and of routers come in here. */
+/** Task that owns the internal port, which receives messages of other replicas and of routers. */
 import type { RaftMessage } from '../../consensus/types.js';
 import type { Logger } from '../../logging/logger.js';
 import type { Address, ReplicaId } from '../../model/identifiers.js';
@@ -16,12 +16,12 @@
 import { readJoinRequest, readPeerMessage } from './peer-message.js';
 
 export interface InternalServerOwner {
-  peerMessage(message: RaftMessage): void;
-  joinRequested(request: JoinRequest): void;
-  peerConnected(replica: ReplicaId, connection: FrameConnection): void;
-  peerDisconnected(replica: ReplicaId, connection: FrameConnection): void;
-  routerMessage(connection: ConnectionId, message: RouterToControl): void;
-  routerGone(connection: ConnectionId): void;
+  onPeerMessage(message: RaftMessage): void;
+  onJoinRequest(request: JoinRequest): void;
+  onPeerConnected(replica: ReplicaId, connection: FrameConnection): void;
+  onPeerDisconnected(replica: ReplicaId, connection: FrameConnection): void;
+  onRouterMessage(connection: ConnectionId, message: RouterToControl): void;
+  onRouterDisconnected(connection: ConnectionId): void;
 }
 
 export interface InternalServerOptions {
@@ -48,19 +48,19 @@
       identity,
       limits,
       owner: {
-        ready: (connection, peer) => this.accept(connection, peer),
-        received: (connection, frame) => this.take(connection, frame),
-        closed: (connection, reason) => this.forget(connection, reason),
+        ready: (connection, peer) => this.onReady(connection, peer),
+        received: (connection, frame) => this.onFrame(connection, frame),
+        closed: (connection, reason) => this.onClosed(connection, reason),
       },
     });
   }
 
-  /** Where it listens, with the real port. */
+  /** The listening address, with the actual port. */
   get address(): Address {
     return this.server?.address ?? this.options.listen;
   }
 
-  /** Sends to a router; one that doesn't read is cut off and will ask again. */
+  /** Sends to a router. If its queue is full, the connection is closed, and the router reconnects and resynchronizes. */
   sendToRouter(id: ConnectionId, message: ControlToRouter): void {
     const connection = this.routers.get(id);
     if (connection === undefined) {
@@ -77,9 +77,9 @@
     await this.server?.stop();
   }
 
-  private accept(connection: FrameConnection, peer: Greeting): void {
+  private onReady(connection: FrameConnection, peer: Greeting): void {
     if (peer.kind === 'control') {
-      this.options.owner.peerConnected(peer.name, connection);
+      this.options.owner.onPeerConnected(peer.name, connection);
       return;
     }
     this.connectionCount += 1;
@@ -89,24 +89,24 @@
     this.options.log.info('router-connected', { router: peer.name, connection: id });
   }
 
-  private take(connection: FrameConnection, frame: Frame): void {
+  private onFrame(connection: FrameConnection, frame: Frame): void {
     const id = this.routerIds.get(connection);
     if (id !== undefined) {
-      this.options.owner.routerMessage(id, routerToControlCodecs.decode(frame.kind, frame.payload));
+      this.options.owner.onRouterMessage(id, routerToControlCodecs.decode(frame.kind, frame.payload));
       return;
     }
     const joinRequest = readJoinRequest(frame, connection.peer?.name);
     if (joinRequest !== null) {
-      this.options.owner.joinRequested(joinRequest);
+      this.options.owner.onJoinRequest(joinRequest);
       return;
     }
     const message = readPeerMessage(frame, connection.peer?.name, this.options.self);
     if (message !== null) {
-      this.options.owner.peerMessage(message);
+      this.options.owner.onPeerMessage(message);
     }
   }
 
-  private forget(connection: FrameConnection, reason: Error | null): void {
+  private onClosed(connection: FrameConnection, reason: Error | null): void {
     const { peer } = connection;
     if (reason !== null) {
       this.options.log.warn('connection-closed', { peer: peer?.name, kind: peer?.kind, reason });
@@ -115,9 +115,9 @@
     if (id !== undefined) {
       this.routerIds.delete(connection);
       this.routers.delete(id);
-      this.options.owner.routerGone(id);
+      this.options.owner.onRouterDisconnected(id);
     } else if (peer !== null) {
-      this.options.owner.peerDisconnected(peer.name, connection);
+      this.options.owner.onPeerDisconnected(peer.name, connection);
     }
   }
 }
--- a/src/control/daemon/join-task.ts
+++ b/src/control/daemon/join-task.ts
@@ -1,15 +1,15 @@
-/** Task of a replica that is no member, or no longer one: tells the members that it is there until it is taken in. */
+/** Task of a replica that is not a member, or no longer one: sends join requests to the members until it is added. */
 import type { RaftStatus } from '../../consensus/types.js';
 import type { Logger } from '../../logging/logger.js';
 import type { Address, ReplicaId } from '../../model/identifiers.js';
 import { FrameClient, joinRequestCodec, type WireIdentity, type WireLimits } from '../../wire/index.js';
 import { JoinWatch } from '../join-watch.js';
 
-const ASK_MILLIS = 1000;
+const JOIN_REQUEST_INTERVAL_MILLIS = 1000;
 
 export interface JoinTaskOptions {
   readonly self: ReplicaId;
-  /** Where the others reach this replica. */
+  /** Address at which the others reach this replica. */
   readonly address: Address;
   readonly peers: readonly Address[];
   readonly localAddress?: string | undefined;
@@ -29,44 +29,44 @@
     this.peers = options.peers;
   }
 
-  /** Asks others from now on. */
+  /** Replaces the members that join requests are sent to. */
   usePeers(peers: readonly Address[]): void {
     if (peers.join() !== this.peers.join()) {
       this.peers = peers;
-      this.hangUp();
+      this.disconnect();
     }
   }
 
   start(): void {
-    this.timer = setInterval(() => this.look(), ASK_MILLIS);
-    this.look();
+    this.timer = setInterval(() => this.check(), JOIN_REQUEST_INTERVAL_MILLIS);
+    this.check();
   }
 
   stop(): void {
     clearInterval(this.timer);
-    this.hangUp();
+    this.disconnect();
   }
 
-  private look(): void {
+  private check(): void {
     const status = this.options.status();
     this.watch.look(status);
     if (this.watch.isAsking) {
       this.ask(status);
     } else {
-      this.hangUp();
+      this.disconnect();
     }
   }
 
   private ask(status: RaftStatus): void {
     if (this.clients.length === 0) {
-      this.clients = this.watch.addresses(this.peers, status).map((peer) => this.dial(peer));
+      this.clients = this.watch.addresses(this.peers, status).map((peer) => this.connect(peer));
     }
     for (const client of this.clients) {
       this.sendTo(client);
     }
   }
 
-  private dial(peer: Address): FrameClient {
+  private connect(peer: Address): FrameClient {
     const { identity, limits, localAddress, log } = this.options;
     const client: FrameClient = new FrameClient({
       address: peer,
@@ -84,7 +84,7 @@
     client.send(joinRequestCodec.kind, joinRequestCodec.encode({ type: 'join-request', replica, address }));
   }
 
-  private hangUp(): void {
+  private disconnect(): void {
     for (const client of this.clients) {
       client.stop();
     }
--- a/src/control/daemon/metrics.ts
+++ b/src/control/daemon/metrics.ts
@@ -7,25 +7,25 @@
 
 const MILLIS_PER_SECOND = 1000;
 
-/** The cluster's state as the leader sees it. */
+/** The cluster's status; only the leader's is complete. */
 type ClusterStatus = Extract<OperatorResponse, { readonly type: 'status' }>;
 
-/** One answer of the core serves all gauges of a scrape. */
-const SHARED_MILLIS = 500;
+/** How long a status of the core is reused, so that all gauges of a scrape share one. */
+const STATUS_MAX_AGE_MILLIS = 500;
 
-/** Where the gauges read from when they are scraped. */
+/** The sources that gauges read when they are scraped. */
 export interface ControlMetricsSource {
   readonly raft: () => RaftStatus;
   readonly cluster: () => Promise<OperatorResponse>;
-  /** What the core's steps of the last second cost; `null`: none was measured yet. */
+  /** Cost of the core's steps in the last second; `null` before the first measurement. */
   readonly steps: () => StepReport | null;
-  /** `null`: this member doesn't lead. */
+  /** `null` if this member isn't the leader. */
   readonly rangeWork: () => RangeWork | null;
 }
 
 type AddGauge<Status> = (name: string, help: string, read: (status: Status) => number) => void;
 
-function adder<Status>(registry: Registry, status: () => Status | Promise<Status>): AddGauge<Status> {
+function gaugeAdder<Status>(registry: Registry, status: () => Status | Promise<Status>): AddGauge<Status> {
   return (name, help, read) => {
     const metric: Gauge = new Gauge({
       name: `ternmount_control_${name}`,
@@ -36,17 +36,17 @@
   };
 }
 
-/** Asks at most once in a while, so that a scrape asks once. */
-function shared<Value>(ask: () => Promise<Value>, sharedMillis: number): () => Promise<Value> {
-  let answer: Promise<Value> | undefined;
-  let askedAt = Number.NEGATIVE_INFINITY;
+/** Calls `read` at most once per `maxAgeMillis`, so that a scrape calls it once. */
+function cached<Value>(read: () => Promise<Value>, maxAgeMillis: number): () => Promise<Value> {
+  let value: Promise<Value> | undefined;
+  let readAt = Number.NEGATIVE_INFINITY;
   return () => {
     const now = performance.now();
-    if (answer === undefined || now - askedAt >= sharedMillis) {
-      askedAt = now;
-      answer = ask();
+    if (value === undefined || now - readAt >= maxAgeMillis) {
+      readAt = now;
+      value = read();
     }
-    return answer;
+    return value;
   };
 }
 
@@ -74,7 +74,7 @@
   );
 }
 
-/** 0 on members that don't lead. */
+/** These gauges are 0 on members other than the leader. */
 function addRangeGauges(add: AddGauge<RangeWork | null>): void {
   add(
     'range_calls',
@@ -103,80 +103,80 @@
   );
 }
 
-/** 0 on members that don't lead: only the leader knows of sessions. */
+/** These gauges are 0 on members other than the leader, because only the leader has sessions. */
 function addClusterGauges(add: AddGauge<ClusterStatus | null>): void {
-  const ofLeader = (read: (status: ClusterStatus) => number) => (status: ClusterStatus | null) =>
+  const readOnLeader = (read: (status: ClusterStatus) => number) => (status: ClusterStatus | null) =>
     status?.raft.role === 'leader' ? read(status) : 0;
-  const addOfLeader = (name: string, help: string, read: (status: ClusterStatus) => number): void =>
-    add(name, `${help}; leader only`, ofLeader(read));
-  addOfLeader('moving_shards', 'Shards in a planned move', ({ movingShards }) => movingShards);
-  addOfLeader(
+  const addLeaderGauge = (name: string, help: string, read: (status: ClusterStatus) => number): void =>
+    add(name, `${help}; leader only`, readOnLeader(read));
+  addLeaderGauge('moving_shards', 'Shards in a planned move', ({ movingShards }) => movingShards);
+  addLeaderGauge(
     'upstreams_without_lease',
     'Upstreams of keyed services whose session is not renewed',
     ({ upstreams }) => upstreams.filter(({ state }) => state !== 'leased').length,
   );
-  addOfLeader('ranges', 'Ranges of numeric keys', ({ ranges }) => ranges?.total ?? 0);
-  addOfLeader(
+  addLeaderGauge('ranges', 'Ranges of numeric keys', ({ ranges }) => ranges?.total ?? 0);
+  addLeaderGauge(
     'ranges_without_owner',
     'Ranges of numeric keys that have no owner at this moment',
     ({ ranges }) => ranges?.withoutOwner ?? 0,
   );
-  addOfLeader(
+  addLeaderGauge(
     'suspect_requests',
     'Requests under which upstreams ended and which have not succeeded since',
     ({ suspects }) => suspects?.total ?? 0,
   );
-  addOfLeader(
+  addLeaderGauge(
     'quarantined_requests',
     'Requests that routers refuse because upstreams ended under them',
     ({ suspects }) => suspects?.quarantined ?? 0,
   );
-  addOfLeader(
+  addLeaderGauge(
     'evacuated_zones',
     'Zones whose upstreams are sent nothing new',
     ({ evacuations }) => evacuations?.length ?? 0,
   );
-  addOfLeader(
+  addLeaderGauge(
     'limited_upstreams',
     'Upstreams that name a limit for all routers together',
     ({ needs = [] }) => needs.filter(({ perSecond }) => perSecond !== null).length,
   );
-  addOfLeader(
+  addLeaderGauge(
     'resting_upstreams',
     'Upstreams that asked routers for rest which is not over',
     ({ needs = [] }) => needs.filter(({ restingRouters }) => restingRouters > 0).length,
   );
-  addOfLeader(
+  addLeaderGauge(
     'uneven_upstreams',
     'Upstreams without keys whose speed differs from the mean of their service, as routers were told',
     ({ fleet }) => fleet?.speeds.filter(({ speed }) => speed !== 1).length ?? 0,
   );
-  addOfLeader(
+  addLeaderGauge(
     'spilling_zones',
     'Zones that send a part of their requests for a service to other zones, as control plans it',
     ({ fleet }) => fleet?.zones.filter(({ spill }) => spill.length > 0).length ?? 0,
   );
-  addOfLeader('routers', 'Routers connected to this member', ({ routers }) => routers.length);
+  addLeaderGauge('routers', 'Routers connected to this member', ({ routers }) => routers.length);
 }
 
 /**
- * Makes the metrics, which read the replica's status when they are scraped. `sharedMillis`: for how long an answer of
- * the core serves.
+ * Creates the metrics, which read the replica's status when they are scraped. `maxAgeMillis`: how long a status of the
+ * core is reused.
  */
 export function createControlMetrics(
   source: ControlMetricsSource,
-  sharedMillis: number = SHARED_MILLIS,
+  maxAgeMillis: number = STATUS_MAX_AGE_MILLIS,
 ): Registry {
   const registry = new Registry();
   collectDefaultMetrics({ register: registry });
-  addReplicaGauges(adder(registry, source.raft));
-  addStepGauges(adder(registry, source.steps));
-  addRangeGauges(adder(registry, source.rangeWork));
-  const cluster = shared(async () => {
+  addReplicaGauges(gaugeAdder(registry, source.raft));
+  addStepGauges(gaugeAdder(registry, source.steps));
+  addRangeGauges(gaugeAdder(registry, source.rangeWork));
+  const cluster = cached(async () => {
     const response = await source.cluster();
     return response.type === 'status' ? response : null;
-  }, sharedMillis);
-  addClusterGauges(adder<ClusterStatus | null>(registry, cluster));
+  }, maxAgeMillis);
+  addClusterGauges(gaugeAdder<ClusterStatus | null>(registry, cluster));
   addServiceMetrics(registry, async () => (await cluster())?.services ?? []);
   return registry;
 }
--- a/src/control/daemon/operations.ts
+++ b/src/control/daemon/operations.ts
@@ -1,4 +1,4 @@
-/** Operators' requests under way: each gets exactly one response. */
+/** Pending requests of operators: each gets exactly one response. */
 import type { OperationId, OperatorRequest, OperatorResponse } from '../types.js';
 
 interface PendingOperation {
@@ -15,7 +15,7 @@
     private readonly submit: (operation: OperationId, request: OperatorRequest) => void,
   ) {}
 
-  /** Hands the request to the core. `unknown` after the timeout. */
+  /** Passes the request to the core and returns its response, or `unknown` after the timeout. */
   run(request: OperatorRequest): Promise<OperatorResponse> {
     this.count += 1;
     const operation = `operation-${this.count}`;
@@ -26,7 +26,7 @@
     });
   }
 
-  /** Late or second responses are dropped. */
+  /** Completes a request; late and duplicate responses are dropped. */
   answer(operation: OperationId, response: OperatorResponse): void {
     const pending = this.pending.get(operation);
     if (pending !== undefined) {
@@ -40,7 +40,7 @@
     return this.pending.size;
   }
 
-  /** Ends all that wait: nothing more will be heard of them here. */
+  /** Completes all pending requests with `unknown`. */
   abandon(): void {
     for (const operation of [...this.pending.keys()]) {
       this.answer(operation, { type: 'unknown' });
--- a/src/control/daemon/peer-links.ts
+++ b/src/control/daemon/peer-links.ts
@@ -1,4 +1,4 @@
-/** Task that owns the outgoing connections to the other replicas. Messages are sent once; Raft itself repeats them. */
+/** Task that owns the outgoing connections to the other replicas. Messages are sent once; Raft retries them. */
 import type { RaftMessage } from '../../consensus/types.js';
 import type { Logger } from '../../logging/logger.js';
 import type { Address, ReplicaId } from '../../model/identifiers.js';
@@ -13,7 +13,7 @@
 import { splitAppend } from './append-split.js';
 import { readPeerMessage } from './peer-message.js';
 
-/** Members that start together look for each other soon. */
+/** Short, so that members that start at the same time connect soon. */
 const PEER_BACKOFF: BackoffTimings = { firstMillis: 20, maxMillis: 500 };
 
 interface PeerLink {
@@ -27,20 +27,20 @@
   readonly localAddress?: string | undefined;
   readonly limits: WireLimits;
   readonly log: Logger;
-  /** A message came back on a connection that this replica made. */
+  /** Called for a message received on a connection that this replica opened. */
   readonly received: (message: RaftMessage) => void;
-  /** Addresses of the members as the log has them now. */
+  /** Current addresses of the members in the Raft log. */
   readonly addresses: () => Readonly<Record<ReplicaId, Address>>;
 }
 
 export class PeerLinks {
   private readonly links = new Map<ReplicaId, PeerLink>();
-  /** Connections that replicas made to this one: the way to a replica whose address isn't known yet. */
+  /** Connections opened by other replicas: used to reach a replica whose address isn't known yet. */
   private readonly incoming = new Map<ReplicaId, FrameConnection>();
 
   constructor(private readonly options: PeerLinksOptions) {}
 
-  /** Sends a message, or drops it if the replica can't be reached now. */
+  /** Sends a message, or drops it if there is no connection to the replica. */
   send(message: RaftMessage): void {
     const target = this.targetOf(message.to);
     if (target === undefined) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Drops links to replicas that left or moved, and dials the others: an election can't wait for a connection. */
+  /** Drops links to replicas that were removed or moved, and connects to all others in advance, so that an election isn't delayed by connecting. */
   reconcile(): void {
     const addresses = this.options.addresses();
     for (const [replica, link] of this.links) {
@@ -78,7 +78,7 @@
     }
     for (const replica of Object.keys(addresses)) {
       if (replica !== this.options.self && !this.links.has(replica)) {
-        this.dial(replica);
+        this.connect(replica);
       }
     }
   }
@@ -91,11 +91,11 @@
   }
 
   private targetOf(replica: ReplicaId): FrameClient | FrameConnection | undefined {
-    const link = this.links.get(replica) ?? this.dial(replica);
+    const link = this.links.get(replica) ?? this.connect(replica);
     return link?.client.ready ? link.client : this.incoming.get(replica);
   }
 
-  private dial(replica: ReplicaId): PeerLink | undefined {
+  private connect(replica: ReplicaId): PeerLink | undefined {
     const address = this.options.addresses()[replica];
     if (address === undefined) {
       return undefined;
--- a/src/control/daemon/persist-task.ts
+++ b/src/control/daemon/persist-task.ts
@@ -1,4 +1,4 @@
-/** Task that owns the replica's files: one write and sync at a time, taking all requests that queued up meanwhile. */
+/** Task that owns the replica's files: one write and sync at a time, each for all requests queued in the meantime. */
 import type { PersistRequest } from '../../consensus/types.js';
 import { toError } from '../../errors/ternmount-error.js';
 
@@ -10,9 +10,9 @@
 }
 
 export interface PersistTaskOwner {
-  /** Everything up to this request is on disk. */
+  /** Called when everything up to this request is on disk. */
   persisted(persistId: number): void;
-  /** Nothing more can be made durable; the process must end. */
+  /** Called when a write failed: nothing more can be made durable, and the process must exit. */
   failed(error: Error): void;
 }
 
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Finishes what is queued and closes the files. */
+  /** Writes the queued requests and closes the files. */
   async stop(): Promise<void> {
     await this.running;
     await this.files.close();
--- a/src/control/daemon/service-metrics.ts
+++ b/src/control/daemon/service-metrics.ts
@@ -1,17 +1,17 @@
-/** Metrics of keyed services. Only the leader measures them: a scrape of another member has no series of them. */
+/** Metrics of keyed services. Only the leader measures them; other members have no such series. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 import { OWNER_CHANGE_REASONS, type OwnerChangeReason } from '../ownership-measures.js';
 import type { ServiceMeasures } from '../service-measures.js';
 
 const MILLIS_PER_SECOND = 1000;
 
-/** Reads what is measured of each service now; empty on members that don't lead. */
+/** Reads the current measures of each service; empty on members other than the leader. */
 export type ReadServices = () => Promise<readonly ServiceMeasures[]>;
 
 interface ServiceMetric {
   readonly name: string;
   readonly help: string;
-  /** `null`: not known, the series is left out. */
+  /** `null` if unknown: the series is omitted. */
   readonly read: (measures: ServiceMeasures) => number | null;
 }
 
--- a/src/control/daemon/settings.ts
+++ b/src/control/daemon/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a control daemon, as its starter gives them. */
+/** Settings of a control daemon and their defaults. */
 import type Koa from 'koa';
 import type { RaftTimings } from '../../consensus/types.js';
 import { DEFAULT_RANGE_TIMINGS, type RangeTimings } from '../../lease/range-timings.js';
@@ -11,31 +11,30 @@
 import type { ControlConfig } from '../types.js';
 import type { ControlDaemon } from './control-daemon.js';
 
-/** What a control daemon is started with. */
 export interface ControlDaemonSettings {
   readonly cluster: ClusterId;
   readonly zone: Zone;
-  /** Zones that there are, beside those of known upstreams; none if left out. */
+  /** Zones in addition to those of known upstreams; none by default. */
   readonly zones?: readonly Zone[];
-  /** Folder made by `control init` or `control join`. */
+  /** Folder created by `control init` or `control join`. */
   readonly dataFolder: string;
   /** Internal port, for replicas and routers. */
   readonly listen: Address;
-  /** What others connect to, as the membership names it; `listen` if left out. */
+  /** Address in the membership, which others connect to; defaults to `listen`. */
   readonly advertise?: Address;
-  /** Internal addresses of members, for a replica that joins; with none it waits until it is taken in unasked. */
+  /** Internal addresses of members, for a joining replica; without any it waits until the members add it on their own. */
   readonly peers?: readonly Address[];
-  /** Own IP number from which connections go out; the system's choice if left out. */
+  /** Local IP address of outgoing connections; chosen by the system by default. */
   readonly outgoing?: string | undefined;
   /** HTTP port for operators, metrics and health. */
   readonly admin: Address;
   /** Shared by all processes of the cluster. */
   readonly secret: string;
-  /** How upstreams that announce themselves are called. */
+  /** Paths and headers of calls to upstreams that announce themselves. */
   readonly holders?: HolderProtocol;
   readonly timings?: Partial<ControlDaemonTimings>;
   readonly wire?: Partial<WireLimits>;
-  /** Makes the operators' HTTP API; without it only metrics and health are served. */
+  /** Creates the operators' HTTP API; without it only metrics and health are served. */
   readonly createAdminApp?: (daemon: ControlDaemon) => Koa;
 }
 
@@ -44,27 +43,26 @@
   readonly raft: RaftTimings;
   readonly lease: LeaseTimings;
   readonly configLease: ConfigLeaseTimings;
-  /** An upstream that didn't answer a session request in this time failed. */
+  /** Timeout of session requests to upstreams. */
   readonly sessionMillis: number;
-  /** The same for taking keys back, which waits for what runs on them. */
+  /** Timeout of releases of keys, which wait for running requests on them. */
   readonly releaseMillis: number;
   readonly ranges: RangeTimings;
-  /** When requests under which upstreams end are refused. */
+  /** When requests during which upstreams crash are rejected. */
   readonly quarantine: QuarantineTerms;
-  /** An operator's request that wasn't answered in this time has an unknown outcome. */
+  /** Timeout of operators' requests, after which their outcome is unknown. */
   readonly operationMillis: number;
-  /** Longest wait for another leader on a planned stop. */
+  /** Maximum wait for another leader on a planned stop. */
   readonly transferMillis: number;
-  /** How long requests on open admin connections are still answered on a planned stop. */
+  /** How long requests on open admin connections are still served on a planned stop. */
   readonly idleMillis: number;
   readonly snapshotEntries: number;
-  /** Replace a silent voter by a caught-up spare after this; 0: never. */
+  /** A silent voter is replaced by a caught-up spare after this time; 0: never. */
   readonly replaceAfterMillis: number;
-  /** Spares get a vote of their own up to this many voters; 0: only in the place of another. */
+  /** Spares become additional voters up to this number of voters; 0: they only replace voters. */
   readonly mostVoters: number;
 }
 
-/** What a control daemon uses unless its settings say otherwise. */
 export const DEFAULT_CONTROL_TIMINGS: ControlDaemonTimings = {
   raft: { electionTimeoutMillis: 300, heartbeatMillis: 60 },
   lease: DEFAULT_LEASE_TIMINGS,
@@ -81,17 +79,17 @@
   mostVoters: 0,
 };
 
-/** The timings given, and the defaults for the others. */
+/** Returns the configured timings, completed with the defaults. */
 export function controlTimings(settings: ControlDaemonSettings): ControlDaemonTimings {
   return { ...DEFAULT_CONTROL_TIMINGS, ...settings.timings };
 }
 
-/** The limits given, and the defaults for the others. */
+/** Returns the configured limits, completed with the defaults. */
 export function controlWireLimits(settings: ControlDaemonSettings): WireLimits {
   return { ...DEFAULT_WIRE_LIMITS, ...settings.wire };
 }
 
-/** How a control member shows itself on the internal port, and whom it expects there. */
+/** Greeting of a control member on the internal port, and the kinds of peers that it accepts there. */
 export function controlWireIdentity(settings: ControlDaemonSettings, replica: ReplicaId): WireIdentity {
   const { cluster, secret, zone } = settings;
   return {
@@ -101,7 +99,7 @@
   };
 }
 
-/** Settings of the core; `seed` spreads elections and should be another one in each run. */
+/** Settings of the core; `seed` randomizes election timeouts and should differ in each run. */
 export function controlCoreConfig(
   settings: ControlDaemonSettings,
   self: ReplicaId,
--- a/src/control/daemon/step-meter.ts
+++ b/src/control/daemon/step-meter.ts
@@ -1,21 +1,21 @@
-/** What the steps of a control core cost, summed up each second: tells a busy member from one that waits for others. */
+/** Cost of the steps of a control core, summed up each second: distinguishes a busy member from one that waits for others. */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import type { ControlInput } from '../types.js';
 
-/** Time that one report stands for. */
+/** Minimum time that a report covers. */
 const REPORT_MILLIS = 1000;
 
 /** Times in milliseconds. */
 export interface StepReport {
-  /** Time since the report before. */
+  /** Time since the previous report. */
   readonly spanMillis: number;
   readonly steps: number;
   /** Time spent in steps, effects included. */
   readonly busyMillis: number;
   readonly longestMillis: number;
-  /** What the longest step was about. */
+  /** Input of the longest step. */
   readonly longestInput: ControlInput['type'] | null;
-  /** The most by which a timer came late: how long what reaches the process waits for its turn. */
+  /** Maximum delay of a timer, which shows how long events wait in the event loop. */
   readonly lateMillis: number;
 }
 
@@ -31,22 +31,22 @@
     this.#since = now;
   }
 
-  stepped(input: ControlInput['type'], beganAt: MonotonicMillis, endedAt: MonotonicMillis): void {
-    const tookMillis = endedAt - beganAt;
+  stepped(input: ControlInput['type'], startedAt: MonotonicMillis, endedAt: MonotonicMillis): void {
+    const durationMillis = endedAt - startedAt;
     this.#steps += 1;
-    this.#busyMillis += tookMillis;
-    if (tookMillis > this.#longestMillis) {
-      this.#longestMillis = tookMillis;
+    this.#busyMillis += durationMillis;
+    if (durationMillis > this.#longestMillis) {
+      this.#longestMillis = durationMillis;
       this.#longestInput = input;
     }
   }
 
-  /** A timer that was due at `dueAt` came now. */
+  /** Records the delay of a timer that was due at `dueAt` and fired now. */
   probed(dueAt: MonotonicMillis, now: MonotonicMillis): void {
     this.#lateMillis = Math.max(this.#lateMillis, now - dueAt);
   }
 
-  /** The report of the time since the last one; `null` if that isn't long enough ago. */
+  /** Returns the report since the previous one and starts the next; `null` if too little time has passed. */
   take(now: MonotonicMillis): StepReport | null {
     const spanMillis = now - this.#since;
     if (spanMillis < REPORT_MILLIS) {
--- a/src/control/daemon/upstream-sessions.ts
+++ b/src/control/daemon/upstream-sessions.ts
@@ -1,4 +1,4 @@
-/** Task that owns the HTTP connections to upstreams and carries session requests over them. */
+/** Task that owns the HTTP connections to upstreams and sends session requests over them. */
 import { Agent } from 'undici';
 import { TernmountError, toError } from '../../errors/ternmount-error.js';
 import type { SessionAnswer, SessionRequest } from '../../lease/types.js';
@@ -8,13 +8,13 @@
 import { computeSessionProof } from '../../wire/session/session-proof.js';
 import { sessionAnswerSchema } from '../../wire/session/session-schema.js';
 
-/** Requests to one upstream at once: a second one may overtake a first that hangs. */
+/** Concurrent requests to one upstream: a second request may overtake a first one that hangs. */
 const MAX_CALLS_PER_UPSTREAM = 2;
 /**
- * Time in one turn of the event loop for sending requests, in milliseconds. A new leader has one for each upstream at
- * once, most over a new connection; sent together they would keep its own heartbeats waiting and then time out together.
+ * Time for sending requests in one iteration of the event loop, in milliseconds. A new leader has a request for each
+ * upstream at once, most over a new connection; sent together, they would delay its heartbeats and then time out together.
  */
-const SEND_MILLIS_PER_TURN = 10;
+const SEND_MILLIS_PER_ITERATION = 10;
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 const KEEP_ALIVE_MILLIS = 4000;
 const OK = 200;
@@ -24,36 +24,36 @@
   failed(upstream: UpstreamId, sequence: number): void;
 }
 
-/** An answer that isn't one to the request. */
+/** A response that isn't a valid answer to the request. */
 class SessionFailedError extends TernmountError {
   constructor(message: string, cause?: Error) {
     super({ code: 'TERNMOUNT_CONTROL_SESSION_FAILED', retriable: true, cause }, message);
   }
 }
 
-/** A request that waits for its turn. */
-interface WaitingCall {
+/** A request that isn't sent yet. */
+interface QueuedCall {
   readonly upstream: UpstreamId;
   readonly address: Address;
   readonly request: SessionRequest;
 }
 
 export interface UpstreamSessionsOptions {
-  /** An upstream that didn't answer in this time failed. */
+  /** Timeout of a request, from when it is sent. */
   readonly timeoutMillis: number;
   readonly owner: UpstreamSessionsOwner;
   readonly log: Logger;
-  /** Own IP number from which connections go out. */
+  /** Local IP address of outgoing connections. */
   readonly localAddress?: string | undefined;
-  /** The cluster's secret, proved with each message; empty: no proof is sent. */
+  /** The cluster's secret, from which a proof is computed for each message; if empty, no proof is sent. */
   readonly secret: string;
 }
 
 export class UpstreamSessions {
   private readonly agent: Agent;
   private readonly calls = new Map<UpstreamId, number>();
-  private waiting: WaitingCall[] = [];
-  private turn: NodeJS.Immediate | undefined;
+  private waiting: QueuedCall[] = [];
+  private nextBatch: NodeJS.Immediate | undefined;
 
   constructor(private readonly options: UpstreamSessionsOptions) {
     const { timeoutMillis, localAddress } = options;
@@ -67,7 +67,7 @@
     });
   }
 
-  /** Sends a request; the owner hears of its end exactly once, never during this call. */
+  /** Sends a request; the owner is notified of its end exactly once, never during this call. */
   call(upstream: UpstreamId, address: Address, request: SessionRequest): void {
     const calls = this.calls.get(upstream) ?? 0;
     if (calls >= MAX_CALLS_PER_UPSTREAM) {
@@ -76,34 +76,34 @@
     }
     this.calls.set(upstream, calls + 1);
     this.waiting.push({ upstream, address, request });
-    this.turn ??= setImmediate(() => this.sendSome());
+    this.nextBatch ??= setImmediate(() => this.sendBatch());
   }
 
   async stop(): Promise<void> {
-    clearImmediate(this.turn);
+    clearImmediate(this.nextBatch);
     this.waiting = [];
     await this.agent.destroy();
   }
 
-  /** A request's time runs from here on, so that none fails for having waited behind others. */
-  private sendSome(): void {
-    const until = performance.now() + SEND_MILLIS_PER_TURN;
+  /** The timeout of a request starts here, so that waiting behind others doesn't make it fail. */
+  private sendBatch(): void {
+    const deadline = performance.now() + SEND_MILLIS_PER_ITERATION;
     let sent = 0;
-    while (sent < this.waiting.length && performance.now() < until) {
-      const { upstream, address, request } = this.waiting[sent] as WaitingCall;
+    while (sent < this.waiting.length && performance.now() < deadline) {
+      const { upstream, address, request } = this.waiting[sent] as QueuedCall;
       sent += 1;
       void this.exchange(upstream, address, request);
     }
     this.waiting = this.waiting.slice(sent);
-    this.turn = this.waiting.length > 0 ? setImmediate(() => this.sendSome()) : undefined;
+    this.nextBatch = this.waiting.length > 0 ? setImmediate(() => this.sendBatch()) : undefined;
   }
 
   private async exchange(upstream: UpstreamId, address: Address, request: SessionRequest): Promise<void> {
     let answer: SessionAnswer | null = null;
-    const abortion = new AbortController();
-    const timer = setTimeout(() => abortion.abort(), this.options.timeoutMillis);
+    const abort = new AbortController();
+    const timer = setTimeout(() => abort.abort(), this.options.timeoutMillis);
     try {
-      answer = await this.post(address, request, abortion.signal);
+      answer = await this.post(address, request, abort.signal);
     } catch (thrown) {
       const reason = toError(thrown);
       this.options.log.debug('session-failed', { upstream, address, sequence: request.sequence, reason });
@@ -133,7 +133,7 @@
     if (response.statusCode !== OK) {
       throw new SessionFailedError(`status ${response.statusCode}: ${text.slice(0, 200)}`);
     }
-    return checkAnswer(text, request);
+    return parseAnswer(text, request);
   }
 
   private endCall(upstream: UpstreamId): void {
@@ -146,16 +146,18 @@
   }
 }
 
-/** Checks shape, and that the answer is to this request and from this upstream. */
-function checkAnswer(text: string, request: SessionRequest): SessionAnswer {
+/** Parses the answer, and checks that it is for this request and from this upstream. */
+function parseAnswer(text: string, request: SessionRequest): SessionAnswer {
   let answer: SessionAnswer;
   try {
     answer = sessionAnswerSchema.parse(JSON.parse(text));
   } catch (thrown) {
-    throw new SessionFailedError('the answer has another shape', toError(thrown));
+    throw new SessionFailedError('session response does not match the schema', toError(thrown));
   }
   if (answer.upstream !== request.upstream || answer.sequence !== request.sequence) {
-    throw new SessionFailedError(`the answer is of ${answer.upstream} to ${answer.sequence}`);
+    throw new SessionFailedError(
+      `session response is from upstream ${answer.upstream} for sequence number ${answer.sequence}`,
+    );
   }
   return answer;
 }
--- a/src/control/fleet-room/fleet-room.ts
+++ b/src/control/fleet-room/fleet-room.ts
@@ -1,6 +1,6 @@
 /**
- * What the control leader learns of upstreams without keys from the reports of all routers: how fast each is, and how the demand of each
- * zone stands against the room there. Nothing of it is in the log: a leader begins with nothing, and routers let lapse what isn't renewed.
+ * Speeds of upstreams without keys, and demand and capacity of each zone, which the control leader derives from the reports of all routers.
+ * None of it is in the Raft log: a new leader starts empty, and routers expire values that aren't renewed.
  */
 import type { FleetReport, FleetVersion, UpstreamSpeed, ZoneRoom } from '../../model/fleet-view.js';
 import type { MonotonicMillis, ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
@@ -12,19 +12,19 @@
 import { type DatedValue, ToldValues, type Version } from './told-values.js';
 import { ZoneDemand } from './zone-demand.js';
 
-/** How often speeds and room are worked out anew. */
-const WORK_OUT_MILLIS = 1000;
-/** A server that is slow for less than a second or two isn't a slow server. */
+/** How often speeds and capacity are recomputed. */
+const RECOMPUTE_MILLIS = 1000;
+/** A server that is slow for only a second or two must not count as slow. */
 const SPEED_HALF_LIFE_MILLIS = 15_000;
-/** A speed is told once it differs from what was told by this factor. */
+/** A speed is published once it differs from the published one by this factor. */
 const SPEED_STEP = 1.1;
-/** The first speed of an upstream is told if it differs from the mean by this factor: less than that is noise. */
+/** The first speed of an upstream is published if it differs from the mean by this factor; smaller differences are noise. */
 const FIRST_SPEED_STEP = 1.2;
 const MEAN_STEP = 1.1;
-/** Changes of a zone's use and of the parts that it sends away are told from this on. */
+/** Smallest changes of a zone's utilization and of its spill shares that are published. */
 const USE_STEP = 0.1;
 const SHARE_STEP = 0.02;
-/** An upstream that routers of its zone find out of order, and had no answer from since, has no room for this long. */
+/** An upstream reported out of order by routers of its zone has no capacity for this long, unless it answers requests again. */
 const OUT_MILLIS = 3000;
 
 /** An upstream of a service without keys. */
@@ -33,7 +33,7 @@
   readonly service: ServiceName;
   readonly zone: Zone;
   readonly slots: number;
-  /** Whether it may be given something new. */
+  /** Whether it may receive new requests. */
   readonly isUsable: boolean;
 }
 
@@ -43,7 +43,7 @@
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-/** What routers were told, each with how long ago. */
+/** The published values, each with its age. */
 export interface FleetStatus {
   readonly speeds: readonly (UpstreamSpeed & { readonly sinceMillis: number })[];
   readonly zones: readonly (ZoneRoom & { readonly sinceMillis: number })[];
@@ -55,35 +55,35 @@
   readonly #work = new KindWork();
   readonly #demand = new ZoneDemand();
   readonly #outAt = new Map<UpstreamId, MonotonicMillis>();
-  readonly #toldSpeeds = new ToldValues<UpstreamSpeed>((one, other) =>
+  readonly #publishedSpeeds = new ToldValues<UpstreamSpeed>((one, other) =>
     isWithin(one.speed, other.speed, SPEED_STEP),
   );
-  readonly #toldZones = new ToldValues<ZoneRoom>(isSameRoom);
+  readonly #publishedZones = new ToldValues<ZoneRoom>(isSameCapacity);
   #number = 0;
-  #workedOutAt: MonotonicMillis;
+  #recomputedAt: MonotonicMillis;
   #upstreams: ReadonlyMap<UpstreamId, RoomUpstream> = new Map();
 
   constructor(parts: FleetRoomParts, now: MonotonicMillis) {
     this.#parts = parts;
-    this.#workedOutAt = now;
-    this.#look();
+    this.#recomputedAt = now;
+    this.#readUpstreams();
   }
 
-  /** A router's report, and what it is to be told; `null`: it doesn't ask. */
+  /** Records a router's report; returns the update for the router, or `null` if its report has no fleet part. */
   take(report: LoadReport, from: ConnectionId, now: MonotonicMillis): FleetNews | null {
     const { fleet, intervalMillis } = report;
     if (fleet === undefined) {
       return null;
     }
     if (this.#demand.isNext(from, fleet.number)) {
-      this.#takeSamples(fleet, now);
-      this.#takeDemand(fleet, from, Math.max(1, intervalMillis), now);
+      this.#recordSamples(fleet, now);
+      this.#recordDemand(fleet, from, Math.max(1, intervalMillis), now);
     }
-    if (now - this.#workedOutAt >= WORK_OUT_MILLIS) {
-      this.#workedOutAt = now;
-      this.#workOut(now);
+    if (now - this.#recomputedAt >= RECOMPUTE_MILLIS) {
+      this.#recomputedAt = now;
+      this.#recompute(now);
     }
-    return this.#newsSince(fleet.have);
+    return this.#updateSince(fleet.have);
   }
 
   gone(from: ConnectionId): void {
@@ -98,10 +98,10 @@
       ...value,
       sinceMillis: Math.round(now - at),
     });
-    return { speeds: this.#toldSpeeds.dated().map(aged), zones: this.#toldZones.dated().map(aged) };
+    return { speeds: this.#publishedSpeeds.dated().map(aged), zones: this.#publishedZones.dated().map(aged) };
   }
 
-  #newsSince(have: FleetVersion): FleetNews {
+  #updateSince(have: FleetVersion): FleetNews {
     const { term } = this.#parts;
     const isWhole = have.term !== term || have.number > this.#number;
     const since = isWhole ? Number.NEGATIVE_INFINITY : have.number;
@@ -109,19 +109,19 @@
       type: 'fleet-news',
       version: { term, number: this.#number },
       isWhole,
-      speeds: this.#toldSpeeds.since(since),
-      zones: this.#toldZones.since(since),
+      speeds: this.#publishedSpeeds.since(since),
+      zones: this.#publishedZones.since(since),
     };
   }
 
-  #takeSamples({ zone, upstreams }: FleetReport, now: MonotonicMillis): void {
+  #recordSamples({ zone, upstreams }: FleetReport, now: MonotonicMillis): void {
     for (const { upstream, kind, requests, workMillis, isOut } of upstreams) {
       const known = this.#upstreams.get(upstream);
       if (known === undefined) {
         continue;
       }
       if (requests > 0) {
-        const speed = this.#toldSpeeds.get(upstream)?.speed ?? 1;
+        const speed = this.#publishedSpeeds.get(upstream)?.speed ?? 1;
         this.#work.add(kind, requests, workMillis, speed);
         const usualMillis = this.#work.millisOf(kind) ?? workMillis / requests;
         this.#speedsOf(known.service).add(upstream, requests, workMillis / usualMillis, now);
@@ -134,43 +134,43 @@
     }
   }
 
-  #takeDemand(
+  #recordDemand(
     { zone, number, demand }: FleetReport,
     from: ConnectionId,
     spanMillis: number,
     now: MonotonicMillis,
   ): void {
-    const works = demand.map(({ service, kind, requests }) => ({
+    const services = demand.map(({ service, kind, requests }) => ({
       service,
       requests,
       workMillis: requests * (this.#work.millisOf(kind) ?? 0),
     }));
-    this.#demand.add(from, { zone, number, demand: works }, spanMillis, now);
+    this.#demand.add(from, { zone, number, demand: services }, spanMillis, now);
   }
 
-  #look(): void {
+  #readUpstreams(): void {
     this.#upstreams = new Map(this.#parts.upstreams().map((upstream) => [upstream.id, upstream]));
   }
 
-  #workOut(now: MonotonicMillis): void {
-    this.#look();
+  #recompute(now: MonotonicMillis): void {
+    this.#readUpstreams();
     const version = { number: this.#number + 1, now };
-    let isNews = false;
+    let hasUpdate = false;
     const byService = groupBy([...this.#upstreams.values()], ({ service }) => service);
     const demand = this.#demand.byZone(now);
     for (const [service, upstreams] of byService) {
       const speeds = this.#relativeSpeeds(service, upstreams);
       for (const upstream of upstreams) {
-        isNews = this.#tellSpeed(upstream, speeds.get(upstream.id) ?? 1, version) || isNews;
+        hasUpdate = this.#publishSpeed(upstream, speeds.get(upstream.id) ?? 1, version) || hasUpdate;
       }
       const zones = this.#zonesOf(service, upstreams, speeds, demand.get(service) ?? new Map(), now);
-      isNews = this.#tellZones(zones, version) || isNews;
+      hasUpdate = this.#publishZones(zones, version) || hasUpdate;
     }
-    this.#forget(new Set(byService.keys()));
-    this.#number = isNews ? version.number : this.#number;
+    this.#removeStale(new Set(byService.keys()));
+    this.#number = hasUpdate ? version.number : this.#number;
   }
 
-  /** A mean over slots of 1, whoever had more requests. */
+  /** Speeds scaled to a slot-weighted mean of 1, regardless of how the requests are distributed. */
   #relativeSpeeds(service: ServiceName, upstreams: readonly RoomUpstream[]): Map<UpstreamId, number> {
     const speeds = this.#speedsOf(service);
     const slots = sum(upstreams.map((upstream) => upstream.slots));
@@ -179,29 +179,29 @@
     return new Map(upstreams.map(({ id }) => [id, speeds.of(id) / mean]));
   }
 
-  #tellSpeed({ id, service, zone }: RoomUpstream, measured: number, version: Version): boolean {
-    const before = this.#toldSpeeds.get(id)?.speed ?? null;
+  #publishSpeed({ id, service, zone }: RoomUpstream, measured: number, version: Version): boolean {
+    const before = this.#publishedSpeeds.get(id)?.speed ?? null;
     if (before === null && isWithin(measured, 1, FIRST_SPEED_STEP)) {
       return false;
     }
     const speed = rounded(measured);
-    if (!this.#toldSpeeds.put(id, { upstream: id, speed }, version)) {
+    if (!this.#publishedSpeeds.put(id, { upstream: id, speed }, version)) {
       return false;
     }
     this.#parts.log('upstream-speed-changed', { service, upstream: id, zone, speed, before: before ?? 1 });
     return true;
   }
 
-  #tellZones(rooms: readonly ZoneRoom[], version: Version): boolean {
-    let isNews = false;
-    for (const room of rooms) {
-      const before = this.#toldZones.get(`${room.service} ${room.zone}`);
-      if (this.#toldZones.put(`${room.service} ${room.zone}`, room, version)) {
-        isNews = true;
-        this.#logRoom(room, before);
+  #publishZones(capacities: readonly ZoneRoom[], version: Version): boolean {
+    let hasUpdate = false;
+    for (const capacity of capacities) {
+      const before = this.#publishedZones.get(`${capacity.service} ${capacity.zone}`);
+      if (this.#publishedZones.put(`${capacity.service} ${capacity.zone}`, capacity, version)) {
+        hasUpdate = true;
+        this.#logSpillChange(capacity, before);
       }
     }
-    return isNews;
+    return hasUpdate;
   }
 
   #zonesOf(
@@ -216,15 +216,15 @@
       return [];
     }
     const isUneven = upstreams.some(
-      ({ id }) => !isWithin(this.#toldSpeeds.get(id)?.speed ?? 1, 1, FIRST_SPEED_STEP),
+      ({ id }) => !isWithin(this.#publishedSpeeds.get(id)?.speed ?? 1, 1, FIRST_SPEED_STEP),
     );
     const zones = new Set([...upstreams.map(({ zone }) => zone), ...demand.keys()]);
     const balances = [...zones].sort().map((zone): ZoneBalance => {
       const working = upstreams.filter(
         (upstream) => upstream.zone === zone && this.#isWorking(upstream, now),
       );
-      const room = sum(working.map(({ id, slots }) => slots * (speeds.get(id) ?? 1)));
-      return { zone, demand: demand.get(zone) ?? 0, room };
+      const capacity = sum(working.map(({ id, slots }) => slots * (speeds.get(id) ?? 1)));
+      return { zone, demand: demand.get(zone) ?? 0, capacity };
     });
     return planSpill(balances).map(({ zone, use, spill }) => ({
       service,
@@ -236,8 +236,8 @@
     }));
   }
 
-  /** Only what goes elsewhere is worth a line. */
-  #logRoom({ service, zone, use, spill }: ZoneRoom, before: ZoneRoom | undefined): void {
+  /** Logs only changes that involve spilled requests. */
+  #logSpillChange({ service, zone, use, spill }: ZoneRoom, before: ZoneRoom | undefined): void {
     if (spill.length > 0 || (before?.spill.length ?? 0) > 0) {
       this.#parts.log('zone-spill-changed', { service, zone, use, spill, before: before?.spill ?? [] });
     }
@@ -247,9 +247,9 @@
     return isUsable && now - (this.#outAt.get(id) ?? Number.NEGATIVE_INFINITY) > OUT_MILLIS;
   }
 
-  #forget(services: ReadonlySet<ServiceName>): void {
+  #removeStale(services: ReadonlySet<ServiceName>): void {
     const ids = new Set(this.#upstreams.keys());
-    this.#toldSpeeds.keepOnly(ids);
+    this.#publishedSpeeds.keepOnly(ids);
     for (const [service, speeds] of this.#speeds) {
       if (services.has(service)) {
         speeds.keepOnly(ids);
@@ -271,7 +271,7 @@
   }
 }
 
-function isSameRoom(one: ZoneRoom, other: ZoneRoom): boolean {
+function isSameCapacity(one: ZoneRoom, other: ZoneRoom): boolean {
   const isShareSame = (zone: Zone): boolean =>
     Math.abs(shareTo(one, zone) - shareTo(other, zone)) < SHARE_STEP &&
     (shareTo(one, zone) === 0) === (shareTo(other, zone) === 0);
--- a/src/control/fleet-room/kind-work.ts
+++ b/src/control/fleet-room/kind-work.ts
@@ -1,9 +1,9 @@
-/** What requests of one kind take at an upstream of speed 1, over all routers. */
+/** Mean duration of requests of each kind at an upstream of speed 1, over all routers. */
 
-/** The mean is taken over about so many requests. */
+/** The mean covers about this many of the latest requests. */
 const MEAN_REQUESTS = 300;
-/** Kinds that are remembered at most; the routes of a declaration are far fewer. */
-const MOST_KINDS = 1000;
+/** Upper bound of the remembered kinds; a declaration has far fewer routes. */
+const MAX_KINDS = 1000;
 
 interface Mean {
   millis: number;
@@ -13,9 +13,9 @@
 export class KindWork {
   readonly #means = new Map<string, Mean>();
 
-  /** Requests that took so long at an upstream of this speed. */
+  /** Records requests that took `workMillis` together at an upstream of this speed. */
   add(kind: string, requests: number, workMillis: number, speed: number): void {
-    if (!this.#means.has(kind) && this.#means.size >= MOST_KINDS) {
+    if (!this.#means.has(kind) && this.#means.size >= MAX_KINDS) {
       return;
     }
     const mean = this.#means.get(kind) ?? { millis: 0, requests: 0 };
@@ -24,7 +24,7 @@
     mean.millis += Math.min(1, requests / mean.requests) * ((workMillis / requests) * speed - mean.millis);
   }
 
-  /** Milliseconds; `null` while none was measured. */
+  /** Mean duration in milliseconds; `null` before the first measurement. */
   millisOf(kind: string): number | null {
     return this.#means.get(kind)?.millis ?? null;
   }
--- a/src/control/fleet-room/room-upstreams.ts
+++ b/src/control/fleet-room/room-upstreams.ts
@@ -1,8 +1,8 @@
-/** The upstreams of which routers may choose any, as the registry has them. */
+/** The upstreams of services without keys in the registry: routers may choose any of them. */
 import type { Registry } from '../../registry/types.js';
 import type { RoomUpstream } from './fleet-room.js';
 
-/** Those that say how many slots they have, of services without keys. */
+/** Returns the upstreams of services without keys that announce their number of slots. */
 export function roomUpstreams(registry: Registry): RoomUpstream[] {
   return [...registry.upstreams().values()].flatMap(({ definition }): RoomUpstream[] => {
     const { id, service, zone, announced } = definition;
--- a/src/control/fleet-room/spill-plan.ts
+++ b/src/control/fleet-room/spill-plan.ts
@@ -1,49 +1,51 @@
-/** Which part of each zone's requests goes to which other zone, from demand and room of the zones. */
+/** Plans which part of each zone's requests goes to which other zone, from the zones' demand and capacity. */
 import type { SpillPart } from '../../model/fleet-view.js';
 import type { Zone } from '../../model/identifiers.js';
 
 /**
- * Part of a zone's room that its own requests may fill before others' room is used. Above it queues grow faster than routers hear of
- * them; below it bytes would cross that needn't.
+ * Share of a zone's capacity that its own requests may use before they spill to other zones. A higher share lets queues grow faster than
+ * routers are informed of them; a lower one causes unnecessary traffic between zones.
  */
-const KEPT_USE = 0.97;
-/** A smaller part isn't sent: the measure of demand and room is no finer. */
-const LEAST_SHARE = 0.03;
+const MAX_OWN_UTILIZATION = 0.97;
+/** Smaller shares aren't spilled: the estimates of demand and capacity are no more precise than this. */
+const MIN_SHARE = 0.03;
 
-/** Slots of speed 1. */
+/** Demand and capacity of a zone, in slots of speed 1. */
 export interface ZoneBalance {
   readonly zone: Zone;
   readonly demand: number;
-  readonly room: number;
+  readonly capacity: number;
 }
 
 export interface ZonePlan {
   readonly zone: Zone;
-  /** Part of the room that is filled once requests go as planned. */
+  /** Utilization of the zone's capacity once requests are distributed as planned. */
   readonly use: number;
   readonly spill: readonly SpillPart[];
 }
 
 /**
- * What a zone can't serve itself goes to those with room left, in proportion to it. What none has room for stays: sent away, it would
- * only be refused elsewhere.
+ * Spills what a zone can't serve itself to the zones with free capacity, in proportion to it. What exceeds the capacity of all zones stays,
+ * because it would only be rejected elsewhere.
  */
 export function planSpill(zones: readonly ZoneBalance[]): ZonePlan[] {
-  const surplusOf = ({ demand, room }: ZoneBalance): number => Math.max(0, demand - room * KEPT_USE);
-  const freeOf = ({ demand, room }: ZoneBalance): number => Math.max(0, room * KEPT_USE - demand);
+  const surplusOf = ({ demand, capacity }: ZoneBalance): number =>
+    Math.max(0, demand - capacity * MAX_OWN_UTILIZATION);
+  const freeOf = ({ demand, capacity }: ZoneBalance): number =>
+    Math.max(0, capacity * MAX_OWN_UTILIZATION - demand);
   const surplus = sum(zones.map(surplusOf));
   const free = sum(zones.map(freeOf));
-  const sent = surplus === 0 ? 0 : Math.min(1, free / surplus);
+  const spilledPart = surplus === 0 ? 0 : Math.min(1, free / surplus);
   return zones.map((zone) => {
-    const away = surplusOf(zone) * sent;
-    const share = zone.demand === 0 ? 0 : away / zone.demand;
-    const taken = free === 0 ? 0 : (freeOf(zone) / free) * surplus * sent;
+    const spilled = surplusOf(zone) * spilledPart;
+    const share = zone.demand === 0 ? 0 : spilled / zone.demand;
+    const received = free === 0 ? 0 : (freeOf(zone) / free) * surplus * spilledPart;
     const others = zones.filter((other) => freeOf(other) > 0);
     return {
       zone: zone.zone,
-      use: zone.room === 0 ? 1 : (zone.demand - away + taken) / zone.room,
+      use: zone.capacity === 0 ? 1 : (zone.demand - spilled + received) / zone.capacity,
       spill:
-        share < LEAST_SHARE
+        share < MIN_SHARE
           ? []
           : others.map((other) => ({ zone: other.zone, share: (share * freeOf(other)) / free })),
     };
--- a/src/control/fleet-room/told-values.ts
+++ b/src/control/fleet-room/told-values.ts
@@ -1,13 +1,13 @@
-/** What routers were told last, with the version of each entry's last change, so that each is told what changed since its own. */
+/** The published values with the version of each entry's last change, so that a router receives only what changed since its own version. */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 
-/** The version that a change belongs to, and when it came to be. */
+/** The version that a change belongs to, and the time of the change. */
 export interface Version {
   readonly number: number;
   readonly now: MonotonicMillis;
 }
 
-interface Told<Value> {
+interface Entry<Value> {
   readonly value: Value;
   readonly number: number;
   readonly at: MonotonicMillis;
@@ -20,36 +20,36 @@
 }
 
 export class ToldValues<Value> {
-  readonly #told = new Map<string, Told<Value>>();
+  readonly #entries = new Map<string, Entry<Value>>();
 
   constructor(private readonly isSame: (one: Value, other: Value) => boolean) {}
 
   get(name: string): Value | undefined {
-    return this.#told.get(name)?.value;
+    return this.#entries.get(name)?.value;
   }
 
-  /** Notes a value under the next version `number`; `true` if it differs enough from what was told. */
+  /** Publishes a value under version `number` if it differs enough from the published one; returns whether it does. */
   put(name: string, value: Value, { number, now }: Version): boolean {
-    const before = this.#told.get(name);
+    const before = this.#entries.get(name);
     if (before !== undefined && this.isSame(before.value, value)) {
       return false;
     }
-    this.#told.set(name, { value, number, at: now });
+    this.#entries.set(name, { value, number, at: now });
     return true;
   }
 
   since(number: number): Value[] {
-    return [...this.#told.values()].filter((told) => told.number > number).map(({ value }) => value);
+    return [...this.#entries.values()].filter((entry) => entry.number > number).map(({ value }) => value);
   }
 
   dated(): DatedValue<Value>[] {
-    return [...this.#told.values()].map(({ value, at }) => ({ value, at }));
+    return [...this.#entries.values()].map(({ value, at }) => ({ value, at }));
   }
 
   keepOnly(names: ReadonlySet<string>): void {
-    for (const name of this.#told.keys()) {
+    for (const name of this.#entries.keys()) {
       if (!names.has(name)) {
-        this.#told.delete(name);
+        this.#entries.delete(name);
       }
     }
   }
--- a/src/control/fleet-room/zone-demand.ts
+++ b/src/control/fleet-room/zone-demand.ts
@@ -1,15 +1,15 @@
-/** Work that zones ask for, from the latest reports of their routers. */
+/** Demand of each zone, from the latest reports of its routers. */
 import type { MonotonicMillis, ServiceName, Zone } from '../../model/identifiers.js';
 import type { ConnectionId } from '../types.js';
 
-/** A router's demand is smoothed over about this time: bursts of a second are for its own queue. */
+/** A router's demand is smoothed over about this time; its own queue absorbs bursts of a second. */
 const SMOOTHING_MILLIS = 2500;
-/** A router that didn't report for this long asks for nothing. */
-const SILENT_MILLIS = 4000;
-/** A request's work is smoothed over about so many requests. */
+/** A router without a report for this long has no demand. */
+const REPORT_EXPIRY_MILLIS = 4000;
+/** The mean duration of a request is smoothed over about this many requests. */
 const MEAN_REQUESTS = 200;
 
-/** Requests for a service and what they take at an upstream of speed 1. */
+/** Requests for a service and their total duration at an upstream of speed 1. */
 export interface ServiceWork {
   readonly service: ServiceName;
   readonly requests: number;
@@ -20,7 +20,7 @@
   readonly zone: Zone;
   at: MonotonicMillis;
   number: number;
-  /** Work by service, in slots of speed 1 that it fills. */
+  /** Demand by service, in slots of speed 1. */
   readonly slots: Map<ServiceName, number>;
 }
 
@@ -28,7 +28,7 @@
   readonly #routers = new Map<ConnectionId, RouterDemand>();
   readonly #meanMillis = new Map<ServiceName, number>();
 
-  /** Whether a report is the router's next one; `number` counts them. */
+  /** Whether a report is newer than the router's last one; `number` counts a router's reports. */
   isNext(from: ConnectionId, number: number): boolean {
     return number > (this.#routers.get(from)?.number ?? Number.NEGATIVE_INFINITY);
   }
@@ -54,7 +54,7 @@
     router.at = now;
     router.number = report.number;
     for (const { service, requests, workMillis } of report.demand) {
-      this.#learnMean(service, requests, workMillis);
+      this.#recordMean(service, requests, workMillis);
     }
   }
 
@@ -62,16 +62,16 @@
     this.#routers.delete(from);
   }
 
-  /** Mean work of a request at speed 1; `null` while none was reported. */
+  /** Mean duration of a request at speed 1; `null` before the first report. */
   meanMillis(service: ServiceName): number | null {
     return this.#meanMillis.get(service) ?? null;
   }
 
-  /** Slots of speed 1 that a service's requests of each zone would fill. */
+  /** Demand of each zone by service, in slots of speed 1. */
   byZone(now: MonotonicMillis): Map<ServiceName, Map<Zone, number>> {
     const sums = new Map<ServiceName, Map<Zone, number>>();
     for (const [connection, { zone, at, slots }] of this.#routers) {
-      if (now - at > SILENT_MILLIS) {
+      if (now - at > REPORT_EXPIRY_MILLIS) {
         this.#routers.delete(connection);
         continue;
       }
@@ -84,7 +84,7 @@
     return sums;
   }
 
-  #learnMean(service: ServiceName, requests: number, workMillis: number): void {
+  #recordMean(service: ServiceName, requests: number, workMillis: number): void {
     if (requests === 0 || workMillis === 0) {
       return;
     }
--- a/src/control/needs/leaving-upstreams.ts
+++ b/src/control/needs/leaving-upstreams.ts
@@ -1,4 +1,4 @@
-/** Upstreams that say in their answers that they leave, as routers tell: marked as withdrawn, so that their keys move and all routers know. */
+/** Marks upstreams as withdrawn when routers report that they are draining, so that their keys move and all routers are notified. */
 import type { RunName } from '../../model/crash-suspect.js';
 import { runOfAnnounced } from '../../model/service.js';
 import type { HeardUpstream } from '../../model/upstream-notice.js';
@@ -13,19 +13,19 @@
 
 export class LeavingUpstreams {
   readonly #parts: LeavingUpstreamsParts;
-  /** Runs whose mark is proposed. */
+  /** Runs whose withdrawal is proposed and not yet applied or rejected. */
   readonly #proposed = new Set<RunName>();
 
   constructor(parts: LeavingUpstreamsParts) {
     this.#parts = parts;
   }
 
-  /** A router's word. It counts for the run that is known now, and for that alone. */
+  /** Records a router's report. Reports about any run but the one in the registry are ignored. */
   take({ upstream, run, isLeaving }: HeardUpstream, router: string | null): void {
     const { registry, propose } = this.#parts;
     const definition = registry().upstreams().get(upstream)?.definition;
-    const isKnown = definition?.announced !== undefined && runOfAnnounced(definition) === run;
-    if (!isLeaving || !isKnown || definition.leaving || this.#proposed.has(run)) {
+    const isCurrentRun = definition?.announced !== undefined && runOfAnnounced(definition) === run;
+    if (!isLeaving || !isCurrentRun || definition.leaving || this.#proposed.has(run)) {
       return;
     }
     this.#parts.log('upstream-leaving-reported', { upstream, run, router });
--- a/src/control/needs/limited-upstreams.ts
+++ b/src/control/needs/limited-upstreams.ts
@@ -1,48 +1,48 @@
-/** Limits that upstreams name, as routers tell the leader. What was heard last counts; nothing is kept from one leadership to the next. */
+/** Rate limits of upstreams, as reported by routers to the leader. The latest report applies; a new leader starts without any. */
 import type { RunName } from '../../model/crash-suspect.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import type { HeardLimit, HeardUpstream } from '../../model/upstream-notice.js';
 
-/** A limit that no router told of for so long is forgotten: routers tell each second. */
-const FORGOTTEN_MILLIS = 5000;
+/** A limit that no router has reported for this long expires; routers report every second. */
+const REPORT_EXPIRY_MILLIS = 5000;
 /**
- * For so long after a limit was over an upstream still counts as one that bears no more than that. What it lost in keys comes back slowly, and
- * one that names a limit again and again doesn't send its keys back and forth.
+ * For this long after a limit ended, placement still plans with it. The upstream regains its keys slowly, and an upstream whose limit comes and
+ * goes doesn't cause its keys to move back and forth.
  */
 const RECOVERY_MILLIS = 10_000;
 
-const NEVER_HEARD: HeardLimit = { perSecond: null, heardAgoMillis: Number.MAX_SAFE_INTEGER };
+const NO_REPORT: HeardLimit = { perSecond: null, heardAgoMillis: Number.MAX_SAFE_INTEGER };
 
-interface KnownLimit {
+interface LimitRecord {
   readonly upstream: UpstreamId;
-  /** `null`: it is over. */
+  /** `null`: the limit has ended. */
   perSecond: number | null;
-  heardAt: MonotonicMillis;
-  toldAt: MonotonicMillis;
-  /** The limit that was in force last, and when that was. */
+  observedAt: MonotonicMillis;
+  reportedAt: MonotonicMillis;
+  /** The latest limit that was in force, and when it last was. */
   lastPerSecond: number;
-  lastAt: MonotonicMillis;
+  lastInForceAt: MonotonicMillis;
 }
 
-/** An upstream that names a limit now. */
+/** An upstream with a limit in force. */
 export interface LimitedUpstream extends HeardLimit {
   readonly upstream: UpstreamId;
 }
 
 export class LimitedUpstreams {
-  readonly #runs = new Map<RunName, KnownLimit>();
+  readonly #runs = new Map<RunName, LimitRecord>();
 
-  /** A router's word; `true` if it changes what is known. */
+  /** Records a router's report; returns `true` if it changes the limit. */
   hear({ upstream, run, limit }: HeardUpstream, now: MonotonicMillis): boolean {
     const known = this.#runs.get(run);
-    const heardAt = now - limit.heardAgoMillis;
+    const observedAt = now - limit.heardAgoMillis;
     if (known === undefined) {
-      return limit.perSecond !== null && this.#begin({ upstream, run, limit }, now);
+      return limit.perSecond !== null && this.#addRun({ upstream, run, limit }, now);
     }
     if (limit.perSecond !== null) {
-      known.toldAt = now;
+      known.reportedAt = now;
     }
-    if (heardAt <= known.heardAt) {
+    if (observedAt <= known.observedAt) {
       return false;
     }
     const isChanged = known.perSecond !== limit.perSecond;
@@ -50,28 +50,28 @@
       known.lastPerSecond = known.perSecond;
     }
     if (known.perSecond !== null || limit.perSecond !== null) {
-      known.lastAt = now;
+      known.lastInForceAt = now;
     }
     known.perSecond = limit.perSecond;
-    known.heardAt = heardAt;
+    known.observedAt = observedAt;
     return isChanged;
   }
 
-  /** The limit of a run now; `null`: it names none. */
+  /** The current limit of a run; `null` if it has none. */
   perSecondOf(run: RunName): number | null {
     return this.#runs.get(run)?.perSecond ?? null;
   }
 
-  /** What is known of a run, for routers. */
+  /** The latest report about a run, as sent to routers. */
   heard(run: RunName, now: MonotonicMillis): HeardLimit {
     const known = this.#runs.get(run);
-    if (known === undefined || known.heardAt === Number.NEGATIVE_INFINITY) {
-      return NEVER_HEARD;
+    if (known === undefined || known.observedAt === Number.NEGATIVE_INFINITY) {
+      return NO_REPORT;
     }
-    return { perSecond: known.perSecond, heardAgoMillis: now - known.heardAt };
+    return { perSecond: known.perSecond, heardAgoMillis: now - known.observedAt };
   }
 
-  /** Limits that count for who should own keys: those in force and those that were until a while ago, by upstream. */
+  /** Limits that placement has to respect, by upstream: those in force, and those that ended less than `RECOVERY_MILLIS` ago. */
   bearable(): ReadonlyMap<UpstreamId, number> {
     const limits = new Map<UpstreamId, number>();
     for (const { upstream, perSecond, lastPerSecond } of this.#runs.values()) {
@@ -81,52 +81,52 @@
     return limits;
   }
 
-  /** Forgets what is too long ago; gives the runs that are forgotten. */
+  /** Removes expired limits; returns the runs that were removed. */
   forget(now: MonotonicMillis): RunName[] {
-    const forgotten: RunName[] = [];
+    const removed: RunName[] = [];
     for (const [run, known] of this.#runs) {
-      if (known.perSecond !== null && now - known.toldAt >= FORGOTTEN_MILLIS) {
+      if (known.perSecond !== null && now - known.reportedAt >= REPORT_EXPIRY_MILLIS) {
         known.lastPerSecond = known.perSecond;
-        known.lastAt = now;
+        known.lastInForceAt = now;
         known.perSecond = null;
-        // Nobody said that it is over, so any word counts again.
-        known.heardAt = Number.NEGATIVE_INFINITY;
+        // No router reported the end of the limit, so a report of any age is accepted again.
+        known.observedAt = Number.NEGATIVE_INFINITY;
       }
-      if (known.perSecond === null && now - known.lastAt >= RECOVERY_MILLIS) {
+      if (known.perSecond === null && now - known.lastInForceAt >= RECOVERY_MILLIS) {
         this.#runs.delete(run);
-        forgotten.push(run);
+        removed.push(run);
       }
     }
-    return forgotten;
+    return removed;
   }
 
   get size(): number {
     return this.#runs.size;
   }
 
-  /** Those that name a limit now. */
+  /** Upstreams with a limit in force. */
   inForce(now: MonotonicMillis): LimitedUpstream[] {
     const known = [...this.#runs.values()].filter(({ perSecond }) => perSecond !== null);
-    return known.map(({ upstream, perSecond, heardAt }) => ({
+    return known.map(({ upstream, perSecond, observedAt }) => ({
       upstream,
       perSecond,
-      heardAgoMillis: now - heardAt,
+      heardAgoMillis: now - observedAt,
     }));
   }
 
-  #begin(
+  #addRun(
     { upstream, run, limit }: Pick<HeardUpstream, 'upstream' | 'run' | 'limit'>,
     now: MonotonicMillis,
   ): boolean {
-    const heardAt = now - limit.heardAgoMillis;
+    const observedAt = now - limit.heardAgoMillis;
     const { perSecond } = limit;
     this.#runs.set(run, {
       upstream,
       perSecond,
-      heardAt,
-      toldAt: now,
+      observedAt,
+      reportedAt: now,
       lastPerSecond: perSecond ?? 0,
-      lastAt: now,
+      lastInForceAt: now,
     });
     return true;
   }
--- a/src/control/needs/permit-bucket.ts
+++ b/src/control/needs/permit-bucket.ts
@@ -1,26 +1,26 @@
-/** Permits that come at a pace and are kept up to a bound. */
+/** A token bucket of permits. */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 
 const MILLIS_PER_SECOND = 1000;
 
 export class PermitBucket {
   #permits: number;
-  #filledAt: MonotonicMillis;
+  #refilledAt: MonotonicMillis;
 
-  /** `permits`: those that are there at first. */
+  /** `permits`: the initial number. */
   constructor(permits: number, now: MonotonicMillis) {
     this.#permits = permits;
-    this.#filledAt = now;
+    this.#refilledAt = now;
   }
 
-  /** Time has passed at this pace. */
-  fill(perSecond: number, most: number, now: MonotonicMillis): void {
-    const came = ((now - this.#filledAt) * perSecond) / MILLIS_PER_SECOND;
-    this.#permits = Math.min(most, this.#permits + came);
-    this.#filledAt = Math.max(this.#filledAt, now);
+  /** Adds the permits that accrued at this rate since the last refill, up to `maxPermits`. */
+  fill(perSecond: number, maxPermits: number, now: MonotonicMillis): void {
+    const accrued = ((now - this.#refilledAt) * perSecond) / MILLIS_PER_SECOND;
+    this.#permits = Math.min(maxPermits, this.#permits + accrued);
+    this.#refilledAt = Math.max(this.#refilledAt, now);
   }
 
-  /** Whether there was a permit, which is gone with that. */
+  /** Consumes a permit; returns `false` if there is none. */
   take(): boolean {
     if (this.#permits < 1) {
       return false;
@@ -29,13 +29,13 @@
     return true;
   }
 
-  /** Milliseconds from the last filling until `count` permits are there, at this pace. */
+  /** Milliseconds from the last refill until `count` permits are available at this rate. */
   millisUntil(count: number, perSecond: number): number {
     return (Math.max(0, count - this.#permits) * MILLIS_PER_SECOND) / perSecond;
   }
 
-  /** When `count` permits are there, at this pace. */
+  /** The time at which `count` permits are available at this rate. */
   filledUntil(count: number, perSecond: number): MonotonicMillis {
-    return this.#filledAt + this.millisUntil(count, perSecond);
+    return this.#refilledAt + this.millisUntil(count, perSecond);
   }
 }
--- a/src/control/needs/permit-issuer.ts
+++ b/src/control/needs/permit-issuer.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's permits for requests to upstreams that name a limit. There is one issuer, so the sum over all routers holds whoever asks,
- * however often, and whatever becomes of an answer; each permit is good for a moment only. A new leader waits until those of the one before
- * are over. What a router asks for waits here while it can be had in time, and is turned down at once when it can't.
+ * Issues the leader's permits for requests to upstreams with a rate limit. There is a single issuer, so the limit holds for all routers
+ * together, regardless of which routers request, how often, and which responses are lost; permits are short-lived. A new leader waits until the
+ * permits of its predecessor have expired. A router's permit request waits here while it can be granted in time, and is rejected at once otherwise.
  */
 import type { RunName } from '../../model/crash-suspect.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
@@ -13,23 +13,23 @@
 import { LimitedUpstreams } from './limited-upstreams.js';
 import { PermitBucket } from './permit-bucket.js';
 
-/** Permits that are kept for whoever asks next, beside the first: what a limit lets through in this time, in seconds. */
-const KEPT_SECONDS = 1;
-/** How often what is too long ago is looked for. */
-const FORGET_MILLIS = 1000;
+/** Unused permits accumulate up to what the limit allows in this time, plus one. */
+const MAX_ACCUMULATED_SECONDS = 1;
+/** How often expired limits are removed. */
+const EXPIRY_INTERVAL_MILLIS = 1000;
 
 export interface PermitIssuerParts {
   readonly send: (connection: ConnectionId, message: UpstreamPermits) => void;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
-  /** Longest time for which a leader that was deposed may still take itself for one. */
+  /** Longest time for which a deposed leader may still act as leader. */
   readonly deposedMillis: number;
 }
 
-/** What one router waits for at one upstream. */
-interface Ask {
+/** A router's pending permit request for one upstream. */
+interface PermitRequest {
   readonly connection: ConnectionId;
   readonly stamp: MonotonicMillis;
-  readonly askedAt: MonotonicMillis;
+  readonly requestedAt: MonotonicMillis;
   readonly rank: number;
   readonly until: MonotonicMillis;
   wanted: number;
@@ -39,12 +39,12 @@
   readonly upstream: UpstreamId;
   readonly run: RunName;
   readonly bucket: PermitBucket;
-  /** By router; whose turn is next comes first. */
-  readonly asks: Map<ConnectionId, Ask>;
+  /** By router, in round-robin order: the next router to be served comes first. */
+  readonly requests: Map<ConnectionId, PermitRequest>;
 }
 
 interface Outcome {
-  readonly ask: Ask;
+  readonly request: PermitRequest;
   granted: number;
   nextInMillis: number | null;
 }
@@ -52,15 +52,15 @@
 export class PermitIssuer {
   readonly limits = new LimitedUpstreams();
   readonly #parts: PermitIssuerParts;
-  /** When permits of the leader before are over. */
-  readonly #from: MonotonicMillis;
+  /** When the permits of the previous leader have expired. */
+  readonly #issuesFrom: MonotonicMillis;
   readonly #runs = new Map<RunName, RunPermits>();
-  #forgetAt: MonotonicMillis;
+  #nextExpiryAt: MonotonicMillis;
 
   constructor(parts: PermitIssuerParts, electedAt: MonotonicMillis) {
     this.#parts = parts;
-    this.#from = electedAt + parts.deposedMillis + PERMIT_MILLIS;
-    this.#forgetAt = electedAt + FORGET_MILLIS;
+    this.#issuesFrom = electedAt + parts.deposedMillis + PERMIT_MILLIS;
+    this.#nextExpiryAt = electedAt + EXPIRY_INTERVAL_MILLIS;
   }
 
   take(
@@ -68,32 +68,32 @@
     { connection, router }: ReportingRouter,
     now: MonotonicMillis,
   ): void {
-    for (const heard of upstreams) {
-      if (this.limits.hear(heard, now)) {
-        const { run, limit } = heard;
+    for (const report of upstreams) {
+      if (this.limits.hear(report, now)) {
+        const { run, limit } = report;
         this.#parts.log('upstream-limit-reported', { run, router, ...limit });
       }
-      if (heard.wanted > 0) {
-        this.#ask(heard, { connection, stamp }, now);
+      if (report.wanted > 0) {
+        this.#enqueue(report, { connection, stamp }, now);
       }
     }
   }
 
-  /** A router is gone, and nobody waits for its answer. */
+  /** A router disconnected: its permit requests are dropped. */
   gone(connection: ConnectionId): void {
-    for (const { asks } of this.#runs.values()) {
-      asks.delete(connection);
+    for (const { requests } of this.#runs.values()) {
+      requests.delete(connection);
     }
   }
 
   run(now: MonotonicMillis): void {
     for (const permits of this.#runs.values()) {
-      if (permits.asks.size > 0) {
+      if (permits.requests.size > 0) {
         this.#issue(permits, now);
       }
     }
-    if (now >= this.#forgetAt) {
-      this.#forgetAt = now + FORGET_MILLIS;
+    if (now >= this.#nextExpiryAt) {
+      this.#nextExpiryAt = now + EXPIRY_INTERVAL_MILLIS;
       for (const run of this.limits.forget(now)) {
         this.#runs.delete(run);
       }
@@ -101,92 +101,102 @@
   }
 
   nextDeadline(): MonotonicMillis {
-    let at = this.limits.size > 0 ? this.#forgetAt : Number.POSITIVE_INFINITY;
+    let at = this.limits.size > 0 ? this.#nextExpiryAt : Number.POSITIVE_INFINITY;
     for (const permits of this.#runs.values()) {
-      if (permits.asks.size > 0) {
-        at = Math.min(at, this.#nextAt(permits));
+      if (permits.requests.size > 0) {
+        at = Math.min(at, this.#nextDeadlineOf(permits));
       }
     }
     return at;
   }
 
-  #ask(heard: HeardUpstream, from: Pick<Ask, 'connection' | 'stamp'>, now: MonotonicMillis): void {
-    const { upstream, run, wanted, rank, patienceMillis } = heard;
+  #enqueue(
+    report: HeardUpstream,
+    from: Pick<PermitRequest, 'connection' | 'stamp'>,
+    now: MonotonicMillis,
+  ): void {
+    const { upstream, run, wanted, rank, patienceMillis } = report;
     const permits = this.#runs.get(run) ?? {
       upstream,
       run,
       bucket: new PermitBucket(1, now),
-      asks: new Map(),
+      requests: new Map(),
     };
     this.#runs.set(run, permits);
-    permits.asks.set(from.connection, { ...from, askedAt: now, rank, until: now + patienceMillis, wanted });
+    permits.requests.set(from.connection, {
+      ...from,
+      requestedAt: now,
+      rank,
+      until: now + patienceMillis,
+      wanted,
+    });
   }
 
   #issue(permits: RunPermits, now: MonotonicMillis): void {
-    const perSecond = this.#paceOf(permits.run);
+    const perSecond = this.#rateOf(permits.run);
     const outcomes = new Map<ConnectionId, Outcome>();
     if (perSecond === null) {
-      // The limit is over: nobody needs a permit, and the answer says so.
-      for (const ask of permits.asks.values()) {
-        outcomes.set(ask.connection, { ask, granted: 0, nextInMillis: null });
+      // The limit has ended: no permits are needed, and the response reports that.
+      for (const request of permits.requests.values()) {
+        outcomes.set(request.connection, { request, granted: 0, nextInMillis: null });
       }
-      permits.asks.clear();
+      permits.requests.clear();
     } else {
-      permits.bucket.fill(perSecond, 1 + perSecond * KEPT_SECONDS, now);
+      permits.bucket.fill(perSecond, 1 + perSecond * MAX_ACCUMULATED_SECONDS, now);
       this.#grant(permits, outcomes, now);
-      this.#turnDown(permits, outcomes, perSecond, now);
+      this.#rejectLate(permits, outcomes, perSecond, now);
     }
     for (const outcome of outcomes.values()) {
-      this.#tell(permits, outcome, now);
+      this.#respond(permits, outcome, now);
     }
   }
 
-  /** One each in turn, the most important first. */
-  #grant({ asks, bucket }: RunPermits, outcomes: Map<ConnectionId, Outcome>, now: MonotonicMillis): void {
-    while (now >= this.#from) {
-      const ask = nextOf(asks.values());
-      if (ask === undefined || !bucket.take()) {
+  /** Grants one permit to each router in turn, the most important requests first. */
+  #grant({ requests, bucket }: RunPermits, outcomes: Map<ConnectionId, Outcome>, now: MonotonicMillis): void {
+    while (now >= this.#issuesFrom) {
+      const request = mostImportant(requests.values());
+      if (request === undefined || !bucket.take()) {
         return;
       }
-      const outcome = outcomes.get(ask.connection) ?? { ask, granted: 0, nextInMillis: null };
+      const outcome = outcomes.get(request.connection) ?? { request, granted: 0, nextInMillis: null };
       outcome.granted += 1;
-      outcomes.set(ask.connection, outcome);
-      ask.wanted -= 1;
-      asks.delete(ask.connection);
-      if (ask.wanted > 0) {
-        asks.set(ask.connection, ask);
+      outcomes.set(request.connection, outcome);
+      request.wanted -= 1;
+      requests.delete(request.connection);
+      if (request.wanted > 0) {
+        requests.set(request.connection, request);
       }
     }
   }
 
-  /** What can't be had before those who want it have given up is turned down now. */
-  #turnDown(
-    { asks, bucket }: RunPermits,
+  /** Rejects permit requests that can't be granted before they expire. */
+  #rejectLate(
+    { requests, bucket }: RunPermits,
     outcomes: Map<ConnectionId, Outcome>,
     perSecond: number,
     now: MonotonicMillis,
   ): void {
-    let place = 0;
-    for (const ask of inOrder(asks.values())) {
-      place += 1;
-      const millis = Math.max(bucket.millisUntil(place, perSecond), this.#from - now);
-      if (now + millis > ask.until) {
-        asks.delete(ask.connection);
-        const outcome = outcomes.get(ask.connection) ?? { ask, granted: 0, nextInMillis: null };
-        outcomes.set(ask.connection, { ...outcome, nextInMillis: millis });
-        place -= 1;
+    let position = 0;
+    for (const request of byRank(requests.values())) {
+      position += 1;
+      const millis = Math.max(bucket.millisUntil(position, perSecond), this.#issuesFrom - now);
+      if (now + millis > request.until) {
+        requests.delete(request.connection);
+        const outcome = outcomes.get(request.connection) ?? { request, granted: 0, nextInMillis: null };
+        outcomes.set(request.connection, { ...outcome, nextInMillis: millis });
+        position -= 1;
       }
     }
   }
 
-  #tell(
-    { upstream, run, asks }: RunPermits,
-    { ask, granted, nextInMillis }: Outcome,
+  #respond(
+    { upstream, run, requests }: RunPermits,
+    { request, granted, nextInMillis }: Outcome,
     now: MonotonicMillis,
   ): void {
     const limit = this.limits.heard(run, now);
-    const { connection, stamp, askedAt } = ask;
-    const waitedMillis = now - askedAt;
+    const { connection, stamp, requestedAt } = request;
+    const waitedMillis = now - requestedAt;
     const issued: IssuedPermits = { upstream, run, granted, nextInMillis, limit };
     this.#parts.send(connection, {
       type: 'upstream-permits',
@@ -196,40 +206,48 @@
       upstreams: [issued],
     });
     const { perSecond } = limit;
-    const fields = { run, connection, granted, nextInMillis, waitedMillis, perSecond, waiting: asks.size };
+    const fields = {
+      run,
+      connection,
+      granted,
+      nextInMillis,
+      waitedMillis,
+      perSecond,
+      waiting: requests.size,
+    };
     this.#parts.log('permits-issued', fields);
   }
 
-  /** When there is a permit again, or one who waits for it gives up. */
-  #nextAt({ run, bucket, asks }: RunPermits): MonotonicMillis {
-    const perSecond = this.#paceOf(run);
-    const first = [...asks.values()].reduce(
-      (least, { until }) => Math.min(least, until),
+  /** When the next permit is available or the first pending request expires. */
+  #nextDeadlineOf({ run, bucket, requests }: RunPermits): MonotonicMillis {
+    const perSecond = this.#rateOf(run);
+    const firstExpiry = [...requests.values()].reduce(
+      (earliest, { until }) => Math.min(earliest, until),
       Number.POSITIVE_INFINITY,
     );
     if (perSecond === null) {
       return Number.NEGATIVE_INFINITY;
     }
-    return Math.min(first, Math.max(this.#from, bucket.filledUntil(1, perSecond)));
+    return Math.min(firstExpiry, Math.max(this.#issuesFrom, bucket.filledUntil(1, perSecond)));
   }
 
-  /** Permits a second; `null`: it names no limit. */
-  #paceOf(run: RunName): number | null {
+  /** Permits per second; `null` if the run has no limit. */
+  #rateOf(run: RunName): number | null {
     const perSecond = this.limits.perSecondOf(run);
     return perSecond === null ? null : sharedPerSecond(perSecond) * PERMIT_SHARE;
   }
 }
 
-function nextOf(asks: Iterable<Ask>): Ask | undefined {
-  let next: Ask | undefined;
-  for (const ask of asks) {
-    if (next === undefined || ask.rank < next.rank) {
-      next = ask;
+function mostImportant(requests: Iterable<PermitRequest>): PermitRequest | undefined {
+  let next: PermitRequest | undefined;
+  for (const request of requests) {
+    if (next === undefined || request.rank < next.rank) {
+      next = request;
     }
   }
   return next;
 }
 
-function inOrder(asks: Iterable<Ask>): Ask[] {
-  return [...asks].sort((one, other) => one.rank - other.rank);
+function byRank(requests: Iterable<PermitRequest>): PermitRequest[] {
+  return [...requests].sort((one, other) => one.rank - other.rank);
 }
--- a/src/control/needs/resting-upstreams.ts
+++ b/src/control/needs/resting-upstreams.ts
@@ -1,64 +1,64 @@
 /**
- * Upstreams that turned routers away and asked them for rest, as these tell the leader. One router that is turned away is a moment's matter; where half
- * of them are, next to nothing is served there, and callers are better off with their keys elsewhere.
+ * Upstreams that rejected requests and requested back-off, as reported by routers to the leader. A single router in back-off is a passing matter; an
+ * upstream that half of the routers back off from serves next to nothing, so its keys are better owned elsewhere.
  */
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import type { ConnectionId } from '../types.js';
 
-/** Share of the routers turned away at which an upstream counts as serving nobody. */
-const SERVES_NOBODY_SHARE = 0.5;
-const LEAST_SHARE = 0.02;
-/** There are taken to be as many routers: a member to which few of them speak doesn't know the others. */
-const FEWEST_ROUTERS = 4;
-/** For so long after the last rest was over it still counts: one that asks again and again doesn't send its keys back and forth. */
+/** Share of the routers in back-off at which an upstream counts as serving no requests. */
+const NOTHING_SERVED_SHARE = 0.5;
+const MIN_SHARE = 0.02;
+/** Lower bound of the assumed number of routers: a member that few routers are connected to can't count the others. */
+const MIN_ROUTERS = 4;
+/** A back-off still counts for this long after its end, so that repeated back-offs don't cause keys to move back and forth. */
 const RECOVERY_MILLIS = 5000;
 
 export class RestingUpstreams {
-  /** Until when each router is to leave an upstream alone. */
-  readonly #rests = new Map<UpstreamId, Map<ConnectionId, MonotonicMillis>>();
+  /** The end of each router's back-off, by upstream. */
+  readonly #backoffs = new Map<UpstreamId, Map<ConnectionId, MonotonicMillis>>();
 
-  /** A router was asked for so much rest; `true` if it is the first that was. */
+  /** Records a router's back-off; returns `true` if the upstream had no other. */
   asked(upstream: UpstreamId, router: ConnectionId, restMillis: number, now: MonotonicMillis): boolean {
-    const rests = this.#rests.get(upstream) ?? new Map<ConnectionId, MonotonicMillis>();
-    const isFirst = !this.#rests.has(upstream);
-    this.#rests.set(upstream, rests);
-    rests.set(router, Math.max(now + restMillis, rests.get(router) ?? now));
+    const backoffs = this.#backoffs.get(upstream) ?? new Map<ConnectionId, MonotonicMillis>();
+    const isFirst = !this.#backoffs.has(upstream);
+    this.#backoffs.set(upstream, backoffs);
+    backoffs.set(router, Math.max(now + restMillis, backoffs.get(router) ?? now));
     return isFirst;
   }
 
-  /** Share of what its slots can do that each bears, by upstream; the others bear all. `routers`: how many there are. */
+  /** Usable share of the capacity of each upstream with back-offs; all others have their full capacity. `routers`: the number of routers. */
   shares(routers: number): ReadonlyMap<UpstreamId, number> {
     const shares = new Map<UpstreamId, number>();
-    for (const [upstream, { size }] of this.#rests) {
-      const turnedAway = size / Math.max(size, routers, FEWEST_ROUTERS);
-      shares.set(upstream, Math.max(LEAST_SHARE, 1 - turnedAway / SERVES_NOBODY_SHARE));
+    for (const [upstream, { size }] of this.#backoffs) {
+      const backingOff = size / Math.max(size, routers, MIN_ROUTERS);
+      shares.set(upstream, Math.max(MIN_SHARE, 1 - backingOff / NOTHING_SERVED_SHARE));
     }
     return shares;
   }
 
-  /** Forgets rests that have been over for a while. */
+  /** Removes back-offs that ended at least `RECOVERY_MILLIS` ago. */
   forget(now: MonotonicMillis): void {
-    for (const [upstream, rests] of this.#rests) {
-      for (const [router, until] of rests) {
+    for (const [upstream, backoffs] of this.#backoffs) {
+      for (const [router, until] of backoffs) {
         if (now >= until + RECOVERY_MILLIS) {
-          rests.delete(router);
+          backoffs.delete(router);
         }
       }
-      if (rests.size === 0) {
-        this.#rests.delete(upstream);
+      if (backoffs.size === 0) {
+        this.#backoffs.delete(upstream);
       }
     }
   }
 
   get size(): number {
-    return this.#rests.size;
+    return this.#backoffs.size;
   }
 
-  /** Upstreams that some router leaves alone now, and how many do. */
+  /** Upstreams with back-offs that haven't ended, and the number of routers in back-off. */
   list(now: MonotonicMillis): { readonly upstream: UpstreamId; readonly routers: number }[] {
-    const counts = [...this.#rests].map(([upstream, rests]) => ({
+    const counts = [...this.#backoffs].map(([upstream, backoffs]) => ({
       upstream,
-      routers: [...rests.values()].filter((until) => until > now).length,
+      routers: [...backoffs.values()].filter((until) => until > now).length,
     }));
     return counts.filter(({ routers }) => routers > 0);
   }
--- a/src/control/needs/upstream-needs.ts
+++ b/src/control/needs/upstream-needs.ts
@@ -1,4 +1,4 @@
-/** What the leader knows of upstreams that say that they are in need, and what follows for those who share them and for who should own keys. */
+/** Constraints that upstreams report (rate limits, back-offs, draining), and what they mean for routers and for the placement of keys. */
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import type { HeardUpstream } from '../../model/upstream-notice.js';
 import type { Bearing } from '../../placement/ranges/bearing.js';
@@ -9,71 +9,71 @@
 import { PermitIssuer, type PermitIssuerParts } from './permit-issuer.js';
 import { RestingUpstreams } from './resting-upstreams.js';
 
-/** How often rests that are long over are looked for. */
-const FORGET_MILLIS = 1000;
+/** How often expired back-offs are removed. */
+const EXPIRY_INTERVAL_MILLIS = 1000;
 
 export interface UpstreamNeedsParts extends PermitIssuerParts, LeavingUpstreamsParts {
-  /** How many routers there are, about. */
+  /** The approximate number of routers. */
   readonly routers: () => number;
 }
 
 export class UpstreamNeeds {
   readonly #parts: UpstreamNeedsParts;
   readonly #issuer: PermitIssuer;
-  readonly #rests = new RestingUpstreams();
-  readonly #leaving: LeavingUpstreams;
-  #forgetAt: MonotonicMillis;
+  readonly #backoffs = new RestingUpstreams();
+  readonly #draining: LeavingUpstreams;
+  #nextExpiryAt: MonotonicMillis;
 
   constructor(parts: UpstreamNeedsParts, electedAt: MonotonicMillis) {
     this.#parts = parts;
     this.#issuer = new PermitIssuer(parts, electedAt);
-    this.#leaving = new LeavingUpstreams(parts);
-    this.#forgetAt = electedAt + FORGET_MILLIS;
+    this.#draining = new LeavingUpstreams(parts);
+    this.#nextExpiryAt = electedAt + EXPIRY_INTERVAL_MILLIS;
   }
 
-  /** A router's report. */
+  /** Records a router's report. */
   take(report: UpstreamReport, from: ReportingRouter, now: MonotonicMillis): void {
-    for (const heard of report.upstreams) {
-      this.#takeRest(heard, from, now);
-      this.#leaving.take(heard, from.router);
+    for (const upstreamReport of report.upstreams) {
+      this.#recordBackoff(upstreamReport, from, now);
+      this.#draining.take(upstreamReport, from.router);
     }
     this.#issuer.take(report, from, now);
   }
 
-  /** A router is gone. What it was asked for stands until it is over. */
+  /** A router disconnected. Its back-offs remain until they end. */
   gone(connection: ConnectionId): void {
     this.#issuer.gone(connection);
   }
 
   run(now: MonotonicMillis): void {
     this.#issuer.run(now);
-    if (now >= this.#forgetAt) {
-      this.#forgetAt = now + FORGET_MILLIS;
-      this.#rests.forget(now);
+    if (now >= this.#nextExpiryAt) {
+      this.#nextExpiryAt = now + EXPIRY_INTERVAL_MILLIS;
+      this.#backoffs.forget(now);
     }
   }
 
   nextDeadline(): MonotonicMillis {
-    const forgetAt = this.#rests.size > 0 ? this.#forgetAt : Number.POSITIVE_INFINITY;
-    return Math.min(this.#issuer.nextDeadline(), forgetAt);
+    const expiryAt = this.#backoffs.size > 0 ? this.#nextExpiryAt : Number.POSITIVE_INFINITY;
+    return Math.min(this.#issuer.nextDeadline(), expiryAt);
   }
 
-  /** What upstreams bear that are in need, or were until a while ago. */
+  /** Capacity limits of upstreams with a current or recent constraint. */
   bearings(): ReadonlyMap<UpstreamId, Bearing> {
-    const bearings = new Map<UpstreamId, Bearing>();
+    const limits = new Map<UpstreamId, Bearing>();
     for (const [upstream, perSecond] of this.#issuer.limits.bearable()) {
-      bearings.set(upstream, { perSecond });
+      limits.set(upstream, { perSecond });
     }
-    for (const [upstream, share] of this.#rests.shares(this.#parts.routers())) {
-      bearings.set(upstream, { ...bearings.get(upstream), share });
+    for (const [upstream, share] of this.#backoffs.shares(this.#parts.routers())) {
+      limits.set(upstream, { ...limits.get(upstream), share });
     }
-    return bearings;
+    return limits;
   }
 
-  /** Those that are in need now. */
+  /** Upstreams with a current constraint. */
   list(now: MonotonicMillis): NeedyUpstream[] {
     const limited = this.#issuer.limits.inForce(now).map((limit) => ({ ...limit, restingRouters: 0 }));
-    const resting = this.#rests.list(now).map(({ upstream, routers }) => ({
+    const resting = this.#backoffs.list(now).map(({ upstream, routers }) => ({
       upstream,
       perSecond: null,
       heardAgoMillis: null,
@@ -82,9 +82,13 @@
     return [...limited, ...resting];
   }
 
-  #takeRest({ upstream, run, restMillis }: HeardUpstream, from: ReportingRouter, now: MonotonicMillis): void {
+  #recordBackoff(
+    { upstream, run, restMillis }: HeardUpstream,
+    from: ReportingRouter,
+    now: MonotonicMillis,
+  ): void {
     const { connection, router } = from;
-    if (restMillis > 0 && this.#rests.asked(upstream, connection, restMillis, now)) {
+    if (restMillis > 0 && this.#backoffs.asked(upstream, connection, restMillis, now)) {
       this.#parts.log('upstream-rest-reported', { upstream, run, router, restMillis });
     }
   }
--- a/test/control/daemon/holder-calls.test.ts
+++ b/test/control/daemon/holder-calls.test.ts
@@ -1,4 +1,4 @@
-/** Calls to upstreams that take plain grants: what goes over the wire, and how each way of ending is reported. */
+/** Calls to upstreams with plain grants: the requests on the wire, and the outcome reported for each response or failure. */
 import { expect } from 'chai';
 import { HolderCalls } from '../../../src/control/daemon/holder-calls.js';
 import type { GrantCall, HolderOutcome } from '../../../src/control/ranges/holder-call.js';
@@ -28,7 +28,7 @@
   return ({ socket }) => socket.write(`HTTP/1.1 ${status}\r\ncontent-length: 0\r\n\r\n`);
 }
 
-describe('calls to upstreams that take plain grants', () => {
+describe('calls to upstreams with plain grants', () => {
   let upstream: ScriptedUpstream;
   let calls: HolderCalls | null = null;
 
@@ -55,19 +55,19 @@
     });
   }
 
-  it('names the run that the grant is for', async () => {
+  it('sends the name of the run that the grant is for', async () => {
     upstream.script = answer('200 OK');
     const outcome = await callAndWait(grantTo('run-1', upstream.address));
     expect(outcome).to.deep.equal({ type: 'accepted', handover: null });
     expect(upstream.requests[0]?.headers.get('ternmount-instance')).to.equal('run-1');
   });
 
-  it('takes the answer of another run at the address for proof that this one has ended', async () => {
+  it('reports the run as ended if another run at the address responds', async () => {
     upstream.script = answer('421 Misdirected Request');
     expect(await callAndWait(grantTo('run-1', upstream.address))).to.deep.equal({ type: 'ended' });
   });
 
-  it('reports a higher fence, another status and silence each as what it is', async () => {
+  it('reports a higher fence, another status and a timeout as different outcomes', async () => {
     upstream.script = answer('409 Conflict');
     expect(await callAndWait(grantTo('run-1', upstream.address))).to.deep.equal({ type: 'superseded' });
     upstream.script = answer('503 Service Unavailable');
@@ -77,30 +77,30 @@
     expect(await callAndWait(grantTo('run-1', upstream.address))).to.deep.equal({ type: 'silent' });
   });
 
-  it('takes a refused connection for no proof that the run has ended', async () => {
+  it('does not report the run as ended if the connection is refused', async () => {
     const { address } = upstream;
     await upstream.stop();
     expect(await callAndWait(grantTo('run-1', address))).to.deep.equal({ type: 'refused' });
     upstream = await new ScriptedUpstream().start();
   });
 
-  /** Makes calls one after the other over the same connections; gives how each ended. */
-  async function callInTurn(...wanted: readonly (GrantCall | 'next')[]): Promise<HolderOutcome[]> {
+  /** Makes calls one after another with the same connections; returns their outcomes. */
+  async function callInSequence(...steps: readonly (GrantCall | 'next')[]): Promise<HolderOutcome[]> {
     const outcomes: HolderOutcome[] = [];
-    let told: (outcome: HolderOutcome) => void = () => {};
+    let onOutcome: (outcome: HolderOutcome) => void = () => {};
     calls = new HolderCalls({
       protocol: DEFAULT_HOLDER_PROTOCOL,
       grantMillis: GRANT_MILLIS,
       releaseMillis: GRANT_MILLIS,
       log: new LogRecorder(),
-      ended: (_id, outcome) => told(outcome),
+      ended: (_id, outcome) => onOutcome(outcome),
     });
-    for (const call of wanted) {
+    for (const call of steps) {
       if (call === 'next') {
         await startNextRun();
       } else {
         const outcome = new Promise<HolderOutcome>((resolve) => {
-          told = resolve;
+          onOutcome = resolve;
         });
         calls.call(call);
         outcomes.push(await outcome);
@@ -109,7 +109,7 @@
     return outcomes;
   }
 
-  /** Another run takes the upstream's place at its address. */
+  /** Starts another run of the upstream at the same address. */
   async function startNextRun(): Promise<void> {
     const port = Number(upstream.address.split(':')[1]);
     await upstream.stop();
@@ -124,31 +124,31 @@
     isBound,
   });
 
-  it('renews a grant over the connection that carried it first', async () => {
+  it('renews a grant over the connection that it was first sent on', async () => {
     upstream.script = answer('200 OK');
-    const outcomes = await callInTurn(boundGrant(false), boundGrant(true), boundGrant(true));
+    const outcomes = await callInSequence(boundGrant(false), boundGrant(true), boundGrant(true));
     expect(outcomes.map(({ type }) => type)).to.deep.equal(['accepted', 'accepted', 'accepted']);
     expect(new Set(upstream.requests.map(({ connection }) => connection)).size).to.equal(1);
   });
 
-  it('never takes a grant to another run at the address of one whose id it shares', async () => {
+  it('never renews a grant at another run with the same id and address', async () => {
     upstream.script = answer('200 OK');
     const renewal = boundGrant(true);
-    const outcomes = await callInTurn(boundGrant(false), 'next', renewal, renewal);
+    const outcomes = await callInSequence(boundGrant(false), 'next', renewal, renewal);
     expect(outcomes.map(({ type }) => type)).to.deep.equal(['accepted', 'unbound', 'unbound']);
     expect(upstream.requests).to.deep.equal([]);
   });
 
-  it('gives another run a grant under a fence of its own', async () => {
+  it('sends another run a grant with a new fence', async () => {
     upstream.script = answer('200 OK');
-    const outcomes = await callInTurn(boundGrant(false), 'next', boundGrant(true), boundGrant(false, 37));
+    const outcomes = await callInSequence(boundGrant(false), 'next', boundGrant(true), boundGrant(false, 37));
     expect(outcomes.map(({ type }) => type)).to.deep.equal(['accepted', 'unbound', 'accepted']);
     expect(upstream.requests.map(({ body }) => JSON.parse(body).fence)).to.deep.equal([37]);
   });
 
-  it('takes no renewal to an upstream that it never sent that grant, as those that an earlier leader made', async () => {
+  it('does not renew a grant that it never sent, such as one of an earlier leader', async () => {
     upstream.script = answer('200 OK');
-    expect((await callInTurn(boundGrant(true)))[0]).to.deep.equal({ type: 'unbound' });
+    expect((await callInSequence(boundGrant(true)))[0]).to.deep.equal({ type: 'unbound' });
     expect(upstream.requests).to.deep.equal([]);
   });
 });
--- a/test/control/daemon/identity-questions.test.ts
+++ b/test/control/daemon/identity-questions.test.ts
@@ -1,4 +1,4 @@
-/** Questions who lives at an address: what goes over the wire, and what each way of answering comes to. */
+/** Identity queries to an address: the requests on the wire, and the result for each response or failure. */
 import { expect } from 'chai';
 import { IdentityQuestions } from '../../../src/control/daemon/identity-questions.js';
 import type { IdentityAnswer } from '../../../src/control/identity-question.js';
@@ -14,7 +14,7 @@
   return ({ socket }) => socket.write(`HTTP/1.1 ${status}\r\n${identity}content-length: 0\r\n\r\n`);
 }
 
-describe('questions who lives at an address', () => {
+describe('identity queries to an address', () => {
   let upstream: ScriptedUpstream;
 
   beforeEach(async () => {
@@ -53,7 +53,7 @@
     expect(upstream.requests.map(({ connection }) => connection)).to.deep.equal([1, 2]);
   });
 
-  it('are answered by whoever names itself, well or not', async () => {
+  it('return the name in the response, whether the upstream is healthy or not', async () => {
     upstream.script = answer('200 OK', 'run-2');
     expect(await ask()).to.deep.equal({ type: 'named', upstream: 'run-2' });
     upstream.script = answer('503 Service Unavailable', 'run-2');
@@ -62,15 +62,15 @@
     expect(await ask()).to.deep.equal({ type: 'named', upstream: 'run-1' });
   });
 
-  it('are answered by another run that turns them away', async () => {
+  it('return `another` if another run rejects them', async () => {
     upstream.script = answer('421 Misdirected Request', 'run-2');
     expect(await ask()).to.deep.equal({ type: 'another' });
   });
 
-  it('come to nothing without a name, an answer or a listener', async () => {
-    const nobody = await new ScriptedUpstream().start();
-    const { address } = nobody;
-    await nobody.stop();
+  it('return `unknown` without a name, a response or a listener', async () => {
+    const stopped = await new ScriptedUpstream().start();
+    const { address } = stopped;
+    await stopped.stop();
     const cases: readonly [Script, string][] = [
       [answer('200 OK'), upstream.address],
       [answer('200 OK', ''), upstream.address],
@@ -80,9 +80,9 @@
       [() => {}, upstream.address],
       [() => {}, address],
     ];
-    for (const [script, asked] of cases) {
+    for (const [script, target] of cases) {
       upstream.script = script;
-      expect(await ask(asked)).to.deep.equal({ type: 'unknown' });
+      expect(await ask(target)).to.deep.equal({ type: 'unknown' });
     }
   });
 });
--- a/test/control/daemon/step-meter.test.ts
+++ b/test/control/daemon/step-meter.test.ts
@@ -1,9 +1,9 @@
-/** What steps cost is summed up a second at a time. */
+/** Step costs are summed up per second. */
 import { expect } from 'chai';
 import { StepMeter } from '../../../src/control/daemon/step-meter.js';
 
-describe('the meter of steps', () => {
-  it('sums up what came in a second, names the longest step, and begins anew', () => {
+describe('StepMeter', () => {
+  it('sums up the steps of a second, reports the longest one, and resets', () => {
     const meter = new StepMeter(0);
     meter.stepped('tick', 0, 2);
     meter.stepped('peer-message', 10, 40);
--- a/test/control/fleet-reports.test.ts
+++ b/test/control/fleet-reports.test.ts
@@ -1,4 +1,4 @@
-/** Reports of upstreams without keys on their way through a control member. */
+/** Handling of reports of upstreams without keys by a control member. */
 import { expect } from 'chai';
 import type { LoadReport } from '../../src/control/messages.js';
 import { UNTOLD_VERSION } from '../../src/model/fleet-view.js';
@@ -21,13 +21,13 @@
     expect(answersTo(cluster, 'newer')).to.deep.equal(['fleet-news']);
   });
 
-  it('is answered by nobody else, who knows nothing', () => {
+  it('is not answered by other members, which have no fleet state', () => {
     const other = [...cluster.members.values()].find(({ core }) => core.status().role !== 'leader');
     cluster.routerMessage('astray', { ...PLAIN, fleet: FLEET }, other);
     expect(answersTo(cluster, 'astray')).to.deep.equal([]);
   });
 
-  it('that an older router doesn’t make is not answered', () => {
+  it('is not answered if an older router omits the fleet part', () => {
     cluster.routerMessage('older', PLAIN);
     expect(answersTo(cluster, 'older')).to.deep.equal([]);
   });
--- a/test/control/fleet-room.test.ts
+++ b/test/control/fleet-room.test.ts
@@ -1,4 +1,4 @@
-/** What the control leader makes of routers' reports of upstreams without keys. */
+/** Speeds and zone demand that the control leader derives from routers' reports of upstreams without keys. */
 import { expect } from 'chai';
 import { FleetRoom, type RoomUpstream } from '../../src/control/fleet-room/fleet-room.js';
 import { planSpill } from '../../src/control/fleet-room/spill-plan.js';
@@ -21,7 +21,7 @@
 }
 
 class Reports {
-  readonly room: FleetRoom;
+  readonly capacity: FleetRoom;
   now = 0;
   number = 0;
   readonly logged: string[] = [];
@@ -30,7 +30,7 @@
     const log = (event: string): void => {
       this.logged.push(event);
     };
-    this.room = new FleetRoom({ term, upstreams: () => upstreams, log }, 0);
+    this.capacity = new FleetRoom({ term, upstreams: () => upstreams, log }, 0);
   }
 
   report(changes: Partial<FleetReport> = {}, from = 'c1'): LoadReport {
@@ -44,13 +44,13 @@
       ...changes,
     };
     const report: LoadReport = { type: 'load-report', intervalMillis: 1000, shards: [], fleet };
-    this.news = this.room.take(report, from, this.now);
+    this.update = this.capacity.take(report, from, this.now);
     return report;
   }
 
-  news: FleetNews | null = null;
+  update: FleetNews | null = null;
 
-  /** A second in which each upstream answered some requests that took so long. */
+  /** Reports a second in which each upstream answered `requests` requests of `millisOf` milliseconds each. */
   second(millisOf: (id: string) => number, requests = 5, have: FleetVersion = UNTOLD_VERSION): void {
     this.now += 1000;
     for (const zone of ['a', 'b']) {
@@ -68,7 +68,7 @@
 
   speeds(): Record<string, number> {
     this.report({ have: UNTOLD_VERSION }, 'reader');
-    return Object.fromEntries((this.news?.speeds ?? []).map(({ upstream, speed }) => [upstream, speed]));
+    return Object.fromEntries((this.update?.speeds ?? []).map(({ upstream, speed }) => [upstream, speed]));
   }
 }
 
@@ -79,7 +79,7 @@
 }
 
 describe('speeds of upstreams', () => {
-  it('are learnt from all routers together', () => {
+  it('are derived from the reports of all routers', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3));
     for (let second = 0; second < 30; second += 1) {
       reports.second(millisAtSpeed);
@@ -108,11 +108,11 @@
     expect(reports.speeds()).to.deep.equal({});
   });
 
-  it('are told of none whose upstreams are alike but for noise', () => {
+  it('stay close to 1 if upstreams differ only by noise', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3));
     const random = new Random(3);
     for (let second = 0; second < 120; second += 1) {
-      // Each second a fifth of them is three times slower for less than half of it.
+      // Each second, a fifth of the upstreams is three times slower for less than half of the second.
       reports.second(() => WORK_MILLIS * (random.share() < 0.2 ? 1.8 : 1));
     }
     for (const speed of Object.values(reports.speeds())) {
@@ -120,38 +120,38 @@
     }
   });
 
-  it('are told by change only', () => {
+  it('are sent only when they change', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3));
     for (let second = 0; second < 60; second += 1) {
       reports.second(millisAtSpeed);
     }
-    const held = reports.news?.version as FleetVersion;
+    const knownVersion = reports.update?.version as FleetVersion;
     for (let second = 0; second < 60; second += 1) {
-      reports.second(millisAtSpeed, 5, held);
-      expect(reports.news).to.deep.include({ isWhole: false, speeds: [], zones: [] });
+      reports.second(millisAtSpeed, 5, knownVersion);
+      expect(reports.update).to.deep.include({ isWhole: false, speeds: [], zones: [] });
     }
   });
 
-  it('are told whole to a router that holds what another leader said', () => {
+  it('are sent completely to a router with a version of another leader', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3), 2);
     for (let second = 0; second < 30; second += 1) {
       reports.second(millisAtSpeed, 5, { term: 1, number: 1000 });
     }
-    expect(reports.news?.isWhole).to.equal(true);
-    expect(reports.news?.speeds.length).to.be.above(3);
+    expect(reports.update?.isWhole).to.equal(true);
+    expect(reports.update?.speeds.length).to.be.above(3);
   });
 });
 
 describe('demand of zones', () => {
   function spillOf(reports: Reports, zone: string): number {
     reports.report({ have: UNTOLD_VERSION }, 'reader');
-    const room = reports.news?.zones.find((told) => told.zone === zone);
-    return room?.spill.reduce((sum, { share }) => sum + share, 0) ?? 0;
+    const capacity = reports.update?.zones.find((published) => published.zone === zone);
+    return capacity?.spill.reduce((sum, { share }) => sum + share, 0) ?? 0;
   }
 
-  /** Zone a asks for `ofA` of its 12 slots, b for half of its own. */
+  /** Reports demand for the share `ofA` of the 12 slots of zone a, and for half of the slots of zone b. */
   function seconds(reports: Reports, count: number, ofA: number): void {
-    const ask = (zone: string, part: number): void => {
+    const report = (zone: string, part: number): void => {
       const requests = (part * 12 * 1000) / WORK_MILLIS;
       const upstreams = [
         { upstream: `${zone}0`, kind: 'sheets', requests: 1, workMillis: WORK_MILLIS, isOut: false },
@@ -161,12 +161,12 @@
     };
     for (let second = 0; second < count; second += 1) {
       reports.now += 1000;
-      ask('a', ofA);
-      ask('b', 0.5);
+      report('a', ofA);
+      report('b', 0.5);
     }
   }
 
-  it('goes elsewhere as far as it exceeds the room, and no longer', () => {
+  it('spills as far as, and as long as, it exceeds the capacity', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3));
     seconds(reports, 20, 1.4);
     expect(spillOf(reports, 'a')).to.be.closeTo(0.4 / 1.4, 0.04);
@@ -176,7 +176,7 @@
     expect(reports.logged.filter((event) => event === 'zone-spill-changed').length).to.be.within(2, 12);
   });
 
-  it('finds no room in a zone that is to get nothing new', () => {
+  it('has no capacity in a zone that must not receive new requests', () => {
     const upstreams = upstreamsOf(['a', 'b'], 3).map((upstream) => ({
       ...upstream,
       isUsable: upstream.zone === 'b',
@@ -186,7 +186,7 @@
     expect(spillOf(reports, 'a')).to.be.closeTo(1, 0.01);
   });
 
-  it('counts once though reports come twice', () => {
+  it('is counted once if reports are duplicated', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3));
     for (let second = 0; second < 20; second += 1) {
       reports.now += 1000;
@@ -195,12 +195,12 @@
         { upstream: 'a0', kind: 'sheets', requests: 1, workMillis: WORK_MILLIS, isOut: false },
       ];
       const report = reports.report({ demand, upstreams }, 'c-a');
-      reports.room.take(report, 'c-a', reports.now + 300);
+      reports.capacity.take(report, 'c-a', reports.now + 300);
     }
     expect(spillOf(reports, 'a')).to.equal(0);
   });
 
-  it('finds no room at upstreams that routers of their zone find out of order', () => {
+  it('has no capacity at upstreams that routers of their zone report out of order', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3));
     for (let second = 0; second < 10; second += 1) {
       seconds(reports, 1, 0.9);
@@ -210,7 +210,7 @@
     expect(spillOf(reports, 'a')).to.be.above(0.2);
   });
 
-  it('finds room at upstreams that only another zone finds out of order', () => {
+  it('has capacity at upstreams that only routers of another zone report out of order', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3));
     for (let second = 0; second < 10; second += 1) {
       seconds(reports, 1, 0.9);
@@ -220,7 +220,7 @@
     expect(spillOf(reports, 'a')).to.equal(0);
   });
 
-  it('is forgotten with routers that report no more', () => {
+  it('expires with routers that stop reporting', () => {
     const reports = new Reports(upstreamsOf(['a', 'b'], 3));
     seconds(reports, 20, 1.4);
     reports.now += 5000;
@@ -228,19 +228,19 @@
     expect(spillOf(reports, 'a')).to.equal(0);
   });
 
-  it('that nobody has room for stays where it is', () => {
+  it('does not spill if no zone has free capacity', () => {
     const plans = planSpill([
-      { zone: 'a', demand: 20, room: 10 },
-      { zone: 'b', demand: 11, room: 10 },
+      { zone: 'a', demand: 20, capacity: 10 },
+      { zone: 'b', demand: 11, capacity: 10 },
     ]);
     expect(plans.flatMap(({ spill }) => spill)).to.deep.equal([]);
   });
 
-  it('is shared among those with room by what they have left', () => {
+  it('is divided among zones in proportion to their free capacity', () => {
     const [plan] = planSpill([
-      { zone: 'a', demand: 12, room: 10 },
-      { zone: 'b', demand: 1.7, room: 10 },
-      { zone: 'c', demand: 5.7, room: 10 },
+      { zone: 'a', demand: 12, capacity: 10 },
+      { zone: 'b', demand: 1.7, capacity: 10 },
+      { zone: 'c', demand: 5.7, capacity: 10 },
     ]);
     const [toB, toC] = plan?.spill ?? [];
     expect((toB?.share ?? 0) / (toC?.share ?? 1)).to.be.closeTo(2, 0.01);
--- a/test/control/limited-owners.test.ts
+++ b/test/control/limited-owners.test.ts
@@ -1,4 +1,4 @@
-/** What an owner of keys keeps that says that it takes so many requests a second and no more. */
+/** Keys of an owner that reports a rate limit or requests back-off. */
 import { expect } from 'chai';
 import { RestingUpstreams } from '../../src/control/needs/resting-upstreams.js';
 import { formatShardId } from '../../src/model/identifiers.js';
@@ -8,8 +8,8 @@
 const OWNERS = 6;
 const ROUTERS = 10;
 const WORK_MILLIS = 60;
-/** Requests a second for each of these keys, which are spread evenly. */
-const KEYS = 240;
+/** Evenly spaced keys, each with `PER_KEY` requests per second. */
+const KEY_COUNT = 240;
 const PER_KEY = 0.5;
 const REPORT_MILLIS = 500;
 const LIMIT = 4;
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Requests a second for the keys of an owner. */
+  /** Requests per second for the keys of an owner. */
   demandOf(owner: string): number {
     return this.#keys().filter((key) => this.world.servedBy(key) === owner).length * PER_KEY;
   }
@@ -43,7 +43,7 @@
   }
 
   #keys(): number[] {
-    return Array.from({ length: KEYS }, (_, index) => Math.floor((index * LARGEST_KEY) / KEYS));
+    return Array.from({ length: KEY_COUNT }, (_, index) => Math.floor((index * LARGEST_KEY) / KEY_COUNT));
   }
 
   #loads() {
@@ -57,7 +57,7 @@
 }
 
 describe('an owner with a limit', () => {
-  it('keeps about what it bears within seconds, and the others have the rest', () => {
+  it('keeps keys for about its limit within seconds, and the others own the rest', () => {
     const owners = new LimitedOwners();
     expect(owners.demandOf('u1')).to.be.above(2 * LIMIT);
     owners.world.bearings.set('u1', { perSecond: LIMIT });
@@ -66,22 +66,22 @@
     expect(owners.world.servedShare()).to.equal(1);
   });
 
-  it('gets no keys of owners that leave', () => {
+  it('receives no keys of draining owners', () => {
     const owners = new LimitedOwners();
     owners.world.bearings.set('u1', { perSecond: LIMIT });
     owners.run(6000);
     const before = owners.demandOf('u1');
-    const leaver = owners.world.holders.get('u2');
-    if (leaver !== undefined) {
-      leaver.leaving = true;
-      owners.world.announce(leaver);
+    const drained = owners.world.holders.get('u2');
+    if (drained !== undefined) {
+      drained.leaving = true;
+      owners.world.announce(drained);
     }
     owners.run(4000);
     expect(owners.demandOf('u2')).to.equal(0);
     expect(owners.demandOf('u1')).to.be.at.most(before);
   });
 
-  it('has the same keys for as long as its limit stays the same', () => {
+  it('keeps the same keys while its limit is constant', () => {
     const owners = new LimitedOwners();
     owners.world.bearings.set('u1', { perSecond: LIMIT });
     owners.run(6000);
@@ -90,7 +90,7 @@
     expect(owners.moves() - before).to.be.at.most(2);
   });
 
-  it('still owns keys where all have a limit, and all keys have an owner', () => {
+  it('still owns keys if all owners have a limit, and all keys have an owner', () => {
     const owners = new LimitedOwners();
     for (let number = 1; number <= OWNERS; number += 1) {
       owners.world.bearings.set(`u${number}`, { perSecond: LIMIT });
@@ -100,27 +100,27 @@
   });
 });
 
-describe('an owner that turns routers away and asks for rest', () => {
-  it('loses what callers ask for, as most routers tell, and gets some back later', () => {
+describe('an owner that rejects requests and requests back-off', () => {
+  it('loses keys in demand once half of the routers report it, and regains some later', () => {
     const owners = new LimitedOwners();
-    const rests = new RestingUpstreams();
-    const share = (): number => rests.shares(ROUTERS).get('u1') ?? 1;
+    const backoffs = new RestingUpstreams();
+    const share = (): number => backoffs.shares(ROUTERS).get('u1') ?? 1;
     const before = owners.demandOf('u1');
-    rests.asked('u1', 'c1', 3000, owners.world.now);
+    backoffs.asked('u1', 'c1', 3000, owners.world.now);
     owners.world.bearings.set('u1', { share: share() });
     owners.run(2000);
     expect(owners.demandOf('u1'), 'one of many routers').to.be.above(before * 0.75);
     for (let router = 1; router <= ROUTERS / 2; router += 1) {
-      rests.asked('u1', `c${router}`, 3000, owners.world.now);
+      backoffs.asked('u1', `c${router}`, 3000, owners.world.now);
     }
     owners.world.bearings.set('u1', { share: share() });
     owners.run(4000);
     expect(owners.demandOf('u1'), 'half of the routers').to.be.at.most(before * 0.2);
     expect(owners.world.servedShare()).to.equal(1);
-    rests.forget(owners.world.now + 10_000);
+    backoffs.forget(owners.world.now + 10_000);
     expect(share()).to.equal(1);
     owners.world.bearings.delete('u1');
     owners.run(8000);
-    expect(owners.demandOf('u1'), 'after its rest').to.be.above(before * 0.3);
+    expect(owners.demandOf('u1'), 'after the back-offs').to.be.above(before * 0.3);
   });
 });
--- a/test/control/metrics.test.ts
+++ b/test/control/metrics.test.ts
@@ -1,4 +1,4 @@
-/** What a scrape of a control member gives for keyed services. */
+/** Metrics of keyed services in a scrape of a control member. */
 import { expect } from 'chai';
 import { createControlMetrics } from '../../src/control/daemon/metrics.js';
 import type { ServiceMeasures } from '../../src/control/service-measures.js';
@@ -23,7 +23,7 @@
   imbalancedSinceMillis: null,
 };
 
-/** Statuses of a cluster's members. */
+/** The status that the leader, or another member, reports. */
 function statusOf(cluster: Cluster, isLeader: boolean): Status {
   const member = [...cluster.members.values()].find(
     ({ core }) => (core.status().role === 'leader') === isLeader,
@@ -31,7 +31,7 @@
   return cluster.ask({ type: 'get-status' }, member) as Status;
 }
 
-/** Lines of a scrape about services, comments left out. */
+/** Lines of a scrape with a service label, without comments. */
 async function scrape(status: Status): Promise<string[]> {
   const metrics = createControlMetrics({ raft: () => status.raft, cluster: async () => status, ...NO_LOAD });
   const text = await metrics.metrics();
@@ -42,7 +42,7 @@
   const { cluster } = startCluster(2);
   const leader = statusOf(cluster, true);
 
-  it('give each measure of the leader under its service', async () => {
+  it('have a series for each measure and service of the leader', async () => {
     const lines = await scrape({ ...leader, services: [MENU] });
     expect(lines).to.have.members([
       ...Object.entries(MENU.ownerChanges).map(
@@ -59,13 +59,13 @@
     ]);
   });
 
-  it('leave an imbalance out that is not known', async () => {
+  it('omit an unknown imbalance', async () => {
     const services = [{ ...MENU, imbalance: null, imbalanceOverBound: null }];
     const lines = await scrape({ ...leader, services });
     expect(lines.filter((line) => line.includes('imbalance'))).to.deep.equal([]);
   });
 
-  it('are read anew with each scrape: a service that is gone is gone', async () => {
+  it('are read on each scrape, without services that were removed', async () => {
     let status: Status = { ...leader, services: [MENU] };
     const metrics = createControlMetrics(
       { raft: () => status.raft, cluster: async () => status, ...NO_LOAD },
@@ -79,7 +79,7 @@
     expect(await metrics.metrics()).not.to.contain('service=');
   });
 
-  it('come from the leader only', async () => {
+  it('exist on the leader only', async () => {
     expect(await scrape(leader)).to.include(`ternmount_control_owned_shards{service="${SERVICE.name}"} 6`);
     expect(await scrape(statusOf(cluster, false))).to.deep.equal([]);
   });
--- a/test/control/permit-issuer.test.ts
+++ b/test/control/permit-issuer.test.ts
@@ -1,4 +1,4 @@
-/** Which routers get permits, when, and what they are told who get none. */
+/** Which routers receive permits and when, and the responses to routers that receive none. */
 import { expect } from 'chai';
 import type { UpstreamPermits } from '../../src/control/messages.js';
 import { PermitIssuer } from '../../src/control/needs/permit-issuer.js';
@@ -6,13 +6,13 @@
 import type { HeardUpstream } from '../../src/model/upstream-notice.js';
 
 const DEPOSED_MILLIS = 600;
-/** A new leader issues from here on. */
+/** The time from which a new leader issues permits. */
 const READY = DEPOSED_MILLIS + 500;
 const PER_SECOND = 5;
-/** Permits a second. */
-const PACE = PER_SECOND * PERMIT_SHARE;
+/** Permits per second. */
+const RATE = PER_SECOND * PERMIT_SHARE;
 
-function heard(changes: Partial<HeardUpstream> = {}): HeardUpstream {
+function reportOf(changes: Partial<HeardUpstream> = {}): HeardUpstream {
   const limit = { perSecond: PER_SECOND, heardAgoMillis: 0 };
   return {
     upstream: 'u1',
@@ -70,37 +70,37 @@
     world = new IssuerWorld();
   });
 
-  it('come at the pace of the limit, whoever asks and however often', () => {
+  it('are issued at the rate of the limit, regardless of which routers request them and how often', () => {
     for (let now = READY; now < READY + 10_000; now += 10) {
       for (const router of ['r1', 'r2', 'r3']) {
-        world.report(router, heard({ wanted: 5 }), now);
+        world.report(router, reportOf({ wanted: 5 }), now);
       }
     }
     const all = ['r1', 'r2', 'r3'].reduce((sum, router) => sum + world.grantedTo(router), 0);
-    expect(all).to.be.within(PACE * 10 - 1, PACE * 10 + PACE + 2);
+    expect(all).to.be.within(RATE * 10 - 1, RATE * 10 + RATE + 2);
   });
 
-  it('go round: each router that waits has its turn', () => {
+  it('are issued round-robin to waiting routers', () => {
     for (const router of ['r1', 'r2', 'r3', 'r4']) {
-      world.report(router, heard({ wanted: 100 }), READY);
+      world.report(router, reportOf({ wanted: 100 }), READY);
     }
     world.run(READY, READY + 5000);
     const counts = ['r1', 'r2', 'r3', 'r4'].map((router) => world.grantedTo(router));
     expect(Math.max(...counts) - Math.min(...counts)).to.be.at.most(1);
   });
 
-  it('go to the most important requests first', () => {
-    world.report('r1', heard({ wanted: 1 }), READY);
-    world.report('r2', heard({ wanted: 1, rank: 2 }), READY);
-    world.report('r3', heard({ wanted: 1, rank: 0 }), READY);
+  it('are issued to the most important requests first', () => {
+    world.report('r1', reportOf({ wanted: 1 }), READY);
+    world.report('r2', reportOf({ wanted: 1, rank: 2 }), READY);
+    world.report('r3', reportOf({ wanted: 1, rank: 0 }), READY);
     world.run(READY, READY + 300);
     expect(world.grantedTo('r3')).to.equal(1);
     expect(world.grantedTo('r2')).to.equal(0);
   });
 
-  it('aren’t issued before those of the leader before are over; who can’t wait so long is told', () => {
-    world.report('r1', heard({ wanted: 1 }), 100);
-    world.report('r2', heard({ wanted: 1, patienceMillis: 50 }), 100);
+  it('aren’t issued before those of the previous leader expire; requests that expire earlier are rejected', () => {
+    world.report('r1', reportOf({ wanted: 1 }), 100);
+    world.report('r2', reportOf({ wanted: 1, patienceMillis: 50 }), 100);
     world.run(100, READY - 10);
     expect(world.grantedTo('r1')).to.equal(0);
     expect(world.last('r2')?.nextInMillis).to.equal(READY - 100);
@@ -108,49 +108,49 @@
     expect(world.grantedTo('r1')).to.equal(1);
   });
 
-  it('that can’t come in time are turned down at once, with when there is one', () => {
-    world.report('r1', heard({ wanted: 50, patienceMillis: 100 }), READY);
+  it('that can’t be issued in time are rejected at once, with the time of the next permit', () => {
+    world.report('r1', reportOf({ wanted: 50, patienceMillis: 100 }), READY);
     const { granted = 0, nextInMillis } = world.last('r1') ?? {};
     expect(granted).to.be.at.least(1);
-    expect(nextInMillis).to.be.within(100, 1000 / PACE + 1);
+    expect(nextInMillis).to.be.within(100, 1000 / RATE + 1);
   });
 
-  it('a router that is gone waits for none', () => {
-    world.report('r1', heard({ wanted: 9 }), READY);
-    world.report('r2', heard({ wanted: 9 }), READY);
+  it('aren’t issued to a disconnected router', () => {
+    world.report('r1', reportOf({ wanted: 9 }), READY);
+    world.report('r2', reportOf({ wanted: 9 }), READY);
     const before = world.grantedTo('r1');
     world.issuer.gone('r1');
     world.run(READY, READY + 3000);
     expect(world.grantedTo('r1')).to.equal(before);
   });
 
-  it('come at the pace that was heard last, and none is needed once the limit is over', () => {
-    world.report('r1', heard({ limit: { perSecond: 50, heardAgoMillis: 500 }, wanted: 0 }), READY);
-    world.report('r2', heard({ limit: { perSecond: 1, heardAgoMillis: 100 }, wanted: 0 }), READY);
-    world.report('r1', heard({ limit: { perSecond: 50, heardAgoMillis: 600 }, wanted: 90 }), READY + 1);
+  it('are issued at the rate of the latest report, and aren’t needed once the limit has ended', () => {
+    world.report('r1', reportOf({ limit: { perSecond: 50, heardAgoMillis: 500 }, wanted: 0 }), READY);
+    world.report('r2', reportOf({ limit: { perSecond: 1, heardAgoMillis: 100 }, wanted: 0 }), READY);
+    world.report('r1', reportOf({ limit: { perSecond: 50, heardAgoMillis: 600 }, wanted: 90 }), READY + 1);
     world.run(READY, READY + 4000);
     expect(world.grantedTo('r1')).to.be.at.most(6);
-    world.report('r2', heard({ limit: { perSecond: null, heardAgoMillis: 0 }, wanted: 0 }), READY + 4000);
+    world.report('r2', reportOf({ limit: { perSecond: null, heardAgoMillis: 0 }, wanted: 0 }), READY + 4000);
     world.run(READY + 4000, READY + 4010);
     expect(world.last('r1')?.limit.perSecond).to.equal(null);
   });
 
-  it('says to planners what upstreams bear, and for a while after their limit is over', () => {
-    world.report('r1', heard({ wanted: 0 }), READY);
+  it('come with limits for placement, which apply for a while after the limit has ended', () => {
+    world.report('r1', reportOf({ wanted: 0 }), READY);
     expect(world.issuer.limits.bearable().get('u1')).to.equal(PER_SECOND);
-    world.report('r1', heard({ limit: { perSecond: null, heardAgoMillis: 0 }, wanted: 0 }), READY + 100);
+    world.report('r1', reportOf({ limit: { perSecond: null, heardAgoMillis: 0 }, wanted: 0 }), READY + 100);
     world.run(READY + 100, READY + 9000);
     expect(world.issuer.limits.bearable().get('u1')).to.equal(PER_SECOND);
     world.run(READY + 9000, READY + 12_000);
     expect(world.issuer.limits.bearable().has('u1')).to.equal(false);
   });
 
-  it('forgets a limit that nobody tells of, and takes any word of it again', () => {
-    world.report('r1', heard({ wanted: 0 }), READY);
+  it('expire with a limit that isn’t reported any more, and a report of any age restores it', () => {
+    world.report('r1', reportOf({ wanted: 0 }), READY);
     world.run(READY, READY + 7000);
     expect(world.issuer.limits.inForce(READY + 7000)).to.deep.equal([]);
     const old = { perSecond: PER_SECOND, heardAgoMillis: 7000 };
-    world.report('r1', heard({ limit: old, wanted: 0 }), READY + 7000);
+    world.report('r1', reportOf({ limit: old, wanted: 0 }), READY + 7000);
     expect(world.issuer.limits.inForce(READY + 7000)).to.have.length(1);
   });
 });
--- a/test/control/persist-task.test.ts
+++ b/test/control/persist-task.test.ts
@@ -1,4 +1,4 @@
-/** What the daemon tells the core of its disk. */
+/** Reports of the persist task about completed and failed writes. */
 import { expect } from 'chai';
 import type { PersistRequest } from '../../src/consensus/types.js';
 import { PersistTask, type ReplicaFiles } from '../../src/control/daemon/persist-task.js';
@@ -17,8 +17,8 @@
   return (await openReplica(FOLDER, 'demo', options)).store;
 }
 
-describe('persist task', () => {
-  it('reports what is on disk and nothing after the disk failed', async () => {
+describe('PersistTask', () => {
+  it('reports completed writes, and nothing after the disk failed', async () => {
     const disk = new MemoryDisk();
     await createReplica(FOLDER, { cluster: 'demo', address: '127.0.0.1:1', role: 'first' }, { files: disk });
     const persisted: number[] = [];
