--- a/src/control/fleet-room/fleet-room.ts
+++ b/src/control/fleet-room/fleet-room.ts
@@ -25,7 +25,7 @@
 const USE_STEP = 0.1;
 const SHARE_STEP = 0.02;
 /** An upstream reported out of order by routers of its zone has no capacity for this long, unless it answers requests again. */
-const OUT_MILLIS = 3000;
+const OUT_OF_ORDER_MILLIS = 3000;
 
 /** An upstream of a service without keys. */
 export interface RoomUpstream {
@@ -52,9 +52,9 @@
 export class FleetRoom {
   readonly #parts: FleetRoomParts;
   readonly #speeds = new Map<ServiceName, OwnerSpeeds>();
-  readonly #work = new KindWork();
+  readonly #kindDurations = new KindWork();
   readonly #demand = new ZoneDemand();
-  readonly #outAt = new Map<UpstreamId, MonotonicMillis>();
+  readonly #outOfOrderAt = new Map<UpstreamId, MonotonicMillis>();
   readonly #publishedSpeeds = new ToldValues<UpstreamSpeed>((one, other) =>
     isWithin(one.speed, other.speed, SPEED_STEP),
   );
@@ -122,14 +122,14 @@
       }
       if (requests > 0) {
         const speed = this.#publishedSpeeds.get(upstream)?.speed ?? 1;
-        this.#work.add(kind, requests, workMillis, speed);
-        const usualMillis = this.#work.millisOf(kind) ?? workMillis / requests;
+        this.#kindDurations.add(kind, requests, workMillis, speed);
+        const usualMillis = this.#kindDurations.millisOf(kind) ?? workMillis / requests;
         this.#speedsOf(known.service).add(upstream, requests, workMillis / usualMillis, now);
       }
       if (isOut && known.zone === zone) {
-        this.#outAt.set(upstream, now);
+        this.#outOfOrderAt.set(upstream, now);
       } else if (requests > 0) {
-        this.#outAt.delete(upstream);
+        this.#outOfOrderAt.delete(upstream);
       }
     }
   }
@@ -143,7 +143,7 @@
     const services = demand.map(({ service, kind, requests }) => ({
       service,
       requests,
-      workMillis: requests * (this.#work.millisOf(kind) ?? 0),
+      workMillis: requests * (this.#kindDurations.millisOf(kind) ?? 0),
     }));
     this.#demand.add(from, { zone, number, demand: services }, spanMillis, now);
   }
@@ -244,7 +244,7 @@
   }
 
   #isWorking({ id, isUsable }: RoomUpstream, now: MonotonicMillis): boolean {
-    return isUsable && now - (this.#outAt.get(id) ?? Number.NEGATIVE_INFINITY) > OUT_MILLIS;
+    return isUsable && now - (this.#outOfOrderAt.get(id) ?? Number.NEGATIVE_INFINITY) > OUT_OF_ORDER_MILLIS;
   }
 
   #removeStale(services: ReadonlySet<ServiceName>): void {
@@ -257,9 +257,9 @@
         this.#speeds.delete(service);
       }
     }
-    for (const id of this.#outAt.keys()) {
+    for (const id of this.#outOfOrderAt.keys()) {
       if (!ids.has(id)) {
-        this.#outAt.delete(id);
+        this.#outOfOrderAt.delete(id);
       }
     }
   }
