--- a/src/control/admin/admin-app.ts
+++ b/src/control/admin/admin-app.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP API of a control member. */
+/** The operator HTTP API of a control member. */
 import { Router } from '@koa/router';
 import Koa from 'koa';
 import { createLogger, type Logger } from '../../logging/logger.js';
@@ -20,20 +20,20 @@
 import { addDefinitionQueries } from './queries/definition-queries.js';
 import { addStateQueries } from './queries/state-queries.js';
 
-/** Where `/metrics` comes from; `prom-client`'s `Registry` is one. */
+/** Source of `/metrics`, such as a `Registry` of `prom-client`. */
 export interface MetricsSource {
   readonly contentType: string;
   metrics(): Promise<string>;
 }
 
 export interface AdminAppOptions {
-  /** Left out or `null`: no token is asked for. */
+  /** Without it or with `null`, requests need no token. */
   readonly tokens?: TokenAuthority | null;
-  /** What is wrong with a policy program, one line each. Default: compiles it. */
+  /** Returns the faults of a policy program, one line each. The default compiles the program. */
   readonly checkPolicy?: (policy: readonly PolicyRule[]) => readonly string[];
   readonly metrics?: MetricsSource;
   readonly logger?: Logger;
-  /** Receives one record for each change; the default writes always. */
+  /** Receives one record for each change; the default writes at every log level. */
   readonly auditLogger?: Logger;
   readonly bodyLimitBytes?: number;
   readonly operationTimeoutMillis?: number;
@@ -44,13 +44,13 @@
 const DEFAULT_OPERATION_TIMEOUT_MILLIS = 15_000;
 const DEFAULT_MAXIMUM_OPERATIONS = 256;
 
-function addOwnRoutes(router: Router<AdminState>, metrics: MetricsSource | undefined): void {
+function addHealthAndMetricsRoutes(router: Router<AdminState>, metrics: MetricsSource | undefined): void {
   router.get(HEALTH_PATH, (context) => {
     context.body = { alive: true };
   });
   router.get('/metrics', async (context) => {
     if (metrics === undefined) {
-      throw new AdminError('not-found', 'there are no metrics');
+      throw new AdminError('not-found', 'this member exports no metrics');
     }
     context.body = await metrics.metrics();
     context.type = metrics.contentType;
@@ -69,11 +69,11 @@
   addAnnouncementRoutes(router, services);
   addQuarantineRoutes(router, services);
   addEvacuationRoutes(router, services);
-  addOwnRoutes(router, metrics);
+  addHealthAndMetricsRoutes(router, metrics);
   return router;
 }
 
-/** Makes the operators' API over `operate`, which gives a request to the control core. */
+/** Creates the operator API on top of `operate`, which passes a request to the control core. */
 export function createAdminApp(operate: Operate, options: AdminAppOptions = {}): Koa<AdminState> {
   const logger = options.logger ?? createLogger('admin');
   const auditLogger = options.auditLogger ?? createLogger('audit', { always: true });
@@ -88,7 +88,7 @@
   };
   const router = createRouter(services, options.metrics);
   const app = new Koa<AdminState>();
-  // Connections that broke or timed out in the middle of a request; koa would print them outside the log.
+  // Connections that failed or timed out during a request; by default koa prints them to stderr, outside the log.
   app.on('error', (error: Error) => logger.info('request-broken', { error }));
   app.use(answerErrors(logger));
   app.use(auditWrites(auditLogger, logger));
@@ -98,8 +98,8 @@
   app.use(
     router.allowedMethods({
       throw: true,
-      methodNotAllowed: () => new AdminError('method-not-allowed', 'this path does not take this method'),
-      notImplemented: () => new AdminError('method-not-allowed', 'this path does not take this method'),
+      methodNotAllowed: () => new AdminError('method-not-allowed', 'this path does not support this method'),
+      notImplemented: () => new AdminError('method-not-allowed', 'this path does not support this method'),
     }),
   );
   return app;
--- a/src/control/admin/admin-context.ts
+++ b/src/control/admin/admin-context.ts
@@ -1,18 +1,18 @@
-/** What the middlewares of the operators' API hand to its routes. */
+/** State that the middlewares of the operator API share with its routes. */
 import type { RouterContext } from '@koa/router';
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import type { PolicyRule } from '../../model/service.js';
 import type { Operator } from '../../security/operator-tokens.js';
 import type { OperatorRequest, OperatorResponse } from '../types.js';
 
-/** What an audit record says of a change, filled in by its route. */
+/** Fields of the audit record of a change that its route fills in. */
 export interface AuditFacts {
   /** Kind of change, e.g. `service-apply`. */
   readonly action: string;
-  /** What it was about, e.g. the service's name. */
+  /** Object of the change, e.g. the name of the service. */
   readonly subject: string;
   readonly requestId: string;
-  /** When the whole request had been read and went to the control core; left out where that isn't measured. */
+  /** When the request had been read completely and was passed to the control core; absent if not measured. */
   readonly readAt?: MonotonicMillis;
 }
 
@@ -20,29 +20,29 @@
 export interface AdminState {
   operator?: Operator;
   audit?: AuditFacts;
-  /** A program's routine, such as a heartbeat that says nothing new: not told of while it goes well. */
+  /** Routine request of a program, such as a heartbeat without changes; not audited while it succeeds. */
   isRoutine?: boolean;
-  /** What an upstream says of itself. Whoever sends something else in its place gets no audit record for each try. */
+  /** Announcement of an upstream. Rejected ones go to the rate-limited log instead of the audit log. */
   isAnnouncement?: boolean;
-  /** The start of a body that can't be used, since its sender keeps no copy. */
+  /** Start of an invalid body, kept for the log since its sender keeps no copy. */
   unusable?: string;
-  /** Address of the leader that the caller was sent on to. */
+  /** Address of the leader in the redirect response. */
   redirectedTo?: string;
 }
 
 /** Context of a route. */
 export type AdminContext = RouterContext<AdminState>;
 
-/** What routes work with. */
+/** Dependencies of the routes. */
 export interface AdminServices {
-  /** Gives a request to the control core. Never throws: what failed is an `AdminError` or a response. */
+  /** Passes a request to the control core. Throws nothing but `AdminError`; other failures are responses. */
   readonly operate: (request: OperatorRequest) => Promise<OperatorResponse>;
-  /** What is wrong with a policy program, one line each; empty: nothing. */
+  /** Returns the faults of a policy program, one line each; empty if it is valid. */
   readonly checkPolicy: (policy: readonly PolicyRule[]) => readonly string[];
   readonly bodyLimitBytes: number;
 }
 
-/** Name of the operator of a request, for the log. */
+/** Returns the name of the operator who sent a request, for the log. */
 export function actorOf(context: AdminContext): string {
   return context.state.operator?.name ?? 'anonymous';
 }
--- a/src/control/admin/admin-error.ts
+++ b/src/control/admin/admin-error.ts
@@ -1,7 +1,7 @@
-/** Errors of the operators' API; each becomes an HTTP answer with a JSON body. */
+/** Errors of the operator API; each is sent as an HTTP response with a JSON body. */
 import { TernmountError } from '../../errors/ternmount-error.js';
 
-/** Stable codes in `error.code` of an answer. */
+/** Stable values of `error.code` in a response body. */
 export type AdminErrorCode =
   | 'invalid-request'
   | 'invalid-definition'
@@ -20,7 +20,7 @@
   | 'unavailable'
   | 'internal';
 
-const STATUS_OF_CODE: Readonly<Record<AdminErrorCode, number>> = {
+const STATUS_BY_CODE: Readonly<Record<AdminErrorCode, number>> = {
   'invalid-request': 400,
   'invalid-definition': 422,
   'invalid-policy': 422,
@@ -45,34 +45,34 @@
   'unavailable',
 ]);
 
-/** Facts beside code and message. */
+/** Optional details besides code and message. */
 export interface AdminErrorDetails {
-  /** Path of the wrong value in the request's body. */
+  /** Path of the invalid value in the request body. */
   readonly path?: string;
-  /** Each thing that is wrong, if there are several. */
+  /** Every problem found, if there are several. */
   readonly problems?: readonly string[];
-  /** `conflict`: the revision now; 0: it doesn't exist. */
+  /** For `conflict`: the current revision, 0 if the object doesn't exist. */
   readonly currentRevision?: number;
-  /** `not-leader`: internal address of the leader, if known. */
+  /** For `not-leader`: internal address of the leader, if known. */
   readonly leader?: string | null;
-  /** `outcome-unknown`: resend with this id to learn the outcome. */
+  /** For `outcome-unknown`: resending the request with this id returns the outcome. */
   readonly requestId?: string;
 }
 
-/** JSON body of an answer that isn't a success. */
+/** JSON body of an error response. */
 export interface AdminErrorBody {
   readonly error: { readonly code: AdminErrorCode; readonly message: string } & AdminErrorDetails;
 }
 
-/** An answer of the operators' API that isn't a success. */
+/** An error response of the operator API. */
 export class AdminError extends TernmountError {
   readonly adminCode: AdminErrorCode;
   readonly status: number;
   readonly details: AdminErrorDetails;
-  /** The message without those of causes, which callers don't see. */
-  readonly #text: string;
+  /** The message without the messages of causes, which clients must not see. */
+  readonly #publicMessage: string;
 
-  /** `status` overrides the code's own, e.g. 412 for a lost precondition. */
+  /** `status` overrides the default status of the code, e.g. 412 for a failed precondition. */
   constructor(
     adminCode: AdminErrorCode,
     message: string,
@@ -85,13 +85,13 @@
       message,
     );
     this.adminCode = adminCode;
-    this.status = options.status ?? STATUS_OF_CODE[adminCode];
+    this.status = options.status ?? STATUS_BY_CODE[adminCode];
     this.details = details;
-    this.#text = message;
+    this.#publicMessage = message;
   }
 
-  /** What the answer's body holds. */
+  /** Returns the body of the response. */
   body(): AdminErrorBody {
-    return { error: { code: this.adminCode, message: this.#text, ...this.details } };
+    return { error: { code: this.adminCode, message: this.#publicMessage, ...this.details } };
   }
 }
--- a/src/control/admin/api-schemas.ts
+++ b/src/control/admin/api-schemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of the JSON bodies of the operators' API. They have the model's fields: times in ms, sizes in bytes. */
+/** Schemas of the JSON bodies of the operator API. Fields are those of the model: times in ms, sizes in bytes. */
 import { z } from 'zod';
 import { type KeyspaceDefinition, PRIORITY_CLASSES, type ServiceDefinition } from '../../model/service.js';
 import { reachableAddressSchema } from '../../settings/common-schemas.js';
@@ -60,7 +60,7 @@
   policy: z.array(policyRuleSchema).optional(),
 });
 
-/** Body of `PUT /v1/services/:name`. Left-out fields take the defaults of a service file. */
+/** Body of `PUT /v1/services/:name`. Omitted fields take the defaults of a service file. */
 export const serviceBodySchema = serviceBody
   .transform(({ deadlineMillis, holdLimitMillis, wholeAnswerBytes, retentionMillis, ...fields }) => ({
     ...fields,
@@ -80,7 +80,7 @@
 
 /** Body of `POST /v1/upstreams/:id/drain`. */
 export const drainBodySchema = z.strictObject({
-  /** `false` takes an earlier drain back. */
+  /** `false` cancels an earlier drain. */
   leaving: z.boolean({ error: 'expected true or false' }).default(true),
 });
 
@@ -113,5 +113,5 @@
 /** Body of `POST /v1/control/transfer`. */
 export const transferBodySchema = z.strictObject({ to: replicaSchema.nullable().default(null) });
 
-/** Body of a request that takes none. */
+/** Body of a request without parameters. */
 export const emptyBodySchema = z.strictObject({});
--- a/src/control/admin/bounded-operate.ts
+++ b/src/control/admin/bounded-operate.ts
@@ -1,30 +1,30 @@
 /**
- * Bounds what the operators' API asks of the control core: requests at once, and time. What programs announce of themselves has a bound of
- * its own: it comes by the hundred a second and waits while nothing can be committed, and would leave no room for operators.
+ * Limits the concurrency and duration of requests from the operator API to the control core. Announcements of programs have a limit of
+ * their own: hundreds arrive per second and wait while nothing can be committed, which would leave no capacity for operators.
  */
 import { toError } from '../../errors/ternmount-error.js';
 import type { Logger } from '../../logging/logger.js';
 import type { OperatorRequest, OperatorResponse } from '../types.js';
 import { AdminError } from './admin-error.js';
 
-/** Gives a request to the control core. */
+/** Passes a request to the control core. */
 export type Operate = (request: OperatorRequest) => Promise<OperatorResponse>;
 
 export interface OperateBounds {
-  /** Requests that may be with the core at once, of operators and of programs each; more are refused. */
+  /** Maximum concurrent requests to the core, for operators and programs separately; further ones are rejected. */
   readonly maximumOperations: number;
-  /** After this the outcome is unknown. */
+  /** Time after which the outcome of a request counts as unknown. */
   readonly operationTimeoutMillis: number;
 }
 
 const UNKNOWN: OperatorResponse = { type: 'unknown' };
 
-/** Whether nothing can have been changed by the request. */
+/** Returns whether the request can't have changed anything. */
 function isRead(request: OperatorRequest): boolean {
   return request.type.startsWith('get-');
 }
 
-/** Who shares a bound with whom. */
+/** Groups of clients with a concurrency limit each. */
 const SENDERS = { operators: 'operators', programs: 'programs' } as const;
 type Sender = (typeof SENDERS)[keyof typeof SENDERS];
 
@@ -34,9 +34,9 @@
   return PROGRAM_REQUESTS.has(type) ? SENDERS.programs : SENDERS.operators;
 }
 
-/** Wraps `operate` in bounds. A write that failed or ran out of time is `unknown`: it may have been made. */
+/** Wraps `operate` with limits. A write that failed or timed out returns `unknown`, since it may have been applied. */
 export function boundOperate(operate: Operate, bounds: OperateBounds, logger: Logger): Operate {
-  const running: Record<Sender, number> = { operators: 0, programs: 0 };
+  const inFlight: Record<Sender, number> = { operators: 0, programs: 0 };
 
   const runBounded = async (request: OperatorRequest): Promise<OperatorResponse> => {
     let timer: NodeJS.Timeout | undefined;
@@ -52,10 +52,10 @@
 
   return async (request) => {
     const sender = senderOf(request);
-    if (running[sender] >= bounds.maximumOperations) {
-      throw new AdminError('overloaded', 'too many requests at once; nothing was changed');
+    if (inFlight[sender] >= bounds.maximumOperations) {
+      throw new AdminError('overloaded', 'too many concurrent requests; nothing was changed');
     }
-    running[sender] += 1;
+    inFlight[sender] += 1;
     try {
       return await runBounded(request);
     } catch (thrown) {
@@ -66,7 +66,7 @@
       }
       return UNKNOWN;
     } finally {
-      running[sender] -= 1;
+      inFlight[sender] -= 1;
     }
   };
 }
--- a/src/control/admin/commands/announcement-routes.ts
+++ b/src/control/admin/commands/announcement-routes.ts
@@ -1,4 +1,4 @@
-/** `POST /v1/upstreams/:id/heartbeat` and `/withdraw`: upstreams that announce themselves. */
+/** `POST /v1/upstreams/:id/heartbeat` and `/withdraw`: announcements of upstreams. */
 import type { Router } from '@koa/router';
 import { z } from 'zod';
 import { addressSchema } from '../../../settings/addresses.js';
@@ -11,11 +11,11 @@
 import { heldKeysFields, heldKeysOf } from './held-keys-schema.js';
 
 const OK = 200;
-const LONGEST_WARMUP_MILLIS = 3_600_000;
-/** Characters of an unusable body that are logged: a heartbeat with some 60 rows of keys. */
-const MOST_LOGGED = 1500;
+const MAX_WARMUP_MILLIS = 3_600_000;
+/** Logged characters of an invalid body; enough for a heartbeat with some 60 rows of keys. */
+const MAX_LOGGED_CHARACTERS = 1500;
 
-/** Start of a run by its own clock, in whole milliseconds. */
+/** Start time of a run by the clock of the upstream, in whole milliseconds. */
 const bornSchema = z.int({ error: 'expected a whole number' }).min(0, 'must be 0 or more');
 
 const withdrawalSchema = z.looseObject({ born: bornSchema.optional() });
@@ -26,30 +26,30 @@
   zone: z.string({ error: 'expected a name' }),
   slots: z.int({ error: 'expected a whole number' }).min(1, 'must be 1 or more'),
   state: z.enum(['ready', 'draining'], { error: 'expected ready or draining' }),
-  warmupMillis: z.number({ error: 'expected a number' }).min(0).max(LONGEST_WARMUP_MILLIS).default(0),
+  warmupMillis: z.number({ error: 'expected a number' }).min(0).max(MAX_WARMUP_MILLIS).default(0),
   born: bornSchema.optional(),
   ...heldKeysFields,
 });
 
-async function takeHeartbeat(context: AdminContext, services: AdminServices): Promise<void> {
+async function handleHeartbeat(context: AdminContext, services: AdminServices): Promise<void> {
   context.state.isAnnouncement = true;
   const { id = '' } = context.params;
-  const body = checkSent(context, heartbeatSchema, await readJson(context, services.bodyLimitBytes));
+  const body = checkAnnouncement(context, heartbeatSchema, await readJson(context, services.bodyLimitBytes));
   const { service, address, zone, slots, warmupMillis, state, born } = body;
   const announced = { slots, warmupMillis, ...(born !== undefined && { born }) };
   const leaving = state === 'draining';
   const definition = { id, service, address, zone, mayHold: [], leaving, announced };
-  const response = await answer(context, services, {
+  const response = await operateAndRespond(context, services, {
     type: 'announce',
     definition,
     report: heldKeysOf(body),
   });
   if (context.status === OK) {
-    context.body = { heartbeatAddress: ownAddress(context), ...grantsOf(response) };
+    context.body = { heartbeatAddress: localAddressOf(context), ...grantsOf(response) };
   }
 }
 
-/** What the upstream is to hold: rows of first key, last key, fence, and what was handed over or ''. */
+/** Returns the keys granted to the upstream: rows of first key, last key, fence, and the handover text or ''. */
 function grantsOf(response: OperatorResponse): object {
   if (response.type !== 'heartbeat-taken' || response.keys === null) {
     return {};
@@ -61,26 +61,30 @@
   };
 }
 
-async function takeWithdrawal(context: AdminContext, services: AdminServices): Promise<void> {
+async function handleWithdrawal(context: AdminContext, services: AdminServices): Promise<void> {
   context.state.isAnnouncement = true;
   const { id = '' } = context.params;
-  const sent = await readJson(context, services.bodyLimitBytes);
-  const { born } = checkSent(context, withdrawalSchema, sent);
+  const received = await readJson(context, services.bodyLimitBytes);
+  const { born } = checkAnnouncement(context, withdrawalSchema, received);
   const request = { type: 'withdraw', upstream: id, ...(born !== undefined && { born }) } as const;
-  await answer(context, services, request);
+  await operateAndRespond(context, services, request);
 }
 
-/** As `checkBody`; keeps for the log what can't be used. */
-function checkSent<Output>(context: AdminContext, schema: z.ZodType<Output>, sent: unknown): Output {
+/** Same as `checkBody`, but stores the start of an invalid body for the log. */
+function checkAnnouncement<Output>(
+  context: AdminContext,
+  schema: z.ZodType<Output>,
+  received: unknown,
+): Output {
   try {
-    return checkBody(schema, sent);
+    return checkBody(schema, received);
   } catch (thrown) {
-    context.state.unusable = JSON.stringify(sent).slice(0, MOST_LOGGED);
+    context.state.unusable = JSON.stringify(received).slice(0, MAX_LOGGED_CHARACTERS);
     throw thrown;
   }
 }
 
-async function answer(
+async function operateAndRespond(
   context: AdminContext,
   services: AdminServices,
   request: Parameters<AdminServices['operate']>[0],
@@ -99,8 +103,8 @@
   return response;
 }
 
-/** Where this member serves; the leader names itself, so that later heartbeats need no redirect. */
-function ownAddress({ req }: AdminContext): string {
+/** Returns the address of this member; the leader includes it in responses, so that later heartbeats need no redirect. */
+function localAddressOf({ req }: AdminContext): string {
   const { localAddress = '', localPort = 0 } = req.socket;
   return formatAddress({ host: localAddress, port: localPort });
 }
@@ -116,8 +120,8 @@
   }
 }
 
-/** Adds the routes of upstreams that announce themselves. */
+/** Adds the routes for announcements of upstreams. */
 export function addAnnouncementRoutes(router: Router<AdminState>, services: AdminServices): void {
-  router.post('/v1/upstreams/:id/heartbeat', (context) => takeHeartbeat(context, services));
-  router.post('/v1/upstreams/:id/withdraw', (context) => takeWithdrawal(context, services));
+  router.post('/v1/upstreams/:id/heartbeat', (context) => handleHeartbeat(context, services));
+  router.post('/v1/upstreams/:id/withdraw', (context) => handleWithdrawal(context, services));
 }
--- a/src/control/admin/commands/declaration-routes.ts
+++ b/src/control/admin/commands/declaration-routes.ts
@@ -1,6 +1,6 @@
 /**
- * `PUT`, `PATCH` and `GET /v1/declaration`: the declared document, whole or in part. `If-Match` holds the version that a
- * change builds on, 0 for the first; a change that was taken may be sent again, to any member.
+ * `PUT`, `PATCH` and `GET /v1/declaration`: the declared document, in whole or in part. `If-Match` holds the version that a
+ * change is based on, 0 for the first; an accepted change can be resent to any member.
  */
 import type { Router } from '@koa/router';
 import { z } from 'zod';
@@ -12,7 +12,7 @@
 import { acceptedRevision, expectResponse } from '../responses.js';
 
 const DOCUMENT_LIMIT_BYTES = 32 * 1024 * 1024;
-const MATCH_PATTERN = /^"?(\d{1,15})"?$/;
+const IF_MATCH_PATTERN = /^"?(\d{1,15})"?$/;
 
 const itemsSchema = z.array(z.unknown(), { error: 'expected a list' }).default([]);
 const namesSchema = z.array(z.string({ error: 'expected a name' }), { error: 'expected a list' }).default([]);
@@ -33,21 +33,21 @@
   remove: z.looseObject({ routes: namesSchema, services: namesSchema }).default({ routes: [], services: [] }),
 });
 
-function readMatch(context: AdminContext): number {
-  const match = MATCH_PATTERN.exec(context.get('If-Match'));
+function readIfMatch(context: AdminContext): number {
+  const match = IF_MATCH_PATTERN.exec(context.get('If-Match'));
   if (match === null) {
     throw new AdminError(
       'invalid-request',
-      'If-Match must be the version that the change builds on, 0 for the first',
+      'If-Match must be the version that the change is based on, 0 for the first',
     );
   }
   return Number(match[1]);
 }
 
 async function applyWhole(context: AdminContext, services: AdminServices): Promise<void> {
-  const expected = readMatch(context);
+  const expected = readIfMatch(context);
   const body = checkBody(wholeSchema, await readJson(context, DOCUMENT_LIMIT_BYTES));
-  await apply(context, services, {
+  await applyChange(context, services, {
     type: 'declaration-apply',
     version: body.version,
     expected,
@@ -61,9 +61,9 @@
 }
 
 async function applyPartial(context: AdminContext, services: AdminServices): Promise<void> {
-  const expected = readMatch(context);
+  const expected = readIfMatch(context);
   const { version, set, remove } = checkBody(partialSchema, await readJson(context, DOCUMENT_LIMIT_BYTES));
-  await apply(context, services, {
+  await applyChange(context, services, {
     type: 'declaration-apply',
     version,
     expected,
@@ -76,7 +76,7 @@
   });
 }
 
-async function apply(
+async function applyChange(
   context: AdminContext,
   services: AdminServices,
   change: DeclarationChange,
@@ -99,13 +99,13 @@
   }
   const { document } = expectResponse(response, 'declaration');
   if (document === null) {
-    throw new AdminError('not-found', 'nothing was declared as one document');
+    throw new AdminError('not-found', 'no document has been declared');
   }
   const { limits, ...rest } = document;
   context.body = limits === null ? rest : document;
 }
 
-/** Adds the routes of the declared document. */
+/** Adds the routes that change and read the declared document. */
 export function addDeclarationRoutes(router: Router<AdminState>, services: AdminServices): void {
   router.put('/v1/declaration', (context) => applyWhole(context, services));
   router.patch('/v1/declaration', (context) => applyPartial(context, services));
--- a/src/control/admin/commands/evacuation-routes.ts
+++ b/src/control/admin/commands/evacuation-routes.ts
@@ -1,6 +1,6 @@
 /**
- * `GET /v1/evacuations`, `PUT` and `DELETE /v1/evacuations/:zone`: zones whose upstreams get nothing new. Both orders may be sent
- * again, to any member.
+ * `GET /v1/evacuations`, `PUT` and `DELETE /v1/evacuations/:zone`: zones whose upstreams get no new requests. Both changes are
+ * idempotent and can be resent to any member.
  */
 import type { Router } from '@koa/router';
 import { type AdminContext, type AdminServices, type AdminState, actorOf } from '../admin-context.js';
@@ -8,7 +8,7 @@
 import { redirectToLeader } from '../leader-redirect.js';
 import { acceptedRevision, answerRead, expectResponse } from '../responses.js';
 
-async function order(context: AdminContext, services: AdminServices, isOut: boolean): Promise<void> {
+async function setEvacuation(context: AdminContext, services: AdminServices, isOut: boolean): Promise<void> {
   const { zone = '' } = context.params;
   context.state.audit = { action: isOut ? 'evacuate' : 'end-evacuation', subject: zone, requestId: '' };
   const request = { type: 'evacuate', actor: actorOf(context), zone, isOut } as const;
@@ -23,15 +23,15 @@
   context.body = { zone, isEvacuated: isOut, revision: acceptedRevision(result, 'header') };
 }
 
-async function list(context: AdminContext, services: AdminServices): Promise<void> {
+async function listEvacuations(context: AdminContext, services: AdminServices): Promise<void> {
   const response = await services.operate({ type: 'get-evacuations' });
   const { revision, evacuations } = expectResponse(response, 'evacuations');
   answerRead(context, revision, { revision, evacuations });
 }
 
-/** Adds the routes of orders to take zones out of use. */
+/** Adds the routes that start, end and list evacuations of zones. */
 export function addEvacuationRoutes(router: Router<AdminState>, services: AdminServices): void {
-  router.get('/v1/evacuations', (context) => list(context, services));
-  router.put('/v1/evacuations/:zone', (context) => order(context, services, true));
-  router.delete('/v1/evacuations/:zone', (context) => order(context, services, false));
+  router.get('/v1/evacuations', (context) => listEvacuations(context, services));
+  router.put('/v1/evacuations/:zone', (context) => setEvacuation(context, services, true));
+  router.delete('/v1/evacuations/:zone', (context) => setEvacuation(context, services, false));
 }
--- a/src/control/admin/commands/member-commands.ts
+++ b/src/control/admin/commands/member-commands.ts
@@ -1,4 +1,4 @@
-/** `POST /v1/control/...`: changes to the members of the control cluster itself. */
+/** `POST /v1/control/...`: changes to the membership of the control cluster. */
 import type { Router } from '@koa/router';
 import type { OperatorRequest } from '../../types.js';
 import type { AdminContext, AdminServices, AdminState } from '../admin-context.js';
@@ -14,7 +14,7 @@
 
 const HTTP_ACCEPTED = 202;
 
-/** Answers 200 once the cluster is whole again, 202 while the new replica catches up. */
+/** Responds with 200 if the cluster is at full strength, 202 while the new replica catches up. */
 async function changeMembers(
   context: AdminContext,
   services: AdminServices,
--- a/src/control/admin/commands/quarantine-routes.ts
+++ b/src/control/admin/commands/quarantine-routes.ts
@@ -1,4 +1,4 @@
-/** `GET /v1/suspects` and `DELETE /v1/suspects/:fingerprint`: requests under which upstreams ended. */
+/** `GET /v1/suspects` and `DELETE /v1/suspects/:fingerprint`: requests during which upstreams terminated. */
 import type { Router } from '@koa/router';
 import type { AdminContext, AdminServices, AdminState } from '../admin-context.js';
 import { readExpected } from '../preconditions.js';
@@ -11,14 +11,14 @@
   answerRead(context, revision, { revision, suspects });
 }
 
-async function release(context: AdminContext, services: AdminServices): Promise<void> {
+async function releaseSuspect(context: AdminContext, services: AdminServices): Promise<void> {
   const { fingerprint = '' } = context.params;
   const command = { type: 'quarantine-release', fingerprint, expected: readExpected(context) } as const;
   await propose(context, services, { command, subject: fingerprint, precondition: 'header' });
 }
 
-/** Adds the routes that show suspects and let them pass again. */
+/** Adds the routes that list suspects and release them from quarantine. */
 export function addQuarantineRoutes(router: Router<AdminState>, services: AdminServices): void {
   router.get('/v1/suspects', (context) => listSuspects(context, services));
-  router.delete('/v1/suspects/:fingerprint', (context) => release(context, services));
+  router.delete('/v1/suspects/:fingerprint', (context) => releaseSuspect(context, services));
 }
--- a/src/control/admin/commands/service-commands.ts
+++ b/src/control/admin/commands/service-commands.ts
@@ -7,20 +7,20 @@
 import { propose } from '../propose.js';
 import { checkBody, readJson } from '../request-body.js';
 
-/** The body's own name may be left out; it must not differ from the path's. */
+/** Adds the name in the path to the body. A name in the body is optional and must equal the one in the path. */
 export function withPathName(body: unknown, field: 'name' | 'id', name: string): unknown {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) {
     return body;
   }
-  const given = (body as Record<string, unknown>)[field];
-  if (given !== undefined && given !== name) {
-    const message = `${field}: ${JSON.stringify(given)} differs from ${JSON.stringify(name)} in the path`;
+  const nameInBody = (body as Record<string, unknown>)[field];
+  if (nameInBody !== undefined && nameInBody !== name) {
+    const message = `${field}: ${JSON.stringify(nameInBody)} differs from ${JSON.stringify(name)} in the path`;
     throw new AdminError('invalid-request', message, { path: field });
   }
   return { ...body, [field]: name };
 }
 
-function refuseWrongPolicy(problems: readonly string[]): void {
+function assertNoPolicyProblems(problems: readonly string[]): void {
   const [first] = problems;
   if (first !== undefined) {
     throw new AdminError('invalid-policy', first, { problems });
@@ -31,7 +31,7 @@
   const { name = '' } = context.params;
   const body = withPathName(await readJson(context, services.bodyLimitBytes), 'name', name);
   const definition = checkBody(serviceBodySchema, body);
-  refuseWrongPolicy(services.checkPolicy(definition.policy));
+  assertNoPolicyProblems(services.checkPolicy(definition.policy));
   const command = { type: 'service-apply', definition, expected: readExpected(context) } as const;
   await propose(context, services, { command, subject: name, precondition: 'header' });
 }
@@ -39,7 +39,7 @@
 async function applyPolicy(context: AdminContext, services: AdminServices): Promise<void> {
   const { name = '' } = context.params;
   const { policy } = checkBody(policyBodySchema, await readJson(context, services.bodyLimitBytes));
-  refuseWrongPolicy(services.checkPolicy(policy));
+  assertNoPolicyProblems(services.checkPolicy(policy));
   const command = { type: 'policy-apply', service: name, policy, expected: readExpected(context) } as const;
   await propose(context, services, { command, subject: name, precondition: 'header' });
 }
--- a/src/control/admin/leader-redirect.ts
+++ b/src/control/admin/leader-redirect.ts
@@ -1,11 +1,11 @@
-/** Sends a caller on to the leader: all members serve the same API on the same port. */
+/** Redirects a client to the leader, since all members serve the same API on the same port. */
 import { parseAddress } from '../../wire/address.js';
 import type { OperatorResponse } from '../types.js';
 import type { AdminContext } from './admin-context.js';
 
 const TEMPORARY_REDIRECT = 307;
 
-/** Answers with a redirect if another member leads and is known; `false` if it isn't so. */
+/** Responds with a redirect if another member is known to be the leader; returns `false` otherwise. */
 export function redirectToLeader(context: AdminContext, response: OperatorResponse): boolean {
   if (response.type !== 'not-leader' || response.leader === null) {
     return false;
--- a/src/control/admin/middlewares.ts
+++ b/src/control/admin/middlewares.ts
@@ -1,4 +1,4 @@
-/** Middlewares of the operators' API: errors, who asks, what they may do, and the audit log. */
+/** Middlewares of the operator API: errors, authentication, authorization and the audit log. */
 import type { Middleware } from 'koa';
 import { toError } from '../../errors/ternmount-error.js';
 import type { Logger } from '../../logging/logger.js';
@@ -11,7 +11,7 @@
 const READ_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
 const HTTP_NOT_FOUND = 404;
 const BEARER_PATTERN = /^Bearer +([\x21-\x7e]+)$/i;
-/** Answered without a token, for liveness checks. */
+/** Served without a token, for liveness checks. */
 export const HEALTH_PATH = '/healthz';
 
 function toAdminError(thrown: unknown): AdminError {
@@ -21,7 +21,7 @@
   return new AdminError('internal', 'an internal error', {}, { cause: toError(thrown) });
 }
 
-/** Turns what is thrown below into an answer; nothing of an internal error gets out but its kind. */
+/** Converts thrown errors to responses. The response to an internal error contains no details. */
 export function answerErrors(logger: Logger): AdminMiddleware {
   return async (context, next) => {
     try {
@@ -47,7 +47,7 @@
   };
 }
 
-/** A path without a route is a JSON answer too. */
+/** Responds with a JSON error to paths without a route. */
 export const answerNotFound: AdminMiddleware = async (context, next) => {
   await next();
   if (context.status === HTTP_NOT_FOUND && context.body === undefined) {
@@ -56,8 +56,8 @@
 };
 
 /**
- * Writes one record for each request that isn't a read: who, what, outcome. Announcements that are refused come as often as their
- * sender likes, so `logger`, which has a bound a second, tells of them.
+ * Writes an audit record with actor, change and outcome for each request that isn't a read. Rejected announcements go to the rate-limited
+ * `logger` instead, since their number has no bound.
  */
 export function auditWrites(auditLogger: Logger, logger: Logger): AdminMiddleware {
   return async (context, next) => {
@@ -65,7 +65,7 @@
       await next();
       return;
     }
-    // A request that is given up has no address any more.
+    // The address is read first, since it is gone once the client has closed the connection.
     const from = context.ip;
     const arrivedAt = performance.now();
     let outcome = 'failed';
@@ -83,12 +83,12 @@
     } finally {
       const { operator, audit, isRoutine = false, redirectedTo: leader = null } = context.state;
       const { isAnnouncement = false } = context.state;
-      const wentWell = outcome === 'accepted' || outcome === 'redirected';
-      if (isAnnouncement && !wentWell) {
+      const succeeded = outcome === 'accepted' || outcome === 'redirected';
+      if (isAnnouncement && !succeeded) {
         const { method, path } = context;
         const sent = context.state.unusable ?? null;
         logger.info('announcement-refused', { from, method, path, outcome, problem, sent });
-      } else if (!isRoutine || !wentWell) {
+      } else if (!isRoutine || !succeeded) {
         auditLogger.info('operator-change', {
           actor: operator?.name ?? null,
           from,
@@ -109,7 +109,7 @@
   };
 }
 
-/** Finds out who asks, and refuses what they may not do. Without an authority everyone may do everything. */
+/** Authenticates and authorizes a request. Without an authority every request is allowed. */
 export function authenticate(authority: TokenAuthority | null): AdminMiddleware {
   return async (context, next) => {
     if (authority === null || context.path === HEALTH_PATH) {
@@ -119,7 +119,7 @@
     const token = BEARER_PATTERN.exec(context.get('Authorization'))?.[1];
     const operator = token === undefined ? undefined : authority.authenticate(token);
     if (operator === undefined) {
-      const message = token === undefined ? 'a token is needed' : 'the token is unknown or expired';
+      const message = token === undefined ? 'a token is required' : 'the token is unknown or expired';
       throw new AdminError('unauthenticated', message);
     }
     context.state.operator = operator;
--- a/src/control/admin/policy-check.ts
+++ b/src/control/admin/policy-check.ts
@@ -1,8 +1,8 @@
-/** Compiles a policy before it is proposed, so that a wrong one never reaches the log. */
+/** Compiles a policy before it is proposed, so that an invalid one never reaches the replicated log. */
 import type { PolicyRule } from '../../model/service.js';
 import { compilePolicy, formatDiagnostic, PolicyError } from '../../policy/index.js';
 
-/** What is wrong with rules, one line each; places count within each expression. Empty: nothing. */
+/** Returns the faults of rules, one line each, with positions relative to the expression; empty if there are none. */
 export function findPolicyFaults(rules: readonly PolicyRule[]): readonly string[] {
   try {
     compilePolicy(rules);
--- a/src/control/admin/preconditions.ts
+++ b/src/control/admin/preconditions.ts
@@ -1,4 +1,4 @@
-/** Headers and query of a change: its precondition, its request id, and whether to wait. */
+/** Parses headers and query of a change: precondition, request id, and whether to wait. */
 import { randomUUID } from 'node:crypto';
 import type { Revision } from '../../model/identifiers.js';
 import { HEADERS } from '../../model/outcome.js';
@@ -8,14 +8,14 @@
 const ETAG_PATTERN = /^"(\d{1,15})"$/;
 const REQUEST_ID_PATTERN = /^[\x21-\x7e]{1,128}$/;
 
-/** Writes a revision as an ETag. */
+/** Formats a revision as an ETag. */
 export function formatEtag(revision: Revision): string {
   return `"${revision}"`;
 }
 
 /**
- * The revision which a change expects: `If-Match: "12"` is 12, `If-None-Match: *` is 0 (must not exist), neither is
- * `null` (any). Throws `AdminError`.
+ * Returns the revision that a change expects: 12 for `If-Match: "12"`, 0 (must not exist) for `If-None-Match: *`, and
+ * `null` (any) without both. Throws `AdminError`.
  */
 export function readExpected(context: AdminContext): Revision | null {
   const match = context.get('If-Match');
@@ -39,19 +39,19 @@
   return revision;
 }
 
-/** The request id, made here if the operator gave none; the answer carries it. Throws `AdminError`. */
+/** Returns the request id of the client or a new one, and sets it on the response. Throws `AdminError`. */
 export function readRequestId(context: AdminContext): string {
-  const given = context.get(HEADERS.requestId);
-  if (given !== '' && !REQUEST_ID_PATTERN.test(given)) {
+  const received = context.get(HEADERS.requestId);
+  if (received !== '' && !REQUEST_ID_PATTERN.test(received)) {
     const message = `${HEADERS.requestId} must be 1 to 128 printable characters without spaces`;
     throw new AdminError('invalid-request', message);
   }
-  const requestId = given === '' ? randomUUID() : given;
+  const requestId = received === '' ? randomUUID() : received;
   context.set(HEADERS.requestId, requestId);
   return requestId;
 }
 
-/** `?wait=false` answers once the change is agreed on; the default waits until it is in force everywhere. */
+/** With `?wait=false` the response is sent once the change is committed; the default waits until all routers apply it. */
 export function readWait(context: AdminContext): boolean {
   const { wait } = context.query;
   if (wait === undefined || wait === 'true') {
--- a/src/control/admin/propose.ts
+++ b/src/control/admin/propose.ts
@@ -1,25 +1,25 @@
-/** Proposes one change for an operator and answers with its outcome. */
+/** Proposes a change of an operator and responds with its outcome. */
 import type { OperatorCommand } from '../../registry/types.js';
 import { type AdminContext, type AdminServices, actorOf } from './admin-context.js';
 import { readRequestId, readWait } from './preconditions.js';
 import { acceptedRevision, answerAccepted, expectResponse, type PreconditionPlace } from './responses.js';
 
-/** A change that a route wants made. */
+/** A change to propose. */
 export interface Proposal {
   readonly command: OperatorCommand;
-  /** What it is about, for the audit log. */
+  /** Object of the change, for the audit log. */
   readonly subject: string;
   readonly precondition: PreconditionPlace;
 }
 
-/** Says in the request's state what an audit record will say, and gives the request id. */
+/** Stores the fields of the audit record in the state of the request, and returns the request id. */
 export function beginAudit(context: AdminContext, action: string, subject: string): string {
   const requestId = readRequestId(context);
   context.state.audit = { action, subject, requestId, readAt: performance.now() };
   return requestId;
 }
 
-/** Proposes a change and answers it. Throws `AdminError`. */
+/** Proposes a change and responds with its revision. Throws `AdminError`. */
 export async function propose(
   context: AdminContext,
   services: AdminServices,
--- a/src/control/admin/queries/definition-queries.ts
+++ b/src/control/admin/queries/definition-queries.ts
@@ -46,7 +46,7 @@
   answerRead(context, record.revision, record);
 }
 
-/** Adds the routes that read what operators declared. */
+/** Adds the routes that read the definitions of services and upstreams. */
 export function addDefinitionQueries(router: Router<AdminState>, services: AdminServices): void {
   router.get('/v1/services', (context) => listServices(context, services));
   router.get('/v1/services/:name', (context) => getService(context, services));
--- a/src/control/admin/queries/state-queries.ts
+++ b/src/control/admin/queries/state-queries.ts
@@ -4,21 +4,21 @@
 import { AdminError } from '../admin-error.js';
 import { answerRead, expectResponse } from '../responses.js';
 
-/** A parameter of the query that may be left out. */
-function readOnce(context: AdminContext, name: string): string | undefined {
+/** Returns an optional query parameter. Throws `AdminError` if it is repeated. */
+function readQueryParameter(context: AdminContext, name: string): string | undefined {
   const value = context.query[name];
   if (Array.isArray(value)) {
-    throw new AdminError('invalid-request', `${name} must stand once`);
+    throw new AdminError('invalid-request', `${name} must not be repeated`);
   }
   return value;
 }
 
 async function listShards(context: AdminContext, services: AdminServices): Promise<void> {
-  const owner = readOnce(context, 'owner');
-  const shard = readOnce(context, 'shard');
+  const owner = readQueryParameter(context, 'owner');
+  const shard = readQueryParameter(context, 'shard');
   const request = {
     type: 'get-shards',
-    service: readOnce(context, 'service') ?? null,
+    service: readQueryParameter(context, 'service') ?? null,
     ...(owner === undefined ? {} : { owner }),
     ...(shard === undefined ? {} : { shard }),
   } as const;
--- a/src/control/admin/request-body.ts
+++ b/src/control/admin/request-body.ts
@@ -1,4 +1,4 @@
-/** Reads the JSON body of a request, within a bound, and checks it. */
+/** Reads the JSON body of a request up to a size limit and validates it. */
 import type { z } from 'zod';
 import { toError } from '../../errors/ternmount-error.js';
 import { describeIssue, formatPath, valueAt } from '../../settings/yaml-source.js';
@@ -25,12 +25,17 @@
     if (thrown instanceof AdminError) {
       throw thrown;
     }
-    throw new AdminError('invalid-request', 'the body ended early', {}, { cause: toError(thrown) });
+    throw new AdminError(
+      'invalid-request',
+      'the connection closed before the end of the body',
+      {},
+      { cause: toError(thrown) },
+    );
   }
   return Buffer.concat(chunks);
 }
 
-/** Reads a JSON body. An empty one is an empty object. Throws `AdminError`. */
+/** Reads a JSON body; an empty body is read as an empty object. Throws `AdminError`. */
 export async function readJson(context: AdminContext, limit: number): Promise<unknown> {
   const bytes = await readBytes(context, limit);
   if (bytes.length === 0) {
@@ -47,7 +52,7 @@
   }
 }
 
-function describe(issue: z.core.$ZodIssue, input: unknown): string[] {
+function describeProblems(issue: z.core.$ZodIssue, input: unknown): string[] {
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map((key) => `${formatPath([...issue.path, key])}: unknown key`);
   }
@@ -55,7 +60,7 @@
   return [`${path}: ${describeIssue(issue, valueAt(input, issue.path))}`];
 }
 
-/** Checks a value against a schema. Throws an `AdminError` that names the path. */
+/** Validates a value against a schema. Throws an `AdminError` that contains the path. */
 export function checkBody<Output>(
   schema: z.ZodType<Output>,
   value: unknown,
@@ -65,8 +70,8 @@
   if (result.success) {
     return result.data;
   }
-  const problems = result.error.issues.flatMap((issue) => describe(issue, value));
-  const [first = 'wrong body'] = problems;
+  const problems = result.error.issues.flatMap((issue) => describeProblems(issue, value));
+  const [first = 'invalid body'] = problems;
   const path = formatPath(result.error.issues[0]?.path ?? []);
   throw new AdminError(code, first, { path, problems });
 }
--- a/src/control/admin/responses.ts
+++ b/src/control/admin/responses.ts
@@ -1,4 +1,4 @@
-/** Turns responses of the control core into HTTP answers. */
+/** Converts responses of the control core to HTTP responses. */
 import type { Revision } from '../../model/identifiers.js';
 import type { CommandResult } from '../../registry/types.js';
 import type { OperatorResponse } from '../types.js';
@@ -10,7 +10,7 @@
 const HTTP_ACCEPTED = 202;
 const HTTP_PRECONDITION_FAILED = 412;
 
-/** Responses that say why there is no answer. */
+/** Responses that report a failure. */
 type Failure = Extract<OperatorResponse, { type: 'not-leader' | 'rejected' | 'unknown' }>;
 
 function failureOf(response: OperatorResponse): Failure | undefined {
@@ -18,7 +18,7 @@
   return type === 'not-leader' || type === 'rejected' || type === 'unknown' ? response : undefined;
 }
 
-function toError(failure: Failure, requestId: string | undefined): AdminError {
+function toAdminError(failure: Failure, requestId: string | undefined): AdminError {
   switch (failure.type) {
     case 'not-leader': {
       const where = failure.leader === null ? 'no leader is known' : `the leader is ${failure.leader}`;
@@ -32,7 +32,7 @@
         ? new AdminError('unavailable', 'no quorum confirmed the read in time')
         : new AdminError(
             'outcome-unknown',
-            'the change may or may not be made; resend with the same request id',
+            'the change may or may not have been applied; resend with the same request id',
             {
               requestId,
             },
@@ -40,7 +40,7 @@
   }
 }
 
-/** The response of the type asked for. Throws `AdminError` for any other. */
+/** Returns the response if it has the given type. Throws `AdminError` otherwise. */
 export function expectResponse<Type extends OperatorResponse['type']>(
   response: OperatorResponse,
   type: Type,
@@ -48,7 +48,7 @@
 ): Extract<OperatorResponse, { type: Type }> {
   const failure = failureOf(response);
   if (failure !== undefined) {
-    throw toError(failure, requestId);
+    throw toAdminError(failure, requestId);
   }
   if (response.type !== type) {
     throw new AdminError('internal', `expected ${type} from the control core, got ${response.type}`);
@@ -56,10 +56,10 @@
   return response as Extract<OperatorResponse, { type: Type }>;
 }
 
-/** How the precondition of a change was given: a lost race is 412 for a header, 409 for a field of the body. */
+/** Where the precondition of a change was given. A conflict has status 412 for a header, 409 for a field of the body. */
 export type PreconditionPlace = 'header' | 'body';
 
-/** The revision at which a change was accepted. Throws `AdminError` if it wasn't. */
+/** Returns the revision at which a change was accepted. Throws `AdminError` if it was not accepted. */
 export function acceptedRevision(result: CommandResult, place: PreconditionPlace): Revision {
   switch (result.type) {
     case 'accepted':
@@ -75,26 +75,26 @@
     case 'not-found':
       throw new AdminError('not-found', 'there is no such thing');
     case 'claim':
-      throw new AdminError('internal', 'a claim is no answer to an operator');
+      throw new AdminError('internal', 'the control core answered an operator with a claim result');
   }
 }
 
-/** What the answer to an accepted change says. */
+/** Body of the response to an accepted change. */
 export interface AcceptedBody {
   readonly revision: Revision;
-  /** Whether each router applies it or has stopped serving. */
+  /** Whether every router either applies the change or has stopped serving. */
   readonly inForce: boolean;
   readonly requestId: string;
 }
 
-/** Answers an accepted change: 200 once it is in force everywhere, 202 before. */
+/** Responds to an accepted change: 200 if it is in force on all routers, 202 otherwise. */
 export function answerAccepted(context: AdminContext, body: AcceptedBody): void {
   context.status = body.inForce ? HTTP_OK : HTTP_ACCEPTED;
   context.set('ETag', formatEtag(body.revision));
   context.body = body;
 }
 
-/** Answers a read. */
+/** Responds to a read, with its revision as ETag. */
 export function answerRead(context: AdminContext, revision: Revision, body: unknown): void {
   context.set('ETag', formatEtag(revision));
   context.body = body;
--- a/src/ledger/expiry-queue.ts
+++ b/src/ledger/expiry-queue.ts
@@ -1,15 +1,15 @@
-/** Binary min-heap of keys by time, for dropping what has expired without a scan of everything. */
+/** Binary min-heap of keys by time, for removing expired entries without a full scan. */
 
 /** One entry of the queue. */
 export interface ExpiryEntry {
-  /** Time the entry sorts by. */
+  /** Time that the entry is sorted by. */
   readonly time: number;
   readonly key: string;
 }
 
 /**
- * Earliest entry first. An entry isn't removed when its subject goes or is extended; whoever pops it looks
- * whether it still holds. Each operation costs O(log n).
+ * Returns the earliest entry first. An entry stays in the queue when its key is deleted or extended, so the caller
+ * checks after `pop` whether the entry is still valid. Each operation costs O(log n).
  */
 export class ExpiryQueue {
   private readonly heap: ExpiryEntry[] = [];
@@ -18,7 +18,7 @@
     return this.heap.length;
   }
 
-  /** The earliest entry, left in place. */
+  /** Returns the earliest entry without removing it. */
   peek(): ExpiryEntry | undefined {
     return this.heap[0];
   }
@@ -28,7 +28,7 @@
     this.siftUp(this.heap.length - 1);
   }
 
-  /** Takes the earliest entry out. */
+  /** Removes and returns the earliest entry. */
   pop(): ExpiryEntry | undefined {
     const first = this.heap[0];
     const last = this.heap.pop();
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Infinity past the end, so that missing children never win. */
+  /** Returns infinity past the end, so that a missing child is never the smaller one. */
   private timeAt(position: number): number {
     return this.heap[position]?.time ?? Number.POSITIVE_INFINITY;
   }
--- a/src/ledger/ledger.ts
+++ b/src/ledger/ledger.ts
@@ -1,9 +1,9 @@
 /**
- * The at-most-once ledger: who may run a non-repeatable request, and how it ended.
+ * The at-most-once ledger: records which claimant may run a non-repeatable request, and the outcome.
  *
- * Pure and deterministic; time comes in as `clock`, which the caller must never let go back (the registry passes the
- * largest wall clock that any applied entry carried). A key belongs to its `issuedAt`: a caller that resends
- * sends both again unchanged.
+ * Pure and deterministic; the time is passed as `clock`, which must never decrease (the registry passes the largest
+ * wall clock of all applied entries). A key belongs to its `issuedAt`: a client that resends a request sends both
+ * unchanged.
  */
 import type { Revision, ServiceName, WallMillis } from '../model/identifiers.js';
 import {
@@ -28,7 +28,7 @@
   StoredAnswer,
 } from './types.js';
 
-/** Plain form of a ledger, for snapshots. */
+/** Serializable form of a ledger, for snapshots. */
 export interface LedgerState {
   readonly services: readonly {
     readonly name: ServiceName;
@@ -39,15 +39,15 @@
 
 interface ServiceEntry {
   readonly ledger: ServiceLedger;
-  /** False after the service was deleted; its records stay until they expire. */
+  /** False after the service was deleted; its records are kept until they expire. */
   active: boolean;
 }
 
-/** Bounds of memory; the defaults stand in `limits.ts`. */
+/** Memory limits; the defaults are in `limits.ts`. */
 export interface LedgerOptions {
-  /** Records and tombstones kept for one service. */
+  /** Maximum records and tombstones of one service. */
   readonly entriesPerService?: number;
-  /** Characters of answers' bodies kept for one service. */
+  /** Maximum characters of all stored answer bodies of one service. */
   readonly storedBodiesPerService?: number;
 }
 
@@ -55,8 +55,8 @@
   return typeof value === 'string' && value.length > 0 && value.length <= IDENTIFIER_LIMIT;
 }
 
-/** Drops a body above the limit. */
-function boundAnswer(answer: StoredAnswer | null): StoredAnswer | null {
+/** Removes a body above the limit. */
+function limitBody(answer: StoredAnswer | null): StoredAnswer | null {
   if (answer === null || answer.body.length <= STORED_BODY_LIMIT) {
     return answer;
   }
@@ -74,7 +74,7 @@
     };
   }
 
-  /** Opens the ledger of a service or changes its retention. */
+  /** Creates or reopens the ledger of a service and sets its retention. */
   setService(service: ServiceName, retentionMillis: number, clock: WallMillis): void {
     const entry = this.services.get(service);
     if (entry === undefined) {
@@ -86,7 +86,7 @@
     entry.ledger.setRetention(retentionMillis, clock);
   }
 
-  /** Closes the ledger of a deleted service. What it holds still counts if the service comes back. */
+  /** Closes the ledger of a deleted service. Its entries stay valid if the service is created again. */
   closeService(service: ServiceName): void {
     const entry = this.services.get(service);
     if (entry !== undefined) {
@@ -94,14 +94,14 @@
     }
   }
 
-  /** Drops what has expired, of every service. */
+  /** Removes the expired entries of all services. */
   expire(clock: WallMillis): void {
     for (const { ledger } of this.services.values()) {
       ledger.expire(clock);
     }
   }
 
-  /** Records and tombstones held, of every service. */
+  /** Number of records and tombstones of all services. */
   get size(): number {
     let size = 0;
     for (const { ledger } of this.services.values()) {
@@ -114,7 +114,7 @@
     return this.services.get(service)?.ledger.find(key)?.record;
   }
 
-  /** Claims a key. Only `granted` lets the claimant run the request. A resend by the same claimant is granted again. */
+  /** Claims a key. Only `granted` allows the claimant to run the request. A resend by the same claimant is granted again. */
   claim(command: ClaimCommand, revision: Revision, clock: WallMillis): ClaimResult {
     const entry = this.services.get(command.service);
     if (!entry?.active) {
@@ -127,18 +127,18 @@
     }
     const kept = ledger.find(command.key);
     if (kept !== undefined) {
-      return this.claimAgain(ledger, kept, command, clock);
+      return this.claimExisting(ledger, kept, command, clock);
     }
     if (!this.isAcceptable(ledger, command, clock)) {
       return { type: 'expired' };
     }
-    ledger.put({ record: newRecord(command, revision, clock), issuedAt: command.issuedAt });
+    ledger.put({ record: createRecord(command, revision, clock), issuedAt: command.issuedAt });
     return { type: 'granted' };
   }
 
   /**
-   * Ends a claim. `not-run` frees the key and closes it for this claimant, also if the claim itself arrives later.
-   * `unknown` may still become `ran`; `ran` is final. Anything else is a conflict and changes nothing.
+   * Settles a claim. `not-run` frees the key and closes it for this claimant, even if the claim itself arrives later.
+   * `unknown` may still become `ran`; `ran` is final. Any other change is a conflict and has no effect.
    */
   settle(command: SettleCommand, revision: Revision, clock: WallMillis): SettleResult {
     const ledger = this.services.get(command.service)?.ledger;
@@ -150,7 +150,7 @@
     if (kept === undefined || kept.record.claimant !== command.claimant) {
       return this.settleWithoutClaim(ledger, command, clock);
     }
-    return this.settleOwn(ledger, kept, command, revision);
+    return this.settleClaim(ledger, kept, command, revision);
   }
 
   toState(): LedgerState {
@@ -180,8 +180,8 @@
     return !ledger.isExpired(issuedAt) && issuedAt <= clock + ISSUED_AHEAD_MILLIS;
   }
 
-  /** A key that is known. A later `issuedAt` on a resend keeps the record longer, up to the allowance. */
-  private claimAgain(
+  /** Claims a key that has a record. A later `issuedAt` keeps the record longer, up to `ISSUED_AHEAD_MILLIS` ahead. */
+  private claimExisting(
     ledger: ServiceLedger,
     kept: KeptRecord,
     command: ClaimCommand,
@@ -201,17 +201,17 @@
     return record.state === 'running' ? { type: 'granted' } : { type: 'closed' };
   }
 
-  /** The claim isn't there (not yet, or another has the key). It must never be granted after this. */
+  /** Settles a claim that hasn't arrived or whose key has another claimant. It must not be granted afterwards. */
   private settleWithoutClaim(ledger: ServiceLedger, command: SettleCommand, clock: WallMillis): SettleResult {
     const { key, claimant } = command;
     if (!isIdentifier(key) || !isIdentifier(claimant)) {
       return { type: 'no-claim' };
     }
-    ledger.bury({ key, claimant, issuedAt: clock + ISSUED_AHEAD_MILLIS });
+    ledger.addTombstone({ key, claimant, issuedAt: clock + ISSUED_AHEAD_MILLIS });
     return command.outcome === 'not-run' ? { type: 'settled' } : { type: 'no-claim' };
   }
 
-  private settleOwn(
+  private settleClaim(
     ledger: ServiceLedger,
     kept: KeptRecord,
     command: SettleCommand,
@@ -223,7 +223,7 @@
     }
     if (command.outcome === 'ran') {
       ledger.put({
-        record: { ...record, state: 'ran', answer: boundAnswer(command.answer), revision },
+        record: { ...record, state: 'ran', answer: limitBody(command.answer), revision },
         issuedAt,
       });
       return { type: 'settled' };
@@ -235,13 +235,13 @@
       ledger.put({ record: { ...record, state: 'unknown', revision }, issuedAt });
     } else {
       ledger.release(command.key);
-      ledger.bury({ key: command.key, claimant: command.claimant, issuedAt });
+      ledger.addTombstone({ key: command.key, claimant: command.claimant, issuedAt });
     }
     return { type: 'settled' };
   }
 }
 
-function newRecord(command: ClaimCommand, revision: Revision, clock: WallMillis): LedgerRecord {
+function createRecord(command: ClaimCommand, revision: Revision, clock: WallMillis): LedgerRecord {
   const { service, key, fingerprint, claimant } = command;
   return { service, key, fingerprint, claimant, state: 'running', answer: null, claimedAt: clock, revision };
 }
--- a/src/ledger/limits.ts
+++ b/src/ledger/limits.ts
@@ -1,19 +1,19 @@
-/** Bounds of the ledger. They are part of the replicated state machine: every replica must use the same ones. */
+/** Limits of the ledger. They are part of the replicated state machine: every replica must use the same values. */
 
-/** How far ahead of the ledger's clock a key's `issuedAt` may lie, for callers whose clocks run fast. */
+/** How far ahead of the ledger's clock a key's `issuedAt` may lie, for clients whose clocks are ahead. */
 export const ISSUED_AHEAD_MILLIS = 60_000;
 
-/** Longest body kept with an answer, in characters of base64. Longer ones are dropped and marked `truncated`. */
+/** Maximum length of a stored body, in characters of base64. Longer ones are removed and marked `truncated`. */
 export const STORED_BODY_LIMIT = 16 * 1024;
 
-/** Records and tombstones kept for one service; beyond that the oldest keys are refused before their time. */
+/** Maximum records and tombstones of one service; above it, the oldest keys are rejected before their retention ends. */
 export const ENTRIES_PER_SERVICE = 200_000;
 
-/** Longest accepted key and claimant, in characters. */
+/** Maximum length of a key and of a claimant, in characters. */
 export const IDENTIFIER_LIMIT = 512;
 
 /**
- * Characters of all answers' bodies kept for one service. Beyond that the bodies of the answers settled longest ago are
- * dropped and marked `truncated`; that their requests ran is still known. Bounds a member's memory and its snapshots.
+ * Maximum characters of all stored bodies of one service. Above it, the bodies of the answers settled longest ago are
+ * removed and marked `truncated`; their records stay `ran`. Limits the memory and the snapshots of a member.
  */
 export const STORED_BODIES_PER_SERVICE = 64 * 1024 * 1024;
--- a/src/ledger/service-ledger.ts
+++ b/src/ledger/service-ledger.ts
@@ -1,9 +1,9 @@
 /**
  * The claims of one service.
  *
- * Safety rests on one rule. `horizon` only grows; a claim whose `issuedAt` is at or below it is refused as expired,
- * and an entry is dropped only when its own `issuedAt` is at or below it. So whatever was forgotten is refused
- * from then on, however the clock, the retention or the number of entries change.
+ * Safety depends on one rule: `horizon` never decreases, a claim whose `issuedAt` is at or below it is rejected as
+ * expired, and an entry is removed only when its `issuedAt` is at or below it. The key of a removed entry is therefore
+ * rejected from then on, however the clock, the retention or the number of entries change.
  */
 import type { WallMillis } from '../model/identifiers.js';
 import { ExpiryQueue } from './expiry-queue.js';
@@ -14,14 +14,14 @@
   readonly issuedAt: WallMillis;
 }
 
-/** A record with what decides how long it is kept. */
+/** A record with the time that determines how long it is kept. */
 export interface KeptRecord extends Expiring {
   readonly record: LedgerRecord;
-  /** Latest `issuedAt` under which the key was shown. */
+  /** Latest `issuedAt` of the claims of the key. */
   readonly issuedAt: WallMillis;
 }
 
-/** A claim that was given up: its claimant must not be granted the key by a late claim. */
+/** Mark of a claim that was released, or settled before it arrived: a late claim by its claimant must not be granted. */
 export interface Tombstone extends Expiring {
   readonly key: string;
   readonly claimant: ClaimantId;
@@ -29,8 +29,8 @@
 }
 
 /**
- * Plain form for snapshots. Lists keep the order in which keys came, which a restored ledger keeps too, so that equal
- * states give equal bytes.
+ * Serializable form for snapshots. Lists are in insertion order, which a restored ledger preserves, so that equal
+ * states are serialized to equal bytes.
  */
 export interface ServiceLedgerState {
   readonly horizon: WallMillis;
@@ -45,11 +45,11 @@
   return `${key}${SEPARATOR}${claimant}`;
 }
 
-/** Bounds of one service. */
+/** Limits of one service. */
 export interface ServiceLedgerLimits {
-  /** Records and tombstones. */
+  /** Maximum records and tombstones. */
   readonly entries: number;
-  /** Characters of all answers' bodies. */
+  /** Maximum characters of all stored bodies. */
   readonly bodyCharacters: number;
 }
 
@@ -70,22 +70,22 @@
     this.bodies = new StoredBodies(limits.bodyCharacters);
   }
 
-  /** Records and tombstones held. */
+  /** Number of records and tombstones. */
   get size(): number {
     return this.records.size + this.tombstones.size;
   }
 
-  /** Changes the retention from `clock` on. A longer one doesn't bring back keys that were refused before. */
+  /** Changes the retention at `clock`. With a longer one, keys that were rejected before are still rejected. */
   setRetention(retentionMillis: number, clock: WallMillis): void {
     this.expire(clock);
     this.retentionMillis = retentionMillis;
     this.expire(clock);
   }
 
-  /** Moves the horizon to where `clock` puts it and drops what lies below. */
+  /** Advances the horizon according to `clock` and removes the entries at or below it. */
   expire(clock: WallMillis): void {
     this.horizon = Math.max(this.horizon, clock - this.retentionMillis);
-    this.dropBelowHorizon();
+    this.removeExpired();
   }
 
   isExpired(issuedAt: WallMillis): boolean {
@@ -98,12 +98,12 @@
 
   put(kept: KeptRecord): void {
     const { key } = kept.record;
-    const before = this.records.get(key);
+    const previous = this.records.get(key);
     this.records.set(key, kept);
     this.bodies.put(key, kept.record.answer);
-    this.dropOldBodies();
-    // A record that stays has an entry in the queue already; the pop puts it back at its later time.
-    if (before === undefined) {
+    this.evictOldBodies();
+    // A replaced record already has a queue entry, which is pushed again with the later time when it is popped.
+    if (previous === undefined) {
       this.recordQueue.push({ time: kept.issuedAt, key });
     }
     this.enforceLimit();
@@ -113,7 +113,7 @@
     return this.tombstones.has(tombstoneKey(key, claimant));
   }
 
-  bury(tombstone: Tombstone): void {
+  addTombstone(tombstone: Tombstone): void {
     const key = tombstoneKey(tombstone.key, tombstone.claimant);
     if (!this.tombstones.has(key)) {
       this.tombstones.set(key, tombstone);
@@ -122,13 +122,13 @@
     this.enforceLimit();
   }
 
-  /** Frees a key: its claim is proved not to have run. */
+  /** Frees a key whose claimed request is proved not to have run. */
   release(key: string): void {
     this.records.delete(key);
-    this.bodies.forget(key);
+    this.bodies.remove(key);
   }
 
-  /** Copies lists, no records; cheap enough to be done between two entries of the log. */
+  /** Copies the lists but not the records, which is cheap enough to be done between two log entries. */
   toState(): ServiceLedgerState {
     return {
       horizon: this.horizon,
@@ -141,24 +141,24 @@
   static fromState(state: ServiceLedgerState, limits: ServiceLedgerLimits): ServiceLedger {
     const ledger = new ServiceLedger(state.retentionMillis, limits);
     ledger.horizon = state.horizon;
-    const settledFirst = (one: KeptRecord, other: KeptRecord): number =>
+    const bySettlementOrder = (one: KeptRecord, other: KeptRecord): number =>
       one.record.revision - other.record.revision;
-    for (const { record } of [...state.records].sort(settledFirst)) {
+    for (const { record } of [...state.records].sort(bySettlementOrder)) {
       ledger.bodies.put(record.key, record.answer);
     }
     for (const kept of state.records) {
       ledger.put(kept);
     }
     for (const tombstone of state.tombstones) {
-      ledger.bury(tombstone);
+      ledger.addTombstone(tombstone);
     }
     return ledger;
   }
 
-  /** That the request ran is kept; only what it answered goes. */
-  private dropOldBodies(): void {
-    for (let key = this.bodies.overdue(); key !== undefined; key = this.bodies.overdue()) {
-      this.bodies.forget(key);
+  /** Removes the bodies above the limit; the records that the requests ran stay. */
+  private evictOldBodies(): void {
+    for (let key = this.bodies.nextToEvict(); key !== undefined; key = this.bodies.nextToEvict()) {
+      this.bodies.remove(key);
       const kept = this.records.get(key);
       if (kept?.record.answer != null) {
         const answer = { ...kept.record.answer, body: '', truncated: true };
@@ -168,20 +168,20 @@
   }
 
   /**
-   * Under pressure the horizon rises to the oldest entry: old keys are refused early, none runs again. Only live
-   * entries count, since the queues' stale ones aren't part of a snapshot and replicas must agree.
+   * Above the limit the horizon advances to the oldest entry: old keys are rejected early, but none runs again. Only
+   * live entries count, since stale queue entries aren't part of a snapshot and all replicas must agree.
    */
   private enforceLimit(): void {
     while (this.size > this.limits.entries) {
-      const oldestRecord = this.oldestLive(this.recordQueue, this.records);
-      const oldestTombstone = this.oldestLive(this.tombstoneQueue, this.tombstones);
+      const oldestRecord = this.oldestLiveTime(this.recordQueue, this.records);
+      const oldestTombstone = this.oldestLiveTime(this.tombstoneQueue, this.tombstones);
       this.horizon = Math.max(this.horizon, Math.min(oldestRecord, oldestTombstone));
-      this.dropBelowHorizon();
+      this.removeExpired();
     }
   }
 
-  /** Time of the earliest entry that still holds; stale ones before it are taken out. */
-  private oldestLive(queue: ExpiryQueue, entries: Map<string, Expiring>): number {
+  /** Returns the time of the earliest valid entry; stale ones before it are removed from the queue. */
+  private oldestLiveTime(queue: ExpiryQueue, entries: Map<string, Expiring>): number {
     for (let next = queue.peek(); next !== undefined; next = queue.peek()) {
       const entry = entries.get(next.key);
       if (entry?.issuedAt === next.time) {
@@ -195,15 +195,15 @@
     return Number.POSITIVE_INFINITY;
   }
 
-  private dropBelowHorizon(): void {
-    this.dropExpired(this.recordQueue, this.records, (key) => this.bodies.forget(key));
-    this.dropExpired(this.tombstoneQueue, this.tombstones, () => {});
+  private removeExpired(): void {
+    this.removeExpiredFrom(this.recordQueue, this.records, (key) => this.bodies.remove(key));
+    this.removeExpiredFrom(this.tombstoneQueue, this.tombstones, () => {});
   }
 
-  private dropExpired(
+  private removeExpiredFrom(
     queue: ExpiryQueue,
     entries: Map<string, Expiring>,
-    forget: (key: string) => void,
+    onRemoved: (key: string) => void,
   ): void {
     for (let next = queue.peek(); next !== undefined && next.time <= this.horizon; next = queue.peek()) {
       queue.pop();
@@ -213,7 +213,7 @@
       }
       if (this.isExpired(entry.issuedAt)) {
         entries.delete(next.key);
-        forget(next.key);
+        onRemoved(next.key);
       } else {
         queue.push({ time: entry.issuedAt, key: next.key });
       }
--- a/src/ledger/types.ts
+++ b/src/ledger/types.ts
@@ -1,23 +1,23 @@
-/** The replicated ledger that makes a non-repeatable request run at most once. */
+/** Types of the replicated ledger, which ensures that a non-repeatable request runs at most once. */
 import type { Revision, ServiceName, WallMillis } from '../model/identifiers.js';
 
-/** Names one request of one run of a router: `router/incarnation/number`. */
+/** Identifies one request of one incarnation of a router: `router/incarnation/number`. */
 export type ClaimantId = string;
 
-/** An answer kept for resends. */
+/** An answer stored for resends. */
 export interface StoredAnswer {
   readonly status: number;
   readonly contentType: string;
-  /** Base64. Bodies above the ledger's limit aren't kept; then `truncated` is set and the body is empty. */
+  /** Base64. Bodies above the limit of the ledger aren't stored: the body is empty and `truncated` is set. */
   readonly body: string;
   readonly truncated: boolean;
 }
 
-/** What the ledger knows of one idempotency key. */
+/** The record of one idempotency key. */
 export interface LedgerRecord {
   readonly service: ServiceName;
   readonly key: string;
-  /** SHA-256 over method, path and body, hex: the same key with another request is refused. */
+  /** SHA-256 over method, path and body, hex; the same key with another request is rejected. */
   readonly fingerprint: string;
   readonly claimant: ClaimantId;
   readonly state: 'running' | 'ran' | 'unknown';
@@ -26,18 +26,18 @@
   readonly revision: Revision;
 }
 
-/** Claims a key for one run of a request. */
+/** Claims a key for one execution of a request. */
 export interface ClaimCommand {
   readonly type: 'ledger-claim';
   readonly service: ServiceName;
   readonly key: string;
   readonly fingerprint: string;
   readonly claimant: ClaimantId;
-  /** When the caller made the key; beyond the service's retention the claim is refused. */
+  /** When the client created the key; a claim older than the retention of the service is rejected. */
   readonly issuedAt: WallMillis;
 }
 
-/** Says how a claimed request ended. */
+/** Reports the outcome of a claimed request. */
 export interface SettleCommand {
   readonly type: 'ledger-settle';
   readonly service: ServiceName;
@@ -48,23 +48,23 @@
   readonly answer: StoredAnswer | null;
 }
 
-/** Whether the claimant may run the request. */
+/** Result of a `ClaimCommand`. */
 export type ClaimResult =
-  /** Only this claimant may run it. */
+  /** This claimant, and no other, may run the request. */
   | { readonly type: 'granted' }
-  /** Another attempt has the key. */
+  /** Another claimant has the key. */
   | { readonly type: 'duplicate'; readonly record: LedgerRecord }
   | { readonly type: 'mismatch' }
-  /** `issuedAt` is out of the accepted window, too old or too far ahead; the key isn't known and doesn't run. */
+  /** The key has no record and its `issuedAt` is too old or too far ahead; the request must not run. */
   | { readonly type: 'expired' }
-  /** This claimant's claim was released or settled before; it must not run. */
+  /** The claim of this claimant was released or settled before; the request must not run. */
   | { readonly type: 'closed' }
   | { readonly type: 'unknown-service' };
 
-/** What became of a `SettleCommand`. */
+/** Result of a `SettleCommand`. */
 export type SettleResult =
   | { readonly type: 'settled' }
-  /** The claim had ended otherwise; nothing changed. */
+  /** The claim was settled before with another outcome; nothing changed. */
   | { readonly type: 'conflict'; readonly record: LedgerRecord }
-  /** This claimant holds no claim on the key, and gets none from now on. */
+  /** This claimant has no claim on the key, and none is granted to it from now on. */
   | { readonly type: 'no-claim' };
--- a/src/policy/expression.ts
+++ b/src/policy/expression.ts
@@ -1,24 +1,24 @@
-/** One CEL expression: parsed, type-checked and bounded in cost when it is proposed. */
+/** Compiles a CEL expression: parses it, checks its type and limits its cost when it is proposed. */
 import type { ASTNode, Context, Environment, ParseResult } from '@marcbachmann/cel-js';
 import { toError } from '../errors/ternmount-error.js';
 import { EXPRESSION_LIMITS } from './policy-context.js';
 
-/** What an expression must give. */
+/** Required result type of an expression. */
 export type ExpressionType = 'bool' | 'number';
 
-/** Why an expression was refused, with the offset of the place in its text. */
+/** Why an expression was rejected, with the offset of the fault in its text. */
 export interface ExpressionFault {
   readonly offset: number;
   readonly message: string;
 }
 
-/** A compiled expression, or why it was refused. */
+/** A compiled expression, or why it was rejected. */
 export type ExpressionOutcome =
-  /** `cost`: parts evaluated at most, in comparisons of numbers; see `PROGRAM_LIMITS`. */
+  /** `cost` is the maximum number of evaluated parts, in units of one number comparison; see `PROGRAM_LIMITS`. */
   | { readonly type: 'compiled'; readonly evaluate: (context: Context) => unknown; readonly cost: number }
   | { readonly type: 'refused'; readonly fault: ExpressionFault };
 
-/** Functions whose cost is bounded by the size of their arguments. Regular expressions aren't. */
+/** Functions whose cost is bounded by the size of their arguments, unlike that of regular expressions. */
 const ALLOWED_FUNCTIONS = new Set([
   'bool',
   'contains',
@@ -29,15 +29,15 @@
   'startsWith',
   'string',
 ]);
-/** Macros that loop; allowed over a list written out, and not inside each other. */
+/** Macros that loop; allowed over a list literal only, and not nested. */
 const LOOPING_MACROS = new Set(['all', 'exists', 'exists_one']);
-/** A call on a text of the length of a key takes as long as about so many comparisons of numbers. */
+/** Cost of a call on a text of the length of a key, in number comparisons (approximate). */
 const TEXT_CALL_COST = 100;
 const CONVERSION_COST = 5;
-const CONVERSIONS = new Set(['bool', 'double', 'int']);
+const CONVERSION_FUNCTIONS = new Set(['bool', 'double', 'int']);
 const NUMBER_TYPES = new Set(['int', 'uint', 'double']);
 
-/** Compiles an expression which must give `expected`. */
+/** Compiles an expression whose result type must be `expected`. */
 export function compileExpression(
   environment: Environment,
   text: string,
@@ -45,13 +45,13 @@
 ): ExpressionOutcome {
   if (text.length > EXPRESSION_LIMITS.maxCharacters) {
     const message = `longer than ${EXPRESSION_LIMITS.maxCharacters} characters`;
-    return refused(EXPRESSION_LIMITS.maxCharacters, message);
+    return refuseAt(EXPRESSION_LIMITS.maxCharacters, message);
   }
   let parsed: ParseResult;
   try {
     parsed = environment.parse(text);
   } catch (thrown) {
-    return refusedBy(thrown);
+    return refuseWithError(thrown);
   }
   const costFault = findCostFault(parsed.ast, false);
   if (costFault !== undefined) {
@@ -59,10 +59,10 @@
   }
   const check = parsed.check();
   if (!check.valid) {
-    return refusedBy(check.error);
+    return refuseWithError(check.error);
   }
   if (!hasType(check.type, expected)) {
-    return refused(0, `must give a ${expected}, gives ${check.type ?? 'nothing'}`);
+    return refuseAt(0, `must give a ${expected}, gives ${check.type ?? 'nothing'}`);
   }
   return { type: 'compiled', evaluate: parsed, cost: costOf(parsed.ast) };
 }
@@ -71,17 +71,17 @@
   return expected === 'bool' ? type === 'bool' : type !== undefined && NUMBER_TYPES.has(type);
 }
 
-function refused(offset: number, message: string): ExpressionOutcome {
+function refuseAt(offset: number, message: string): ExpressionOutcome {
   return { type: 'refused', fault: { offset, message } };
 }
 
-/** The library's errors carry a short text and a range. */
-function refusedBy(thrown: unknown): ExpressionOutcome {
+/** Uses the short message and the range of errors of the CEL library. */
+function refuseWithError(thrown: unknown): ExpressionOutcome {
   const error = toError(thrown) as Error & { summary?: string; range?: { start: number } };
-  return refused(error.range?.start ?? 0, error.summary ?? error.message);
+  return refuseAt(error.range?.start ?? 0, error.summary ?? error.message);
 }
 
-/** The first call that could cost more than its arguments' size. */
+/** Returns the first call whose cost isn't bounded by the size of its arguments. */
 function findCostFault(node: ASTNode, insideLoop: boolean): ExpressionFault | undefined {
   if (node.op === 'call' && !ALLOWED_FUNCTIONS.has(node.args[0])) {
     return { offset: node.start, message: `function ${node.args[0]} is not allowed` };
@@ -100,10 +100,10 @@
 
 function findLoopFault(node: ASTNode, receiver: ASTNode, insideLoop: boolean): ExpressionFault | undefined {
   if (insideLoop) {
-    return { offset: node.start, message: 'a macro that loops can not stand inside another' };
+    return { offset: node.start, message: 'a looping macro cannot be used inside another one' };
   }
   if (receiver.op !== 'list') {
-    return { offset: receiver.start, message: 'a macro that loops needs a list written out' };
+    return { offset: receiver.start, message: 'a looping macro requires a list literal' };
   }
   return firstFault(childrenOf(node), true);
 }
@@ -118,7 +118,7 @@
   return undefined;
 }
 
-/** Parts evaluated at most; a call counts as many, and so does each piece of a text that is put together for it. */
+/** Returns the maximum number of evaluated parts. A call counts as several, and so does each `+` in its arguments. */
 function costOf(node: ASTNode): number {
   const childrenCost = childrenOf(node).reduce((sum, child) => sum + costOf(child), 0);
   if (node.op === 'rcall' && LOOPING_MACROS.has(node.args[0])) {
@@ -129,15 +129,17 @@
   if (node.op === 'call' || node.op === 'rcall') {
     return (
       childrenCost +
-      (CONVERSIONS.has(node.args[0]) ? CONVERSION_COST : TEXT_CALL_COST * (1 + countSums(node)))
+      (CONVERSION_FUNCTIONS.has(node.args[0])
+        ? CONVERSION_COST
+        : TEXT_CALL_COST * (1 + countConcatenations(node)))
     );
   }
   return 1 + childrenCost;
 }
 
-function countSums(node: ASTNode): number {
-  const below = childrenOf(node).reduce((sum, child) => sum + countSums(child), 0);
-  return below + (node.op === '+' ? 1 : 0);
+function countConcatenations(node: ASTNode): number {
+  const inChildren = childrenOf(node).reduce((sum, child) => sum + countConcatenations(child), 0);
+  return inChildren + (node.op === '+' ? 1 : 0);
 }
 
 function childrenOf(node: ASTNode): ASTNode[] {
@@ -145,7 +147,7 @@
   return nodesIn(args);
 }
 
-/** Arguments are nodes, or lists of nodes to any depth, between names and literals. */
+/** Returns the nodes among arguments, which are nodes, nested lists of nodes, names and literals. */
 function nodesIn(value: unknown): ASTNode[] {
   if (Array.isArray(value)) {
     return value.flatMap(nodesIn);
--- a/src/policy/index.ts
+++ b/src/policy/index.ts
@@ -1,4 +1,4 @@
-/** Policy programs: YAML rules with CEL expressions that weigh, refuse or hold requests. */
+/** Policy programs: YAML rules with CEL expressions that weigh upstreams, and refuse or hold requests. */
 export type { PolicyContext, PolicyUpstream } from './policy-context.js';
 export { EXPRESSION_LIMITS, PROGRAM_LIMITS } from './policy-context.js';
 export {
--- a/src/policy/policy-context.ts
+++ b/src/policy/policy-context.ts
@@ -1,41 +1,41 @@
-/** The variables that a policy program may name, and their types. Counts are `int`, times and ratios `double`. */
+/** The variables of policy programs and their types. Counts are `int`, times and ratios `double`. */
 import { type Context, Environment } from '@marcbachmann/cel-js';
 import type { PriorityClass } from '../model/service.js';
 
-/** What `refuse` and `hold` rules see. */
+/** Input of `refuse` and `hold` rules. */
 export interface PolicyContext {
   readonly request: {
     readonly class: PriorityClass;
     readonly method: string;
-    /** Empty for a request without one. */
+    /** Empty for a request without a key. */
     readonly key: string;
     readonly service: string;
     /** 1 for the first attempt. */
     readonly attempt: number;
   };
-  /** Requests of the service that wait in this router. */
+  /** Waiting requests of the service in this router. */
   readonly queue: { readonly length: number; readonly limit: number };
-  /** Requests of the service in flight as a share of the slots that this router may use; above 1 when overloaded. */
+  /** In-flight requests of the service divided by the slots that this router may use; above 1 when overloaded. */
   readonly load: number;
   /** Zone of this router. */
   readonly zone: string;
   readonly deadline: { readonly remainingMillis: number };
 }
 
-/** What `weigh` rules see besides. */
+/** Additional input of `weigh` rules. */
 export interface PolicyUpstream {
   readonly id: string;
   readonly zone: string;
   readonly inFlight: number;
-  /** Requests that this router may have in flight there. */
+  /** Maximum in-flight requests of this router to the upstream. */
   readonly slots: number;
-  /** Decayed outstanding work that it reported, of others, in requests. */
+  /** Outstanding requests of other routers, from the last report of the upstream, decayed since then. */
   readonly load: number;
   /** Smoothed service time. */
   readonly serviceMillis: number;
 }
 
-/** Limits on one expression; beyond them it is refused when it is proposed. */
+/** Limits of one expression; an expression above them is rejected when it is proposed. */
 export const EXPRESSION_LIMITS = {
   maxCharacters: 1000,
   maxAstNodes: 200,
@@ -45,10 +45,10 @@
   maxCallArguments: 4,
 } as const;
 
-/** Limits on a whole program. */
+/** Limits of a whole program. */
 export const PROGRAM_LIMITS = {
   maxRules: 64,
-  /** What one look at a request evaluates at most, over all its expressions, in comparisons of numbers. */
+  /** Maximum cost of evaluating all expressions once for a request, in number comparisons. */
   maxCost: 4000,
 } as const;
 
@@ -82,7 +82,7 @@
   },
 });
 
-/** The context as CEL values. */
+/** Converts a context to CEL values. */
 export function celContextOf(context: PolicyContext): Context {
   const { request, queue } = context;
   return {
@@ -98,7 +98,7 @@
   };
 }
 
-/** An upstream as CEL values. */
+/** Converts an upstream to CEL values. */
 export function celUpstreamOf(upstream: PolicyUpstream): Context {
   return {
     id: upstream.id,
--- a/src/policy/policy-error.ts
+++ b/src/policy/policy-error.ts
@@ -1,7 +1,7 @@
-/** Errors of policy programs, with the place of each fault. */
+/** Errors of policy programs, with the position of each fault. */
 import { TernmountError } from '../errors/ternmount-error.js';
 
-/** A place in a file or, without one, in the expression itself; both counted from 1. */
+/** A position in a file or, without a file, in the expression; line and column start at 1. */
 export interface PolicyPosition {
   readonly line: number;
   readonly column: number;
@@ -9,14 +9,14 @@
 
 /** One fault of a program. */
 export interface PolicyDiagnostic extends PolicyPosition {
-  /** Name of the rule; `null` if the fault is outside any. */
+  /** Name of the rule; `null` if the fault is outside all rules. */
   readonly rule: string | null;
-  /** Which part of the rule, e.g. `when`. */
+  /** Field of the rule, e.g. `when`. */
   readonly field: string | null;
   readonly message: string;
 }
 
-/** A program was refused; it has at least one diagnostic. */
+/** Thrown for an invalid program, with at least one diagnostic. */
 export class PolicyError extends TernmountError {
   readonly diagnostics: readonly PolicyDiagnostic[];
 
@@ -29,7 +29,7 @@
   }
 }
 
-/** `line:column: rule "name": field: message`. */
+/** Formats a diagnostic as `line:column: rule "name": field: message`. */
 export function formatDiagnostic(diagnostic: PolicyDiagnostic): string {
   const rule = diagnostic.rule === null ? '' : `rule "${diagnostic.rule}": `;
   const field = diagnostic.field === null ? '' : `${diagnostic.field}: `;
--- a/src/policy/policy-program.ts
+++ b/src/policy/policy-program.ts
@@ -1,4 +1,4 @@
-/** A compiled policy program of a service: which requests are refused or held, and how upstreams are weighed. */
+/** Compiled policy program of a service, which refuses or holds requests and weighs upstreams. */
 import type { Context, Environment } from '@marcbachmann/cel-js';
 import type { PolicyRule } from '../model/service.js';
 import { compileExpression, type ExpressionType } from './expression.js';
@@ -13,36 +13,36 @@
 } from './policy-context.js';
 import { type PolicyDiagnostic, PolicyError, type PolicyPosition } from './policy-error.js';
 
-/** Parts of a rule that are expressions. */
+/** Fields of a rule that contain expressions. */
 export type ExpressionField = 'when' | 'weight' | 'retryAfterSeconds' | 'holdMillis';
 
-/** Tells where in a file the parts of rules stand. */
+/** Locates the fields of rules in a file. */
 export interface PolicySource {
   /** `offset` counts characters from the start of the field's text. */
   locate(ruleIndex: number, field: ExpressionField | null, offset: number): PolicyPosition;
 }
 
-/** What a program says of one request. */
+/** Decision of a program on one request. */
 export type PolicyDecision =
   | { readonly type: 'pass' }
-  /** `retryAfterMillis`: `null` leaves it to the router's measured drain time. */
+  /** With `null` as `retryAfterMillis` the router uses the measured drain time of its queue. */
   | { readonly type: 'refuse'; readonly rule: string; readonly retryAfterMillis: number | null }
   | { readonly type: 'hold'; readonly rule: string; readonly holdMillis: number };
 
-/** A compiled program. A rule that fails at run time counts as no match. */
+/** A compiled program. A rule that fails at run time doesn't match. */
 export interface PolicyProgram {
   readonly hasWeighRules: boolean;
-  /** The first `refuse` or `hold` rule that matches. */
+  /** Returns the decision of the first `refuse` or `hold` rule that matches. */
   decide(context: PolicyContext): PolicyDecision;
-  /** Makes the weighing of one request; the product of all `weigh` rules that match an upstream. */
+  /** Creates the weight function of one request: the product of all `weigh` rules that match an upstream. */
   weigher(context: PolicyContext): (upstream: PolicyUpstream) => number;
-  /** Runtime errors by rule name. A rule that failed counted as no match. */
+  /** Number of runtime errors by rule name. */
   errorCounts(): ReadonlyMap<string, number>;
 }
 
-/** Factors are kept within these, so that a rule can't hide an upstream from measurement. */
-const SMALLEST_WEIGHT = 0.01;
-const LARGEST_WEIGHT = 100;
+/** Limits of a factor, so that a rule can't exclude an upstream from measurement. */
+const MIN_WEIGHT = 0.01;
+const MAX_WEIGHT = 100;
 const MILLIS_PER_SECOND = 1000;
 const PASS: PolicyDecision = { type: 'pass' };
 
@@ -52,7 +52,7 @@
   readonly name: string;
   readonly action: PolicyRule['action'];
   readonly when: Evaluate;
-  /** The number that the action takes; `null` if it was left out. */
+  /** The number required by the action; `null` if it is optional and absent. */
   readonly amount: Evaluate | null;
 }
 
@@ -70,14 +70,14 @@
 /**
  * Compiles the rules of a service.
  *
- * @throws PolicyError with a diagnostic for each wrong expression; without `source`, places count within the expression.
+ * @throws PolicyError with a diagnostic for each fault; without `source`, positions are relative to the expression.
  */
 export function compilePolicy(rules: readonly PolicyRule[], source?: PolicySource): PolicyProgram {
   const compiler = new PolicyCompiler(source);
   const compiled = rules.map((rule, index) => compiler.compileRule(rule, index));
   const { maxRules } = PROGRAM_LIMITS;
   if (rules.length > maxRules) {
-    compiler.complain(rules[maxRules] as PolicyRule, maxRules, null, 0, `more than ${maxRules} rules`);
+    compiler.addDiagnostic(rules[maxRules] as PolicyRule, maxRules, null, 0, `more than ${maxRules} rules`);
   }
   if (compiler.diagnostics.length > 0) {
     throw new PolicyError(compiler.diagnostics);
@@ -94,7 +94,7 @@
 
   compileRule(rule: PolicyRule, index: number): CompiledRule | undefined {
     if (this.names.has(rule.name)) {
-      this.complain(rule, index, null, 0, 'another rule has the same name');
+      this.addDiagnostic(rule, index, null, 0, 'another rule has the same name');
     }
     this.names.add(rule.name);
     const when = this.compileField(rule, index, 'when', rule.when, 'bool');
@@ -105,7 +105,7 @@
     return { name: rule.name, action: rule.action, when, amount };
   }
 
-  complain(
+  addDiagnostic(
     rule: PolicyRule,
     index: number,
     field: ExpressionField | null,
@@ -113,11 +113,11 @@
     message: string,
   ): void {
     const text = field === null ? '' : (rule[field] ?? '');
-    const place = this.source?.locate(index, field, offset) ?? positionInText(text, offset);
-    this.diagnostics.push({ rule: rule.name, field, ...place, message });
+    const position = this.source?.locate(index, field, offset) ?? positionInText(text, offset);
+    this.diagnostics.push({ rule: rule.name, field, ...position, message });
   }
 
-  /** `undefined` after a fault, `null` if the rule leaves the amount out. */
+  /** Returns `undefined` after a fault, `null` if the rule has no amount. */
   private compileAmount(rule: PolicyRule, index: number): Evaluate | null | undefined {
     const { field, required } = AMOUNT_FIELDS[rule.action];
     const text = rule[field];
@@ -125,7 +125,7 @@
       return this.compileField(rule, index, field, text, 'number');
     }
     if (required) {
-      this.complain(rule, index, null, 0, `action ${rule.action} needs ${field}`);
+      this.addDiagnostic(rule, index, null, 0, `action ${rule.action} requires ${field}`);
       return undefined;
     }
     return null;
@@ -144,17 +144,17 @@
       this.addCost(rule, index, field, outcome.cost);
       return outcome.evaluate;
     }
-    this.complain(rule, index, field, outcome.fault.offset, outcome.fault.message);
+    this.addDiagnostic(rule, index, field, outcome.fault.offset, outcome.fault.message);
     return undefined;
   }
 
-  /** Complains where the program gets too costly. */
+  /** Reports the field at which the program exceeds the maximum cost. */
   private addCost(rule: PolicyRule, index: number, field: ExpressionField, cost: number): void {
     const { maxCost } = PROGRAM_LIMITS;
-    const before = this.cost;
+    const previousCost = this.cost;
     this.cost += cost;
-    if (before <= maxCost && this.cost > maxCost) {
-      this.complain(rule, index, field, 0, `the program costs more than ${maxCost} evaluated parts`);
+    if (previousCost <= maxCost && this.cost > maxCost) {
+      this.addDiagnostic(rule, index, field, 0, `the program costs more than ${maxCost} evaluated parts`);
     }
   }
 }
@@ -183,7 +183,7 @@
     }
     const celContext = celContextOf(context);
     for (const rule of this.decidingRules) {
-      const decision = this.guard(rule, PASS, () => decideRule(rule, celContext));
+      const decision = this.evaluateRule(rule, PASS, () => decideRule(rule, celContext));
       if (decision.type !== 'pass') {
         return decision;
       }
@@ -194,14 +194,16 @@
   weigher(context: PolicyContext): (upstream: PolicyUpstream) => number {
     const celContext = celContextOf(context);
     return (upstream) => {
-      const full = { ...celContext, upstream: celUpstreamOf(upstream) };
-      const factors = this.weighRules.map((rule) => this.guard(rule, 1, () => weighRule(rule, full)));
+      const upstreamContext = { ...celContext, upstream: celUpstreamOf(upstream) };
+      const factors = this.weighRules.map((rule) =>
+        this.evaluateRule(rule, 1, () => weighRule(rule, upstreamContext)),
+      );
       return factors.reduce((product, factor) => product * factor, 1);
     };
   }
 
-  /** A rule that fails at run time counts as no match, and is counted. */
-  private guard<Result>(rule: CompiledRule, noMatch: Result, evaluate: () => Result): Result {
+  /** Evaluates a rule; a runtime error is counted and returns `noMatch`. */
+  private evaluateRule<Result>(rule: CompiledRule, noMatch: Result, evaluate: () => Result): Result {
     try {
       return evaluate();
     } catch {
@@ -230,10 +232,10 @@
   if (rule.amount === null || rule.when(context) !== true) {
     return 1;
   }
-  return Math.min(LARGEST_WEIGHT, Math.max(SMALLEST_WEIGHT, amountOf(rule.amount, context)));
+  return Math.min(MAX_WEIGHT, Math.max(MIN_WEIGHT, amountOf(rule.amount, context)));
 }
 
-/** @throws RangeError unless it is a finite number of 0 or more. */
+/** @throws RangeError unless the result is a finite number of 0 or more. */
 function amountOf(evaluate: Evaluate, context: Context): number {
   const amount = Number(evaluate(context));
   if (!Number.isFinite(amount) || amount < 0) {
@@ -242,8 +244,8 @@
   return amount;
 }
 
-/** Line and column of an offset in a text, both from 1. */
+/** Returns line and column of an offset in a text, both starting at 1. */
 export function positionInText(text: string, offset: number): PolicyPosition {
-  const before = text.slice(0, offset).split('\n');
-  return { line: before.length, column: (before[before.length - 1] ?? '').length + 1 };
+  const lines = text.slice(0, offset).split('\n');
+  return { line: lines.length, column: (lines[lines.length - 1] ?? '').length + 1 };
 }
--- a/src/policy/policy-trace.ts
+++ b/src/policy/policy-trace.ts
@@ -1,4 +1,4 @@
-/** A recorded trace: what a router's policies saw, one JSON object a line, to try other policies on. */
+/** A recorded trace of policy inputs in a router, one JSON object per line, for evaluating other policies on it. */
 import { z } from 'zod';
 import { TernmountError } from '../errors/ternmount-error.js';
 import { PRIORITY_CLASSES } from '../model/service.js';
@@ -14,7 +14,7 @@
   serviceMillis: countSchema,
 });
 
-/** One look of a policy at one request. */
+/** One evaluation of a policy for one request. */
 export const policyTraceRecordSchema = z.object({
   /** Milliseconds since the Unix epoch. */
   at: z.number(),
@@ -31,16 +31,16 @@
     zone: z.string(),
     deadline: z.object({ remainingMillis: z.number() }),
   }),
-  /** Upstreams of the service that took work then. */
+  /** Upstreams of the service that accepted requests at that time. */
   upstreams: z.array(upstreamSchema),
-  /** What the policy in force decided. */
+  /** Decision of the policy in force. */
   decision: z.enum(['pass', 'refuse', 'hold']),
 });
 
-/** One look of a policy at one request. */
+/** One evaluation of a policy for one request. */
 export type PolicyTraceRecord = z.infer<typeof policyTraceRecordSchema>;
 
-/** A line of a trace is none of its records. */
+/** Thrown for a line of a trace that isn't a valid record. */
 export class PolicyTraceError extends TernmountError {
   constructor(source: string, line: number, problem: string) {
     const options = { code: 'TERNMOUNT_POLICY_TRACE', retriable: false, info: { source, line } };
@@ -48,7 +48,7 @@
   }
 }
 
-/** Reads a trace; `source` stands in messages. Throws `PolicyTraceError`. */
+/** Parses a trace; `source` is the name used in error messages. Throws `PolicyTraceError`. */
 export function parsePolicyTrace(source: string, text: string): PolicyTraceRecord[] {
   return text.split('\n').flatMap((line, index) => {
     return line.trim() === '' ? [] : [parseRecord(source, line, index + 1)];
--- a/src/policy/policy-trial.ts
+++ b/src/policy/policy-trial.ts
@@ -1,39 +1,39 @@
-/** Tries a program on a recorded trace. Each record stands for itself: nothing that a decision would change is modelled. */
+/** Evaluates a program on a recorded trace. Each record is independent: the effects of a decision on later records aren't modelled. */
 import type { PolicyUpstream } from './policy-context.js';
 import type { PolicyDecision, PolicyProgram } from './policy-program.js';
 import type { PolicyTraceRecord } from './policy-trace.js';
 
-/** What the program would have done with one record. */
+/** Result of the program for one record. */
 export interface TriedRecord {
   readonly record: PolicyTraceRecord;
   readonly decision: PolicyDecision;
-  /** Upstream with the least cost as the program weighs it; `null` without upstreams or without `weigh` rules. */
+  /** Upstream with the lowest weighted cost; `null` without upstreams or without `weigh` rules. */
   readonly preferred: string | null;
-  /** The same without weighing. */
+  /** Upstream with the lowest cost without weights; `null` as for `preferred`. */
   readonly preferredUnweighed: string | null;
 }
 
-/** How often a rule decided. */
+/** Number of records that a rule decided. */
 export interface RuleCount {
   readonly rule: string;
   readonly action: 'refuse' | 'hold';
   readonly records: number;
 }
 
-/** What a program would have done with a trace. */
+/** Result of a program for a trace. */
 export interface PolicyTrial {
   readonly tried: readonly TriedRecord[];
   readonly passed: number;
   readonly byRule: readonly RuleCount[];
-  /** Records that the recorded policy decided otherwise. */
+  /** Records whose recorded decision is different. */
   readonly changed: number;
-  /** Records for which weighing prefers another upstream. */
+  /** Records for which the weights change the preferred upstream. */
   readonly preferredChanged: number;
-  /** Runtime errors by rule; such a rule counts as no match. */
+  /** Number of runtime errors by rule; a rule that fails doesn't match. */
   readonly errors: ReadonlyMap<string, number>;
 }
 
-/** Decides on each record by itself. */
+/** Evaluates a program on each record independently. */
 export function tryPolicy(program: PolicyProgram, records: readonly PolicyTraceRecord[]): PolicyTrial {
   const tried = records.map((record) => tryRecord(program, record));
   return {
@@ -41,7 +41,7 @@
     passed: tried.filter(({ decision }) => decision.type === 'pass').length,
     byRule: countRules(tried),
     changed: tried.filter(({ record, decision }) => record.decision !== decision.type).length,
-    preferredChanged: tried.filter((one) => one.preferred !== one.preferredUnweighed).length,
+    preferredChanged: tried.filter((result) => result.preferred !== result.preferredUnweighed).length,
     errors: program.errorCounts(),
   };
 }
@@ -51,12 +51,12 @@
   if (!program.hasWeighRules) {
     return { record, decision, preferred: null, preferredUnweighed: null };
   }
-  const preferred = leastCost(record.upstreams, program.weigher(record.context));
-  return { record, decision, preferred, preferredUnweighed: leastCost(record.upstreams, () => 1) };
+  const preferred = findCheapestUpstream(record.upstreams, program.weigher(record.context));
+  return { record, decision, preferred, preferredUnweighed: findCheapestUpstream(record.upstreams, () => 1) };
 }
 
-/** The picker's cost without the slow start: outstanding work times service time, times the program's factor. */
-function leastCost(
+/** Returns the upstream with the lowest cost of the picker, without slow start: outstanding requests * service time * weight. */
+function findCheapestUpstream(
   upstreams: readonly PolicyUpstream[],
   weigh: (upstream: PolicyUpstream) => number,
 ): string | null {
--- a/test/control/bounded-operate.test.ts
+++ b/test/control/bounded-operate.test.ts
@@ -1,7 +1,7 @@
 /**
- * The bound on requests at once. Some hundred upstreams announce themselves every second, and while no leader can commit, those with
- * news wait with the core. An operator's change that shares their bound is refused as soon as they fill it: with 600 upstreams and
- * a heartbeat of 870 ms that takes 0.4 s. Evidence: the first test below, which failed while the bound was shared.
+ * The limit on concurrent requests. Hundreds of upstreams send announcements every second, and while no leader can commit, those with
+ * updates wait in the core. With a shared limit an operator's change is rejected as soon as announcements reach it: with 600 upstreams
+ * and a heartbeat interval of 870 ms that takes 0.4 s. The first test below fails if the limit is shared.
  */
 import { expect } from 'chai';
 import { boundOperate, type Operate } from '../../src/control/admin/bounded-operate.js';
@@ -22,30 +22,30 @@
 const WITHDRAWAL: OperatorRequest = { type: 'withdraw', upstream: 'u1' };
 const EVACUATION: OperatorRequest = { type: 'evacuate', actor: 'test', zone: 'a', isOut: true };
 
-/** A core that answers when it is told to. */
-class WaitingCore {
-  readonly #waiting: ((response: OperatorResponse) => void)[] = [];
+/** A control core that responds only on `answerAll`. */
+class PendingCore {
+  readonly #pending: ((response: OperatorResponse) => void)[] = [];
   readonly operate: Operate;
 
   constructor() {
     this.operate = boundOperate(
-      (_request) => new Promise((resolve) => this.#waiting.push(resolve)),
+      (_request) => new Promise((resolve) => this.#pending.push(resolve)),
       BOUNDS,
       SILENT,
     );
   }
 
-  /** Requests that reached it. */
+  /** Number of requests that reached the core. */
   get count(): number {
-    return this.#waiting.length;
+    return this.#pending.length;
   }
 
-  begin(request: OperatorRequest, times = 1): Promise<OperatorResponse>[] {
+  start(request: OperatorRequest, times = 1): Promise<OperatorResponse>[] {
     return Array.from({ length: times }, () => this.operate(request));
   }
 
   answerAll(): void {
-    for (const resolve of this.#waiting) {
+    for (const resolve of this.#pending) {
       resolve({ type: 'done' });
     }
   }
@@ -58,42 +58,42 @@
   );
 }
 
-describe('the bound on requests at once', () => {
+describe('the limit on concurrent requests', () => {
   for (const [name, request] of [
     ['announcements', ANNOUNCEMENT],
     ['withdrawals', WITHDRAWAL],
   ] as const) {
-    it(`leaves room for operators whatever number of ${name} waits`, async () => {
-      const core = new WaitingCore();
-      const begun = core.begin(request, BOUNDS.maximumOperations);
-      const [change] = core.begin(EVACUATION);
+    it(`leaves capacity for operators regardless of the number of waiting ${name}`, async () => {
+      const core = new PendingCore();
+      const started = core.start(request, BOUNDS.maximumOperations);
+      const [change] = core.start(EVACUATION);
       expect(core.count).to.equal(BOUNDS.maximumOperations + 1);
       core.answerAll();
       expect(await codeOf(change as Promise<OperatorResponse>)).to.equal('done');
-      await Promise.all(begun);
+      await Promise.all(started);
     });
   }
 
-  it('leaves room for announcements whatever number of operators waits', async () => {
-    const core = new WaitingCore();
-    const begun = core.begin(EVACUATION, BOUNDS.maximumOperations);
-    begun.push(...core.begin(ANNOUNCEMENT));
+  it('leaves capacity for announcements regardless of the number of waiting operators', async () => {
+    const core = new PendingCore();
+    const started = core.start(EVACUATION, BOUNDS.maximumOperations);
+    started.push(...core.start(ANNOUNCEMENT));
     expect(core.count).to.equal(BOUNDS.maximumOperations + 1);
     core.answerAll();
-    await Promise.all(begun);
+    await Promise.all(started);
   });
 
   for (const request of [ANNOUNCEMENT, EVACUATION]) {
-    it(`refuses what is above it: ${request.type}, and takes it again once one was answered`, async () => {
-      const core = new WaitingCore();
-      const begun = core.begin(request, BOUNDS.maximumOperations);
-      const [refused] = core.begin(request);
-      expect(await codeOf(refused as Promise<OperatorResponse>)).to.equal('overloaded');
+    it(`rejects requests above it (${request.type}) and accepts them again after responses`, async () => {
+      const core = new PendingCore();
+      const started = core.start(request, BOUNDS.maximumOperations);
+      const [rejected] = core.start(request);
+      expect(await codeOf(rejected as Promise<OperatorResponse>)).to.equal('overloaded');
       core.answerAll();
-      await Promise.all(begun);
-      const [again] = core.begin(request);
+      await Promise.all(started);
+      const [retried] = core.start(request);
       core.answerAll();
-      expect(await codeOf(again as Promise<OperatorResponse>)).to.equal('done');
+      expect(await codeOf(retried as Promise<OperatorResponse>)).to.equal('done');
     });
   }
 });
--- a/test/ledger/stored-bodies.test.ts
+++ b/test/ledger/stored-bodies.test.ts
@@ -1,4 +1,4 @@
-/** The bound on answers' bodies: the oldest go, that their requests ran stays, and replicas agree. */
+/** The limit on stored answer bodies: the oldest are evicted, the records that requests ran stay, and replicas agree. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { Ledger } from '../../src/ledger/index.js';
@@ -8,7 +8,7 @@
 const RETENTION_MILLIS = 3_600_000;
 const LIMITS = { storedBodiesPerService: 1000 };
 
-/** A ledger with a revision that counts commands. */
+/** A ledger whose revision increases with each command. */
 class Writer {
   ledger = new Ledger(LIMITS);
   revision = 0;
@@ -50,14 +50,14 @@
     this.ledger = Ledger.fromState(structuredClone(this.ledger.toState()), LIMITS);
   }
 
-  bodies(): number {
+  totalBodyLength(): number {
     const records = this.ledger.toState().services.flatMap(({ ledger }) => ledger.records);
     return records.reduce((sum, { record }) => sum + (record.answer?.body.length ?? 0), 0);
   }
 }
 
 describe('bodies of stored answers', () => {
-  it('go in the order in which they were settled, and what ran stays known', () => {
+  it('are evicted in the order of settlement, and the records stay', () => {
     const writer = new Writer();
     for (const key of ['a', 'b', 'c']) {
       writer.claim(key);
@@ -82,7 +82,7 @@
     expect(writer.ledger.claim({ ...other, claimant: 'router-2/1' }, 99, CLOCK).type).to.equal('duplicate');
   });
 
-  it('keep their place when the key is shown again, and leave with their record', () => {
+  it('keep their position when the key is claimed again, and are removed with their record', () => {
     const writer = new Writer();
     writer.claim('a');
     writer.settle('a', 400);
@@ -94,31 +94,31 @@
     expect(writer.body('a')).to.equal('');
     expect(writer.body('b')).to.have.length(400);
     writer.ledger.expire(CLOCK + RETENTION_MILLIS + 60_000);
-    expect(writer.bodies()).to.equal(0);
+    expect(writer.totalBodyLength()).to.equal(0);
   });
 
-  it('are the same on a replica that was restored at any time', () => {
+  it('are equal on a replica that was restored at any time', () => {
     const step = fc.tuple(fc.constantFrom('claim', 'ran', 'not-run', 'restart'), fc.nat(9), fc.nat(500));
     fc.assert(
       fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
-        const steady = new Writer();
+        const continuous = new Writer();
         const restarted = new Writer();
-        for (const [what, number, length] of steps) {
+        for (const [action, number, length] of steps) {
           const key = `key-${number}`;
-          if (what === 'restart') {
+          if (action === 'restart') {
             restarted.restart();
             continue;
           }
-          for (const writer of [steady, restarted]) {
-            if (what === 'claim') {
+          for (const writer of [continuous, restarted]) {
+            if (action === 'claim') {
               writer.claim(key);
             } else {
-              writer.settle(key, length, what as 'ran');
+              writer.settle(key, length, action as 'ran');
             }
           }
-          expect(steady.bodies()).to.be.at.most(LIMITS.storedBodiesPerService);
+          expect(continuous.totalBodyLength()).to.be.at.most(LIMITS.storedBodiesPerService);
         }
-        expect(restarted.ledger.toState()).to.deep.equal(steady.ledger.toState());
+        expect(restarted.ledger.toState()).to.deep.equal(continuous.ledger.toState());
       }),
       { seed: 73, numRuns: 300 },
     );
