--- a/src/router/caller/answer-writer.ts
+++ b/src/router/caller/answer-writer.ts
@@ -1,83 +1,83 @@
 /**
- * Gives one large answer to one caller, once it is at the front of its connection, and holds what the caller doesn't take
- * yet. An answer that breaks before it began for its caller can still be replaced.
+ * Writes one large answer to one caller once it is at the front of its connection, and buffers what the caller doesn't read
+ * yet. An answer whose source fails before its head was written can still be replaced by another.
  */
 import type { ServerResponse } from 'node:http';
 
-/** The connection's account of what is held for it. */
-export interface WriterAccount {
-  /** So many more bytes are held, or fewer. */
+/** Accounts for the answer bytes that a connection buffers. */
+export interface BufferAccount {
+  /** Adds `bytes`, which may be negative, to the buffered bytes. */
   hold(bytes: number): void;
-  hasRoom(): boolean;
-  /** Calls back once when it may have room. */
-  whenReleased(wake: () => void): void;
-  forget(wake: () => void): void;
+  hasCapacity(): boolean;
+  /** Calls `wake` once when there may be capacity. */
+  waitForRelease(wake: () => void): void;
+  cancelWait(wake: () => void): void;
 }
 
-export interface AnswerWriterParts {
+export interface AnswerWriterOptions {
   readonly response: ServerResponse;
   readonly status: number;
   readonly headers: string[];
-  readonly account: WriterAccount;
-  /** The source of the answer broke. */
-  readonly broke: (begun: boolean) => void;
+  readonly account: BufferAccount;
+  /** Called when the source of the answer fails; `started` is whether the head was written. */
+  readonly onBroken: (started: boolean) => void;
 }
 
-const NOTHING = (): void => {};
+const NOOP = (): void => {};
 
 export class AnswerWriter {
-  /** Called when more may be written after `write` gave `false`. */
-  onRoom: () => void = NOTHING;
-  /** Called when the caller is gone before the answer was whole. */
-  onGone: () => void = NOTHING;
-  readonly #parts: AnswerWriterParts;
+  /** Called when more may be written after `write` returned `false`. */
+  onRoom: () => void = NOOP;
+  /** Called when the request ends, for example because its caller disconnected; not after `abort`. */
+  onGone: () => void = NOOP;
+  readonly #options: AnswerWriterOptions;
   #chunks: Buffer[] = [];
-  #heldBytes = 0;
-  /** Bytes of the piece that the socket hasn't passed on. */
+  #bufferedBytes = 0;
+  /** Bytes written to the response that are still in the socket's buffer. */
   #unsentBytes = 0;
-  #begun = false;
+  #started = false;
   #blocked = false;
   #ended = false;
-  #over = false;
-  readonly #retry = (): void => this.#reportRoom();
+  #closed = false;
+  readonly #onReleased = (): void => this.#notifyWritable();
 
-  constructor(parts: AnswerWriterParts) {
-    this.#parts = parts;
+  constructor(options: AnswerWriterOptions) {
+    this.#options = options;
   }
 
-  /** The connection is free for this answer. */
-  begin(): void {
-    const { response, status, headers } = this.#parts;
-    if (this.#over || this.#begun) {
+  /** Starts writing: the answer is at the front of its connection. */
+  start(): void {
+    const { response, status, headers } = this.#options;
+    if (this.#closed || this.#started) {
       return;
     }
-    this.#begun = true;
-    response.on('drain', () => this.#drained());
+    this.#started = true;
+    response.on('drain', () => this.#onDrain());
     response.writeHead(status, headers);
     response.flushHeaders();
     this.#flush();
-    // An answer at the front may be read on whatever others hold; it may have been told to wait while it was behind one.
-    this.#reportRoom();
+    // An answer at the front may continue whatever other answers buffer; it may have been blocked while it was behind another.
+    this.#notifyWritable();
   }
 
-  /** Gives `false` if nothing more should be read until `onRoom` is called. */
+  /** Returns `false` if nothing more should be read from the source until `onWritable` is called. */
   write(chunk: Buffer): boolean {
-    if (this.#over) {
+    if (this.#closed) {
       return true;
     }
-    if (this.#begun && !this.#blocked && this.#chunks.length === 0) {
+    if (this.#started && !this.#blocked && this.#chunks.length === 0) {
       this.#send(chunk);
     } else {
       this.#chunks.push(chunk);
-      this.#heldBytes += chunk.length;
-      this.#parts.account.hold(chunk.length);
+      this.#bufferedBytes += chunk.length;
+      this.#options.account.hold(chunk.length);
     }
-    return this.#hasRoom();
+    return this.#hasCapacity();
   }
 
-  /** Whether more may be written now; else `onRoom` is called. */
+  /** Whether more may be written now. If not, `onWritable` is called later. */
   hasRoom(): boolean {
-    return this.#over || this.#hasRoom();
+    return this.#closed || this.#hasCapacity();
   }
 
   end(): void {
@@ -85,63 +85,66 @@
     this.#flush();
   }
 
-  /** Breaks off the answer; its caller never takes a piece for the whole. */
+  /** Aborts the answer, so that its caller can't mistake a part for the whole. */
   breakOff(): void {
-    if (!this.#over) {
+    if (!this.#closed) {
       this.#close();
-      this.#parts.broke(this.#begun);
+      this.#options.onBroken(this.#started);
     }
   }
 
-  /** The request is over, whether or not its answer was given whole. */
+  /** Called when the request is over, whether or not its answer was written whole. */
   close(): void {
-    if (!this.#over) {
+    if (!this.#closed) {
       this.#close();
       this.onGone();
     }
   }
 
   #close(): void {
-    this.#over = true;
-    const heldBytes = this.#heldBytes + this.#unsentBytes;
+    this.#closed = true;
+    const releasedBytes = this.#bufferedBytes + this.#unsentBytes;
     this.#chunks = [];
-    this.#heldBytes = 0;
+    this.#bufferedBytes = 0;
     this.#unsentBytes = 0;
-    this.#parts.account.forget(this.#retry);
-    this.#parts.account.hold(-heldBytes);
+    this.#options.account.cancelWait(this.#onReleased);
+    this.#options.account.hold(-releasedBytes);
   }
 
-  #hasRoom(): boolean {
-    const { account } = this.#parts;
-    if ((this.#begun && !this.#blocked) || account.hasRoom()) {
+  #hasCapacity(): boolean {
+    const { account } = this.#options;
+    if ((this.#started && !this.#blocked) || account.hasCapacity()) {
       return true;
     }
-    account.whenReleased(this.#retry);
+    account.waitForRelease(this.#onReleased);
     return false;
   }
 
-  #reportRoom(): void {
-    if (!this.#over && this.#hasRoom()) {
-      this.#parts.account.forget(this.#retry);
+  #notifyWritable(): void {
+    if (!this.#closed && this.#hasCapacity()) {
+      this.#options.account.cancelWait(this.#onReleased);
       this.onRoom();
     }
   }
 
-  #drained(): void {
-    if (this.#over) {
+  #onDrain(): void {
+    if (this.#closed) {
       return;
     }
     const sentBytes = this.#unsentBytes;
     this.#unsentBytes = 0;
     this.#blocked = false;
-    this.#parts.account.hold(-sentBytes);
+    this.#options.account.hold(-sentBytes);
     this.#flush();
-    this.#reportRoom();
+    this.#notifyWritable();
   }
 
-  /** Sends what is held as far as the socket takes it. An answer ends when all of it is sent, so a planned stop can't cut it. */
+  /**
+   * Writes buffered chunks until the socket's buffer is full. The response ends only after all of it was written, so a planned
+   * stop can't truncate it.
+   */
   #flush(): void {
-    if (!this.#begun || this.#over) {
+    if (!this.#started || this.#closed) {
       return;
     }
     let sentBytes = 0;
@@ -150,18 +153,18 @@
       sentBytes += chunk.length;
       this.#send(chunk);
     }
-    this.#heldBytes -= sentBytes;
-    this.#parts.account.hold(-sentBytes);
+    this.#bufferedBytes -= sentBytes;
+    this.#options.account.hold(-sentBytes);
     if (this.#ended && !this.#blocked) {
-      this.#parts.response.end();
+      this.#options.response.end();
     }
   }
 
   #send(chunk: Buffer): void {
-    if (!this.#parts.response.write(chunk)) {
+    if (!this.#options.response.write(chunk)) {
       this.#blocked = true;
       this.#unsentBytes += chunk.length;
-      this.#parts.account.hold(chunk.length);
+      this.#options.account.hold(chunk.length);
     }
   }
 }
--- a/src/router/caller/bad-request-error.ts
+++ b/src/router/caller/bad-request-error.ts
@@ -1,7 +1,7 @@
-/** Requests that the router turns away by itself, before its core hears of them. Nothing has run. */
+/** Errors of requests that the router rejects before they reach its core. Such a request has not run. */
 import { TernmountError } from '../../errors/ternmount-error.js';
 
-/** A request that makes no sense; 400. */
+/** The request is invalid; answered with 400. */
 export class BadRequestError extends TernmountError {
   readonly status = 400;
   readonly reason = 'bad-request';
@@ -11,7 +11,7 @@
   }
 }
 
-/** A body above the bound; 413. */
+/** The body exceeds its limit; answered with 413. */
 export class BodyTooLargeError extends TernmountError {
   readonly status = 413;
   readonly reason = 'body-too-large';
@@ -24,7 +24,7 @@
   }
 }
 
-/** Too many bodies are held already; 503. */
+/** The router already buffers too many bodies; answered with 503. */
 export class BodiesHeldError extends TernmountError {
   readonly status = 503;
   readonly reason = 'queue-full';
@@ -37,9 +37,9 @@
   }
 }
 
-export type TurnedAwayError = BadRequestError | BodyTooLargeError | BodiesHeldError;
+export type RejectedRequestError = BadRequestError | BodyTooLargeError | BodiesHeldError;
 
-export function isTurnedAway(error: unknown): error is TurnedAwayError {
+export function isRejectedRequestError(error: unknown): error is RejectedRequestError {
   return (
     error instanceof BadRequestError || error instanceof BodyTooLargeError || error instanceof BodiesHeldError
   );
--- a/src/router/caller/body-reader.ts
+++ b/src/router/caller/body-reader.ts
@@ -1,6 +1,6 @@
-/** Reads the bodies of requests whole, bounded one by one and together. */
+/** Reads request bodies whole, with limits for each body and for all of them together. */
 import type { IncomingMessage } from 'node:http';
-import { BodiesHeldError, BodyTooLargeError, type TurnedAwayError } from './bad-request-error.js';
+import { BodiesHeldError, BodyTooLargeError, type RejectedRequestError } from './bad-request-error.js';
 
 export const NO_BODY = Buffer.alloc(0);
 
@@ -14,27 +14,27 @@
 
   constructor(private limits: BodyLimits) {}
 
-  /** Takes over another bound on one body. */
+  /** Sets another limit for one body. */
   resize(maxBodyBytes: number): void {
     this.limits = { ...this.limits, maxBodyBytes };
   }
 
-  /** Bytes of bodies held now. */
+  /** Bytes of bodies buffered now. */
   get held(): number {
     return this.heldBytes;
   }
 
   /**
-   * Calls back once with the body, or with the error that turns the request away; never if the caller goes away.
-   * What was read must be given back with `release`.
+   * Calls `done` once with the body, or with the error that rejects the request; never if the caller disconnects first.
+   * The body must be passed to `release` when it isn't needed any more.
    */
-  read(request: IncomingMessage, done: (error: TurnedAwayError | null, body: Buffer) => void): void {
+  read(request: IncomingMessage, done: (error: RejectedRequestError | null, body: Buffer) => void): void {
     if (!hasBody(request)) {
       done(null, NO_BODY);
       return;
     }
-    const announced = Number(request.headers['content-length'] ?? 0);
-    if (announced > this.limits.maxBodyBytes) {
+    const declaredBytes = Number(request.headers['content-length'] ?? 0);
+    if (declaredBytes > this.limits.maxBodyBytes) {
       done(new BodyTooLargeError(this.limits.maxBodyBytes), NO_BODY);
       return;
     }
@@ -47,12 +47,12 @@
 
   private collect(
     request: IncomingMessage,
-    done: (error: TurnedAwayError | null, body: Buffer) => void,
+    done: (error: RejectedRequestError | null, body: Buffer) => void,
   ): void {
     const chunks: Buffer[] = [];
     let size = 0;
     let ended = false;
-    const end = (error: TurnedAwayError | null, body: Buffer): void => {
+    const end = (error: RejectedRequestError | null, body: Buffer): void => {
       if (!ended) {
         ended = true;
         if (error !== null) {
--- a/src/router/caller/caller-connection.ts
+++ b/src/router/caller/caller-connection.ts
@@ -1,98 +1,99 @@
-/** One connection of a caller with the requests that were sent on it behind one another. */
+/** One connection of a caller with its pipelined requests. */
 import type { Socket } from 'node:net';
-import type { WriterAccount } from './answer-writer.js';
+import type { BufferAccount } from './answer-writer.js';
 import type { BreakReason, CallerExchange } from './caller-exchange.js';
 import type { HeldBytes } from './held-bytes.js';
 import type { PausedConnection, PausedConnections } from './paused-connections.js';
-import { type PipelineLimits, PipelineOrder, type SocketReading } from './pipeline-order.js';
+import { type PipelineLimits, PipelineOrder, type SocketReadMode } from './pipeline-order.js';
 import { SocketPause } from './socket-pause.js';
 
-export interface CallerConnectionParts {
+export interface CallerConnectionOptions {
   readonly limits: PipelineLimits;
   readonly held: HeldBytes;
   readonly paused: PausedConnections;
-  /** Silence in the middle of an answer after which it is broken off. */
+  /** An answer on which no bytes pass for this time is aborted. */
   readonly stallMillis: number;
-  /** It is the turn of a request. */
-  readonly handOn: (exchange: CallerExchange) => void;
-  /** The answer of a request was given whole, or can't be given any more. */
-  readonly ended: (exchange: CallerExchange, wasHandedOn: boolean) => void;
+  /** Called when a request may run. */
+  readonly dispatch: (exchange: CallerExchange) => void;
+  /** Called when the answer of a request was written whole, or can't be written any more. */
+  readonly ended: (exchange: CallerExchange, wasDispatched: boolean) => void;
+  /** Called when an answer is aborted, with the number of requests lost behind it. */
   readonly broken: (exchange: CallerExchange, reason: BreakReason, lostBehind: number) => void;
 }
 
-export class CallerConnection implements WriterAccount, PausedConnection {
-  readonly #parts: CallerConnectionParts;
+export class CallerConnection implements BufferAccount, PausedConnection {
+  readonly #options: CallerConnectionOptions;
   readonly #socket: Socket;
   readonly #order: PipelineOrder<CallerExchange>;
   readonly #pause: SocketPause;
 
-  constructor(socket: Socket, parts: CallerConnectionParts) {
-    this.#parts = parts;
+  constructor(socket: Socket, options: CallerConnectionOptions) {
+    this.#options = options;
     this.#socket = socket;
-    this.#order = new PipelineOrder(parts.limits);
+    this.#order = new PipelineOrder(options.limits);
     this.#pause = new SocketPause(socket);
-    socket.on('timeout', () => this.#timedOut());
-    socket.once('close', () => this.#closed());
+    socket.on('timeout', () => this.#onTimeout());
+    socket.once('close', () => this.#onClosed());
   }
 
-  /** Requests that were read and aren't answered whole. */
+  /** Number of requests that were read and aren't answered whole. */
   get size(): number {
     return this.#order.size;
   }
 
-  /** Whether it isn't read. */
+  /** Whether reading of the socket is paused. */
   get isPaused(): boolean {
     return this.#pause.isPaused;
   }
 
-  /** Whether a request that was read counts; none does behind an answer that closes the connection. */
-  takesRequests(): boolean {
+  /** Whether a request that was just read is accepted. Requests behind an answer that closes the connection are ignored. */
+  acceptsRequests(): boolean {
     if (!this.#order.isClosing) {
       return true;
     }
-    this.#order.ignore();
-    this.#read();
+    this.#order.recordIgnored();
+    this.#updateReading();
     return false;
   }
 
-  /** Takes the next request, whose body may still have to come. */
+  /** Adds the next request, whose body may not have arrived yet. */
   add(exchange: CallerExchange): void {
     const before = this.#order.last;
     if (before !== undefined && !before.answered && before.closesConnection) {
-      // The last request of a connection that a planned stop closes carries the close.
+      // When a planned stop closes a connection, only the answer to its last request has `connection: close`.
       before.closesConnection = false;
     }
     this.#order.add(exchange);
     if (this.#order.front?.answered === true) {
-      this.#watchSilence();
+      this.#startStallTimeout();
     }
   }
 
-  /** A request has come whole; it is handed on when it is its turn. */
+  /** Called when the body of a request has arrived. The request is dispatched as soon as its place in the order allows it. */
   complete(exchange: CallerExchange): void {
     this.#order.complete(exchange);
-    this.#handOn();
+    this.#dispatchPending();
   }
 
-  /** Takes no more requests; those that were read before are still answered. */
+  /** Accepts no more requests. Requests that were read before are still answered. */
   close(): void {
     this.#order.close();
   }
 
-  /** The answer of a request closes the connection: those behind it can't be answered. */
+  /** Marks the answer of a request as closing the connection. Ends the requests behind it and returns their number. */
   closeAfter(exchange: CallerExchange): number {
-    const lastHandedOn = this.#order.lastHandedOn;
+    const lastDispatched = this.#order.lastDispatched;
     const lost = this.#order.closeAfter(exchange);
-    const handedOn = lastHandedOn === undefined ? 0 : lost.indexOf(lastHandedOn) + 1;
+    const dispatchedCount = lastDispatched === undefined ? 0 : lost.indexOf(lastDispatched) + 1;
     for (const [index, behind] of lost.entries()) {
-      this.#end(behind, index < handedOn);
+      this.#endExchange(behind, index < dispatchedCount);
     }
     return lost.length;
   }
 
-  /** An answer is broken off, and with it the connection. */
-  breakAt(exchange: CallerExchange, reason: BreakReason): void {
-    this.#parts.broken(exchange, reason, this.closeAfter(exchange));
+  /** Called when an answer is aborted, and the connection with it. */
+  onAborted(exchange: CallerExchange, reason: BreakReason): void {
+    this.#options.broken(exchange, reason, this.closeAfter(exchange));
   }
 
   isAtFront(exchange: CallerExchange): boolean {
@@ -101,118 +102,118 @@
 
   hold(bytes: number): void {
     this.#order.hold(bytes);
-    this.#parts.held.change(bytes);
+    this.#options.held.change(bytes);
     if (bytes < 0 && this.#pause.isPaused) {
-      this.#read();
+      this.#updateReading();
     }
   }
 
-  hasRoom(): boolean {
-    return this.#parts.held.hasRoom(this.#order.heldBytes);
+  hasCapacity(): boolean {
+    return this.#options.held.hasCapacity(this.#order.heldBytes);
   }
 
-  whenReleased(wake: () => void): void {
-    this.#parts.held.whenReleased(wake);
+  waitForRelease(wake: () => void): void {
+    this.#options.held.waitForRelease(wake);
   }
 
-  forget(wake: () => void): void {
-    this.#parts.held.forget(wake);
+  cancelWait(wake: () => void): void {
+    this.#options.held.cancelWait(wake);
   }
 
-  /** An answer of so many bytes is there; on a planned stop that decides which answer is the last. */
-  answerBegins(exchange: CallerExchange, bytes: number, isStreamed: boolean): void {
-    this.#order.expect(bytes);
+  /** Called when an answer of `bytes` starts. On a planned stop this decides which answer is the last. */
+  onAnswerStart(exchange: CallerExchange, bytes: number, isStreamed: boolean): void {
+    this.#order.recordAnswerSize(bytes);
     if (this.isAtFront(exchange) && (isStreamed || this.#order.size > 1)) {
-      this.#watchSilence();
+      this.#startStallTimeout();
     }
-    const { last, lastHandedOn } = this.#order;
+    const { last, lastDispatched } = this.#order;
     if (last === undefined || !last.closesConnection || this.#order.isClosing) {
       return;
     }
-    if (last === lastHandedOn) {
+    if (last === lastDispatched) {
       this.#order.close();
-    } else if (lastHandedOn !== undefined && (lastHandedOn === exchange || !lastHandedOn.answered)) {
-      lastHandedOn.closesConnection = true;
-      this.closeAfter(lastHandedOn);
+    } else if (lastDispatched !== undefined && (lastDispatched === exchange || !lastDispatched.answered)) {
+      lastDispatched.closesConnection = true;
+      this.closeAfter(lastDispatched);
     }
   }
 
-  /** The answer of a request was given whole. */
-  finished(exchange: CallerExchange): void {
+  /** Called when the response of a request has closed. */
+  onResponseClosed(exchange: CallerExchange): void {
     if (this.#socket.destroyed) {
-      this.#closed();
+      this.#onClosed();
       return;
     }
     this.#order.remove(exchange);
-    this.#end(exchange, true);
+    this.#endExchange(exchange, true);
     const front = this.#order.front;
     if (front !== undefined) {
-      this.#moveUp(front);
+      this.#onFrontChanged(front);
     }
-    this.#handOn();
+    this.#dispatchPending();
   }
 
   look(): void {
-    if (this.#order.reading === 'look') {
+    if (this.#order.readMode === 'look') {
       this.#pause.resume();
     }
   }
 
-  /** The socket is closed: nothing of the connection can be answered any more. */
-  #closed(): void {
-    this.#parts.paused.forget(this);
+  /** Ends all requests, since a closed socket can't carry an answer. */
+  #onClosed(): void {
+    this.#options.paused.remove(this);
     const front = this.#order.front;
     if (front !== undefined) {
       this.closeAfter(front);
-      const wasHandedOn = this.#order.lastHandedOn === front;
+      const wasDispatched = this.#order.lastDispatched === front;
       this.#order.remove(front);
-      this.#end(front, wasHandedOn);
+      this.#endExchange(front, wasDispatched);
     }
   }
 
-  /** The request is the first of the connection now. */
-  #moveUp(front: CallerExchange): void {
+  /** Called when a request becomes the first of the connection. */
+  #onFrontChanged(front: CallerExchange): void {
     if (front.answered) {
-      this.#watchSilence();
+      this.#startStallTimeout();
     } else {
       this.#socket.setTimeout(0);
     }
-    front.reachFront();
+    front.onReachedFront();
   }
 
-  /** Breaks the connection if nothing passes on it while an answer is given. */
-  #watchSilence(): void {
-    this.#socket.setTimeout(this.#parts.stallMillis);
+  /** Aborts the answer in front if no bytes pass on the connection for `stallMillis`. */
+  #startStallTimeout(): void {
+    this.#socket.setTimeout(this.#options.stallMillis);
   }
 
-  #timedOut(): void {
+  #onTimeout(): void {
     if (this.#order.front?.answered === true) {
       this.#order.front.breakOff('caller-stalled');
     }
   }
 
-  #handOn(): void {
-    for (let next = this.#order.handOnNext(); next !== undefined; next = this.#order.handOnNext()) {
-      this.#parts.handOn(next);
+  #dispatchPending(): void {
+    for (let next = this.#order.dispatchNext(); next !== undefined; next = this.#order.dispatchNext()) {
+      this.#options.dispatch(next);
     }
-    this.#read();
+    this.#updateReading();
   }
 
-  #end(exchange: CallerExchange, wasHandedOn: boolean): void {
+  #endExchange(exchange: CallerExchange, wasDispatched: boolean): void {
     if (exchange.end()) {
-      this.#parts.ended(exchange, wasHandedOn);
+      this.#options.ended(exchange, wasDispatched);
     }
   }
 
-  #read(): void {
-    const reading: SocketReading = this.#order.reading;
-    if (reading === 'on') {
+  #updateReading(): void {
+    const readMode: SocketReadMode = this.#order.readMode;
+    if (readMode === 'on') {
       this.#pause.resume();
       return;
     }
     this.#pause.pause();
-    if (reading === 'look') {
-      this.#parts.paused.lookAt(this);
+    if (readMode === 'look') {
+      this.#options.paused.scheduleLook(this);
     }
   }
 }
--- a/src/router/caller/caller-exchange.ts
+++ b/src/router/caller/caller-exchange.ts
@@ -1,21 +1,21 @@
-/** One request of a caller and the one answer that it gets. */
+/** One request of a caller and its answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { StoredAnswer } from '../../ledger/types.js';
 import { HEADERS, type Outcome } from '../../model/outcome.js';
 import type { RefusalReason, RequestNumber } from '../../routing/types.js';
 import type { FaultAnswer, RequestFault } from '../../wire/http/request-faults.js';
 import { AnswerWriter } from './answer-writer.js';
-import type { TurnedAwayError } from './bad-request-error.js';
+import type { RejectedRequestError } from './bad-request-error.js';
 import { NO_BODY } from './body-reader.js';
 import type { CallerConnection } from './caller-connection.js';
 import { forwardedRequestHeaders } from './header-rules.js';
 import type { CallerRequestHead } from './request-head.js';
 
-/** An answer of the router's own. */
+/** An answer that the router generates itself. */
 export interface OwnAnswer {
   readonly status: number;
   readonly outcome: Outcome;
-  readonly reason: RefusalReason | TurnedAwayError['reason'];
+  readonly reason: RefusalReason | RejectedRequestError['reason'];
   readonly retryAfterMillis: number | null;
   readonly message?: string;
 }
@@ -25,40 +25,40 @@
   'header-too-large': 'the header is too large',
   'too-slow': 'the request did not come whole in time',
 };
-/** An answer that broke before it began for its caller. Its upstream had begun it, but nobody knows what it would have said. */
+/** Replaces an answer that failed after its upstream had started it, but before any of it was written. Its result is unknown. */
 const ANSWER_BROKEN: OwnAnswer = {
   status: 502,
   outcome: 'unknown',
   reason: 'upstream-failed',
   retryAfterMillis: null,
 };
-/** Smaller answers are written at once: a socket holds them. */
+/** Answers up to this size are written at once, since the socket's buffer holds them. */
 const LARGE_ANSWER_BYTES = 16 * 1024;
 /** Methods without effects (RFC 9110, 9.2.1). */
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'TRACE']);
-/** Reason given with a stored answer whose body was too large to keep. */
-const BODY_NOT_KEPT = 'answer-not-kept';
+/** Reason sent with a stored answer whose body was too large to store. */
+const BODY_NOT_STORED = 'answer-not-kept';
 
-/** Whether `Retry-After` is rounded up to whole seconds, as RFC 9110 has it, or says milliseconds as a fraction. */
+/** Whether `Retry-After` is rounded up to whole seconds, as RFC 9110 requires, or has milliseconds as a fraction. */
 export type RetryAfterUnit = 'whole-seconds' | 'fractions';
 
-/** The two ends of a request, and how its refusals are worded. */
+/** The HTTP request and response of an exchange, and the unit of `Retry-After` in its rejections. */
 export interface CallerStreams {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly retryAfterUnit: RetryAfterUnit;
 }
 
-/** Why an answer was broken off. */
+/** Why an answer was aborted. */
 export type BreakReason = 'upstream-broke' | 'caller-stalled' | 'unwritable' | 'needs-length';
 
 export class CallerExchange {
-  /** When its head arrived, on the monotonic clock. */
+  /** Time when the head arrived, on the monotonic clock. */
   readonly arrivedAt = performance.now();
-  private answering = false;
+  private answerStarted = false;
   private answerBytes = 0;
   private writer: AnswerWriter | null = null;
-  private over = false;
+  private ended = false;
   private received: Buffer | null = null;
 
   constructor(
@@ -84,8 +84,8 @@
     return SAFE_METHODS.has(this.head.method);
   }
 
-  /** Its body has come whole. */
-  receive(body: Buffer): void {
+  /** Sets the body once it has arrived whole. */
+  setBody(body: Buffer): void {
     this.received = body;
   }
 
@@ -101,12 +101,12 @@
     return this.body.length;
   }
 
-  /** Whether its answer was given whole or can't be given any more. */
-  get isOver(): boolean {
-    return this.over;
+  /** Whether the answer was written whole or can't be written any more. */
+  get isEnded(): boolean {
+    return this.ended;
   }
 
-  /** How long the caller will still wait, if it said so: what was spent behind others of its connection counts. */
+  /** Time left until the caller's deadline, if it sent one. Time spent behind other requests of the connection counts. */
   get remainingMillis(): number | null {
     const { deadlineMillis } = this.head;
     if (deadlineMillis === null) {
@@ -115,22 +115,22 @@
     return deadlineMillis - Math.floor(performance.now() - this.arrivedAt);
   }
 
-  /** Headers for the upstream, without the router's own. */
+  /** Headers for the upstream, without the router's internal ones. */
   forwardedHeaders(): string[] {
     return forwardedRequestHeaders(this.request.rawHeaders);
   }
 
   /** Whether an answer has been started. */
   get answered(): boolean {
-    return this.answering;
+    return this.answerStarted;
   }
 
-  /** Whether the caller can tell the end of an answer without a length from a connection that broke. */
+  /** Whether the caller supports chunked encoding, and so can tell the end of an answer without a length from a broken connection. */
   get takesChunks(): boolean {
     return this.request.httpVersion !== '1.0';
   }
 
-  /** Whether its answer is to be the last one of the connection. */
+  /** Whether the answer is the last one of the connection. */
   get closesConnection(): boolean {
     return !this.response.shouldKeepAlive;
   }
@@ -139,7 +139,7 @@
     this.response.shouldKeepAlive = !closes;
   }
 
-  /** Gives a whole answer of an upstream. */
+  /** Sends an upstream's answer that was read whole. */
   answerWhole(status: number, headers: string[], body: Buffer): void {
     if (body.length > LARGE_ANSWER_BYTES) {
       const writer = this.startStream(status, headers, body.length);
@@ -147,54 +147,54 @@
       writer.end();
       return;
     }
-    this.begin(body.length);
+    this.startAnswer(body.length);
     this.response.writeHead(status, headers);
     this.response.end(body);
   }
 
   /**
-   * Gives an answer whose length its upstream didn't say. Nobody can tell whether all of it came, so the caller isn't told a
-   * length either: it ends with the connection.
+   * Sends an answer whose upstream gave no length. The router can't check that it is complete, so it sends no length either:
+   * the answer ends when the connection closes.
    */
   answerUnframed(status: number, headers: string[], body: Buffer): void {
     this.response.useChunkedEncodingByDefault = false;
     this.closesConnection = true;
     this.connection.closeAfter(this);
-    // Never broken off for a slow reader: cut short, an answer that ends with its connection would look whole.
-    this.begin(body.length);
+    // Never aborted for a slow reader: a truncated answer that ends with its connection would look complete.
+    this.startAnswer(body.length);
     this.response.writeHead(status, headers);
     this.response.end(body);
   }
 
-  /** Starts an answer of about so many bytes that is given piece by piece, and gives what it is written to. */
+  /** Starts an answer of about `bytes` that is written in pieces, and returns its writer. */
   startStream(status: number, headers: string[], bytes: number): AnswerWriter {
-    this.answering = true;
-    this.connection.answerBegins(this, bytes, true);
+    this.answerStarted = true;
+    this.connection.onAnswerStart(this, bytes, true);
     const writer = new AnswerWriter({
       response: this.response,
       status,
       headers,
       account: this.connection,
-      broke: (begun) => this.streamBroke(begun),
+      onBroken: (started) => this.onStreamBroken(started),
     });
     this.writer = writer;
     if (this.connection.isAtFront(this)) {
-      writer.begin();
+      writer.start();
     }
     return writer;
   }
 
-  /** The connection is free for its answer. */
-  reachFront(): void {
+  /** Called when the request becomes the first of its connection. */
+  onReachedFront(): void {
     try {
-      this.writer?.begin();
+      this.writer?.start();
     } catch {
-      // Headers of an upstream that can't be written.
+      // The upstream's headers can't be written.
       this.breakOff('unwritable');
     }
   }
 
-  /** Gives an answer that the ledger kept. */
+  /** Sends an answer stored in the ledger. */
   answerStored(answer: StoredAnswer): void {
     const body = Buffer.from(answer.body, 'base64');
     const headers = [HEADERS.outcome, 'ran', 'content-length', String(body.length)];
@@ -202,38 +202,38 @@
       headers.push('content-type', answer.contentType);
     }
     if (answer.truncated) {
-      headers.push(HEADERS.reason, BODY_NOT_KEPT);
+      headers.push(HEADERS.reason, BODY_NOT_STORED);
     }
     this.answerWhole(answer.status, headers, body);
   }
 
-  /** Breaks the caller's connection, once what stands in front is answered. */
+  /** Aborts the answer. The caller's connection closes once the requests in front are answered. */
   breakOff(reason: BreakReason): void {
-    this.answering = true;
+    this.answerStarted = true;
     this.writer?.close();
-    this.connection.breakAt(this, reason);
+    this.connection.onAborted(this, reason);
     this.response.destroy();
   }
 
-  /** Gives an answer that turns it away; its connection takes nothing more. */
-  turnAway(answer: OwnAnswer): void {
+  /** Sends a rejection and accepts no more requests on the connection. */
+  reject(answer: OwnAnswer): void {
     this.closesConnection = true;
     this.connection.close();
     this.answerOwn(answer);
   }
 
-  /** Gives an answer of the router's own. */
+  /** Sends an answer that the router generates itself. */
   answerOwn(answer: OwnAnswer): void {
-    this.begin(0);
-    writeOwnAnswer(this.response, answer, this.streams.retryAfterUnit);
+    this.startAnswer(0);
+    writeRouterAnswer(this.response, answer, this.streams.retryAfterUnit);
   }
 
-  /** Its answer was given whole, or can't be given any more. `false`: that is known already. */
+  /** Called when the answer was written whole, or can't be written any more. Returns `false` if the exchange had already ended. */
   end(): boolean {
-    if (this.over) {
+    if (this.ended) {
       return false;
     }
-    this.over = true;
+    this.ended = true;
     this.writer?.close();
     if (this.answerBytes > 0) {
       this.connection.hold(-this.answerBytes);
@@ -241,16 +241,16 @@
     return true;
   }
 
-  private begin(answerBytes: number): void {
-    this.answering = true;
-    this.connection.answerBegins(this, answerBytes, false);
+  private startAnswer(answerBytes: number): void {
+    this.answerStarted = true;
+    this.connection.onAnswerStart(this, answerBytes, false);
     this.answerBytes = answerBytes;
     this.connection.hold(answerBytes);
   }
 
-  private streamBroke(begun: boolean): void {
+  private onStreamBroken(started: boolean): void {
     this.writer = null;
-    if (begun) {
+    if (started) {
       this.breakOff('upstream-broke');
     } else {
       this.answerOwn(ANSWER_BROKEN);
@@ -258,7 +258,7 @@
   }
 }
 
-/** The router's words for what is no request: none of it reached an upstream. */
+/** Describes a message that is not a valid request. No part of it reached an upstream. */
 export function describeRequestFault(fault: RequestFault): FaultAnswer {
   return {
     headers: { 'cache-control': 'no-store', [HEADERS.outcome]: 'not-run', [HEADERS.reason]: 'bad-request' },
@@ -271,12 +271,12 @@
   };
 }
 
-/** Whole seconds, at least one; or seconds with three digits after the point. */
+/** Returns whole seconds, at least one, or seconds with three decimal places. */
 export function retryAfterSeconds(millis: number, unit: RetryAfterUnit = 'whole-seconds'): number {
   return unit === 'fractions' ? Math.ceil(millis) / 1000 : Math.max(1, Math.ceil(millis / 1000));
 }
 
-export function writeOwnAnswer(
+export function writeRouterAnswer(
   response: ServerResponse,
   answer: OwnAnswer,
   unit: RetryAfterUnit = 'whole-seconds',
--- a/src/router/caller/caller-exchanges.ts
+++ b/src/router/caller/caller-exchanges.ts
@@ -1,4 +1,4 @@
-/** The callers' requests under way by their numbers: takes them in, and gives each the one answer that it gets. */
+/** The callers' open requests by number: accepts them and sends each its answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { toError } from '../../errors/ternmount-error.js';
@@ -7,34 +7,34 @@
 import { NumberedTable } from '../../routing/numbered-table.js';
 import type { ArrivedRequest, RequestNumber } from '../../routing/types.js';
 import type { RouterMetrics } from '../metrics.js';
-import { isTurnedAway, type TurnedAwayError } from './bad-request-error.js';
+import { isRejectedRequestError, type RejectedRequestError } from './bad-request-error.js';
 import type { BodyReader } from './body-reader.js';
-import { CallerConnection, type CallerConnectionParts } from './caller-connection.js';
+import { CallerConnection, type CallerConnectionOptions } from './caller-connection.js';
 import {
   type BreakReason,
   CallerExchange,
   type CallerStreams,
   type OwnAnswer,
   type RetryAfterUnit,
-  writeOwnAnswer,
+  writeRouterAnswer,
 } from './caller-exchange.js';
 import type { HeldBytes } from './held-bytes.js';
-import { fingerprintOf } from './idempotency.js';
+import { idempotencyFingerprint } from './idempotency.js';
 import { PausedConnections } from './paused-connections.js';
 import type { PipelineLimits } from './pipeline-order.js';
 import { fingerprintRequest } from './request-fingerprint.js';
 import { type AddressingOptions, type CallerRequestHead, readCallerRequest } from './request-head.js';
 import { variantOf } from './request-variant.js';
 
-/** What callers' connections hold. */
+/** Usage of the callers' connections. */
 export interface ConnectionsUsage {
   readonly connections: number;
-  /** Those that aren't read. */
+  /** Connections whose sockets aren't read. */
   readonly paused: number;
-  /** Requests of the connection that has the most. */
+  /** Largest number of requests on one connection. */
   readonly deepest: number;
   readonly heldAnswerBytes: number;
-  /** Answers that aren't read further until there is room. */
+  /** Answers that aren't read further until there is capacity. */
   readonly waitingAnswers: number;
 }
 
@@ -48,80 +48,81 @@
   readonly metrics: RouterMetrics;
   readonly log: Logger;
   readonly arrived: (request: ArrivedRequest) => void;
-  /** A request is under way, and is over. */
+  /** Called when a request is dispatched. */
   readonly opened: (exchange: CallerExchange) => void;
+  /** Called when a dispatched request is over. */
   readonly closed: (request: RequestNumber) => void;
-  /** The caller went away before it was answered. */
+  /** Called when the caller disconnected before its request was answered. */
   readonly cancelled: (request: RequestNumber) => void;
 }
 
-/** Retry-After when the router holds too many bodies. */
+/** Retry-After when the router buffers too many bodies. */
 const BODIES_HELD_RETRY_MILLIS = 1000;
 
 export class CallerExchanges {
   private readonly exchanges = new NumberedTable<CallerExchange>();
   private readonly connections = new Map<Socket, CallerConnection>();
   private readonly paused = new PausedConnections();
-  private readonly connectionParts: CallerConnectionParts;
+  private readonly connectionOptions: CallerConnectionOptions;
   private count = 0;
 
   constructor(private readonly parts: CallerExchangesParts) {
     const { pipeline, held, streamStallMillis } = parts;
-    this.connectionParts = {
+    this.connectionOptions = {
       limits: pipeline,
       held,
       paused: this.paused,
       stallMillis: streamStallMillis,
-      handOn: (exchange) => this.handOn(exchange),
-      ended: (exchange, wasHandedOn) => this.ended(exchange, wasHandedOn),
+      dispatch: (exchange) => this.dispatch(exchange),
+      ended: (exchange, wasDispatched) => this.ended(exchange, wasDispatched),
       broken: (exchange, reason, lostBehind) => this.broken(exchange, reason, lostBehind),
     };
   }
 
-  /** Requests under way, with those that wait behind others of their connection. */
+  /** Number of open requests, including those that wait behind others of their connection. */
   get size(): number {
     return this.exchanges.size;
   }
 
-  /** Takes a caller's request; it gets exactly one answer unless its caller goes away. */
+  /** Accepts a caller's request. It gets exactly one answer unless its caller disconnects. */
   accept(request: IncomingMessage, response: ServerResponse): void {
     const connection = this.connectionOf(request.socket);
-    if (!connection.takesRequests()) {
+    if (!connection.acceptsRequests()) {
       return;
     }
     let head: CallerRequestHead;
     try {
       head = readCallerRequest(request, this.parts.addressing);
     } catch (thrown) {
-      this.turnAwayUnread(connection, response, thrown);
+      this.rejectInvalidHead(connection, response, thrown);
       return;
     }
     const { retryAfterUnit } = this.parts;
     const exchange = this.open(head, connection, { request, response, retryAfterUnit });
-    this.parts.bodies.read(request, (error, body) => this.receive(exchange, error, body));
+    this.parts.bodies.read(request, (error, body) => this.onBody(exchange, error, body));
   }
 
-  /** The exchange of a request whose caller is still there. */
+  /** The exchange of a request whose caller is still connected. */
   find(number: RequestNumber): CallerExchange | undefined {
     return this.exchanges.get(number);
   }
 
-  /** Gives an answer, unless the caller went away or got one before. */
-  answer(number: RequestNumber, give: (exchange: CallerExchange) => void): void {
+  /** Sends an answer with `send`, unless the caller disconnected or the request was answered before. */
+  answer(number: RequestNumber, send: (exchange: CallerExchange) => void): void {
     const exchange = this.exchanges.get(number);
     if (exchange === undefined || exchange.answered) {
       return;
     }
     try {
-      give(exchange);
+      send(exchange);
     } catch (thrown) {
-      // Headers of an upstream that can't be written: a broken connection is never taken for an answer.
+      // The upstream's headers can't be written. A broken connection can't be mistaken for an answer.
       this.parts.log.error('answer-failed', { request: number, reason: toError(thrown) });
       exchange.breakOff('unwritable');
     }
   }
 
-  /** What callers' connections hold now. */
+  /** Current usage of the callers' connections. */
   usage(): ConnectionsUsage {
     let paused = 0;
     let deepest = 0;
@@ -138,7 +139,7 @@
     if (known !== undefined) {
       return known;
     }
-    const connection = new CallerConnection(socket, this.connectionParts);
+    const connection = new CallerConnection(socket, this.connectionOptions);
     this.connections.set(socket, connection);
     socket.once('close', () => this.connections.delete(socket));
     return connection;
@@ -151,34 +152,34 @@
   ): CallerExchange {
     this.count += 1;
     const exchange = new CallerExchange(this.count, head, streams, connection);
-    streams.response.once('close', () => connection.finished(exchange));
+    streams.response.once('close', () => connection.onResponseClosed(exchange));
     connection.add(exchange);
     return exchange;
   }
 
-  private receive(exchange: CallerExchange, error: TurnedAwayError | null, body: Buffer): void {
+  private onBody(exchange: CallerExchange, error: RejectedRequestError | null, body: Buffer): void {
     if (error !== null) {
-      this.turnAway(error, (answer) => exchange.turnAway(answer));
+      this.reject(error, (answer) => exchange.reject(answer));
       return;
     }
-    if (exchange.isOver) {
+    if (exchange.isEnded) {
       this.parts.bodies.release(body);
       return;
     }
-    exchange.receive(body);
+    exchange.setBody(body);
     this.exchanges.set(exchange.number, exchange);
     exchange.connection.complete(exchange);
   }
 
-  private handOn(exchange: CallerExchange): void {
+  private dispatch(exchange: CallerExchange): void {
     this.parts.opened(exchange);
     this.parts.arrived(arrivedRequest(exchange));
   }
 
-  private ended(exchange: CallerExchange, wasHandedOn: boolean): void {
+  private ended(exchange: CallerExchange, wasDispatched: boolean): void {
     this.exchanges.delete(exchange.number);
     this.parts.bodies.release(exchange.body);
-    if (!wasHandedOn) {
+    if (!wasDispatched) {
       return;
     }
     if (!exchange.answered) {
@@ -193,25 +194,25 @@
     this.parts.log.info('answer-broken-off', { request: number, id: head.requestId, reason, lostBehind });
   }
 
-  /** Turns away a request whose head makes no sense. */
-  private turnAwayUnread(connection: CallerConnection, response: ServerResponse, thrown: unknown): void {
+  /** Rejects a request whose head is invalid. */
+  private rejectInvalidHead(connection: CallerConnection, response: ServerResponse, thrown: unknown): void {
     connection.close();
-    if (!isTurnedAway(thrown)) {
+    if (!isRejectedRequestError(thrown)) {
       this.parts.log.error('request-failed', { reason: toError(thrown) });
       response.destroy();
       return;
     }
-    this.turnAway(thrown as TurnedAwayError, (answer) => {
+    this.reject(thrown as RejectedRequestError, (answer) => {
       // The rest of the body isn't read, so the connection can't carry another request.
       response.shouldKeepAlive = false;
-      writeOwnAnswer(response, answer, this.parts.retryAfterUnit);
+      writeRouterAnswer(response, answer, this.parts.retryAfterUnit);
     });
   }
 
-  private turnAway(error: TurnedAwayError, give: (answer: OwnAnswer) => void): void {
+  private reject(error: RejectedRequestError, send: (answer: OwnAnswer) => void): void {
     const { status, reason, message } = error;
     const retryAfterMillis = reason === 'queue-full' ? BODIES_HELD_RETRY_MILLIS : null;
-    give({ status, outcome: 'not-run', reason, retryAfterMillis, message });
+    send({ status, outcome: 'not-run', reason, retryAfterMillis, message });
     this.parts.metrics.refused('', 'not-run', reason);
   }
 }
@@ -227,7 +228,7 @@
     key,
     method,
     target,
-    /** Made when it is asked for: while no request is suspected, that is only after an attempt without an answer. */
+    /** Computed on first use: while no request is suspected, it is read only after an attempt without an answer. */
     get fingerprint(): RequestFingerprint {
       fingerprint ??= fingerprintRequest(head, rawHeaders, body);
       return fingerprint;
@@ -235,6 +236,8 @@
     deadlineMillis: exchange.remainingMillis,
     variant: method === 'GET' ? variantOf(rawHeaders, body.length) : null,
     idempotency:
-      idempotency === null ? null : { ...idempotency, fingerprint: fingerprintOf(method, target, body) },
+      idempotency === null
+        ? null
+        : { ...idempotency, fingerprint: idempotencyFingerprint(method, target, body) },
   };
 }
--- a/src/router/caller/caller-listener.ts
+++ b/src/router/caller/caller-listener.ts
@@ -1,10 +1,10 @@
-/** The request path towards callers, on koa or straight on `node:http`. */
+/** The HTTP listener for callers' requests, on koa or directly on `node:http`. */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import Koa from 'koa';
 
 export type CallerHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** Which server library carries callers' requests; docs/design/upstream-client.md has the measurement. */
+/** Server library for callers' requests; docs/design/upstream-client.md compares the two. */
 export type CallerFrontEnd = 'koa' | 'node';
 
 export function createCallerListener(frontEnd: CallerFrontEnd, handler: CallerHandler): RequestListener {
--- a/src/router/caller/held-bytes.ts
+++ b/src/router/caller/held-bytes.ts
@@ -1,17 +1,17 @@
 /**
- * Account of the bytes of answers that a router holds for its callers. A holder may read on while it holds less than is
- * free in all (dynamic thresholds): the largest holder waits first, and whoever comes next finds room.
+ * Accounts for the bytes of answers that a router buffers for its callers. A connection may buffer more while it has less
+ * buffered than is free in total (dynamic thresholds): the connection with the most waits first, and a new one finds capacity.
  */
 
 export interface HeldBytesLimits {
-  /** Bytes of answers held at once, over all connections; an answer that is read on may go beyond it by one piece. */
+  /** Maximum bytes of answers buffered at once for all connections. An answer may exceed it by one read. */
   readonly heldAnswerBytes: number;
-  /** Bytes held for one connection: request bodies, answers, and requests that wait. */
+  /** Maximum bytes buffered for one connection: request bodies, answers, and waiting requests. */
   readonly heldBytesPerConnection: number;
 }
 
-/** What one who reads on takes at least, about: what a socket gives at once. */
-const PIECE_BYTES = 64 * 1024;
+/** About the least that a resumed answer buffers: one read of a socket. */
+const READ_BYTES = 64 * 1024;
 
 export class HeldBytes {
   readonly #limits: HeldBytesLimits;
@@ -26,41 +26,41 @@
     return this.#used;
   }
 
-  /** Answers that aren't read further until there is room. */
+  /** Number of answers that aren't read further until there is capacity. */
   get waiting(): number {
     return this.#waiting.size;
   }
 
-  /** Whether one who holds so many bytes may take on more. */
-  hasRoom(heldBytes: number): boolean {
+  /** Whether a connection that has `heldBytes` buffered may buffer more. */
+  hasCapacity(heldBytes: number): boolean {
     const { heldAnswerBytes, heldBytesPerConnection } = this.#limits;
     return heldBytes < heldBytesPerConnection && heldBytes < heldAnswerBytes - this.#used;
   }
 
-  /** Whether so many bytes are free. */
+  /** Whether `bytes` are free. */
   hasFree(bytes: number): boolean {
     return bytes < this.#limits.heldAnswerBytes - this.#used;
   }
 
-  /** So many more bytes are held, or fewer. */
+  /** Adds `bytes`, which may be negative, to the buffered bytes. */
   change(bytes: number): void {
     this.#used += bytes;
     if (bytes < 0 && this.#waiting.size > 0) {
-      this.#wake();
+      this.#wakeWaiters();
     }
   }
 
-  /** Calls back once when bytes are released; that there is room then isn't sure. */
-  whenReleased(wake: () => void): void {
+  /** Calls `wake` once when bytes are released. The capacity may be used up again by then. */
+  waitForRelease(wake: () => void): void {
     this.#waiting.add(wake);
   }
 
-  forget(wake: () => void): void {
+  cancelWait(wake: () => void): void {
     this.#waiting.delete(wake);
   }
 
-  /** Wakes as many as may find room, those first that wait longest; what they take comes later. */
-  #wake(): void {
+  /** Wakes as many waiters as may find capacity, longest wait first. They buffer their bytes later. */
+  #wakeWaiters(): void {
     let freeBytes = this.#limits.heldAnswerBytes - this.#used;
     for (const wake of [...this.#waiting]) {
       if (freeBytes <= 0) {
@@ -68,8 +68,8 @@
       }
       this.#waiting.delete(wake);
       wake();
-      // One that found no room waits again, and takes nothing.
-      freeBytes -= this.#waiting.has(wake) ? 0 : PIECE_BYTES;
+      // A waiter that found no capacity waits again and buffers nothing.
+      freeBytes -= this.#waiting.has(wake) ? 0 : READ_BYTES;
     }
   }
 }
--- a/src/router/caller/idempotency.ts
+++ b/src/router/caller/idempotency.ts
@@ -1,4 +1,4 @@
-/** Reads what makes a request run at most once: the caller's key, when it was made, and what it stands for. */
+/** Reads the idempotency key of a request and its issue time, and computes the fingerprint that is checked with the key. */
 import { createHash } from 'node:crypto';
 import type { IncomingHttpHeaders } from 'node:http';
 import type { WallMillis } from '../../model/identifiers.js';
@@ -15,8 +15,8 @@
 const UUID_V7_PATTERN = /^([0-9a-f]{8})-([0-9a-f]{4})-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/i;
 
 /**
- * The key and its age, from `Idempotency-Issued-At` (milliseconds since 1970, or a date as in ISO 8601) or from a key that
- * is a UUID of version 7. `null` without a key, and without an age: such a key proves nothing.
+ * Returns the key and its issue time, from `Idempotency-Issued-At` (milliseconds since 1970 or an ISO 8601 date) or from a
+ * key that is a UUID of version 7. Returns `null` without a key, or without an issue time: a key of unknown age proves nothing.
  */
 export function readIdempotency(headers: IncomingHttpHeaders): IdempotencyHead | null {
   const key = headers[HEADERS.idempotencyKey];
@@ -27,12 +27,12 @@
     throw new BadRequestError(`Idempotency-Key must be 1 to ${MAX_KEY_LENGTH} visible ASCII characters`);
   }
   const issued = headers[HEADERS.idempotencyIssuedAt];
-  const issuedAt = typeof issued === 'string' ? parseIssuedAt(issued) : uuidTime(key);
+  const issuedAt = typeof issued === 'string' ? parseIssuedAt(issued) : readUuidV7Time(key);
   return issuedAt === null ? null : { key, issuedAt };
 }
 
-/** SHA-256 in hex over what a request asks for. */
-export function fingerprintOf(method: string, target: string, body: Uint8Array): string {
+/** SHA-256 in hex over method, target and body of a request. */
+export function idempotencyFingerprint(method: string, target: string, body: Uint8Array): string {
   return createHash('sha256').update(`${method} ${target}\n`).update(body).digest('hex');
 }
 
@@ -45,7 +45,7 @@
 }
 
 /** The first 48 bits of a UUID of version 7 are milliseconds since 1970. */
-function uuidTime(key: string): WallMillis | null {
+function readUuidV7Time(key: string): WallMillis | null {
   const match = UUID_V7_PATTERN.exec(key);
   return match === null ? null : Number.parseInt(`${match[1]}${match[2]}`, 16);
 }
--- a/src/router/caller/paused-connections.ts
+++ b/src/router/caller/paused-connections.ts
@@ -1,29 +1,29 @@
-/** Connections whose sockets aren't read, some of which are read again from time to time to learn whether their callers left. */
+/** Connections whose sockets are paused, and which are briefly read at intervals to detect that their callers disconnected. */
 
-/** A caller that left must be known in well under half a second. */
-const LOOK_MILLIS = 200;
+/** A caller's disconnect must be detected in well under half a second. */
+const LOOK_INTERVAL_MILLIS = 200;
 
 export interface PausedConnection {
-  /** Reads its socket again until the next request comes. */
+  /** Reads the socket again until the next request arrives. */
   look(): void;
 }
 
 export class PausedConnections {
-  readonly #looked = new Set<PausedConnection>();
+  readonly #scheduled = new Set<PausedConnection>();
   #timer: NodeJS.Timeout | undefined;
 
-  lookAt(connection: PausedConnection): void {
-    this.#looked.add(connection);
-    this.#timer ??= setInterval(() => this.#lookAtAll(), LOOK_MILLIS).unref();
+  scheduleLook(connection: PausedConnection): void {
+    this.#scheduled.add(connection);
+    this.#timer ??= setInterval(() => this.#lookAtScheduled(), LOOK_INTERVAL_MILLIS).unref();
   }
 
-  forget(connection: PausedConnection): void {
-    this.#looked.delete(connection);
+  remove(connection: PausedConnection): void {
+    this.#scheduled.delete(connection);
   }
 
-  #lookAtAll(): void {
-    const connections = [...this.#looked];
-    this.#looked.clear();
+  #lookAtScheduled(): void {
+    const connections = [...this.#scheduled];
+    this.#scheduled.clear();
     for (const connection of connections) {
       connection.look();
     }
--- a/src/router/caller/pipeline-order.ts
+++ b/src/router/caller/pipeline-order.ts
@@ -1,41 +1,41 @@
 /**
- * The requests of one connection in their order: which of them is handed on when, which are lost once an answer closes the
- * connection, and whether the socket is read. Without socket or clock.
+ * The pipelined requests of one connection in order. Decides when each is dispatched, which are lost once an answer closes
+ * the connection, and whether the socket is read. Uses neither socket nor clock.
  */
 
 export interface PipelinedRequest {
-  /** Whether its method is safe (RFC 9110, 9.2.1), so that it may run beside others of its connection. */
+  /** Whether its method is safe (RFC 9110, 9.2.1), so that it may run concurrently with others of its connection. */
   readonly isSafe: boolean;
-  /** Whether its body has come whole. */
+  /** Whether its body has arrived whole. */
   readonly isWhole: boolean;
-  /** Bytes held for it as long as it stands in its connection, once it is whole. */
+  /** Bytes buffered for it from the arrival of its body until it is removed. */
   readonly bodyBytes: number;
 }
 
 export interface PipelineLimits {
-  /** Requests of a connection that are handed on and not answered whole. */
+  /** Maximum number of requests of a connection that are dispatched and not answered whole. */
   readonly requestsPerConnection: number;
   readonly heldBytesPerConnection: number;
 }
 
-/** `look`: read from time to time, since only that tells whether the caller has left. */
-export type SocketReading = 'on' | 'look' | 'off';
+/** With `look`, the socket is read briefly at intervals, since only reading detects that the caller disconnected. */
+export type SocketReadMode = 'on' | 'look' | 'off';
 
-/** What a request costs that was read and waits: its objects and header, about. */
+/** Approximate memory of a request that was read and waits: its objects and header. */
 const WAITING_REQUEST_BYTES = 4096;
 
-/** Part of a connection's bytes that answers behind the one in front may be expected to take; the rest is for that one. */
+/** Share of a connection's bytes that the expected answers behind the front may use; the rest is for the one in front. */
 const BEHIND_FRONT_SHARE = 0.25;
 
 export class PipelineOrder<Request extends PipelinedRequest> {
   readonly #limits: PipelineLimits;
   readonly #requests: Request[] = [];
-  /** How many of them are handed on: always the first ones. */
-  #handedOn = 0;
-  /** Bodies and answers. */
+  /** Number of dispatched requests; these are always the first ones. */
+  #dispatched = 0;
+  /** Bytes of bodies and answers. */
   #heldBytes = 0;
-  /** Bytes that an answer of this connection may have, by those that it had. */
-  #answerBytes = 0;
+  /** Expected size of an answer, from earlier answers of this connection. */
+  #expectedAnswerBytes = 0;
   #ignored = 0;
   #closing = false;
 
@@ -43,12 +43,12 @@
     this.#limits = limits;
   }
 
-  /** Whether an answer that closes the connection is decided: nothing more is taken in. */
+  /** Whether an answer will close the connection, so that no more requests are accepted. */
   get isClosing(): boolean {
     return this.#closing;
   }
 
-  /** Requests that were read and aren't answered whole. */
+  /** Number of requests that were read and aren't answered whole. */
   get size(): number {
     return this.#requests.length;
   }
@@ -61,71 +61,71 @@
     return this.#requests[this.#requests.length - 1];
   }
 
-  get lastHandedOn(): Request | undefined {
-    return this.#requests[this.#handedOn - 1];
+  get lastDispatched(): Request | undefined {
+    return this.#requests[this.#dispatched - 1];
   }
 
   add(request: Request): void {
     this.#requests.push(request);
   }
 
-  /** The body of a request that was added has come. */
+  /** Called when the body of an added request has arrived. */
   complete(request: Request): void {
     this.#heldBytes += request.bodyBytes;
   }
 
-  /** Bytes of bodies and answers that are held. */
+  /** Buffered bytes of bodies and answers. */
   get heldBytes(): number {
     return this.#heldBytes;
   }
 
-  /** So many more bytes of answers are held, or fewer. */
+  /** Adds `bytes` of answers, which may be negative, to the buffered bytes. */
   hold(bytes: number): void {
     this.#heldBytes += bytes;
   }
 
-  /** An answer has so many bytes. One that is large counts for some answers more. */
-  expect(answerBytes: number): void {
-    this.#answerBytes = Math.max(answerBytes, this.#answerBytes / 2);
+  /** Records the size of an answer. The influence of a large one halves with each later answer. */
+  recordAnswerSize(answerBytes: number): void {
+    this.#expectedAnswerBytes = Math.max(answerBytes, this.#expectedAnswerBytes / 2);
   }
 
-  /** A request came behind an answer that closes the connection. */
-  ignore(): void {
+  /** Records a request that arrived behind an answer that closes the connection. */
+  recordIgnored(): void {
     this.#ignored += 1;
   }
 
-  /** Marks the next request as handed on, if it may be. */
-  handOnNext(): Request | undefined {
-    const next = this.#requests[this.#handedOn];
-    if (next === undefined || !next.isWhole || !this.#mayHandOn(next)) {
+  /** Marks the next request as dispatched and returns it, or `undefined` if none may be dispatched now. */
+  dispatchNext(): Request | undefined {
+    const next = this.#requests[this.#dispatched];
+    if (next === undefined || !next.isWhole || !this.#mayDispatch(next)) {
       return undefined;
     }
-    this.#handedOn += 1;
+    this.#dispatched += 1;
     return next;
   }
 
   remove(request: Request): void {
-    const place = this.#requests[0] === request ? 0 : this.#requests.indexOf(request);
-    if (place === -1) {
+    const index = this.#requests[0] === request ? 0 : this.#requests.indexOf(request);
+    if (index === -1) {
       return;
     }
-    this.#drop(place, 1);
+    this.#removeAt(index, 1);
   }
 
-  /** Nothing more is taken in; what waits is still handed on. */
+  /** Accepts no more requests; waiting ones are still dispatched. */
   close(): void {
     this.#closing = true;
   }
 
-  /** The answer of a request closes the connection. Gives the requests behind it, which are lost. */
+  /** Marks the answer of a request as closing the connection. Removes and returns the requests behind it, which are lost. */
   closeAfter(request: Request): Request[] {
     this.#closing = true;
-    const place = this.#requests.indexOf(request);
-    return place === -1 ? [] : this.#drop(place + 1, this.#requests.length);
+    const index = this.#requests.indexOf(request);
+    return index === -1 ? [] : this.#removeAt(index + 1, this.#requests.length);
   }
 
-  get reading(): SocketReading {
-    const waiting = this.#requests.length - this.#handedOn + this.#ignored;
+  get readMode(): SocketReadMode {
+    const waiting = this.#requests.length - this.#dispatched + this.#ignored;
     const heldBytes = this.#heldBytes + waiting * WAITING_REQUEST_BYTES;
     if (this.#requests.length > 0 && heldBytes >= this.#limits.heldBytesPerConnection) {
       return 'off';
@@ -133,26 +133,26 @@
     return this.#ignored > 0 || this.#requests.length >= this.#limits.requestsPerConnection ? 'look' : 'on';
   }
 
-  #mayHandOn(next: Request): boolean {
-    if (this.#handedOn === 0) {
+  #mayDispatch(next: Request): boolean {
+    if (this.#dispatched === 0) {
       return true;
     }
     return next.isSafe && !this.#isFull() && this.#requests[0]?.isSafe === true;
   }
 
-  /** Answers that its caller can't take at once would hold up their upstreams, so no more run than would find room. */
+  /** Whether the expected answers of more requests would exceed the capacity: unread answers would block their upstreams. */
   #isFull(): boolean {
     const { requestsPerConnection, heldBytesPerConnection } = this.#limits;
-    const bytesBehindFront = this.#handedOn * this.#answerBytes;
+    const bytesBehindFront = this.#dispatched * this.#expectedAnswerBytes;
     return (
-      this.#handedOn >= requestsPerConnection ||
+      this.#dispatched >= requestsPerConnection ||
       bytesBehindFront > heldBytesPerConnection * BEHIND_FRONT_SHARE
     );
   }
 
-  #drop(place: number, count: number): Request[] {
-    const dropped = this.#requests.splice(place, count);
-    this.#handedOn -= Math.max(0, Math.min(this.#handedOn - place, dropped.length));
+  #removeAt(index: number, count: number): Request[] {
+    const dropped = this.#requests.splice(index, count);
+    this.#dispatched -= Math.max(0, Math.min(this.#dispatched - index, dropped.length));
     for (const { isWhole, bodyBytes } of dropped) {
       this.#heldBytes -= isWhole ? bodyBytes : 0;
     }
--- a/src/router/caller/request-head.ts
+++ b/src/router/caller/request-head.ts
@@ -1,6 +1,7 @@
 /**
- * Reads where a request goes: by declared routes its host and path say so. Else the path is `/<service>/...`; for keyed services the key is the header `ternmount-key`
- * (percent-encoded) or else the second segment of the path. The upstream gets path and query as they came.
+ * Reads the destination of a request. With declared routes, host and path determine it. Otherwise the path is
+ * `/<service>/...`; for keyed services the key is the header `ternmount-key` (percent-encoded) or else the second segment of
+ * the path. Path and query are forwarded to the upstream unchanged.
  */
 import type { IncomingMessage } from 'node:http';
 import type { HeaderNames } from '../../model/header-names.js';
@@ -12,13 +13,13 @@
 export interface CallerRequestHead {
   readonly method: string;
   readonly target: string;
-  /** Host and path without query, for declared routes; `null`: it is addressed to `service`. */
+  /** Host and path without query, for declared routes; `null` if the request is addressed to `service`. */
   readonly place: { readonly host: string; readonly path: string } | null;
-  /** The caller's own id of the request. */
+  /** The caller's id of the request. */
   readonly requestId: string | null;
   readonly service: ServiceName;
   readonly key: string | null;
-  /** How long the caller will wait. */
+  /** Time that the caller waits for an answer. */
   readonly deadlineMillis: number | null;
   readonly idempotency: IdempotencyHead | null;
 }
@@ -29,7 +30,7 @@
 
 /** How requests are addressed. */
 export interface AddressingOptions {
-  /** Whether declared routes say where a request goes. */
+  /** Whether declared routes determine the destination of a request. */
   readonly byRoutes: boolean;
   readonly headers: HeaderNames;
 }
@@ -42,11 +43,11 @@
     throw new BadRequestError('the request target must be a path');
   }
   return options.byRoutes
-    ? readRouted(request, target, options.headers)
-    : readAddressed(request, target, options.headers);
+    ? readRoutedRequest(request, target, options.headers)
+    : readServiceRequest(request, target, options.headers);
 }
 
-function readRouted(request: IncomingMessage, target: string, names: HeaderNames): CallerRequestHead {
+function readRoutedRequest(request: IncomingMessage, target: string, names: HeaderNames): CallerRequestHead {
   const { headers, method = 'GET' } = request;
   const queryStart = target.indexOf('?');
   const path = queryStart === -1 ? target : target.slice(0, queryStart);
@@ -55,7 +56,7 @@
     method,
     target,
     place: { host: headers.host ?? '', path },
-    requestId: textOf(headers[names.requestId]),
+    requestId: nonEmptyText(headers[names.requestId]),
     service: '',
     key: typeof key === 'string' ? key : null,
     deadlineMillis: readDeadline(names.deadline, headers[names.deadline]),
@@ -63,11 +64,11 @@
   };
 }
 
-function textOf(header: string | string[] | undefined): string | null {
+function nonEmptyText(header: string | string[] | undefined): string | null {
   return typeof header === 'string' && header !== '' ? header : null;
 }
 
-function readAddressed(request: IncomingMessage, target: string, names: HeaderNames): CallerRequestHead {
+function readServiceRequest(request: IncomingMessage, target: string, names: HeaderNames): CallerRequestHead {
   const [service, pathKey] = leadingSegments(target);
   if (service === '') {
     throw new BadRequestError('the path must be /<service>/...');
@@ -84,7 +85,7 @@
   };
 }
 
-/** RFC 9112, 3.2. Two of them can't be sent on; the upstream would seem to be at fault. */
+/** Checks for exactly one Host header (RFC 9112, 3.2). Two can't be forwarded: the failure would be attributed to the upstream. */
 function checkHost({ httpVersion, headers, rawHeaders }: IncomingMessage): void {
   if (headers.host === undefined && httpVersion !== '1.0') {
     throw new BadRequestError('the Host header is missing');
@@ -94,7 +95,7 @@
   }
 }
 
-/** The first two segments of the path, still encoded. */
+/** Returns the first two segments of the path, still encoded. */
 function leadingSegments(target: string): readonly [string, string | undefined] {
   const queryStart = target.indexOf('?');
   const pathEnd = queryStart === -1 ? target.length : queryStart;
@@ -134,9 +135,9 @@
   return millis;
 }
 
-function decode(encoded: string, what: string): string {
+function decode(encoded: string, part: string): string {
   if (!VISIBLE_ASCII.test(encoded)) {
-    throw new BadRequestError(`the ${what} must be percent-encoded`);
+    throw new BadRequestError(`the ${part} must be percent-encoded`);
   }
   if (!encoded.includes('%')) {
     return encoded;
@@ -144,6 +145,6 @@
   try {
     return decodeURIComponent(encoded);
   } catch {
-    throw new BadRequestError(`the ${what} is no percent-encoded UTF-8`);
+    throw new BadRequestError(`the ${part} is no percent-encoded UTF-8`);
   }
 }
--- a/src/router/caller/request-variant.ts
+++ b/src/router/caller/request-variant.ts
@@ -1,9 +1,9 @@
 /**
- * What an answer may depend on besides service, key and target. Reads that share an answer must agree in it: cookies,
- * credentials, ranges, conditions, languages and whatever else a caller sends.
+ * Headers on which an answer may depend besides service, key and target. Reads that share an answer must have the same ones:
+ * cookies, credentials, ranges, conditions, languages and any other header that isn't ignored.
  */
 
-/** Headers about the caller's connection or for tracing, on which answers that may be shared don't depend. */
+/** Headers about the caller's connection or for tracing, on which a shared answer doesn't depend. */
 const IGNORED: ReadonlySet<string> = new Set([
   'connection',
   'date',
@@ -17,12 +17,12 @@
   'user-agent',
   'x-request-id',
 ]);
-/** Hints of browsers about themselves. */
+/** Prefix of browsers' client hints and fetch metadata. */
 const IGNORED_PREFIX = 'sec-';
 /** The router's own headers never reach the upstream, so no answer depends on them. */
 const INTERNAL_PREFIX = 'ternmount-';
 
-/** `null` for a read with a body, which shares no answer. */
+/** Returns the headers that must be equal for reads to share an answer, or `null` for a read with a body, which shares none. */
 export function variantOf(rawHeaders: readonly string[], bodyBytes: number): string | null {
   if (bodyBytes > 0) {
     return null;
@@ -37,7 +37,7 @@
   return variant;
 }
 
-/** Whether an answer is for its requester alone, or depends on headers that reads which shared it may differ in. */
+/** Whether an answer is for one caller only, or depends on headers that may differ between reads that share it. */
 export function isPersonal(rawHeaders: readonly string[]): boolean {
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const value = rawHeaders[index + 1] as string;
@@ -50,7 +50,7 @@
         }
         break;
       case 'vary':
-        if (value.split(',').some((name) => variesBeyond(name.trim().toLowerCase()))) {
+        if (value.split(',').some((name) => isVaryingIgnored(name.trim().toLowerCase()))) {
           return true;
         }
     }
@@ -58,6 +58,6 @@
   return false;
 }
 
-function variesBeyond(name: string): boolean {
+function isVaryingIgnored(name: string): boolean {
   return name === '*' || IGNORED.has(name) || name.startsWith(IGNORED_PREFIX);
 }
--- a/src/router/caller/socket-pause.ts
+++ b/src/router/caller/socket-pause.ts
@@ -1,6 +1,6 @@
 /**
- * Stops and resumes the reading of a socket that an HTTP server owns. The server resumes its sockets by itself after each
- * message, so while the reading is stopped its calls are kept off.
+ * Pauses and resumes reading of a socket that an HTTP server owns. The server itself resumes its sockets after each message,
+ * so `resume` is replaced by a no-op while the socket is paused.
  */
 import type { Socket } from 'node:net';
 
@@ -23,7 +23,7 @@
     this.#paused = true;
     const socket = this.#socket;
     socket.resume = () => socket;
-    // A resumption that was asked for before takes place in the next tick, and would undo an earlier pause.
+    // An earlier `resume` takes effect in the next tick and would undo a pause made now.
     process.nextTick(() => {
       if (this.#paused) {
         socket.pause();
@@ -36,7 +36,7 @@
       return;
     }
     this.#paused = false;
-    // The server's own method is that of the class.
+    // Removing the override restores the method of the class.
     Reflect.deleteProperty(this.#socket, 'resume');
     this.#socket.resume();
   }
--- a/src/router/hints/health-probes.ts
+++ b/src/router/hints/health-probes.ts
@@ -1,17 +1,17 @@
-/** Task that asks each upstream for its health now and then. A probe costs the upstream time, so there are few. */
+/** Probes the health endpoint of each upstream at intervals. A probe costs the upstream time, so there are few. */
 import { Agent } from 'node:http';
 import type { Address, UpstreamId } from '../../model/identifiers.js';
 import { HEADERS } from '../../model/outcome.js';
 import { ProbeSchedule } from './probe-schedule.js';
 
 export interface HealthProbesOptions {
-  /** 0: no probes. */
+  /** Interval between two probes of an upstream; 0 disables probes. */
   readonly intervalMillis: number;
   readonly timeoutMillis: number;
   /** Path of the health endpoint of upstreams. */
   readonly path: string;
   readonly localAddress?: string | undefined;
-  /** 0 to below 1; spreads probes of many routers. */
+  /** Returns a number from 0 to below 1; spreads the probes of many routers. */
   readonly random?: () => number;
   readonly result: (upstream: UpstreamId, healthy: boolean, load: number | null) => void;
 }
@@ -22,7 +22,7 @@
   private addresses: ReadonlyMap<UpstreamId, Address> = new Map();
   private readonly agent = new Agent({ keepAlive: true, maxSockets: 1, maxFreeSockets: 1 });
   private readonly schedule: ProbeSchedule;
-  /** Upstreams whose probe isn't answered yet. */
+  /** Upstreams whose probe is pending. */
   private readonly asked = new Set<UpstreamId>();
   private timer: NodeJS.Timeout | undefined;
 
@@ -31,7 +31,7 @@
     this.schedule = new ProbeSchedule({ intervalMillis, random });
   }
 
-  /** Probes these upstreams from now on, and no others. */
+  /** Replaces the set of probed upstreams. */
   probe(addresses: ReadonlyMap<UpstreamId, Address>): void {
     if (this.options.intervalMillis <= 0) {
       return;
@@ -52,11 +52,11 @@
   private wait(): void {
     this.timer = setTimeout(() => {
       this.wait();
-      const upstream = this.schedule.take();
+      const upstream = this.schedule.next();
       if (upstream !== undefined && !this.asked.has(upstream)) {
         void this.run(upstream);
       }
-    }, this.schedule.gapMillis());
+    }, this.schedule.nextDelayMillis());
   }
 
   private async run(upstream: UpstreamId): Promise<void> {
@@ -71,7 +71,7 @@
 
   private async ask(address: Address): Promise<{ readonly healthy: boolean; readonly load: number | null }> {
     try {
-      // Loaded when it is needed: without probes a router starts faster.
+      // Loaded on first use, so that a router without probes starts faster.
       const { got } = await import('got');
       const response = await got(`http://${address}${this.options.path}`, {
         agent: { http: this.agent },
@@ -82,8 +82,8 @@
         followRedirect: false,
       });
       const load = Number(response.headers[HEADERS.load] ?? Number.NaN);
-      const known = Number.isFinite(load) && load >= 0;
-      return { healthy: response.statusCode === OK, load: known ? load : null };
+      const isValid = Number.isFinite(load) && load >= 0;
+      return { healthy: response.statusCode === OK, load: isValid ? load : null };
     } catch {
       return { healthy: false, load: null };
     }
--- a/src/router/hints/platform-poll.ts
+++ b/src/router/hints/platform-poll.ts
@@ -1,9 +1,9 @@
-/** Task that fetches the platform's list of machines. The list lags; the core takes it as a hint. */
+/** Polls the platform's list of machines. The list lags, so the core uses it as a hint only. */
 import { z } from 'zod';
 import { toError } from '../../errors/ternmount-error.js';
 import type { Logger } from '../../logging/logger.js';
 
-/** What the platform's list looks like: ids of upstreams. */
+/** Schema of the platform's list: ids of upstreams. */
 export const platformListSchema = z.object({
   live: z.array(z.string()),
   leaving: z.array(z.string()),
@@ -34,7 +34,7 @@
 
   private async run(): Promise<void> {
     try {
-      // Loaded when it is needed: without a list a router starts faster.
+      // Loaded on first use, so that a router without a list starts faster.
       const { got } = await import('got');
       const body = await got(this.options.url, {
         timeout: { request: this.options.intervalMillis },
--- a/src/router/hints/probe-schedule.ts
+++ b/src/router/hints/probe-schedule.ts
@@ -1,51 +1,51 @@
 /**
- * Which upstream a router probes next. A probe costs an upstream time and the router a request, and there may be a
- * thousand of each: upstreams take turns, evenly spread, ever fewer a second with their number.
+ * Decides which upstream a router probes next. A probe costs an upstream time and the router a request, and there may be a
+ * thousand of each. Upstreams are therefore probed round-robin at even intervals, and at a lower rate the more there are.
  */
 import type { UpstreamId } from '../../model/identifiers.js';
 
 export interface ProbeScheduleOptions {
-  /** Time between two probes of an upstream while there are few upstreams. */
+  /** Interval between two probes of an upstream while there are few upstreams. */
   readonly intervalMillis: number;
-  /** 0 to below 1; spreads probes of many routers. */
+  /** Returns a number from 0 to below 1; spreads the probes of many routers. */
   readonly random: () => number;
 }
 
 /**
- * Upstreams that are probed at the full rate. With more of them the interval grows with the square of their number, so
- * that a router probes ever fewer a second: the more upstreams there are, the more routers ask each of them, and the less
- * a probe tells beside the requests that a router sends by itself.
+ * Maximum number of upstreams that are probed at the full rate. Above it, the interval grows with the square of their
+ * number, so that a router sends fewer probes a second: the more upstreams there are, the more routers probe each of them,
+ * and the less a probe adds to what a router learns from its own requests.
  */
 const FULL_RATE_UPSTREAMS = 40;
-/** Gaps vary by this share either way. */
-const JITTER = 0.25;
+/** Delays between probes vary by this share in either direction. */
+const JITTER_SHARE = 0.25;
 
 export class ProbeSchedule {
-  /** In the order of their turns. */
+  /** In the order of their probes. */
   private turns: readonly UpstreamId[] = [];
-  private next = 0;
+  private nextIndex = 0;
 
   constructor(private readonly options: ProbeScheduleOptions) {}
 
-  /** Takes turns over these upstreams from now on, beginning anywhere. */
+  /** Replaces the upstreams; the first probe goes to a random one. */
   replace(upstreams: Iterable<UpstreamId>): void {
     this.turns = [...upstreams];
-    this.next = Math.floor(this.options.random() * this.turns.length);
+    this.nextIndex = Math.floor(this.options.random() * this.turns.length);
   }
 
-  /** The upstream whose turn it is; `undefined` if there is none. */
-  take(): UpstreamId | undefined {
-    const upstream = this.turns[this.next];
-    this.next = this.next + 1 < this.turns.length ? this.next + 1 : 0;
+  /** Returns the upstream to probe now, or `undefined` if there is none. */
+  next(): UpstreamId | undefined {
+    const upstream = this.turns[this.nextIndex];
+    this.nextIndex = this.nextIndex + 1 < this.turns.length ? this.nextIndex + 1 : 0;
     return upstream;
   }
 
-  /** Time until the next turn. */
-  gapMillis(): number {
+  /** Time until the next probe. */
+  nextDelayMillis(): number {
     const { intervalMillis, random } = this.options;
-    const upstreams = Math.max(1, this.turns.length);
-    const thinning = Math.max(1, upstreams / FULL_RATE_UPSTREAMS) ** 2;
-    const gap = (intervalMillis * thinning) / upstreams;
-    return gap * (1 + JITTER * (2 * random() - 1));
+    const count = Math.max(1, this.turns.length);
+    const slowdown = Math.max(1, count / FULL_RATE_UPSTREAMS) ** 2;
+    const delay = (intervalMillis * slowdown) / count;
+    return delay * (1 + JITTER_SHARE * (2 * random() - 1));
   }
 }
--- a/src/router/hints/upstream-directory.ts
+++ b/src/router/hints/upstream-directory.ts
@@ -1,4 +1,4 @@
-/** Addresses of the upstreams, for probes and for closing pools. Routing itself relies on the core alone. */
+/** Addresses of the upstreams, for probes and for closing connection pools. Routing itself uses only the core's own state. */
 import type { SyncResponse } from '../../control/messages.js';
 import type { Address, Revision, UpstreamId } from '../../model/identifiers.js';
 import type { UpstreamRecord } from '../../registry/types.js';
@@ -7,7 +7,7 @@
   private readonly addresses = new Map<UpstreamId, Address>();
   private revision: Revision = 0;
 
-  /** Takes what a control member sent. Gives whether any address changed. */
+  /** Applies a control member's response. Returns whether any address may have changed. */
   update(response: Pick<SyncResponse, 'snapshot' | 'delta'>): boolean {
     const { snapshot, delta } = response;
     if (snapshot !== null && snapshot.revision >= this.revision) {
--- a/test/router/announced-answers.test.ts
+++ b/test/router/announced-answers.test.ts
@@ -1,4 +1,4 @@
-/** What callers get for each way in which an upstream without our library may answer, or not. */
+/** Caller status for each way in which an upstream without the project's library may answer or fail to answer. */
 import type { Socket } from 'node:net';
 import { expect } from 'chai';
 import { BENCH_IDENTITY } from '../../src/dev/bench/proxy/bench-identity.js';
@@ -50,30 +50,38 @@
   return [`HTTP/1.1 ${status}`, `ternmount-request-id: ${idOf(request)}`, ...lines, '', ''].join('\r\n');
 }
 
-function whole(request: ScriptedRequest, status = '200 OK', lines: readonly string[] = []): void {
+function writeWhole(request: ScriptedRequest, status = '200 OK', lines: readonly string[] = []): void {
   request.socket.write(head(request, status, [...lines, `content-length: ${BODY.length}`]) + BODY);
 }
 
-/** Bytes that were written are on their way before the connection is reset. */
+/** Resets the connection after a delay, so that the bytes written before are sent first. */
 function resetSoon(socket: Socket): void {
   setTimeout(() => socket.resetAndDestroy(), 30);
 }
 
 interface AnswerCase {
   readonly name: string;
-  /** What the upstream does with each request; `turn` counts from 0. */
-  readonly script: (request: ScriptedRequest, turn: number) => void;
+  /** How the upstream handles each request; `attempt` counts from 0. */
+  readonly script: (request: ScriptedRequest, attempt: number) => void;
+  /** Status that the caller of a read gets. */
   readonly reads: number;
+  /** Status that the caller of an order gets. */
   readonly orders: number;
-  /** Requests that reach the upstream for an order. */
+  /** Number of requests that reach the upstream for an order. */
   readonly orderArrivals: number;
 }
 
 const CASES: readonly AnswerCase[] = [
-  { name: 'a whole answer', script: (request) => whole(request), reads: 200, orders: 200, orderArrivals: 1 },
   {
-    name: 'a failure of its own',
-    script: (request) => whole(request, '500 Internal Server Error'),
+    name: 'a whole answer',
+    script: (request) => writeWhole(request),
+    reads: 200,
+    orders: 200,
+    orderArrivals: 1,
+  },
+  {
+    name: 'an application error',
+    script: (request) => writeWhole(request, '500 Internal Server Error'),
     reads: 500,
     orders: 500,
     orderArrivals: 1,
@@ -114,7 +122,7 @@
     orderArrivals: 1,
   },
   {
-    name: 'no answer in the protocol',
+    name: 'bytes that are not HTTP',
     script: ({ socket }) => socket.write('these are no headers\r\n\r\n'),
     reads: 502,
     orders: 502,
@@ -122,29 +130,31 @@
   },
   {
     name: 'a reset before any answer, once',
-    script: (request, turn) => (turn === 0 ? request.socket.resetAndDestroy() : whole(request)),
+    script: (request, attempt) => (attempt === 0 ? request.socket.resetAndDestroy() : writeWhole(request)),
     reads: 200,
     orders: 502,
     orderArrivals: 1,
   },
   {
-    name: 'a mark that it did not run, once',
-    script: (request, turn) =>
-      turn === 0 ? whole(request, '503 Service Unavailable', ['ternmount-not-run: 1']) : whole(request),
+    name: 'a not-run header, once',
+    script: (request, attempt) =>
+      attempt === 0
+        ? writeWhole(request, '503 Service Unavailable', ['ternmount-not-run: 1'])
+        : writeWhole(request),
     reads: 200,
     orders: 200,
     orderArrivals: 2,
   },
   {
-    name: 'a mark that it did not run, always',
-    script: (request) => whole(request, '503 Service Unavailable', ['ternmount-not-run: 1']),
+    name: 'a not-run header, always',
+    script: (request) => writeWhole(request, '503 Service Unavailable', ['ternmount-not-run: 1']),
     reads: 503,
     orders: 503,
     orderArrivals: 2,
   },
   {
-    name: 'an overload without the mark',
-    script: (request) => whole(request, '503 Service Unavailable'),
+    name: 'an overload without the not-run header',
+    script: (request) => writeWhole(request, '503 Service Unavailable'),
     reads: 503,
     orders: 503,
     orderArrivals: 1,
@@ -152,7 +162,7 @@
   {
     name: 'more than one answer',
     script: (request) => {
-      whole(request);
+      writeWhole(request);
       request.socket.write('HTTP/1.1 200 OK\r\nternmount-request-id: late\r\ncontent-length: 2\r\n\r\nno');
     },
     reads: 200,
@@ -192,11 +202,11 @@
           ['reads', reads],
           ['orders', orders],
         ] as const) {
-          let turn = 0;
+          let attempt = 0;
           server.requests.length = 0;
           server.script = (request) => {
-            script(request, turn);
-            turn += 1;
+            script(request, attempt);
+            attempt += 1;
           };
           const answer = await callRouter(daemon.address, `/${path}/1`, { id: `q-${path}`, deadline: 900 });
           expect(answer.status, path).to.equal(expected);
@@ -216,28 +226,28 @@
   }
 });
 
-describe('what the head of an answer says of its upstream', () => {
+describe('upstream notices in the head of an answer', () => {
   const limit = 'ternmount-limit: 1000000';
   const cases: readonly {
     readonly name: string;
     readonly script: (request: ScriptedRequest) => void;
-    readonly heard: number;
+    readonly limited: number;
   }[] = [
-    { name: 'a success', script: (request) => whole(request, '200 OK', [limit]), heard: 1 },
+    { name: 'a success', script: (request) => writeWhole(request, '200 OK', [limit]), limited: 1 },
     {
       name: 'a failure',
-      script: (request) => whole(request, '500 Internal Server Error', [limit]),
-      heard: 1,
+      script: (request) => writeWhole(request, '500 Internal Server Error', [limit]),
+      limited: 1,
     },
     {
-      name: 'a refusal',
-      script: (request) => whole(request, '503 Service Unavailable', ['ternmount-not-run: 1', limit]),
-      heard: 1,
+      name: 'a rejection',
+      script: (request) => writeWhole(request, '503 Service Unavailable', ['ternmount-not-run: 1', limit]),
+      limited: 1,
     },
     {
       name: 'an answer without a length',
       script: (request) => request.socket.end(head(request, '200 OK', [limit]) + BODY),
-      heard: 1,
+      limited: 1,
     },
     {
       name: 'an answer that breaks off',
@@ -245,23 +255,23 @@
         request.socket.write(head(request, '200 OK', ['content-length: 100', limit]) + BODY);
         resetSoon(request.socket);
       },
-      heard: 1,
+      limited: 1,
     },
     {
       name: 'another run at its address',
-      script: (request) => whole(request, '421 Misdirected Request', [limit]),
-      heard: 0,
+      script: (request) => writeWhole(request, '421 Misdirected Request', [limit]),
+      limited: 0,
     },
   ];
 
-  for (const { name, script, heard } of cases) {
-    it(`counts ${heard} times: ${name}`, async () => {
+  for (const { name, script, limited } of cases) {
+    it(`are applied ${limited} times: ${name}`, async () => {
       const { server, control, daemon } = await startRouter();
       await daemon.start();
       try {
         server.script = script;
         await callRouter(daemon.address, '/orders/1', { id: 'q-1', deadline: 900 });
-        expect(daemon.status().limited).to.equal(heard);
+        expect(daemon.status().limited).to.equal(limited);
       } finally {
         await daemon.stop();
         await control.stop();
--- a/test/router/caller/answer-stream.test.ts
+++ b/test/router/caller/answer-stream.test.ts
@@ -1,48 +1,48 @@
-/** When an answer that was held up is read on. */
+/** A blocked answer is read on once there is capacity, and not after it was aborted. */
 import type { ServerResponse } from 'node:http';
 import { expect } from 'chai';
 import { AnswerStream } from '../../../src/router/attempts/answer-stream.js';
-import { AnswerWriter, type WriterAccount } from '../../../src/router/caller/answer-writer.js';
+import { AnswerWriter, type BufferAccount } from '../../../src/router/caller/answer-writer.js';
 
-/** An account whose room a test gives and takes. */
-class ScriptedAccount implements WriterAccount {
-  room = false;
+/** An account whose capacity the test sets. */
+class FakeBufferAccount implements BufferAccount {
+  available = false;
   readonly waiting = new Set<() => void>();
 
   hold(): void {}
 
-  hasRoom(): boolean {
-    return this.room;
+  hasCapacity(): boolean {
+    return this.available;
   }
 
-  whenReleased(wake: () => void): void {
+  waitForRelease(wake: () => void): void {
     this.waiting.add(wake);
   }
 
-  forget(wake: () => void): void {
+  cancelWait(wake: () => void): void {
     this.waiting.delete(wake);
   }
 
-  giveRoom(): void {
-    this.room = true;
+  makeAvailable(): void {
+    this.available = true;
     for (const wake of [...this.waiting]) {
       wake();
     }
   }
 }
 
-function nextTurn(): Promise<void> {
+function waitForImmediates(): Promise<void> {
   return new Promise((resolve) => setImmediate(() => setImmediate(resolve)));
 }
 
-describe('an answer that waits for room', () => {
-  let account: ScriptedAccount;
+describe('an answer that waits for capacity', () => {
+  let account: FakeBufferAccount;
   let stream: AnswerStream;
   let resumed: number;
 
   beforeEach(() => {
     resumed = 0;
-    account = new ScriptedAccount();
+    account = new FakeBufferAccount();
     stream = new AnswerStream({
       resume: () => {
         resumed += 1;
@@ -55,25 +55,25 @@
         status: 200,
         headers: [],
         account,
-        broke: () => {},
+        onBroken: () => {},
       }),
     );
     stream.start([]);
   });
 
-  it('is read on once there is room, but not while that room is being made', async () => {
-    await nextTurn();
+  it('is read on once there is capacity, but not synchronously while capacity is released', async () => {
+    await waitForImmediates();
     expect(resumed).to.equal(0);
-    account.giveRoom();
+    account.makeAvailable();
     expect(resumed).to.equal(0);
-    await nextTurn();
+    await waitForImmediates();
     expect(resumed).to.equal(1);
   });
 
-  it('is not read on once it broke', async () => {
-    account.giveRoom();
+  it('is not read on after it was aborted', async () => {
+    account.makeAvailable();
     stream.breakOff();
-    await nextTurn();
+    await waitForImmediates();
     expect(resumed).to.equal(0);
   });
 });
--- a/test/router/caller/pipeline-order.test.ts
+++ b/test/router/caller/pipeline-order.test.ts
@@ -1,4 +1,4 @@
-/** Which requests of a connection are handed on, lost or waited for, without a socket. */
+/** Which requests of a connection are dispatched, lost or kept waiting, without a socket. */
 import { expect } from 'chai';
 import { HeldBytes } from '../../../src/router/caller/held-bytes.js';
 import { type PipelinedRequest, PipelineOrder } from '../../../src/router/caller/pipeline-order.js';
@@ -26,119 +26,119 @@
   return order;
 }
 
-function handOnAll(order: PipelineOrder<NamedRequest>): string[] {
+function dispatchAll(order: PipelineOrder<NamedRequest>): string[] {
   const names: string[] = [];
-  for (let next = order.handOnNext(); next !== undefined; next = order.handOnNext()) {
+  for (let next = order.dispatchNext(); next !== undefined; next = order.dispatchNext()) {
     names.push(next.name);
   }
   return names;
 }
 
 describe('the order of requests on a connection', () => {
-  it('hands on reads side by side up to the bound, and the next when one is answered', () => {
+  it('dispatches reads concurrently up to the limit, and the next when one is answered', () => {
     const requests = ['a', 'b', 'c', 'd', 'e'].map((name) => read(name));
     const order = orderOf(...requests);
-    expect(handOnAll(order)).to.deep.equal(['a', 'b', 'c', 'd']);
-    expect(order.reading).to.equal('look');
+    expect(dispatchAll(order)).to.deep.equal(['a', 'b', 'c', 'd']);
+    expect(order.readMode).to.equal('look');
     order.remove(requests[0] as NamedRequest);
-    expect(handOnAll(order)).to.deep.equal(['e']);
+    expect(dispatchAll(order)).to.deep.equal(['e']);
     order.remove(requests[1] as NamedRequest);
-    expect(order.reading).to.equal('on');
+    expect(order.readMode).to.equal('on');
   });
 
-  it('hands on a write alone: when all in front of it are answered, and what is behind it after it', () => {
+  it('dispatches a write alone: after all in front of it are answered, and before those behind it', () => {
     const [a, b, c, d] = [read('a'), write('b'), read('c'), read('d')] as const;
     const order = orderOf(a, b, c, d);
-    expect(handOnAll(order)).to.deep.equal(['a']);
+    expect(dispatchAll(order)).to.deep.equal(['a']);
     order.remove(a);
-    expect(handOnAll(order)).to.deep.equal(['b']);
+    expect(dispatchAll(order)).to.deep.equal(['b']);
     order.remove(b);
-    expect(handOnAll(order)).to.deep.equal(['c', 'd']);
+    expect(dispatchAll(order)).to.deep.equal(['c', 'd']);
   });
 
-  it('hands on nothing that is behind a request whose body has to come', () => {
+  it('dispatches nothing behind a request whose body has not arrived', () => {
     const order = new PipelineOrder<NamedRequest>(LIMITS);
-    const coming = { ...write('a', 10), isWhole: false };
-    order.add(coming);
+    const incomplete = { ...write('a', 10), isWhole: false };
+    order.add(incomplete);
     order.add(read('b'));
-    expect(handOnAll(order)).to.deep.equal([]);
-    coming.isWhole = true;
-    order.complete(coming);
-    expect([handOnAll(order), order.heldBytes]).to.deep.equal([['a'], 10]);
+    expect(dispatchAll(order)).to.deep.equal([]);
+    incomplete.isWhole = true;
+    order.complete(incomplete);
+    expect([dispatchAll(order), order.heldBytes]).to.deep.equal([['a'], 10]);
   });
 
-  it('loses what stands behind an answer that closes, and takes nothing more', () => {
+  it('loses the requests behind an answer that closes the connection, and accepts no more', () => {
     const [a, b, c, d] = [read('a'), read('b'), write('c'), read('d')] as const;
     const order = orderOf(a, b, c, d);
-    handOnAll(order);
+    dispatchAll(order);
     expect(order.closeAfter(a)).to.deep.equal([b, c, d]);
-    expect([order.isClosing, order.size, order.lastHandedOn]).to.deep.equal([true, 1, a]);
+    expect([order.isClosing, order.size, order.lastDispatched]).to.deep.equal([true, 1, a]);
     order.remove(a);
-    expect([order.size, order.lastHandedOn]).to.deep.equal([0, undefined]);
+    expect([order.size, order.lastDispatched]).to.deep.equal([0, undefined]);
   });
 
-  it('still hands on what was read before it was closed', () => {
+  it('still dispatches what was read before it was closed', () => {
     const [a, b] = [write('a'), read('b')] as const;
     const order = orderOf(a, b);
-    handOnAll(order);
+    dispatchAll(order);
     order.close();
     order.remove(a);
-    expect(handOnAll(order)).to.deep.equal(['b']);
+    expect(dispatchAll(order)).to.deep.equal(['b']);
   });
 
-  it('hands on no more than would find room where answers are large, and all again once they are small', () => {
+  it('dispatches no more than the capacity allows while answers are large, and more once they are small', () => {
     const requests = Array.from({ length: 8 }, (_, index) => read(`${index}`));
     const order = orderOf(...requests);
-    order.expect(LIMITS.heldBytesPerConnection / 5);
-    expect(handOnAll(order)).to.deep.equal(['0', '1']);
+    order.recordAnswerSize(LIMITS.heldBytesPerConnection / 5);
+    expect(dispatchAll(order)).to.deep.equal(['0', '1']);
     order.remove(requests[0] as NamedRequest);
-    expect(handOnAll(order)).to.deep.equal(['2']);
-    order.expect(10);
-    order.expect(10);
-    expect(handOnAll(order)).to.deep.equal(['3', '4']);
+    expect(dispatchAll(order)).to.deep.equal(['2']);
+    order.recordAnswerSize(10);
+    order.recordAnswerSize(10);
+    expect(dispatchAll(order)).to.deep.equal(['3', '4']);
   });
 
-  it('hands on one at a time where an answer is larger than all room', () => {
+  it('dispatches one at a time when an answer exceeds the whole capacity', () => {
     const requests = [read('a'), read('b')];
     const order = orderOf(...requests);
-    order.expect(10 * LIMITS.heldBytesPerConnection);
-    expect(handOnAll(order)).to.deep.equal(['a']);
+    order.recordAnswerSize(10 * LIMITS.heldBytesPerConnection);
+    expect(dispatchAll(order)).to.deep.equal(['a']);
     order.remove(requests[0] as NamedRequest);
-    expect(handOnAll(order)).to.deep.equal(['b']);
+    expect(dispatchAll(order)).to.deep.equal(['b']);
   });
 
-  it('stops reading at the bound of bytes, whether bodies, answers or requests that wait hold them', () => {
+  it('stops reading at the byte limit, whether bodies, answers or waiting requests use it', () => {
     const body = orderOf(write('a'), write('b', LIMITS.heldBytesPerConnection));
     const answer = orderOf(read('a'));
     answer.hold(LIMITS.heldBytesPerConnection);
     const waiting = orderOf(...Array.from({ length: 100 }, (_, index) => read(`${index}`)));
     for (const order of [body, answer, waiting]) {
-      handOnAll(order);
-      expect(order.reading).to.equal('off');
+      dispatchAll(order);
+      expect(order.readMode).to.equal('off');
     }
     answer.hold(-LIMITS.heldBytesPerConnection);
-    expect(answer.reading).to.equal('on');
+    expect(answer.readMode).to.equal('on');
   });
 
-  it('reads on for the body of the only request, however large', () => {
+  it('continues reading after the only request is removed, however large its body was', () => {
     const request = read('a', LIMITS.heldBytesPerConnection);
     const order = orderOf(request);
-    handOnAll(order);
+    dispatchAll(order);
     order.remove(request);
-    expect([order.reading, order.heldBytes]).to.deep.equal(['on', 0]);
+    expect([order.readMode, order.heldBytes]).to.deep.equal(['on', 0]);
   });
 });
 
 const TOTAL = 1000;
 const PIECE = 10;
 
-describe('bytes of answers held for callers', () => {
-  it('stay within the bound, are shared alike by those who want all, and leave room for one who comes', () => {
+describe('bytes of answers buffered for callers', () => {
+  it('stay within the limit, are shared evenly by greedy holders, and leave capacity for a new one', () => {
     const held = new HeldBytes({ heldAnswerBytes: TOTAL, heldBytesPerConnection: TOTAL });
     const holders = new Array<number>(9).fill(0);
     for (let round = 0; round < TOTAL; round++) {
       holders.forEach((bytes, holder) => {
-        if (held.hasRoom(bytes)) {
+        if (held.hasCapacity(bytes)) {
           held.change(PIECE);
           holders[holder] = bytes + PIECE;
         }
@@ -146,27 +146,27 @@
     }
     expect(held.used).to.be.at.most(TOTAL);
     expect(Math.max(...holders) - Math.min(...holders)).to.be.at.most(PIECE);
-    expect(held.hasRoom(0)).to.equal(true);
+    expect(held.hasCapacity(0)).to.equal(true);
   });
 
   it('make the largest holder wait first', () => {
     const held = new HeldBytes({ heldAnswerBytes: TOTAL, heldBytesPerConnection: TOTAL });
     held.change(TOTAL / 2 + TOTAL / 10);
-    expect([held.hasRoom(TOTAL / 2), held.hasRoom(TOTAL / 10)]).to.deep.equal([false, true]);
+    expect([held.hasCapacity(TOTAL / 2), held.hasCapacity(TOTAL / 10)]).to.deep.equal([false, true]);
   });
 
-  it('are bounded for each connection by itself', () => {
+  it('are limited for each connection', () => {
     const held = new HeldBytes({ heldAnswerBytes: TOTAL, heldBytesPerConnection: TOTAL / 10 });
-    expect([held.hasRoom(TOTAL / 10 - 1), held.hasRoom(TOTAL / 10)]).to.deep.equal([true, false]);
+    expect([held.hasCapacity(TOTAL / 10 - 1), held.hasCapacity(TOTAL / 10)]).to.deep.equal([true, false]);
   });
 
-  it('wake only as many as may find room, the one first that waits longest', () => {
+  it('wake only as many waiters as may find capacity, longest wait first', () => {
     const piece = 64 * 1024;
     const held = new HeldBytes({ heldAnswerBytes: 4 * piece, heldBytesPerConnection: 4 * piece });
     const woken: string[] = [];
     held.change(4 * piece);
     for (const name of ['a', 'b', 'c']) {
-      held.whenReleased(() => woken.push(name));
+      held.waitForRelease(() => woken.push(name));
     }
     held.change(-2 * piece);
     expect([woken, held.waiting]).to.deep.equal([['a', 'b'], 1]);
@@ -174,11 +174,11 @@
     expect(woken).to.deep.equal(['a', 'b', 'c']);
   });
 
-  it('wake those who wait when some are released, once', () => {
+  it('wake a waiter once when some are released', () => {
     const held = new HeldBytes({ heldAnswerBytes: TOTAL, heldBytesPerConnection: TOTAL });
     let woken = 0;
     held.change(TOTAL);
-    held.whenReleased(() => {
+    held.waitForRelease(() => {
       woken += 1;
     });
     held.change(-PIECE);
--- a/test/router/caller/pipelines.test.ts
+++ b/test/router/caller/pipelines.test.ts
@@ -1,4 +1,4 @@
-/** Requests behind one another on a connection of a caller: answered in order, and over together when the caller leaves. */
+/** Pipelined requests on a caller's connection are answered in order, and are all cancelled when the caller disconnects. */
 import { expect } from 'chai';
 import { HEADERS } from '../../../src/model/outcome.js';
 import { RouterFixture, until } from '../router-fixture.js';
@@ -21,7 +21,7 @@
 
 function ignore(): void {}
 
-describe('requests behind one another on a connection', () => {
+describe('pipelined requests on a connection', () => {
   let upstream: ScriptedUpstream;
   let router: RouterFixture;
   let caller: RawCaller;
@@ -34,12 +34,12 @@
     return upstream.requests.map(({ target }) => target);
   }
 
-  /** Waits until a request on another connection was answered, so that all sent before it was read. */
-  async function passOnce(): Promise<void> {
+  /** Waits until a request on another connection is answered, by which time everything sent before it has been read. */
+  async function waitForOtherRequest(): Promise<void> {
     await router.get('/nothing/1');
   }
 
-  async function idle(): Promise<void> {
+  async function waitUntilIdle(): Promise<void> {
     await until(() => router.daemon.openRequests === 0);
     await until(() => router.daemon.status().inFlight === 0 && router.daemon.status().queued === 0);
   }
@@ -62,63 +62,63 @@
   });
 
   afterEach(async () => {
-    caller.leave();
-    await idle();
+    caller.disconnect();
+    await waitUntilIdle();
     await router.stop();
     await upstream.stop();
   });
 
   for (const count of [2, 20, 2000]) {
-    it(`${count} of them are answered in their order, and no more than the bound run at once`, async () => {
+    it(`${count} of them are answered in order, and no more than the limit run at once`, async () => {
       const paths = reads(count);
-      let most = 0;
+      let mostInFlight = 0;
       upstream.script = (request) => {
-        most = Math.max(most, router.daemon.status().inFlight);
+        mostInFlight = Math.max(mostInFlight, router.daemon.status().inFlight);
         answerWhole(request);
       };
       caller.send(pipeline(paths));
       await until(() => caller.answers.length === count);
       expect(caller.bodies).to.deep.equal(paths);
-      expect(most).to.be.at.most(BOUND);
+      expect(mostInFlight).to.be.at.most(BOUND);
     });
   }
 
-  it('are answered in their order although the last is ready first', async () => {
+  it('are answered in order although the last is ready first', async () => {
     caller.send(pipeline(reads(3)));
     await until(() => upstream.requests.length === 3);
     answerWhole(requestFor('/reads/2'));
     answerWhole(requestFor('/reads/1'));
-    await passOnce();
+    await waitForOtherRequest();
     expect(caller.answers).to.have.length(0);
     answerWhole(requestFor('/reads/0'));
     await until(() => caller.answers.length === 3);
     expect(caller.bodies).to.deep.equal(reads(3));
   });
 
-  it('are taken however their bytes are cut', async () => {
+  it('are accepted however their bytes are split', async () => {
     upstream.script = answerWhole;
     const text = `${pipeline(reads(3))}${postHead('/orders/1', 'body')}${pipeline(['/reads/last'])}`;
     for (let cut = 1; cut < text.length; cut += 7) {
-      const halves = await RawCaller.connect(router.address);
-      halves.send(text.slice(0, cut));
+      const splitCaller = await RawCaller.connect(router.address);
+      splitCaller.send(text.slice(0, cut));
       await new Promise(setImmediate);
-      halves.send(text.slice(cut));
-      await until(() => halves.answers.length === 5);
-      expect(halves.bodies).to.deep.equal([...reads(3), '/orders/1', '/reads/last']);
-      halves.leave();
-      await idle();
+      splitCaller.send(text.slice(cut));
+      await until(() => splitCaller.answers.length === 5);
+      expect(splitCaller.bodies).to.deep.equal([...reads(3), '/orders/1', '/reads/last']);
+      splitCaller.disconnect();
+      await waitUntilIdle();
     }
   });
 
-  it('a request that changes something runs alone: after those in front of it, before those behind', async () => {
+  it('an unsafe request runs alone: after those in front of it, before those behind', async () => {
     caller.send(`${pipeline(reads(2))}${postHead('/orders/1', 'body')}${pipeline(['/reads/last'])}`);
     await until(() => upstream.requests.length === 2);
     answerWhole(requestFor('/reads/1'));
-    await passOnce();
+    await waitForOtherRequest();
     expect(targets()).to.have.members(reads(2));
     answerWhole(requestFor('/reads/0'));
     await until(() => upstream.requests.length === 3);
-    await passOnce();
+    await waitForOtherRequest();
     expect(targets()).to.have.members([...reads(2), '/orders/1']);
     answerWhole(requestFor('/orders/1'));
     await until(() => upstream.requests.length === 4);
@@ -135,90 +135,90 @@
     );
     caller.send(`${postHead('/orders/1', 'body')}${read}`);
     await until(() => upstream.requests.length === 1);
-    const begun = performance.now();
+    const startedAt = performance.now();
     await new Promise((resolve) => setTimeout(resolve, 50));
     answerWhole(requestFor('/orders/1'));
-    const waited = Math.floor(performance.now() - begun);
+    const waited = Math.floor(performance.now() - startedAt);
     await until(() => upstream.requests.length === 2);
-    const told = Number(requestFor('/reads/0').headers.get(HEADERS.deadlineMillis));
-    expect(told).to.be.at.most(deadline - waited);
+    const forwardedMillis = Number(requestFor('/reads/0').headers.get(HEADERS.deadlineMillis));
+    expect(forwardedMillis).to.be.at.most(deadline - waited);
   });
 
-  it('a refusal at once stands behind the slower answer in front of it', async () => {
+  it('an immediate rejection is sent after the slower answer in front of it', async () => {
     caller.send(pipeline(['/reads/0', '/nothing/1']));
     await until(() => upstream.requests.length === 1);
-    await passOnce();
+    await waitForOtherRequest();
     expect(caller.rest).to.equal('');
     answerWhole(requestFor('/reads/0'));
     await until(() => caller.answers.length === 2);
     expect(caller.statuses).to.deep.equal([200, 404]);
   });
 
-  describe('whose caller leaves', () => {
+  describe('whose caller disconnects', () => {
     it('at upstreams: all are cancelled', async () => {
       caller.send(pipeline(reads(4)));
       await until(() => upstream.requests.length === 4);
-      caller.leave();
-      await idle();
+      caller.disconnect();
+      await waitUntilIdle();
       await until(() => upstream.requests.every(({ socket }) => socket.destroyed));
     });
 
-    it('before the last head is whole: those before it are cancelled', async () => {
+    it('before the last head has arrived whole: those before it are cancelled', async () => {
       caller.send(`${pipeline(reads(2))}${getHead('/reads/half').slice(0, 20)}`);
       await until(() => upstream.requests.length === 2);
-      caller.leave();
-      await idle();
+      caller.disconnect();
+      await waitUntilIdle();
       expect(targets()).to.have.members(reads(2));
     });
 
-    it('while a body comes: its bytes are let go of', async () => {
+    it('while a body arrives: its bytes are released', async () => {
       caller.send(`${pipeline(['/reads/0'])}${postHead('/orders/1', 'body').slice(0, -2)}`);
       await until(() => upstream.requests.length === 1);
-      caller.leave();
-      await idle();
+      caller.disconnect();
+      await waitUntilIdle();
       expect(targets()).to.deep.equal(['/reads/0']);
     });
 
     it('while one waits for those in front of it: it is never sent', async () => {
       caller.send(`${pipeline(['/reads/0'])}${postHead('/orders/1', 'body')}${pipeline(['/reads/1'])}`);
       await until(() => router.daemon.openRequests === 3 && upstream.requests.length === 1);
-      caller.leave();
-      await idle();
+      caller.disconnect();
+      await waitUntilIdle();
       expect(targets()).to.deep.equal(['/reads/0']);
     });
 
-    it('with more than the bound behind one another: that is found out, and nothing more is sent', async () => {
+    it('with more than the limit pipelined: the disconnect is detected, and no more are sent', async () => {
       caller.send(pipeline(reads(200)));
       await until(() => upstream.requests.length === BOUND);
-      caller.leave();
-      await idle();
+      caller.disconnect();
+      await waitUntilIdle();
       expect(upstream.requests).to.have.length(BOUND);
     });
 
-    it('while an earlier answer streams: its upstream and those of the others are told', async () => {
+    it('while an earlier answer streams: the attempts of all are cancelled at their upstreams', async () => {
       caller.send(pipeline(reads(3)));
       await until(() => upstream.requests.length === 3);
       const first = requestFor('/reads/0');
       first.socket.write(`${headFor(first, `content-length: ${LARGE.length}`)}${LARGE.slice(0, 2000)}`);
       await until(() => caller.rest.endsWith('x'));
-      caller.leave();
-      await idle();
+      caller.disconnect();
+      await waitUntilIdle();
       await until(() => upstream.requests.every(({ socket }) => socket.destroyed));
     });
 
-    it('while a large answer waits behind another: its upstream is told', async () => {
+    it('while a large answer waits behind another: its attempt is cancelled at its upstream', async () => {
       caller.send(pipeline(reads(2)));
       await until(() => upstream.requests.length === 2);
       const second = requestFor('/reads/1');
       second.socket.write(`${headFor(second, `content-length: ${LARGE.length}`)}${LARGE.slice(0, 2000)}`);
-      await passOnce();
-      caller.leave();
-      await idle();
+      await waitForOtherRequest();
+      caller.disconnect();
+      await waitUntilIdle();
       await until(() => upstream.requests.every(({ socket }) => socket.destroyed));
     });
   });
 
-  describe('behind an answer that closes', () => {
+  describe('behind an answer that closes the connection', () => {
     it('without a length: those at upstreams are cancelled, the others never sent', async () => {
       caller.send(`${pipeline(reads(3))}${postHead('/orders/1', 'body')}`);
       await until(() => upstream.requests.length === 3);
@@ -228,12 +228,12 @@
       await until(() => caller.closed);
       expect(caller.bodies).to.deep.equal(['/reads/0']);
       expect(caller.rest).to.match(/connection: close[\s\S]*\r\n\r\nto the end$/i);
-      await idle();
+      await waitUntilIdle();
       await until(() => requestFor('/reads/2').socket.destroyed);
       expect(targets()).to.have.members(reads(3));
     });
 
-    it('to a request that can not be read: those in front are answered, those behind never sent', async () => {
+    it('to an invalid request: those in front are answered, those behind never sent', async () => {
       caller.send(`${pipeline(reads(2))}GET /reads/bad HTTP/1.1\r\n\r\n${pipeline(['/reads/behind'])}`);
       await until(() => upstream.requests.length === 2);
       upstream.requests.forEach(answerWhole);
@@ -243,7 +243,7 @@
       expect(targets()).to.have.members(reads(2));
     });
 
-    it('to a body above the bound: those in front are answered first', async () => {
+    it('to a body above the limit: those in front are answered first', async () => {
       caller.send(
         `${pipeline(['/reads/0'])}POST /orders/1 HTTP/1.1\r\nHost: r\r\nContent-Length: 99999999\r\n\r\n`,
       );
@@ -255,16 +255,16 @@
     });
   });
 
-  describe('one of whose upstreams breaks its answer', () => {
-    function breakMidway(request: ScriptedRequest): void {
+  describe('one of whose upstreams fails in the middle of its answer', () => {
+    function closeMidway(request: ScriptedRequest): void {
       request.socket.write(`${headFor(request, `content-length: ${LARGE.length}`)}${LARGE.slice(0, 2000)}`);
       setTimeout(() => request.socket.end(), 20);
     }
 
-    it('before its turn: it becomes 502, and the others are answered', async () => {
+    it('behind others: it is answered with 502, and the others are answered', async () => {
       caller.send(pipeline(reads(3)));
       await until(() => upstream.requests.length === 3);
-      breakMidway(requestFor('/reads/1'));
+      closeMidway(requestFor('/reads/1'));
       await until(() => requestFor('/reads/1').socket.destroyed);
       answerWhole(requestFor('/reads/2'));
       await until(() => router.daemon.status().inFlight === 1);
@@ -273,20 +273,20 @@
       expect(caller.statuses).to.deep.equal([200, 502, 200]);
     });
 
-    it('in its turn: the connection breaks, and those behind it are cancelled', async () => {
+    it('in front: the connection is closed, and those behind it are cancelled', async () => {
       caller.send(pipeline(reads(3)));
       await until(() => upstream.requests.length === 3);
       answerWhole(requestFor('/reads/0'));
-      breakMidway(requestFor('/reads/1'));
+      closeMidway(requestFor('/reads/1'));
       await until(() => caller.closed);
       expect(caller.bodies).to.deep.equal(['/reads/0']);
-      await idle();
+      await waitUntilIdle();
       await until(() => requestFor('/reads/2').socket.destroyed);
     });
   });
 
   describe('when the router stops as planned', () => {
-    it('are answered, and the connection closes behind them', async () => {
+    it('are answered, and the connection closes after them', async () => {
       caller.send(pipeline(reads(3)));
       await until(() => upstream.requests.length === 3);
       const stopped = router.daemon.stop();
@@ -297,7 +297,7 @@
       await until(() => caller.closed);
     });
 
-    it('and more come: each that was sent on is answered, and the last answer says that it closes', async () => {
+    it('and more arrive: each that was forwarded is answered, and only the last answer has connection: close', async () => {
       caller.send(pipeline(reads(2)));
       await until(() => upstream.requests.length === 2);
       const stopped = router.daemon.stop();
@@ -321,7 +321,7 @@
       expect(targets()).to.have.members(reads(4));
     });
 
-    it('and a large answer that closes waits for its turn: nothing behind it is sent on', async () => {
+    it('and a large answer that closes the connection waits behind another: nothing behind it is forwarded', async () => {
       caller.send(pipeline(['/reads/0']));
       await until(() => upstream.requests.length === 1);
       const stopped = router.daemon.stop();
@@ -353,12 +353,12 @@
     });
   });
 
-  it('ten thousand of them whose callers leave one by one leave nothing behind', async function () {
+  it('ten thousand of them are all released when their callers disconnect one by one', async function () {
     this.timeout(60_000);
     const connections = 500;
     const each = 20;
     const batch = 50;
-    for (let begun = 0; begun < connections; begun += batch) {
+    for (let opened = 0; opened < connections; opened += batch) {
       const callers = await Promise.all(
         Array.from({ length: batch }, () => RawCaller.connect(router.address)),
       );
@@ -367,9 +367,9 @@
       }
       await until(() => router.daemon.openRequests === batch * each);
       for (const leaving of callers) {
-        leaving.leave();
+        leaving.disconnect();
       }
-      await idle();
+      await waitUntilIdle();
     }
   });
 });
--- a/test/router/caller/raw-caller.ts
+++ b/test/router/caller/raw-caller.ts
@@ -1,9 +1,9 @@
-/** A caller that writes its bytes itself, so that requests can be sent behind one another, in pieces, or broken off. */
+/** A caller that writes raw bytes, so that requests can be pipelined, sent in pieces, or cut short. */
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
 import { parseAddress } from '../../../src/wire/index.js';
 
-/** An answer with a length, as a caller of a pipeline reads it. */
+/** An answer with a length, as parsed from the connection. */
 export interface RawAnswer {
   readonly status: number;
   readonly head: string;
@@ -25,8 +25,8 @@
   readonly answers: RawAnswer[] = [];
   closed = false;
   #received = '';
-  /** Length of the answer that is coming, once its head is here. */
-  #needed = 0;
+  /** Length of the answer that is being received, once its head has arrived. */
+  #answerLength = 0;
 
   private constructor(readonly socket: Socket) {
     socket.setEncoding('latin1');
@@ -34,7 +34,7 @@
     socket.on('close', () => {
       this.closed = true;
     });
-    socket.on('data', (piece: string) => this.#take(piece));
+    socket.on('data', (piece: string) => this.#parse(piece));
   }
 
   static async connect(address: string): Promise<RawCaller> {
@@ -48,7 +48,7 @@
     return this;
   }
 
-  /** Reads nothing more until `resume` is called. */
+  /** Stops reading until `resume` is called. */
   pause(): this {
     this.socket.pause();
     return this;
@@ -60,7 +60,7 @@
   }
 
   /** Closes the connection in both directions. */
-  leave(): void {
+  disconnect(): void {
     this.socket.destroy();
   }
 
@@ -72,14 +72,14 @@
     return this.answers.map(({ status }) => status);
   }
 
-  /** What came that is no whole answer. */
+  /** Received text that is not yet a whole answer. */
   get rest(): string {
     return this.#received;
   }
 
-  #take(piece: string): void {
+  #parse(piece: string): void {
     this.#received += piece;
-    while (this.#received.length >= this.#needed) {
+    while (this.#received.length >= this.#answerLength) {
       const end = this.#received.indexOf(HEAD_END);
       if (end === -1) {
         return;
@@ -87,14 +87,14 @@
       const head = this.#received.slice(0, end);
       const length = Number(/content-length: (\d+)/i.exec(head)?.[1] ?? Number.POSITIVE_INFINITY);
       const bodyStart = end + HEAD_END.length;
-      this.#needed = bodyStart + length;
-      if (this.#received.length < this.#needed) {
+      this.#answerLength = bodyStart + length;
+      if (this.#received.length < this.#answerLength) {
         return;
       }
-      const body = this.#received.slice(bodyStart, this.#needed);
+      const body = this.#received.slice(bodyStart, this.#answerLength);
       this.answers.push({ status: Number(head.slice(9, 12)), head, body });
-      this.#received = this.#received.slice(this.#needed);
-      this.#needed = 0;
+      this.#received = this.#received.slice(this.#answerLength);
+      this.#answerLength = 0;
     }
   }
 }
--- a/test/router/caller/slow-readers.test.ts
+++ b/test/router/caller/slow-readers.test.ts
@@ -1,4 +1,4 @@
-/** Large answers to callers that read slowly or not at all: held within bounds, delivered whole, broken off when nothing passes. */
+/** Large answers to callers that read slowly or not at all are buffered within limits, delivered whole, and aborted when no bytes pass. */
 import { expect } from 'chai';
 import type { LogFields } from '../../../src/logging/logger.js';
 import { LogRecorder } from '../log-recorder.js';
@@ -7,11 +7,11 @@
 import { getHead, RawCaller } from './raw-caller.js';
 
 const MEGABYTE = 1024 * 1024;
-/** More than the sockets on the way hold. */
+/** More than the socket buffers on the way hold. */
 const LARGE_BYTES = 24 * MEGABYTE;
 const HELD_BYTES = 2 * MEGABYTE;
 const HELD_PER_CONNECTION = MEGABYTE;
-/** One piece of an answer, as a socket gives it at most. */
+/** Largest piece of an answer that one read of a socket returns. */
 const PIECE_BYTES = 64 * 1024;
 const STALL_MILLIS = 300;
 
@@ -23,20 +23,20 @@
   }
 }
 
-/** Bytes that upstreams could write of their answers, by target. */
+/** Bytes of answers that upstreams have written, by target. */
 type Written = Map<string, number>;
 
 function writeLarge(written: Written, bytes: number): (request: ScriptedRequest) => void {
   return (request) => {
     const { socket, target } = request;
     const piece = Buffer.alloc(PIECE_BYTES, 'x');
-    let left = bytes;
+    let remaining = bytes;
     const write = (): void => {
-      for (let takes = true; takes && left > 0; ) {
-        const next = piece.subarray(0, Math.min(left, PIECE_BYTES));
-        left -= next.length;
-        takes = socket.write(next);
-        written.set(target, bytes - left);
+      for (let canWrite = true; canWrite && remaining > 0; ) {
+        const next = piece.subarray(0, Math.min(remaining, PIECE_BYTES));
+        remaining -= next.length;
+        canWrite = socket.write(next);
+        written.set(target, bytes - remaining);
       }
     };
     socket.setMaxListeners(0).on('drain', write);
@@ -70,8 +70,8 @@
     return router.daemon.connectionsUsage().heldAnswerBytes;
   }
 
-  /** Callers that sent one request each and read nothing. */
-  async function readers(paths: readonly string[]): Promise<RawCaller[]> {
+  /** Connects callers that send one request each and read nothing. */
+  async function connectIdleReaders(paths: readonly string[]): Promise<RawCaller[]> {
     return Promise.all(
       paths.map(async (path) => (await RawCaller.connect(router.address)).pause().send(getHead(path))),
     );
@@ -87,9 +87,9 @@
     await upstream.stop();
   });
 
-  it('are held up to the bound of a connection, and the rest is left with the upstream', async () => {
+  it('are buffered up to the limit of a connection, and the rest stays at the upstream', async () => {
     await start();
-    const [caller] = (await readers(['/reads/0'])) as [RawCaller];
+    const [caller] = (await connectIdleReaders(['/reads/0'])) as [RawCaller];
     await until(() => heldBytes() >= HELD_PER_CONNECTION);
     await router.get('/nothing/1');
     expect(heldBytes()).to.be.at.most(HELD_PER_CONNECTION + PIECE_BYTES);
@@ -98,12 +98,12 @@
     await until(() => caller.answers.length === 1);
     expect(caller.bodies[0]?.length).to.equal(LARGE_BYTES);
     expect(heldBytes()).to.equal(0);
-    caller.leave();
+    caller.disconnect();
   });
 
-  it('are held up to the bound in all, and all come whole once they are read', async () => {
+  it('are buffered up to the total limit, and all arrive whole once they are read', async () => {
     await start();
-    const callers = await readers(Array.from({ length: 6 }, (_, index) => `/reads/${index}`));
+    const callers = await connectIdleReaders(Array.from({ length: 6 }, (_, index) => `/reads/${index}`));
     await until(() => router.daemon.connectionsUsage().waitingAnswers === callers.length);
     expect(heldBytes()).to.be.at.most(HELD_BYTES + callers.length * PIECE_BYTES);
     for (const caller of callers) {
@@ -113,34 +113,34 @@
     expect(callers.map(({ bodies }) => bodies[0]?.length)).to.deep.equal(callers.map(() => LARGE_BYTES));
     expect(heldBytes()).to.equal(0);
     for (const caller of callers) {
-      caller.leave();
+      caller.disconnect();
     }
   });
 
-  it('leave room for answers to those who read', async () => {
+  it('leave capacity for answers to callers that read', async () => {
     await start();
-    const callers = await readers(['/reads/0', '/reads/1', '/reads/2']);
+    const callers = await connectIdleReaders(['/reads/0', '/reads/1', '/reads/2']);
     await until(() => router.daemon.connectionsUsage().waitingAnswers === callers.length);
     upstream.script = writeLarge(written, 90_000);
     const { status, body } = await router.get('/reads/small');
     expect([status, body.length]).to.deep.equal([200, 90_000]);
     for (const caller of callers) {
-      caller.leave();
+      caller.disconnect();
     }
     await until(() => heldBytes() === 0);
   });
 
-  it('are given up at their upstream when their caller leaves', async () => {
+  it('are cancelled at their upstream when their caller disconnects', async () => {
     await start();
-    const [caller] = (await readers(['/reads/0'])) as [RawCaller];
+    const [caller] = (await connectIdleReaders(['/reads/0'])) as [RawCaller];
     await until(() => heldBytes() >= HELD_PER_CONNECTION);
-    caller.leave();
+    caller.disconnect();
     await until(() => upstream.requests[0]?.socket.destroyed === true);
     await until(() => router.daemon.openRequests === 0);
     expect(heldBytes()).to.equal(0);
   });
 
-  it('are broken off when their caller takes nothing, with those behind them', async () => {
+  it('are aborted when their caller reads nothing, with those behind them', async () => {
     const log = new EventRecorder();
     const large = writeLarge(written, LARGE_BYTES);
     upstream.script = (request) => request.target === '/reads/0' && large(request);
@@ -157,17 +157,17 @@
         fields: { request: 1, id: null, reason: 'caller-stalled', lostBehind: 1 },
       },
     ]);
-    caller.leave();
+    caller.disconnect();
   });
 
-  it('that came whole are not cut off by a planned stop', async () => {
+  it('that were received whole are not truncated by a planned stop', async () => {
     const bytes = 12 * MEGABYTE;
     upstream.script = writeLarge(written, bytes);
     await start({
       reads: { wholeAnswerBytes: 16 * MEGABYTE, deadlineMillis: 30_000 },
       settings: { limits: { heldAnswerBytes: 32 * MEGABYTE }, timings: { idleMillis: 0 } },
     });
-    const [caller] = (await readers(['/reads/0'])) as [RawCaller];
+    const [caller] = (await connectIdleReaders(['/reads/0'])) as [RawCaller];
     await until(() => heldBytes() >= bytes);
     const stopped = router.daemon.stop();
     await new Promise((resolve) => setTimeout(resolve, 100));
@@ -177,7 +177,7 @@
     expect(caller.bodies[0]?.length).to.equal(bytes);
   });
 
-  it('come whole where the room ends with their last byte and their upstream closes behind it', async () => {
+  it('arrive whole when the capacity ends with their last byte and their upstream then closes the connection', async () => {
     const bytes = 100_000;
     upstream.script = (request) => {
       if (request.target === '/reads/1') {
@@ -199,15 +199,15 @@
       [200, '/reads/0'.length],
       [200, bytes],
     ]);
-    caller.leave();
+    caller.disconnect();
   });
 
-  it('of 200 callers are held, and their upstreams are free before they are read', async () => {
+  it('of 200 callers are buffered, and their upstreams are free before they are read', async () => {
     const bytes = 90_000;
     upstream.script = writeLarge(written, bytes);
     await start({ settings: { limits: { heldAnswerBytes: 32 * MEGABYTE, connectionsPerUpstream: 300 } } });
     const paths = Array.from({ length: 200 }, (_, index) => `/reads/${index}`);
-    const callers = await readers(paths);
+    const callers = await connectIdleReaders(paths);
     await until(() => upstream.requests.length === paths.length && router.daemon.status().inFlight === 0);
     for (const caller of callers) {
       caller.resume();
@@ -215,7 +215,7 @@
     await until(() => callers.every(({ answers }) => answers.length === 1));
     await until(() => heldBytes() === 0);
     for (const caller of callers) {
-      caller.leave();
+      caller.disconnect();
     }
   });
 });
--- a/test/router/connection-break.test.ts
+++ b/test/router/connection-break.test.ts
@@ -1,11 +1,11 @@
-/** The line of a request that failed says how the connection of each attempt came to its end. */
+/** The log line of a failed request contains how the connection of each attempt ended. */
 import { expect } from 'chai';
 import type { LogFields } from '../../src/logging/logger.js';
 import { LogRecorder } from './log-recorder.js';
 import { RouterFixture } from './router-fixture.js';
 import { headFor, type Script, ScriptedUpstream } from './scripted-upstream.js';
 
-class RefusalRecorder extends LogRecorder {
+class RefusedRequestRecorder extends LogRecorder {
   readonly refusals: LogFields[] = [];
 
   override info(event: string, fields: LogFields = {}): void {
@@ -32,7 +32,7 @@
 describe('how a connection broke', () => {
   for (const [index, { how, script }] of CASES.entries()) {
     it(`${how} (${index + 1})`, async () => {
-      const log = new RefusalRecorder();
+      const log = new RefusedRequestRecorder();
       const upstream = await new ScriptedUpstream(script).start();
       const router = await RouterFixture.start([upstream], { log });
       await router.order('/orders/1');
--- a/test/router/hints/health-probes.test.ts
+++ b/test/router/hints/health-probes.test.ts
@@ -1,4 +1,4 @@
-/** Probes of upstreams: where they go, and that they can be turned off. */
+/** The path and result of health probes, and that they can be disabled. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -22,15 +22,15 @@
     paths.length = 0;
   });
 
-  it('go to the path of the settings and give status and load', async () => {
+  it('request the configured path and report status and load', async () => {
     const result = await new Promise((resolve) => {
       const probes = new HealthProbes({
         intervalMillis: 5,
         timeoutMillis: 1000,
         path: '/alive',
-        result: (...facts) => {
+        result: (...values) => {
           probes.stop();
-          resolve(facts);
+          resolve(values);
         },
       });
       probes.probe(new Map([['menu-1', address]]));
@@ -39,13 +39,13 @@
     expect(paths).to.deep.equal(['/alive']);
   });
 
-  it('an interval of 0 turns them off', async () => {
+  it('are disabled by an interval of 0', async () => {
     const results: unknown[] = [];
     const probes = new HealthProbes({
       intervalMillis: 0,
       timeoutMillis: 1000,
       path: '/alive',
-      result: (...facts) => results.push(facts),
+      result: (...values) => results.push(values),
     });
     probes.probe(new Map([['menu-1', address]]));
     await sleep(50);
--- a/test/router/hints/probe-schedule.test.ts
+++ b/test/router/hints/probe-schedule.test.ts
@@ -1,4 +1,4 @@
-/** Turns of probes: every upstream gets them, and their rate stays bounded however many there are. */
+/** Every upstream is probed in each round, and the rate of probes stays bounded for any number of upstreams. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { ProbeSchedule } from '../../../src/router/hints/probe-schedule.js';
@@ -15,19 +15,19 @@
 }
 
 describe('probe schedule', () => {
-  for (const [upstreams, gap] of [
+  for (const [upstreams, delay] of [
     [1, 1000],
     [10, 100],
     [40, 25],
     [80, 50],
     [1200, 750],
   ] as const) {
-    it(`${upstreams} upstreams: one probe in ${gap} ms`, () => {
-      expect(scheduleOf(upstreams).gapMillis()).to.equal(gap);
+    it(`${upstreams} upstreams: one probe in ${delay} ms`, () => {
+      expect(scheduleOf(upstreams).nextDelayMillis()).to.equal(delay);
     });
   }
 
-  it('gives each upstream one turn a round, wherever it begins', () => {
+  it('probes each upstream once a round, wherever it starts', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 60 }),
@@ -35,15 +35,15 @@
         (count, start) => {
           const schedule = scheduleOf(count, () => start);
           for (let round = 0; round < 3; round++) {
-            const turns = Array.from({ length: count }, () => schedule.take());
-            expect(new Set(turns).size).to.equal(count);
+            const upstreams = Array.from({ length: count }, () => schedule.next());
+            expect(new Set(upstreams).size).to.equal(count);
           }
         },
       ),
     );
   });
 
-  it('without upstreams gives none', () => {
-    expect(scheduleOf(0).take()).to.equal(undefined);
+  it('returns none without upstreams', () => {
+    expect(scheduleOf(0).next()).to.equal(undefined);
   });
 });
--- a/test/router/long-answers.test.ts
+++ b/test/router/long-answers.test.ts
@@ -1,4 +1,4 @@
-/** Answers above the service's bound flow through: whole, or visibly broken. */
+/** Answers above the service's buffering limit are streamed: the caller gets them whole, or sees the connection break. */
 import { once } from 'node:events';
 import { request as httpRequest, type IncomingMessage } from 'node:http';
 import { connect } from 'node:net';
@@ -7,11 +7,11 @@
 import { RouterFixture, until } from './router-fixture.js';
 import { headFor, type Script, type ScriptedRequest, ScriptedUpstream } from './scripted-upstream.js';
 
-const BOUND = 1024;
-const PIECE = 'x'.repeat(BOUND);
+const WHOLE_ANSWER_BYTES = 1024;
+const PIECE = 'x'.repeat(WHOLE_ANSWER_BYTES);
 const PIECES = 40;
 const STALL_MILLIS = 300;
-/** More than socket buffers on the way hold. */
+/** More than the socket buffers on the way hold. */
 const ENDLESS_PIECES = 20_000;
 
 function chunk(text: string): string {
@@ -27,11 +27,12 @@
 interface StreamCase {
   readonly answer: string;
   readonly script: Script;
-  /** Bytes that the caller gets as a whole answer; `null`: its connection breaks. */
+  /** Bytes that the caller gets as a whole answer, or `null` if its connection breaks. */
   readonly bytes: number | null;
 }
 
-const withLength = (request: ScriptedRequest) => headFor(request, `content-length: ${PIECES * BOUND}`);
+const withLength = (request: ScriptedRequest) =>
+  headFor(request, `content-length: ${PIECES * WHOLE_ANSWER_BYTES}`);
 const inChunks = (request: ScriptedRequest) => headFor(request, 'transfer-encoding: chunked');
 
 const CASES: readonly StreamCase[] = [
@@ -41,14 +42,14 @@
       request.socket.write(withLength(request));
       sendPieces(request, PIECES);
     },
-    bytes: PIECES * BOUND,
+    bytes: PIECES * WHOLE_ANSWER_BYTES,
   },
   {
     answer: 'in chunks',
     script: (request) => {
       request.socket.write(`${inChunks(request)}${chunk(PIECE).repeat(PIECES)}0\r\n\r\n`);
     },
-    bytes: PIECES * BOUND,
+    bytes: PIECES * WHOLE_ANSWER_BYTES,
   },
   {
     answer: 'of a known length, broken off',
@@ -103,8 +104,8 @@
   beforeEach(async () => {
     upstream = await new ScriptedUpstream().start();
     router = await RouterFixture.start([upstream], {
-      reads: { wholeAnswerBytes: BOUND, deadlineMillis: 1000 },
-      orders: { wholeAnswerBytes: BOUND },
+      reads: { wholeAnswerBytes: WHOLE_ANSWER_BYTES, deadlineMillis: 1000 },
+      orders: { wholeAnswerBytes: WHOLE_ANSWER_BYTES },
       settings: { timings: { streamStallMillis: STALL_MILLIS } },
     });
   });
@@ -122,10 +123,10 @@
     });
   }
 
-  it('are read no faster than their caller takes them, and given up when it takes nothing', async () => {
+  it('are read no faster than their caller reads them, and aborted when it reads nothing', async () => {
     let written = 0;
     upstream.script = (request) => {
-      request.socket.write(headFor(request, `content-length: ${ENDLESS_PIECES * BOUND}`));
+      request.socket.write(headFor(request, `content-length: ${ENDLESS_PIECES * WHOLE_ANSWER_BYTES}`));
       const write = (): void => {
         while (written < ENDLESS_PIECES && request.socket.write(PIECE)) {
           written += 1;
@@ -142,8 +143,8 @@
   });
 
   for (const [answer, script, received] of [
-    ['in chunks, which only the end of the connection could end', CASES[1]?.script, 0],
-    ['of a known length', CASES[0]?.script, PIECES * BOUND],
+    ['in chunks, which only closing the connection could end', CASES[1]?.script, 0],
+    ['of a known length', CASES[0]?.script, PIECES * WHOLE_ANSWER_BYTES],
   ] as const) {
     it(`${answer}, to a caller of HTTP/1.0: ${received === 0 ? 'nothing of it' : 'whole'}`, async () => {
       upstream.script = script as Script;
@@ -160,7 +161,7 @@
     });
   }
 
-  it('end with their caller', async () => {
+  it('are cancelled when their caller disconnects', async () => {
     upstream.script = (request) => {
       request.socket.write(withLength(request));
       sendPieces(request, PIECES / 2);
@@ -171,7 +172,7 @@
   });
 });
 
-/** Sends a read and gives its answer before any of its body was read. */
+/** Sends a read and returns its response before any of the body is read. */
 async function openRead(address: string): Promise<IncomingMessage> {
   const sent = httpRequest(`http://${address}/reads/1`, { agent: false });
   sent.on('error', () => {});
--- a/test/router/shared-reads.test.ts
+++ b/test/router/shared-reads.test.ts
@@ -1,4 +1,4 @@
-/** Reads of a service that lets identical ones share an attempt: who may share with whom, and which answers. */
+/** Which reads of a service with `coalesce` share an attempt, and which answers may be shared. */
 import { expect } from 'chai';
 import { RouterFixture, until } from './router-fixture.js';
 import { answerWhole, headFor, type ScriptedRequest, ScriptedUpstream } from './scripted-upstream.js';
@@ -51,7 +51,7 @@
 }
 
 const ANSWERS: readonly AnswerCase[] = [
-  { answer: 'for everybody', line: 'cache-control: max-age=1', shared: true },
+  { answer: 'that is public', line: 'cache-control: max-age=1', shared: true },
   { answer: 'that varies by what both have in common', line: 'vary: Accept-Language', shared: true },
   { answer: 'that sets a cookie', line: 'set-cookie: session=1', shared: false },
   { answer: 'that is private', line: 'Cache-Control: max-age=1, Private', shared: false },
@@ -84,7 +84,7 @@
       const one = router.get('/reads/1', first, first['content-length'] === undefined ? '' : 'ab');
       await until(() => upstream.requests.length === 1);
       const other = router.get('/reads/1', second);
-      await until(() => upstream.requests.length === (shared ? 1 : 2) && waiting(router) === 2);
+      await until(() => upstream.requests.length === (shared ? 1 : 2) && openRequests(router) === 2);
       upstream.requests.forEach((request, index) => {
         request.socket.write(`${headFor(request, 'content-length: 1')}${index}`);
       });
@@ -93,11 +93,11 @@
   }
 
   for (const { answer, line, shared } of ANSWERS) {
-    it(`an answer ${answer} goes to ${shared ? 'both' : 'the one who sent the request'}`, async () => {
+    it(`an answer ${answer} goes to ${shared ? 'both' : 'the first caller only'}`, async () => {
       const one = router.get('/reads/1');
       await until(() => upstream.requests.length === 1);
       const other = router.get('/reads/1');
-      await until(() => waiting(router) === 2);
+      await until(() => openRequests(router) === 2);
       const [request] = upstream.requests as [ScriptedRequest];
       request.socket.write(`${headFor(request, 'content-length: 5', line)}first`);
       expect((await one).body).to.equal('first');
@@ -109,15 +109,15 @@
     });
   }
 
-  it('one who joined gets nothing personal after the one who sent the request left', async () => {
+  it('a caller that joined gets no personal answer after the first caller disconnected', async () => {
     const aborter = new AbortController();
     const lost = router.get('/reads/1', {}, '', aborter.signal);
     await until(() => upstream.requests.length === 1);
     const joined = router.get('/reads/1');
-    await until(() => waiting(router) === 2);
+    await until(() => openRequests(router) === 2);
     aborter.abort();
     await lost;
-    await until(() => waiting(router) === 1);
+    await until(() => openRequests(router) === 1);
     const [request] = upstream.requests as [ScriptedRequest];
     request.socket.write(`${headFor(request, 'content-length: 5', 'set-cookie: a=1')}first`);
     await until(() => upstream.requests.length === 2);
@@ -127,7 +127,7 @@
   });
 });
 
-/** Callers' requests that the router has. */
-function waiting(router: RouterFixture): number {
+/** Number of callers' requests that are open at the router. */
+function openRequests(router: RouterFixture): number {
   return router.daemon.openRequests;
 }
