--- a/src/router/attempts/read-notice.ts
+++ b/src/router/attempts/read-notice.ts
@@ -71,7 +71,10 @@
   return Number.isFinite(perSecond) ? { type: 'named', perSecond } : { type: 'unreadable' };
 }
 
-/** Returns the longest of several back-offs, or `null` if all are malformed. A date is relative to the answer's `Date` header if there is one. */
+/**
+ * Returns the longest of several back-offs, or `null` if all are malformed. A date is relative to the upstream's own clock if the answer has
+ * a `Date` header.
+ */
 function readBackoff(texts: readonly string[], headers: readonly string[], wall: WallMillis): number | null {
   const answerDate = Date.parse(findHeader(headers, 'date') ?? '');
   const from = Number.isNaN(answerDate) ? wall : answerDate;
--- a/test/router/leaving-upstream.test.ts
+++ b/test/router/leaving-upstream.test.ts
@@ -1,7 +1,7 @@
 /**
- * A draining upstream reports this in a header of all its answers while it still answers with success. Some time after a router passed on such
- * an answer, it must send the upstream no new requests, with or without contact to control. Guards against routers that ignore the header
- * and take draining only from the registry, an operator or a refusal, the last for at most five seconds.
+ * A draining upstream reports this in a header of all its answers while it still answers with success. Some time after a router passed
+ * on such an answer, it must send the upstream no new requests, with or without contact to control. Guards against routers that ignore
+ * the header and take draining only from the registry, an operator or a refusal, the last for at most five seconds.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { expect } from 'chai';
--- a/test/router/limited-upstream.test.ts
+++ b/test/router/limited-upstream.test.ts
@@ -1,7 +1,7 @@
 /**
- * Guards against routers that ignore the rate limit in the head of an answer, which is a limit for all routers together. Two upstreams that
- * reported limits of 5.1 and 4.6 requests a second in every answer got 58 and 59 requests in 4 s from eleven routers, which passed the answers
- * on but read only the load from them; one and a half times the limit and five more are 36 and 33.
+ * Guards against routers that ignore the rate limit in the head of an answer, which is a limit for all routers together. Two upstreams
+ * that reported limits of 5.1 and 4.6 requests a second in every answer got 58 and 59 requests in 4 s from eleven routers, which passed
+ * the answers on but read only the load from them; one and a half times the limit and five more are 36 and 33.
  */
 import { expect } from 'chai';
 import { RouterFixture, until } from './router-fixture.js';
