--- a/src/clock/lease-clock.ts
+++ b/src/clock/lease-clock.ts
@@ -1,16 +1,16 @@
-/** The clock of whoever holds a lease: monotonic, and it counts the time for which the machine was suspended. */
+/** The clock of a lease holder: monotonic, and including the time for which the machine was suspended. */
 import { uptime } from 'node:os';
 import { type ClockSources, SuspensionWatch } from './suspension-watch.js';
 
 const MILLIS_PER_SECOND = 1000;
 
-/** The clocks of this process. Asking for the time since boot takes about 5 microseconds. */
+/** The clocks of this process. Reading the time since boot takes about 5 microseconds. */
 export const PROCESS_CLOCKS: ClockSources = {
   steady: () => performance.now(),
   sinceBoot: () => uptime() * MILLIS_PER_SECOND,
 };
 
-/** Makes a clock in milliseconds that never goes back. */
+/** Creates a clock in milliseconds that never goes backwards. */
 export function createLeaseClock(sources: ClockSources = PROCESS_CLOCKS): () => number {
   const watch = new SuspensionWatch(sources);
   let suspendedMillis = 0;
--- a/src/clock/suspension-watch.ts
+++ b/src/clock/suspension-watch.ts
@@ -1,27 +1,27 @@
 /**
- * Tells that the machine was suspended. The monotonic clock stands still meanwhile, so whoever holds a lease would believe that no time
- * had passed, while those who granted it waited it out; the time since boot runs on. Sources are passed in, so that simulated
- * processes use the same code.
+ * Detects that the machine was suspended. The monotonic clock stops during a suspension, so a lease holder would consider
+ * its lease valid after the granter has let it expire; the time since boot advances. Clock sources are parameters, so that
+ * simulated processes use the same code.
  */
 
-/** Milliseconds of both clocks of one process; where they begin doesn't matter. */
+/** Both clocks of one process in milliseconds, with arbitrary origins. */
 export interface ClockSources {
   /** The monotonic clock. */
   readonly steady: () => number;
-  /** The time since the machine was started, suspensions included. */
+  /** The time since the machine was booted, including suspensions. */
   readonly sinceBoot: () => number;
 }
 
-/** Steps in which the system tells the time since boot. */
-const BOOT_STEP_MILLIS = 10;
-/** Two clocks that are read one after the other, one of them in steps, differ by less without a suspension. */
-const LEAST_SUSPENSION_MILLIS = 2.5 * BOOT_STEP_MILLIS;
-/** The time since boot never falls behind: one that does is no such clock, as under a time that is simulated. */
-const LARGEST_LAG_MILLIS = 50;
+/** Resolution in which the system reports the time since boot. */
+const BOOT_CLOCK_STEP_MILLIS = 10;
+/** Without a suspension, two clocks read one after the other, one at this resolution, differ by less. */
+const MIN_SUSPENSION_MILLIS = 2.5 * BOOT_CLOCK_STEP_MILLIS;
+/** A real time since boot never falls behind the monotonic clock; one that does, as under simulated time, is unusable. */
+const MAX_BOOT_CLOCK_LAG_MILLIS = 50;
 
 export class SuspensionWatch {
   readonly #sources: ClockSources;
-  /** The time since boot beyond the monotonic one, as it was without the suspensions told of since. */
+  /** Time since boot minus monotonic time, including the suspensions reported so far. */
   #difference: number;
   #isUsable = true;
 
@@ -30,28 +30,29 @@
     this.#difference = sources.sinceBoot() - sources.steady();
   }
 
-  /** Whether the time since boot can be relied on. */
+  /** Whether the time since boot is reliable. */
   get isUsable(): boolean {
     return this.#isUsable;
   }
 
   /**
-   * Milliseconds for which the machine was suspended since the last call that told of any; 0: it wasn't. Told up to a step too long,
-   * since a lease that ends early does no harm. Suspensions below 25 ms are told once they add up.
+   * Returns the milliseconds for which the machine was suspended since the last call that reported a suspension; 0 if it
+   * wasn't. The result may be up to one clock step too long, since a lease that ends early does no harm. Suspensions below
+   * 25 ms are reported once they add up.
    */
   look(): number {
     if (!this.#isUsable) {
       return 0;
     }
-    const grown = this.#sources.sinceBoot() - this.#sources.steady() - this.#difference;
-    if (grown < -LARGEST_LAG_MILLIS) {
+    const growthMillis = this.#sources.sinceBoot() - this.#sources.steady() - this.#difference;
+    if (growthMillis < -MAX_BOOT_CLOCK_LAG_MILLIS) {
       this.#isUsable = false;
       return 0;
     }
-    if (grown < LEAST_SUSPENSION_MILLIS) {
+    if (growthMillis < MIN_SUSPENSION_MILLIS) {
       return 0;
     }
-    this.#difference += grown;
-    return grown + BOOT_STEP_MILLIS;
+    this.#difference += growthMillis;
+    return growthMillis + BOOT_CLOCK_STEP_MILLIS;
   }
 }
--- a/src/consensus/core.ts
+++ b/src/consensus/core.ts
@@ -1,18 +1,18 @@
-/** The Raft core: takes inputs one by one, and closes each step with what follows from it. */
-import { electionTimedOut } from './election.js';
+/** The Raft core: processes one input per step, then performs the commits, sends and applies that the input allows. */
+import { handleElectionTimeout } from './election.js';
 import { handleMessage } from './messages.js';
 import { takeOwnSnapshot } from './own-snapshot.js';
 import { PauseGrace } from './pause-grace.js';
 import {
-  isVotedOut,
+  isRemovedFromVoters,
   leaveJointWhenCommitted,
   propose,
   proposeLearner,
-  proposeRemoval,
+  proposeLearnerRemoval,
   proposeVoters,
 } from './proposals.js';
 import {
-  beginReadRound,
+  beginUrgentReadRound,
   expireForwardedReads,
   finishReadRounds,
   openReadRound,
@@ -23,7 +23,7 @@
   advanceCommit,
   broadcastHeartbeat,
   leaderStateOf,
-  quorumHeardAt,
+  quorumContactAt,
   replicateToAll,
 } from './replication.js';
 import { becomeFollower } from './roles.js';
@@ -35,8 +35,8 @@
 type RoleReport = Extract<RaftEffect, { type: 'role-changed' }>;
 
 /**
- * Makes the core of one replica from what was on its disk. The caller gives `restored.snapshot` to its state machine
- * itself; later entries come as `apply` effects once they are known to be committed.
+ * Creates the core of one replica from its restored state. The caller must load `restored.snapshot` into its state
+ * machine; later entries are emitted as `apply` effects once they are known to be committed.
  */
 export function createRaft(config: RaftConfig, restored: RestoredState, now: number): RaftCore {
   return new Raft(config, restored, now);
@@ -45,19 +45,19 @@
 class Raft implements RaftCore {
   readonly #state: RaftState;
   readonly #grace: PauseGrace;
-  #reported: RoleReport;
+  #lastRoleReport: RoleReport;
 
   constructor(config: RaftConfig, restored: RestoredState, now: number) {
     this.#state = new RaftState(config, restored, now);
     this.#grace = new PauseGrace(config.heartbeatMillis);
-    this.#reported = this.#roleReport();
+    this.#lastRoleReport = this.#roleReport();
   }
 
   step(input: RaftInput, now: number): RaftEffect[] {
     const state = this.#state;
     state.now = Math.max(state.now, now);
     state.effects = [];
-    this.#take(input);
+    this.#handleInput(input);
     this.#finish();
     return state.effects;
   }
@@ -66,10 +66,10 @@
     const state = this.#state;
     const { leaderState, electionDeadline, forwardedReads } = state;
     if (leaderState === undefined) {
-      const election = this.#grace.deadlineOf(electionDeadline);
+      const election = this.#grace.extendedDeadline(electionDeadline);
       return Math.min(election, ...forwardedReads.map((read) => read.deadline));
     }
-    const quorumDeadline = this.#grace.deadlineOf(this.#quorumDeadline());
+    const quorumDeadline = this.#grace.extendedDeadline(this.#quorumDeadline());
     const transferDeadline = leaderState.transfer?.deadline ?? Number.POSITIVE_INFINITY;
     return Math.min(leaderState.heartbeatDeadline, quorumDeadline, transferDeadline);
   }
@@ -78,7 +78,7 @@
     return raftStatus(this.#state);
   }
 
-  #take(input: RaftInput): void {
+  #handleInput(input: RaftInput): void {
     const state = this.#state;
     switch (input.type) {
       case 'tick':
@@ -88,7 +88,7 @@
         handleMessage(state, input.message);
         return;
       case 'persisted':
-        this.#persisted(input.persistId);
+        this.#onPersisted(input.persistId);
         return;
       case 'propose':
         propose(state, input.proposalId, input.data);
@@ -100,7 +100,7 @@
         proposeVoters(state, input.proposalId, input.voters);
         return;
       case 'remove-learner':
-        proposeRemoval(state, input.proposalId, input.replica);
+        proposeLearnerRemoval(state, input.proposalId, input.replica);
         return;
       case 'read':
         startRead(state, input.readId, input.mayWait ?? false);
@@ -123,16 +123,16 @@
     expireForwardedReads(state);
     const { electionDeadline, now } = state;
     if (this.#grace.hasPassed(electionDeadline, electionDeadline, now)) {
-      electionTimedOut(state);
+      handleElectionTimeout(state);
     }
   }
 
-  /** A leader that heard no quorum for an election timeout steps down by itself. */
+  /** A leader steps down if no quorum has responded for an election timeout. */
   #leaderTick(): void {
     const state = this.#state;
     const { heartbeatDeadline } = leaderStateOf(state);
     if (this.#grace.hasPassed(this.#quorumDeadline(), heartbeatDeadline, state.now)) {
-      state.quorumLostAt = quorumHeardAt(state);
+      state.quorumLostAt = quorumContactAt(state);
       becomeFollower(state, state.term, null);
       return;
     }
@@ -143,18 +143,18 @@
   }
 
   #quorumDeadline(): number {
-    return quorumHeardAt(this.#state) + this.#state.config.electionTimeoutMillis;
+    return quorumContactAt(this.#state) + this.#state.config.electionTimeoutMillis;
   }
 
-  #persisted(persistId: number): void {
+  #onPersisted(persistId: number): void {
     const state = this.#state;
-    const persisted = state.persistQueue.persisted(persistId);
+    const persisted = state.persistQueue.completePersist(persistId);
     if (persisted === undefined) {
       return;
     }
     state.stableIndex = persisted.stableIndex ?? state.stableIndex;
-    if (persisted.snapshot !== undefined && persisted.snapshot === state.restoring) {
-      state.restoring = undefined;
+    if (persisted.snapshot !== undefined && persisted.snapshot === state.pendingRestore) {
+      state.pendingRestore = undefined;
       state.appliedIndex = persisted.snapshot.lastIndex;
       state.emit({ type: 'restore', snapshot: persisted.snapshot });
     }
@@ -163,7 +163,7 @@
     }
   }
 
-  /** What follows from any input: commits, the next persist, appends, reads, and entries to apply. */
+  /** Runs after every input: advances the commit index, then emits the next persist, appends, reads and applies. */
   #finish(): void {
     const state = this.#state;
     const committed = this.#advanceCommit();
@@ -177,9 +177,9 @@
         replicateToAll(state);
       }
       advanceTransfer(state);
-      beginReadRound(state);
+      beginUrgentReadRound(state);
       finishReadRounds(state);
-      this.#stepDownIfVotedOut();
+      this.#stepDownIfRemoved();
     }
     this.#apply();
     reportReadyReads(state);
@@ -195,19 +195,19 @@
     return true;
   }
 
-  #stepDownIfVotedOut(): void {
+  #stepDownIfRemoved(): void {
     const state = this.#state;
-    if (isVotedOut(state)) {
+    if (isRemovedFromVoters(state)) {
       sendTimeoutNowToBestVoter(state);
       becomeFollower(state, state.term, null);
     }
   }
 
-  /** Committed entries are applied once they are on this replica's own disk, too. */
+  /** Applies committed entries, but only those that are also on this replica's own disk. */
   #apply(): void {
     const state = this.#state;
     const to = Math.min(state.commitIndex, state.stableIndex);
-    if (state.restoring !== undefined || to <= state.appliedIndex) {
+    if (state.pendingRestore !== undefined || to <= state.appliedIndex) {
       return;
     }
     const entries = state.log.slice(state.appliedIndex + 1, to);
@@ -216,17 +216,17 @@
   }
 
   #roleReport(): RoleReport {
-    const { visibleRole: role, term, leader, leaderHeardAt, quorumLostAt } = this.#state;
+    const { reportedRole: role, term, leader, leaderHeardAt, quorumLostAt } = this.#state;
     const evidence = { leaderHeardAt: Number.isFinite(leaderHeardAt) ? leaderHeardAt : null, quorumLostAt };
     return { type: 'role-changed', role, term, leader, evidence };
   }
 
   #reportRole(): void {
     const report = this.#roleReport();
-    const { role, term, leader } = this.#reported;
+    const { role, term, leader } = this.#lastRoleReport;
     const changed = report.role !== role || report.term !== term || report.leader !== leader;
     if (changed) {
-      this.#reported = report;
+      this.#lastRoleReport = report;
       this.#state.emit(report);
     }
   }
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,11 +1,11 @@
-/** Elections: pre-vote, vote, and the replies to both. */
+/** Elections: pre-vote and vote requests and the responses to both. */
 import { allVoters, hasQuorum } from './membership.js';
 import { becomeCandidate, becomeFollower, becomeLeader, becomePreCandidate } from './roles.js';
 import type { RaftState } from './state.js';
 import type { TimeoutNow, VoteRequest, VoteResponse } from './types.js';
 
-/** The election timeout ran out. Replicas that don't vote only forget their leader. */
-export function electionTimedOut(state: RaftState): void {
+/** Handles an expired election timeout. A replica that isn't a voter only clears its known leader. */
+export function handleElectionTimeout(state: RaftState): void {
   if (!state.isSelfVoter) {
     becomeFollower(state, state.term, null);
     state.resetElectionDeadline();
@@ -23,7 +23,7 @@
   requestVotes(state, true, false);
 }
 
-/** Starts an election at once; `transfer` makes followers pass over the old leader's recency. */
+/** Starts an election without a pre-vote; with `transfer`, followers vote even if the old leader was active recently. */
 function startElection(state: RaftState, transfer: boolean): void {
   becomeCandidate(state);
   const { term } = state;
@@ -45,22 +45,22 @@
   }
 }
 
-/** Whether to pass over a vote request, because the present leader is alive. */
-export function ignoresVoteRequest(state: RaftState, request: VoteRequest): boolean {
+/** Whether a vote request is dropped because the current leader is alive. */
+export function shouldIgnoreVoteRequest(state: RaftState, request: VoteRequest): boolean {
   if (request.transfer) {
     return false;
   }
   return state.role === 'leader' || state.hasRecentLeader;
 }
 
-/** Answers a request of the present term, or a pre-vote of any term. */
+/** Responds to a vote request of the current term, or to a pre-vote of any term. */
 export function handleVoteRequest(state: RaftState, request: VoteRequest): void {
   if (request.preVote) {
-    answerPreVote(state, request);
+    respondToPreVote(state, request);
     return;
   }
-  const free = state.votedFor === null || state.votedFor === request.from;
-  const granted = free && state.leader === null && isUpToDate(state, request);
+  const canVote = state.votedFor === null || state.votedFor === request.from;
+  const granted = canVote && state.leader === null && isUpToDate(state, request);
   if (granted && state.votedFor === null) {
     state.setHardState(state.term, request.from);
   }
@@ -71,8 +71,8 @@
   state.sendAfterPersist({ type: 'vote-response', to: request.from, term, preVote: false, granted });
 }
 
-/** A granted pre-vote carries the term asked for, a refused one this replica's own. */
-function answerPreVote(state: RaftState, request: VoteRequest): void {
+/** A granted pre-vote carries the requested term, a rejected one this replica's own term. */
+function respondToPreVote(state: RaftState, request: VoteRequest): void {
   const granted = request.term > state.term && isUpToDate(state, request);
   const term = granted ? request.term : state.term;
   state.send({ type: 'vote-response', to: request.from, term, preVote: true, granted });
@@ -86,11 +86,11 @@
   return request.lastLogIndex >= lastIndex;
 }
 
-/** Counts a vote if it answers the campaign under way. */
+/** Counts a vote if it belongs to the current campaign. */
 export function handleVoteResponse(state: RaftState, response: VoteResponse): void {
-  const awaited = response.preVote ? state.role === 'pre-candidate' : state.role === 'candidate';
-  const askedTerm = response.preVote ? state.term + 1 : state.term;
-  if (awaited && response.granted && response.term === askedTerm) {
+  const isExpected = response.preVote ? state.role === 'pre-candidate' : state.role === 'candidate';
+  const requestedTerm = response.preVote ? state.term + 1 : state.term;
+  if (isExpected && response.granted && response.term === requestedTerm) {
     countVote(state, response.from);
   }
 }
@@ -111,7 +111,7 @@
   }
 }
 
-/** The leader hands over: stand for election without a pre-vote. */
+/** Starts an election without a pre-vote, at the request of the current leader. */
 export function handleTimeoutNow(state: RaftState, message: TimeoutNow): void {
   if (state.role === 'follower' && state.isSelfVoter && state.leader === message.from) {
     startElection(state, true);
--- a/src/consensus/index.ts
+++ b/src/consensus/index.ts
@@ -1,4 +1,4 @@
-/** Raft as a deterministic core: inputs and the time go in, effects come out. */
+/** Raft as a deterministic core, which maps inputs and the time to effects. */
 export { createRaft } from './core.js';
 export {
   allMembers,
--- a/src/consensus/leader-state.ts
+++ b/src/consensus/leader-state.ts
@@ -1,25 +1,25 @@
-/** What only a leader keeps: progress of the other members, confirmation rounds, waiting reads, a transfer. */
+/** State that only a leader has: progress of the other members, confirmation rounds, waiting reads, a transfer. */
 import type { ReplicaId } from '../model/identifiers.js';
 import { allMembers } from './membership.js';
 import { Progress } from './progress.js';
 import type { Membership } from './types.js';
 
-/** A read asked here (`from` is `null`) or passed on by a follower. */
+/** A read that was requested on this replica (`from` is `null`) or forwarded by a follower. */
 export interface PendingRead {
   readonly from: ReplicaId | null;
   readonly readId: number;
-  /** It needs no round of its own: the next heartbeats confirm it. */
+  /** The read starts no round of its own; the next heartbeats confirm it. */
   readonly mayWait: boolean;
 }
 
-/** Reads which a confirmation round will answer with `index`. */
+/** Reads that complete with `index` once their confirmation round does. */
 export interface ReadBatch {
   readonly round: number;
   readonly index: number;
   readonly reads: readonly PendingRead[];
 }
 
-/** Leadership on its way to another member. */
+/** A leadership transfer in progress. */
 export interface LeadershipTransfer {
   readonly to: ReplicaId;
   readonly deadline: number;
@@ -29,11 +29,11 @@
 export class LeaderState {
   readonly progress = new Map<ReplicaId, Progress>();
   heartbeatDeadline: number;
-  /** Number of the last confirmation round begun. */
+  /** Number of the latest confirmation round started. */
   round = 0;
-  /** Reads that wait for a round to begin. */
+  /** Reads that are not part of a round yet. */
   waitingReads: PendingRead[] = [];
-  /** Reads whose round is out, oldest first. */
+  /** Reads whose round is outstanding, oldest first. */
   readBatches: ReadBatch[] = [];
   transfer: LeadershipTransfer | undefined;
 
@@ -41,7 +41,7 @@
     this.heartbeatDeadline = now;
   }
 
-  /** Makes progress records for new members and drops those of removed ones. */
+  /** Adds progress records for new members and removes those of former members. */
   syncMembers(membership: Membership, self: ReplicaId, lastIndex: number, now: number): void {
     const others = allMembers(membership).filter((replica) => replica !== self);
     for (const replica of others) {
--- a/src/consensus/log.ts
+++ b/src/consensus/log.ts
@@ -1,4 +1,4 @@
-/** The replicated log in memory: constant-time reads by index, terms known from the base index on. */
+/** The replicated log in memory, with constant-time reads by index and terms from the base index on. */
 import type { Term } from '../model/identifiers.js';
 import type { LogEntry } from './types.js';
 
@@ -7,7 +7,7 @@
   #baseIndex: number;
   #baseTerm: Term;
 
-  /** `baseIndex` and `baseTerm` are those of the last entry that a snapshot replaced; 0 and 0 without one. */
+  /** `baseIndex` and `baseTerm` belong to the last entry that a snapshot replaced; both are 0 without a snapshot. */
   constructor(baseIndex: number, baseTerm: Term, entries: readonly LogEntry[]) {
     this.#baseIndex = baseIndex;
     this.#baseTerm = baseTerm;
@@ -34,7 +34,7 @@
     return this.#entries[index - this.#baseIndex - 1];
   }
 
-  /** Term of the entry at `index`; `undefined` if the entry isn't held (the base index still has its term). */
+  /** Term of the entry at `index`, or of the base index; `undefined` if the log doesn't contain the entry. */
   termAt(index: number): Term | undefined {
     if (index === this.#baseIndex) {
       return this.#baseTerm;
@@ -42,24 +42,24 @@
     return this.entryAt(index)?.term;
   }
 
-  /** Entries from `from` to `to`, both included. */
+  /** Entries from `from` to `to`, both inclusive. */
   slice(from: number, to: number): LogEntry[] {
     return this.#entries.slice(from - this.firstIndex, to - this.#baseIndex);
   }
 
-  /** Adds entries which must follow the last one without a gap. */
+  /** Appends entries, which must follow the last one without a gap. */
   append(entries: readonly LogEntry[]): void {
     for (const entry of entries) {
       this.#entries.push(entry);
     }
   }
 
-  /** Drops the entries from `index` on. */
+  /** Removes the entries from `index` on. */
   truncateFrom(index: number): void {
     this.#entries.length = Math.max(0, index - this.firstIndex);
   }
 
-  /** Drops the entries up to `index`, which becomes the base. */
+  /** Removes the entries up to `index`, which becomes the base. */
   compactTo(index: number): void {
     const term = this.termAt(index);
     if (term === undefined || index <= this.#baseIndex) {
@@ -70,14 +70,14 @@
     this.#baseTerm = term;
   }
 
-  /** Drops everything; the next entry is the one after `index`. */
+  /** Removes all entries; the next entry follows `index`. */
   reset(index: number, term: Term): void {
     this.#entries = [];
     this.#baseIndex = index;
     this.#baseTerm = term;
   }
 
-  /** First index after `floor` of the run of equal terms that ends at `index`. */
+  /** First index, above `floor`, of the consecutive entries with the same term that end at `index`. */
   firstIndexOfTermRun(index: number, floor: number): number {
     const term = this.termAt(index);
     let first = index;
--- a/src/consensus/membership-history.ts
+++ b/src/consensus/membership-history.ts
@@ -1,4 +1,4 @@
-/** Memberships by the index of the entry that set them, so that a truncated one gives way to the one before. */
+/** Memberships by the index of the entry that set them, so that truncation restores the previous one. */
 import { decodeMembership, emptyMembership } from './membership.js';
 import type { LogEntry, Membership, RestoredState } from './types.js';
 
@@ -14,12 +14,12 @@
     this.#records = [{ index: baseIndex, membership }];
   }
 
-  /** Reads the memberships of what was on disk. */
+  /** Collects the memberships of a snapshot and the entries after it. */
   static restore(restored: RestoredState): MembershipHistory {
     const { snapshot } = restored;
     const first = snapshot?.membership ?? restored.initialMembership ?? emptyMembership();
     const history = new MembershipHistory(snapshot?.lastIndex ?? 0, first);
-    history.appended(restored.entries);
+    history.recordAppended(restored.entries);
     return history;
   }
 
@@ -38,8 +38,8 @@
     return (record ?? (this.#records[0] as MembershipRecord)).membership;
   }
 
-  /** Takes up memberships of entries as they are appended. */
-  appended(entries: readonly LogEntry[]): void {
+  /** Records the memberships among appended entries. */
+  recordAppended(entries: readonly LogEntry[]): void {
     for (const entry of entries) {
       if (entry.kind === 'membership') {
         this.#records.push({ index: entry.index, membership: decodeMembership(entry.data) });
@@ -47,15 +47,15 @@
     }
   }
 
-  /** Forgets memberships of entries from `index` on. */
-  truncatedFrom(index: number): void {
+  /** Removes the memberships of entries from `index` on. */
+  truncateFrom(index: number): void {
     this.#records = this.#records.filter((record, position) => position === 0 || record.index < index);
   }
 
-  /** Forgets memberships that were replaced up to `index`. */
-  compactedTo(index: number): void {
-    const kept = this.#records.findLastIndex((record) => record.index <= index);
-    this.#records = this.#records.slice(Math.max(0, kept));
+  /** Removes memberships that were superseded by an entry up to `index`. */
+  compactTo(index: number): void {
+    const firstKept = this.#records.findLastIndex((record) => record.index <= index);
+    this.#records = this.#records.slice(Math.max(0, firstKept));
   }
 
   reset(index: number, membership: Membership): void {
--- a/src/consensus/messages.ts
+++ b/src/consensus/messages.ts
@@ -1,5 +1,10 @@
-/** Takes messages: compares terms first, then passes each to its module. */
-import { handleTimeoutNow, handleVoteRequest, handleVoteResponse, ignoresVoteRequest } from './election.js';
+/** Handles messages: compares terms first, then dispatches each message to its module. */
+import {
+  handleTimeoutNow,
+  handleVoteRequest,
+  handleVoteResponse,
+  shouldIgnoreVoteRequest,
+} from './election.js';
 import { handleAppendRequest } from './follower.js';
 import { handleReadIndexRequest, handleReadIndexResponse } from './read-index.js';
 import { handleAppendResponse, handleSnapshotResponse } from './replication.js';
@@ -10,13 +15,13 @@
 
 type LeaderMessage = AppendRequest | SnapshotRequest;
 
-/** Takes one message. Those of an earlier term are answered with the present one or dropped. */
+/** Handles one message. A message of an earlier term is answered with the current term or dropped. */
 export function handleMessage(state: RaftState, message: RaftMessage): void {
   if (message.to !== state.self || message.from === state.self) {
     return;
   }
   if (message.type === 'vote-request') {
-    takeVoteRequest(state, message);
+    routeVoteRequest(state, message);
     return;
   }
   if (message.type === 'vote-response' && message.preVote && message.granted) {
@@ -24,7 +29,7 @@
     return;
   }
   if (message.term < state.term) {
-    takeOutdated(state, message);
+    handleOutdated(state, message);
     return;
   }
   if (message.term > state.term) {
@@ -33,8 +38,8 @@
   dispatch(state, message);
 }
 
-function takeVoteRequest(state: RaftState, request: VoteRequest): void {
-  if (ignoresVoteRequest(state, request)) {
+function routeVoteRequest(state: RaftState, request: VoteRequest): void {
+  if (shouldIgnoreVoteRequest(state, request)) {
     return;
   }
   if (request.preVote) {
@@ -56,8 +61,8 @@
   return message.type === 'append-request' || message.type === 'snapshot-request';
 }
 
-/** Tells a deposed leader of the new term. Reads don't depend on the asker's term; other messages are void. */
-function takeOutdated(state: RaftState, message: RaftMessage): void {
+/** Sends a deposed leader the new term. Reads are valid in any term of the sender; other messages are dropped. */
+function handleOutdated(state: RaftState, message: RaftMessage): void {
   if (message.type === 'read-index-request') {
     handleReadIndexRequest(state, message);
     return;
@@ -67,18 +72,25 @@
   }
   const { term } = state;
   const { from: to, round } = message;
-  state.sendOncePromised({ type: 'append-response', to, term, success: false, matchIndex: 0, round });
+  state.sendAfterHardStatePersisted({
+    type: 'append-response',
+    to,
+    term,
+    success: false,
+    matchIndex: 0,
+    round,
+  });
 }
 
 function dispatch(state: RaftState, message: RaftMessage): void {
   switch (message.type) {
     case 'append-request':
-      if (heardLeader(state, message)) {
+      if (followSender(state, message)) {
         handleAppendRequest(state, message);
       }
       return;
     case 'snapshot-request':
-      if (heardLeader(state, message)) {
+      if (followSender(state, message)) {
         handleSnapshotRequest(state, message);
       }
       return;
@@ -105,8 +117,8 @@
   }
 }
 
-/** Follows the sender, the one leader of this term. False if this replica leads the term itself. */
-function heardLeader(state: RaftState, message: LeaderMessage): boolean {
+/** Follows the sender, the only leader of this term. Returns false if this replica is the leader itself. */
+function followSender(state: RaftState, message: LeaderMessage): boolean {
   if (state.role === 'leader') {
     return false;
   }
--- a/src/consensus/own-snapshot.ts
+++ b/src/consensus/own-snapshot.ts
@@ -2,7 +2,7 @@
 import type { RaftState } from './state.js';
 import type { Snapshot } from './types.js';
 
-/** Saves the state machine's bytes after `lastIndex` and drops the log up to there. */
+/** Saves the state machine's bytes as of `lastIndex` and compacts the log up to that index. */
 export function takeOwnSnapshot(state: RaftState, lastIndex: number, data: Uint8Array): void {
   const lastTerm = state.log.termAt(lastIndex);
   const isNewer = lastIndex > (state.snapshot?.lastIndex ?? 0);
@@ -14,5 +14,5 @@
   state.snapshot = snapshot;
   state.persistQueue.saveSnapshot(snapshot);
   state.log.compactTo(lastIndex);
-  state.memberships.compactedTo(lastIndex);
+  state.memberships.compactTo(lastIndex);
 }
--- a/src/consensus/pause-grace.ts
+++ b/src/consensus/pause-grace.ts
@@ -1,30 +1,30 @@
 /**
- * Tells silence of the others from a pause of this replica itself. After a pause timers are served before the messages
- * that arrived meanwhile; a tick that is late by a heartbeat or more therefore puts off what would follow from the
- * silence, once, until those messages were read. Timeouts play no part in safety, so a longer one does no harm.
+ * Distinguishes missing messages from a pause of this replica itself. After a pause, timers fire before the messages
+ * that arrived meanwhile are read. A tick that is late by a heartbeat or more therefore extends the deadline once, until
+ * those messages have been read. Safety doesn't depend on timeouts, so a longer one does no harm.
  */
 export class PauseGrace {
   readonly #graceMillis: number;
   #deadline = Number.NaN;
-  #until = Number.NEGATIVE_INFINITY;
+  #graceEnd = Number.NEGATIVE_INFINITY;
 
-  /** `graceMillis`: how late a tick must be, and how long the grace is. */
+  /** `graceMillis`: the minimum delay of a tick that counts as a pause, and the length of the extension. */
   constructor(graceMillis: number) {
     this.#graceMillis = graceMillis;
   }
 
-  /** The deadline, put off if it got a grace. */
-  deadlineOf(deadline: number): number {
-    return deadline === this.#deadline ? Math.max(deadline, this.#until) : deadline;
+  /** The deadline, including its extension if it has one. */
+  extendedDeadline(deadline: number): number {
+    return deadline === this.#deadline ? Math.max(deadline, this.#graceEnd) : deadline;
   }
 
   /** Whether the deadline has passed at `now`, in a step that was due at `due`. */
   hasPassed(deadline: number, due: number, now: number): boolean {
-    const isFirst = deadline !== this.#deadline || this.#until === Number.NEGATIVE_INFINITY;
+    const isFirst = deadline !== this.#deadline || this.#graceEnd === Number.NEGATIVE_INFINITY;
     if (isFirst && now - due >= this.#graceMillis) {
       this.#deadline = deadline;
-      this.#until = now + this.#graceMillis;
+      this.#graceEnd = now + this.#graceMillis;
     }
-    return now >= this.deadlineOf(deadline);
+    return now >= this.extendedDeadline(deadline);
   }
 }
--- a/src/consensus/persist-queue.ts
+++ b/src/consensus/persist-queue.ts
@@ -1,10 +1,10 @@
 /**
- * Group commit: changes that arrive while a persist is outstanding gather in the next request, so that one sync
- * serves them all. Actions that rely on a change run once its request was reported as persisted.
+ * Group commit: changes made while a persist is outstanding are batched into the next request, so that they share one
+ * sync. Actions that depend on a change run once its request is reported as persisted.
  */
 import type { HardState, LogEntry, PersistRequest, Snapshot } from './types.js';
 
-/** What runs once everything changed so far is on disk. */
+/** Callback for when all changes made so far are on disk. */
 export type AfterPersist = () => void;
 
 interface Batch {
@@ -12,9 +12,9 @@
   truncateFrom?: number;
   entries: LogEntry[];
   snapshot?: Snapshot;
-  /** Last index of the log after this batch; `undefined` if the batch leaves the log alone. */
+  /** Last index of the log after this batch; `undefined` if the batch doesn't change the log. */
   lastIndex?: number;
-  /** A sealed batch takes no more changes. */
+  /** A sealed batch accepts no more changes. */
   sealed: boolean;
   readonly actions: AfterPersist[];
 }
@@ -24,9 +24,9 @@
   readonly batch: Batch;
 }
 
-/** What became durable. */
+/** Result of a completed persist request. */
 export interface PersistedBatch {
-  /** Last durable index of the present log, if the batch changed the log. */
+  /** Last durable index of the current log, if the batch changed the log. */
   readonly stableIndex: number | undefined;
   readonly snapshot: Snapshot | undefined;
   readonly actions: readonly AfterPersist[];
@@ -37,8 +37,8 @@
   #outstanding: OutstandingBatch | undefined;
   #nextPersistId = 1;
 
-  /** Whether a term or vote isn't on disk yet. */
-  get hardStatePending(): boolean {
+  /** Whether a changed term or vote isn't on disk yet. */
+  get isHardStatePending(): boolean {
     const batches = [...this.#pending, ...(this.#outstanding ? [this.#outstanding.batch] : [])];
     return batches.some((batch) => batch.hardState !== undefined);
   }
@@ -65,14 +65,14 @@
     batch.lastIndex = index - 1;
   }
 
-  /** A snapshot of this replica's own state; the entries after it stay. */
+  /** Saves a snapshot of this replica's own state; entries after it are kept. */
   saveSnapshot(snapshot: Snapshot): void {
     this.#openBatch().snapshot = snapshot;
   }
 
   /**
-   * A snapshot from the leader which replaces the whole log. Entries after it are dropped first: they contradict
-   * committed ones. Those before it stay on disk until the snapshot is there.
+   * Replaces the whole log by a snapshot from the leader. Entries after it are truncated first, since they conflict with
+   * committed ones. Entries before it stay on disk until the snapshot is written.
    */
   installSnapshot(snapshot: Snapshot, previousLastIndex: number): void {
     const batch = this.#openBatch();
@@ -84,7 +84,7 @@
     batch.sealed = true;
   }
 
-  /** Runs `action` once all changes so far are on disk: at once if they are. */
+  /** Runs `action` once all changes made so far are on disk, which may be immediately. */
   afterPersist(action: AfterPersist): void {
     const batch = this.#pending.at(-1) ?? this.#outstanding?.batch;
     if (batch === undefined) {
@@ -94,7 +94,7 @@
     batch.actions.push(action);
   }
 
-  /** The next request to write, if there is one and none is outstanding. */
+  /** Returns the next request to write, if there is one and no other is outstanding. */
   flush(): PersistRequest | undefined {
     if (this.#outstanding !== undefined) {
       return undefined;
@@ -109,8 +109,8 @@
     return toRequest(persistId, batch);
   }
 
-  /** Takes the report of a request; `undefined` for one that isn't outstanding. */
-  persisted(persistId: number): PersistedBatch | undefined {
+  /** Completes a request that was reported as persisted; `undefined` if it isn't outstanding. */
+  completePersist(persistId: number): PersistedBatch | undefined {
     const outstanding = this.#outstanding;
     if (outstanding === undefined || persistId < outstanding.persistId) {
       return undefined;
@@ -124,7 +124,7 @@
     };
   }
 
-  /** Entries which pending requests will drop, or replace by an installed snapshot, don't count as durable. */
+  /** Entries that pending requests will truncate, or replace by an installed snapshot, don't count as durable. */
   #stableIndexAfter(batch: Batch): number | undefined {
     const willBeReplaced = this.#pending.some((pending) => pending.sealed);
     if (batch.lastIndex === undefined || willBeReplaced) {
--- a/src/consensus/progress.ts
+++ b/src/consensus/progress.ts
@@ -1,13 +1,13 @@
-/** What the leader knows of one other member, and how fast it may send to it. */
+/** The leader's replication state for one other member, including flow control. */
 import type { Snapshot } from './types.js';
 
 /**
- * `probe`: one append at a time until the member's log is found to match; `replicate`: a window of appends;
- * `snapshot`: the member needs entries that are gone from the log.
+ * `probe`: one append at a time until a matching index is found; `replicate`: a window of appends;
+ * `snapshot`: the member needs entries that were compacted.
  */
 export type ProgressState = 'probe' | 'replicate' | 'snapshot';
 
-/** A snapshot on its way to a member. */
+/** A snapshot transfer to a member in progress. */
 export interface SnapshotTransfer {
   readonly snapshot: Snapshot;
   offset: number;
@@ -17,23 +17,23 @@
 
 export class Progress {
   state: ProgressState = 'probe';
-  /** Last index known to match and to be synced. */
+  /** Last index that is known to match and to be synced. */
   matchIndex = 0;
   nextIndex: number;
-  /** Last indexes of the appends that aren't answered yet, oldest first. */
+  /** Last index of each unacknowledged append, oldest first. */
   inFlight: number[] = [];
-  /** Probe state: an append is out; the next goes after its answer or with the next heartbeat. */
+  /** Probe state: an append is outstanding; the next is sent after its response or with the next heartbeat. */
   probeSent = false;
   transfer: SnapshotTransfer | undefined;
-  /** Last confirmation round that the member answered. */
-  answeredRound = 0;
-  /** Commit index that the member was last told. */
+  /** Latest confirmation round that the member acknowledged. */
+  acknowledgedRound = 0;
+  /** Commit index that was last sent to the member. */
   sentCommitIndex = 0;
-  lastHeardAt: number;
+  lastContactAt: number;
 
   constructor(nextIndex: number, now: number) {
     this.nextIndex = nextIndex;
-    this.lastHeardAt = now;
+    this.lastContactAt = now;
   }
 
   becomeProbe(nextIndex: number): void {
@@ -59,8 +59,8 @@
     this.transfer = { snapshot, offset: 0, sentAt: Number.NEGATIVE_INFINITY };
   }
 
-  /** Takes an index that matches; frees the appends up to it. */
-  matched(index: number): void {
+  /** Records a matching index and removes the appends up to it from the window. */
+  recordMatch(index: number): void {
     this.matchIndex = Math.max(this.matchIndex, index);
     this.nextIndex = Math.max(this.nextIndex, this.matchIndex + 1);
     while (this.inFlight.length > 0 && (this.inFlight[0] as number) <= this.matchIndex) {
@@ -68,8 +68,11 @@
     }
   }
 
-  /** Takes a refusal; `hint` is where the member's log may match. Refusals older than a match are void. */
-  refused(hint: number): boolean {
+  /**
+   * Returns to probing after a rejected append; `hint` is the index at which the member's log may match. Ignores
+   * the rejection and returns false during a snapshot transfer, or if the rejection is older than a match.
+   */
+  handleRejection(hint: number): boolean {
     if (this.state === 'snapshot' || hint < this.matchIndex) {
       return false;
     }
--- a/src/consensus/proposals.ts
+++ b/src/consensus/proposals.ts
@@ -1,4 +1,4 @@
-/** Proposals to the leader: commands and changes of membership. */
+/** Proposals to the leader: commands and membership changes. */
 import type { Address, ReplicaId } from '../model/identifiers.js';
 import {
   encodeMembership,
@@ -15,20 +15,20 @@
 
 type RejectionReason = Extract<RaftEffect, { type: 'proposal-rejected' }>['reason'];
 
-/** Entries that may wait for their commit; more proposals are refused as overload. */
+/** Limit of uncommitted entries; further proposals are rejected as `overloaded`. */
 const MAX_UNCOMMITTED_ENTRIES = 32_768;
 
-/** Appends a command. */
+/** Appends a command, or rejects it if this replica can't accept one. */
 export function propose(state: RaftState, proposalId: number, data: Uint8Array): void {
-  const refusal = refusalOfCommand(state);
-  if (refusal !== undefined) {
-    reject(state, proposalId, refusal);
+  const rejection = rejectionOfCommand(state);
+  if (rejection !== undefined) {
+    reject(state, proposalId, rejection);
     return;
   }
   accept(state, proposalId, appendOwnEntry(state, 'command', data));
 }
 
-function refusalOfCommand(state: RaftState): RejectionReason | undefined {
+function rejectionOfCommand(state: RaftState): RejectionReason | undefined {
   if (state.leaderState === undefined || state.leaderState.transfer !== undefined) {
     return 'not-leader';
   }
@@ -36,7 +36,7 @@
   return uncommitted >= MAX_UNCOMMITTED_ENTRIES ? 'overloaded' : undefined;
 }
 
-/** Proposes to take in a replica without a vote. */
+/** Proposes to add a replica as a learner. */
 export function proposeLearner(
   state: RaftState,
   proposalId: number,
@@ -46,22 +46,22 @@
   proposeMembership(state, proposalId, () => withLearner(state.membership, replica, address));
 }
 
-/** Proposes to take a learner out. */
-export function proposeRemoval(state: RaftState, proposalId: number, replica: ReplicaId): void {
+/** Proposes to remove a learner. */
+export function proposeLearnerRemoval(state: RaftState, proposalId: number, replica: ReplicaId): void {
   proposeMembership(state, proposalId, () => withoutLearner(state.membership, replica));
 }
 
-/** Enters a joint membership; `leaveJointWhenCommitted` ends it. */
+/** Proposes a joint membership, which `leaveJointWhenCommitted` ends. */
 export function proposeVoters(state: RaftState, proposalId: number, voters: readonly ReplicaId[]): void {
   const distinct = [...new Set(voters)];
   proposeMembership(state, proposalId, () => {
-    const ready = distinct.length > 0 && distinct.every((replica) => mayVote(state, replica));
+    const ready = distinct.length > 0 && distinct.every((replica) => canBeVoter(state, replica));
     return ready ? enterJoint(state.membership, distinct) : undefined;
   });
 }
 
-/** Present voters may stay; a new one must be a learner that holds and has synced everything committed. */
-function mayVote(state: RaftState, replica: ReplicaId): boolean {
+/** Current voters may stay; a new voter must be a learner that has synced every committed entry. */
+function canBeVoter(state: RaftState, replica: ReplicaId): boolean {
   if (isVoter(state.membership, replica)) {
     return true;
   }
@@ -70,14 +70,18 @@
   return isLearner && progress !== undefined && progress.matchIndex >= state.commitIndex;
 }
 
-/** `change` gives the new membership, or `undefined` if a new voter isn't caught up. */
-function proposeMembership(state: RaftState, proposalId: number, change: () => Membership | undefined): void {
-  const refusal = refusalOfCommand(state) ?? refusalOfMembership(state);
-  if (refusal !== undefined) {
-    reject(state, proposalId, refusal);
+/** `buildMembership` returns the new membership, or `undefined` if a new voter isn't caught up. */
+function proposeMembership(
+  state: RaftState,
+  proposalId: number,
+  buildMembership: () => Membership | undefined,
+): void {
+  const rejection = rejectionOfCommand(state) ?? rejectionOfMembershipChange(state);
+  if (rejection !== undefined) {
+    reject(state, proposalId, rejection);
     return;
   }
-  const membership = change();
+  const membership = buildMembership();
   if (membership === undefined) {
     reject(state, proposalId, 'not-caught-up');
     return;
@@ -85,14 +89,14 @@
   accept(state, proposalId, appendOwnEntry(state, 'membership', encodeMembership(membership)));
 }
 
-/** One change at a time, and none before the leader has committed an entry of its own term. */
-function refusalOfMembership(state: RaftState): RejectionReason | undefined {
-  const committedOwn = state.log.termAt(state.commitIndex) === state.term;
+/** Allows one change at a time, and none before the leader has committed an entry of its own term. */
+function rejectionOfMembershipChange(state: RaftState): RejectionReason | undefined {
+  const hasCommittedInTerm = state.log.termAt(state.commitIndex) === state.term;
   const pending = state.memberships.currentIndex > state.commitIndex || isJoint(state.membership);
-  return pending || !committedOwn ? 'membership-change-pending' : undefined;
+  return pending || !hasCommittedInTerm ? 'membership-change-pending' : undefined;
 }
 
-/** Ends a joint membership once it is committed. True if an entry was appended. */
+/** Ends a joint membership once it is committed. Returns whether an entry was appended. */
 export function leaveJointWhenCommitted(state: RaftState): boolean {
   const { membership, memberships, commitIndex } = state;
   if (!isJoint(membership) || memberships.currentIndex > commitIndex) {
@@ -102,8 +106,8 @@
   return true;
 }
 
-/** Whether this leader was voted out, and the change is committed. */
-export function isVotedOut(state: RaftState): boolean {
+/** Whether a committed membership no longer has this leader as a voter. */
+export function isRemovedFromVoters(state: RaftState): boolean {
   const { membership, memberships, commitIndex } = state;
   return memberships.currentIndex <= commitIndex && !isVoter(membership, state.self);
 }
--- a/src/consensus/read-index.ts
+++ b/src/consensus/read-index.ts
@@ -1,6 +1,6 @@
 /**
- * Linearizable reads without a log entry (ReadIndex): the commit index of a leader that a quorum confirmed in a
- * round begun after the read was asked.
+ * Linearizable reads without a log entry (ReadIndex): a read returns the commit index of a leader that a quorum
+ * confirmed in a round started after the read was requested.
  */
 import type { ReplicaId } from '../model/identifiers.js';
 import type { PendingRead, ReadBatch } from './leader-state.js';
@@ -9,7 +9,7 @@
 import type { RaftState } from './state.js';
 import type { ReadIndexRequest, ReadIndexResponse } from './types.js';
 
-/** A read asked of this replica. `mayWait`: it needs no round of its own, the next heartbeats confirm it. */
+/** Starts a read on this replica. With `mayWait` it starts no round of its own; the next heartbeats confirm it. */
 export function startRead(state: RaftState, readId: number, mayWait: boolean): void {
   if (state.leaderState !== undefined) {
     state.leaderState.waitingReads.push({ from: null, readId, mayWait });
@@ -21,22 +21,22 @@
     return;
   }
   const deadline = state.now + state.config.electionTimeoutMillis;
-  const forwardId = state.takeForwardId();
+  const forwardId = state.allocateForwardId();
   state.forwardedReads.push({ forwardId, readId, deadline });
   state.send({ type: 'read-index-request', to: leader, term, readId: forwardId, mayWait });
 }
 
-/** A read that a follower passed on. */
+/** Handles a read that a follower forwarded. */
 export function handleReadIndexRequest(state: RaftState, request: ReadIndexRequest): void {
   const { from, readId, mayWait } = request;
   if (state.leaderState !== undefined) {
     state.leaderState.waitingReads.push({ from, readId, mayWait });
     return;
   }
-  answerFollower(state, from, readId, null);
+  respondToFollower(state, from, readId, null);
 }
 
-/** Ends a read that this follower passed to its leader; others' answers are dropped. */
+/** Completes a read that this follower forwarded to its leader; responses of other replicas are dropped. */
 export function handleReadIndexResponse(state: RaftState, response: ReadIndexResponse): void {
   const { readId: forwardId, index } = response;
   const read = state.forwardedReads.find((candidate) => candidate.forwardId === forwardId);
@@ -52,24 +52,24 @@
   state.confirmedReads.push({ readId, index });
 }
 
-/** Begins a round for the reads that wait if one of them needs it now and no round is out. */
-export function beginReadRound(state: RaftState): void {
+/** Starts a round for the waiting reads if one of them may not wait and no round is outstanding. */
+export function beginUrgentReadRound(state: RaftState): void {
   const { waitingReads, readBatches } = leaderStateOf(state);
-  const isWanted = waitingReads.some((read) => !read.mayWait);
-  if (isWanted && readBatches.length === 0 && openReadRound(state)) {
+  const hasUrgentRead = waitingReads.some((read) => !read.mayWait);
+  if (hasUrgentRead && readBatches.length === 0 && openReadRound(state)) {
     broadcastHeartbeat(state, false);
   }
 }
 
 /**
- * Makes the heartbeats that go out next a round for all reads that wait, once the leader has committed in its own term;
- * returns whether it did. A round that is out may have been lost.
+ * Makes the next heartbeats a confirmation round for all waiting reads, if the leader has committed an entry of its own
+ * term. Returns whether a round was opened. An outstanding round doesn't prevent it, since its messages may be lost.
  */
 export function openReadRound(state: RaftState): boolean {
   const leaderState = leaderStateOf(state);
   const { waitingReads, readBatches } = leaderState;
-  const knowsCommit = state.log.termAt(state.commitIndex) === state.term;
-  if (waitingReads.length === 0 || !knowsCommit) {
+  const hasCommittedInTerm = state.log.termAt(state.commitIndex) === state.term;
+  if (waitingReads.length === 0 || !hasCommittedInTerm) {
     return false;
   }
   leaderState.round += 1;
@@ -78,11 +78,11 @@
   return true;
 }
 
-/** Answers the reads whose round a quorum has answered. */
+/** Completes the reads whose round a quorum has acknowledged. */
 export function finishReadRounds(state: RaftState): void {
   const leaderState = leaderStateOf(state);
   const confirmedRound = quorumValue(state.membership, (replica) =>
-    replica === state.self ? leaderState.round : (leaderState.progress.get(replica)?.answeredRound ?? 0),
+    replica === state.self ? leaderState.round : (leaderState.progress.get(replica)?.acknowledgedRound ?? 0),
   );
   while ((leaderState.readBatches[0]?.round ?? Number.POSITIVE_INFINITY) <= confirmedRound) {
     confirmBatch(state, leaderState.readBatches.shift() as ReadBatch);
@@ -94,17 +94,17 @@
     if (from === null) {
       state.confirmedReads.push({ readId, index: batch.index });
     } else {
-      answerFollower(state, from, readId, batch.index);
+      respondToFollower(state, from, readId, batch.index);
     }
   }
 }
 
-function answerFollower(state: RaftState, to: ReplicaId, readId: number, index: number | null): void {
+function respondToFollower(state: RaftState, to: ReplicaId, readId: number, index: number | null): void {
   const { term } = state;
   state.send({ type: 'read-index-response', to, term, readId, index });
 }
 
-/** Reports the confirmed reads whose index is applied here. */
+/** Reports the confirmed reads whose index this replica has applied. */
 export function reportReadyReads(state: RaftState): void {
   const ready = state.confirmedReads.filter((read) => read.index <= state.appliedIndex);
   if (ready.length === 0) {
@@ -116,7 +116,7 @@
   }
 }
 
-/** Fails forwarded reads that the leader left unanswered for an election timeout. */
+/** Fails forwarded reads to which the leader has not responded for an election timeout. */
 export function expireForwardedReads(state: RaftState): void {
   const expired = state.forwardedReads.filter((read) => read.deadline <= state.now);
   state.forwardedReads = state.forwardedReads.filter((read) => read.deadline > state.now);
@@ -125,7 +125,7 @@
   }
 }
 
-/** Fails every read that isn't confirmed: the leader changed. */
+/** Fails every unconfirmed read after a change of leader. */
 export function failReads(state: RaftState, leader: ReplicaId | null): void {
   const forwarded = state.forwardedReads;
   state.forwardedReads = [];
@@ -145,7 +145,7 @@
     if (from === null) {
       state.emit({ type: 'read-failed', readId, leader });
     } else {
-      answerFollower(state, from, readId, null);
+      respondToFollower(state, from, readId, null);
     }
   }
 }
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -1,4 +1,4 @@
-/** The leader's side of log replication: appends with flow control per member, answers, commit, confirmation. */
+/** The leader's side of log replication: appends with flow control per member, responses, commit, confirmation. */
 import type { ReplicaId } from '../model/identifiers.js';
 import type { LeaderState } from './leader-state.js';
 import { quorumValue } from './membership.js';
@@ -9,7 +9,7 @@
 
 const DEFAULT_MAX_APPEND_BYTES = 1024 * 1024;
 
-/** Appends an entry of the leader's own to its log; it goes out to the others with the next persist. */
+/** Appends an entry to the leader's own log; it is sent to the other members with the next persist. */
 export function appendOwnEntry(state: RaftState, kind: LogEntry['kind'], data: Uint8Array): LogEntry {
   const entry: LogEntry = { index: state.log.lastIndex + 1, term: state.term, kind, data };
   state.appendEntries([entry]);
@@ -19,42 +19,45 @@
   return entry;
 }
 
-/** Sends what each member may be sent now. */
+/** Sends each member the entries that its window allows. */
 export function replicateToAll(state: RaftState): void {
   for (const [replica, progress] of leaderStateOf(state).progress) {
     replicate(state, replica, progress);
   }
 }
 
-/** Sends entries up to the member's window, and the commit index if the member wasn't told of it. */
+/** Sends entries up to the member's window, and the commit index if it wasn't sent yet. */
 function replicate(state: RaftState, replica: ReplicaId, progress: Progress): void {
   const { maxAppendsInFlight } = state.config;
-  leaveCompactedWindow(state, progress);
+  probeIfWindowCompacted(state, progress);
   while (progress.nextIndex <= state.log.lastIndex && progress.canSend(maxAppendsInFlight)) {
     if (!sendEntries(state, replica, progress)) {
       return;
     }
   }
-  const knowsCommit = progress.sentCommitIndex >= state.commitIndex;
-  if (progress.state === 'replicate' && !knowsCommit) {
+  const isCommitIndexSent = progress.sentCommitIndex >= state.commitIndex;
+  if (progress.state === 'replicate' && !isCommitIndexSent) {
     sendAppend(state, replica, progress, []);
   }
 }
 
 /**
- * The log was cut behind what a member was sent and didn't answer: no append can show it the gap any more, so it starts
- * over from what it is known to hold, which the log may lack.
+ * Returns to probing from the last known match if the log was compacted past unacknowledged appends: no further append
+ * could reveal the gap to the member. The log may no longer contain the entries after that match.
  */
-function leaveCompactedWindow(state: RaftState, progress: Progress): void {
+function probeIfWindowCompacted(state: RaftState, progress: Progress): void {
   const isCompacted = state.log.termAt(progress.nextIndex - 1) === undefined;
   if (progress.state === 'replicate' && isCompacted) {
     progress.becomeProbe(progress.matchIndex + 1);
   }
 }
 
-/** Sends one append with entries; false if the member needs a snapshot or is silent. */
+/**
+ * Sends one append with entries. Returns false if no other may follow now: the member needs a snapshot, is unresponsive
+ * or is being probed.
+ */
 function sendEntries(state: RaftState, replica: ReplicaId, progress: Progress): boolean {
-  if (isSilent(state, progress)) {
+  if (isUnresponsive(state, progress)) {
     return false;
   }
   if (state.log.termAt(progress.nextIndex - 1) === undefined) {
@@ -73,17 +76,17 @@
   return true;
 }
 
-/** Entries for one append, bounded by number and bytes; at least one. */
+/** Entries for one append, limited by number and bytes, but at least one. */
 function entriesFrom(state: RaftState, from: number): LogEntry[] {
   const { maxEntriesPerAppend, maxAppendBytes = DEFAULT_MAX_APPEND_BYTES } = state.config;
   const to = Math.min(state.log.lastIndex, from + maxEntriesPerAppend - 1);
   const entries = state.log.slice(from, to);
   let bytes = 0;
-  const tooMany = entries.findIndex((entry, position) => {
+  const firstExcess = entries.findIndex((entry, position) => {
     bytes += entry.data.byteLength;
     return position > 0 && bytes > maxAppendBytes;
   });
-  return tooMany === -1 ? entries : entries.slice(0, tooMany);
+  return firstExcess === -1 ? entries : entries.slice(0, firstExcess);
 }
 
 function sendAppend(
@@ -113,7 +116,7 @@
   });
 }
 
-/** A heartbeat for a member whose log position is unknown or behind the log: it matches any log. */
+/** Sends a heartbeat that matches any log, for a member whose log position is unknown or compacted. */
 function sendBareHeartbeat(state: RaftState, replica: ReplicaId): void {
   const { term } = state;
   const { round } = leaderStateOf(state);
@@ -121,17 +124,17 @@
   state.send({ type: 'append-request', to: replica, term, ...position, round });
 }
 
-/** A member that let an election timeout pass without an answer gets heartbeats only. */
-function isSilent(state: RaftState, progress: Progress): boolean {
-  return state.now - progress.lastHeardAt >= state.config.electionTimeoutMillis;
+/** Whether a member hasn't responded for an election timeout; such a member receives heartbeats only. */
+function isUnresponsive(state: RaftState, progress: Progress): boolean {
+  return state.now - progress.lastContactAt >= state.config.electionTimeoutMillis;
 }
 
-/** Sends one heartbeat to each member; unanswered probes and chunks are tried again. */
+/** Sends one heartbeat to each member; with `retry`, also resends unacknowledged probes and snapshot chunks. */
 export function broadcastHeartbeat(state: RaftState, retry: boolean): void {
   const leaderState = leaderStateOf(state);
   for (const [replica, progress] of leaderState.progress) {
     if (retry) {
-      retryUnanswered(state, replica, progress);
+      resendUnacknowledged(state, replica, progress);
     }
     sendAppend(state, replica, progress, []);
   }
@@ -140,8 +143,8 @@
   }
 }
 
-function retryUnanswered(state: RaftState, replica: ReplicaId, progress: Progress): void {
-  if (isSilent(state, progress)) {
+function resendUnacknowledged(state: RaftState, replica: ReplicaId, progress: Progress): void {
+  if (isUnresponsive(state, progress)) {
     if (progress.state === 'replicate') {
       progress.becomeProbe(progress.matchIndex + 1);
     }
@@ -158,44 +161,44 @@
   replicate(state, replica, progress);
 }
 
-/** Takes a member's answer to an append of the present term. */
+/** Handles a member's response to an append of the current term. */
 export function handleAppendResponse(state: RaftState, response: AppendResponse): void {
   const progress = state.leaderState?.progress.get(response.from);
   if (progress === undefined) {
     return;
   }
-  noteAnswer(state, progress, response.round);
+  recordResponse(state, progress, response.round);
   if (!response.success) {
-    if (progress.refused(response.matchIndex)) {
+    if (progress.handleRejection(response.matchIndex)) {
       replicate(state, response.from, progress);
     }
     return;
   }
-  noteMatch(progress, response.matchIndex);
+  recordMatch(progress, response.matchIndex);
   replicate(state, response.from, progress);
 }
 
-/** Takes a member's answer to a snapshot chunk of the present term. */
+/** Handles a member's response to a snapshot chunk of the current term. */
 export function handleSnapshotResponse(state: RaftState, response: SnapshotResponse): void {
   const progress = state.leaderState?.progress.get(response.from);
   if (progress === undefined) {
     return;
   }
-  noteAnswer(state, progress, response.round);
+  recordResponse(state, progress, response.round);
   if (continueSnapshotTransfer(state, progress, response)) {
-    noteMatch(progress, response.lastIndex);
+    recordMatch(progress, response.lastIndex);
     replicate(state, response.from, progress);
   }
 }
 
-/** Any answer of the present term counts for the quorum check and for confirmation rounds. */
-function noteAnswer(state: RaftState, progress: Progress, round: number): void {
-  progress.lastHeardAt = state.now;
-  progress.answeredRound = Math.max(progress.answeredRound, round);
+/** Any response of the current term counts for the quorum check and for confirmation rounds. */
+function recordResponse(state: RaftState, progress: Progress, round: number): void {
+  progress.lastContactAt = state.now;
+  progress.acknowledgedRound = Math.max(progress.acknowledgedRound, round);
 }
 
-function noteMatch(progress: Progress, matchIndex: number): void {
-  progress.matched(matchIndex);
+function recordMatch(progress: Progress, matchIndex: number): void {
+  progress.recordMatch(matchIndex);
   const snapshotDone = progress.transfer === undefined || matchIndex >= progress.transfer.snapshot.lastIndex;
   const mayReplicate = progress.state === 'probe' || snapshotDone;
   if (progress.state !== 'replicate' && mayReplicate) {
@@ -203,7 +206,7 @@
   }
 }
 
-/** Commits what a quorum has synced, if it is of the present term. True if the commit index grew. */
+/** Commits entries that a quorum has synced, if of the current term. Returns whether the commit index grew. */
 export function advanceCommit(state: RaftState): boolean {
   const { progress } = leaderStateOf(state);
   const index = quorumValue(state.membership, (replica) =>
@@ -216,15 +219,15 @@
   return true;
 }
 
-/** When a quorum, this leader included, was last known to be alive. */
-export function quorumHeardAt(state: RaftState): number {
+/** Latest time since which a quorum, including this leader, has responded. */
+export function quorumContactAt(state: RaftState): number {
   const { progress } = leaderStateOf(state);
   return quorumValue(state.membership, (replica) =>
-    replica === state.self ? state.now : (progress.get(replica)?.lastHeardAt ?? Number.NEGATIVE_INFINITY),
+    replica === state.self ? state.now : (progress.get(replica)?.lastContactAt ?? Number.NEGATIVE_INFINITY),
   );
 }
 
-/** What a leader keeps. Only to be called on a leader. */
+/** State of a leader. Must only be called on a leader. */
 export function leaderStateOf(state: RaftState): LeaderState {
   return state.leaderState as LeaderState;
 }
--- a/src/consensus/roles.ts
+++ b/src/consensus/roles.ts
@@ -7,7 +7,7 @@
 
 const NO_DATA = new Uint8Array(0);
 
-/** Follows `leader` (`null`: not known yet) in `term`, which is the present one or a later one. */
+/** Follows `leader` (`null` if unknown) in `term`, which is the current or a later one. */
 export function becomeFollower(state: RaftState, term: Term, leader: ReplicaId | null): void {
   const newTerm = term > state.term;
   if (newTerm) {
@@ -28,7 +28,7 @@
   state.leaderState = undefined;
 }
 
-/** Asks whether an election could be won, without a new term of its own. */
+/** Starts a pre-vote, which checks whether an election could be won without starting a new term. */
 export function becomePreCandidate(state: RaftState): void {
   failReads(state, null);
   state.role = 'pre-candidate';
@@ -37,7 +37,7 @@
   state.resetElectionDeadline();
 }
 
-/** Stands for election in a new term. Its own vote counts once it is on disk. */
+/** Becomes a candidate in a new term. The replica's own vote counts once it is on disk. */
 export function becomeCandidate(state: RaftState): void {
   failReads(state, null);
   state.setHardState(state.term + 1, state.self);
@@ -48,7 +48,7 @@
   state.resetElectionDeadline();
 }
 
-/** Leads the present term; its first entry is a noop, which commits what earlier terms left. */
+/** Becomes the leader of the current term; its first entry is a noop, which commits the entries of earlier terms. */
 export function becomeLeader(state: RaftState): void {
   state.role = 'leader';
   state.quorumLostAt = null;
--- a/src/consensus/snapshot-receiver.ts
+++ b/src/consensus/snapshot-receiver.ts
@@ -1,9 +1,9 @@
-/** The follower's side of snapshot transfer: gathers chunks, then installs the whole. */
+/** The follower's side of snapshot transfer: collects the chunks, then installs the snapshot. */
 import type { ReplicaId, Term } from '../model/identifiers.js';
 import type { RaftState } from './state.js';
 import type { Membership, Snapshot, SnapshotRequest } from './types.js';
 
-/** A snapshot of which not every chunk has arrived. */
+/** A partially received snapshot. */
 export interface IncomingSnapshot {
   readonly from: ReplicaId;
   readonly lastIndex: number;
@@ -11,43 +11,43 @@
   readonly membership: Membership;
   readonly totalBytes: number;
   readonly chunks: Uint8Array[];
-  heldBytes: number;
+  receivedBytes: number;
 }
 
-/** Takes one chunk from the leader of the present term. */
+/** Handles one chunk from the leader of the current term. */
 export function handleSnapshotRequest(state: RaftState, request: SnapshotRequest): void {
-  if (holdsEntry(state, request.lastIndex, request.lastTerm)) {
+  if (hasEntry(state, request.lastIndex, request.lastTerm)) {
     state.commitIndex = Math.max(state.commitIndex, request.lastIndex);
     state.incomingSnapshot = undefined;
-    answerInstalled(state, request);
+    respondInstalled(state, request);
     return;
   }
   const incoming = incomingFor(state, request);
-  if (request.offset === incoming.heldBytes) {
+  if (request.offset === incoming.receivedBytes) {
     incoming.chunks.push(request.chunk);
-    incoming.heldBytes += request.chunk.byteLength;
+    incoming.receivedBytes += request.chunk.byteLength;
   }
-  if (incoming.heldBytes < incoming.totalBytes) {
-    answerProgress(state, request, incoming.heldBytes);
+  if (incoming.receivedBytes < incoming.totalBytes) {
+    respondProgress(state, request, incoming.receivedBytes);
     return;
   }
   install(state, joinChunks(incoming));
-  answerInstalled(state, request);
+  respondInstalled(state, request);
 }
 
-/** Whether the log already reaches to the snapshot's last entry, so that nothing needs to be installed. */
-function holdsEntry(state: RaftState, index: number, term: Term): boolean {
+/** Whether the log already contains the snapshot's last entry, so that the snapshot isn't needed. */
+function hasEntry(state: RaftState, index: number, term: Term): boolean {
   return index <= state.commitIndex || state.log.termAt(index) === term;
 }
 
 function incomingFor(state: RaftState, request: SnapshotRequest): IncomingSnapshot {
   const { from, lastIndex, lastTerm, membership, totalBytes } = request;
-  const present = state.incomingSnapshot;
-  const same = present?.from === from && present.lastIndex === lastIndex && present.lastTerm === lastTerm;
-  if (present !== undefined && same) {
-    return present;
+  const current = state.incomingSnapshot;
+  const isSame = current?.from === from && current.lastIndex === lastIndex && current.lastTerm === lastTerm;
+  if (current !== undefined && isSame) {
+    return current;
   }
-  const incoming = { from, lastIndex, lastTerm, membership, totalBytes, chunks: [], heldBytes: 0 };
+  const incoming = { from, lastIndex, lastTerm, membership, totalBytes, chunks: [], receivedBytes: 0 };
   state.incomingSnapshot = incoming;
   return incoming;
 }
@@ -63,7 +63,7 @@
   return { lastIndex, lastTerm, membership, data };
 }
 
-/** Replaces the log by the snapshot; the state machine takes it once it is on disk. */
+/** Replaces the log by the snapshot; the state machine is restored from it once it is on disk. */
 function install(state: RaftState, snapshot: Snapshot): void {
   state.incomingSnapshot = undefined;
   state.persistQueue.installSnapshot(snapshot, state.log.lastIndex);
@@ -72,10 +72,10 @@
   state.memberships.reset(snapshot.lastIndex, snapshot.membership);
   state.snapshot = snapshot;
   state.commitIndex = snapshot.lastIndex;
-  state.restoring = snapshot;
+  state.pendingRestore = snapshot;
 }
 
-function answerInstalled(state: RaftState, request: SnapshotRequest): void {
+function respondInstalled(state: RaftState, request: SnapshotRequest): void {
   const { term } = state;
   const { from: to, lastIndex, totalBytes: nextOffset, round } = request;
   state.sendAfterPersist({
@@ -89,10 +89,10 @@
   });
 }
 
-function answerProgress(state: RaftState, request: SnapshotRequest, nextOffset: number): void {
+function respondProgress(state: RaftState, request: SnapshotRequest, nextOffset: number): void {
   const { term } = state;
   const { from: to, lastIndex, round } = request;
-  state.sendOncePromised({
+  state.sendAfterHardStatePersisted({
     type: 'snapshot-response',
     to,
     term,
--- a/src/consensus/snapshot-sender.ts
+++ b/src/consensus/snapshot-sender.ts
@@ -1,10 +1,10 @@
-/** The leader's side of snapshot transfer: chunks one at a time, each after the answer to the one before. */
+/** The leader's side of snapshot transfer: sends one chunk at a time, each after the response to the previous one. */
 import type { ReplicaId } from '../model/identifiers.js';
 import type { Progress } from './progress.js';
 import type { RaftState } from './state.js';
 import type { SnapshotResponse } from './types.js';
 
-/** Starts to send the latest snapshot to a member that needs entries which the log no longer holds. */
+/** Starts sending the latest snapshot to a member that needs compacted entries. */
 export function beginSnapshotTransfer(state: RaftState, replica: ReplicaId, progress: Progress): void {
   if (state.snapshot === null) {
     return;
@@ -13,7 +13,7 @@
   sendSnapshotChunk(state, replica, progress);
 }
 
-/** Sends the chunk at the transfer's offset. */
+/** Sends the chunk at the transfer's current offset. */
 export function sendSnapshotChunk(state: RaftState, replica: ReplicaId, progress: Progress): void {
   const { transfer } = progress;
   if (transfer === undefined || state.leaderState === undefined) {
@@ -36,7 +36,7 @@
   });
 }
 
-/** Goes on where the member says. True if the member holds the whole snapshot, synced. */
+/** Continues at the offset that the member returned. Returns true if the member has synced the whole snapshot. */
 export function continueSnapshotTransfer(
   state: RaftState,
   progress: Progress,
@@ -50,8 +50,8 @@
     return true;
   }
   const total = transfer.snapshot.data.byteLength;
-  const moved = response.nextOffset !== transfer.offset;
-  if (moved && response.nextOffset < total) {
+  const hasOffsetChanged = response.nextOffset !== transfer.offset;
+  if (hasOffsetChanged && response.nextOffset < total) {
     transfer.offset = response.nextOffset;
     sendSnapshotChunk(state, response.from, progress);
   }
--- a/src/consensus/state.ts
+++ b/src/consensus/state.ts
@@ -1,4 +1,4 @@
-/** What every module of the Raft core works on: the replica's state, and the effects of the step under way. */
+/** State of a replica, shared by the modules of the Raft core, and the effects of the current step. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { ReplicaId, Term } from '../model/identifiers.js';
@@ -19,23 +19,23 @@
   Snapshot,
 } from './types.js';
 
-/** Role without the distinction of learners, which follows from the membership. */
+/** Role without `learner`, which is derived from the membership. */
 export type ActiveRole = Exclude<RaftRole, 'learner'>;
 
-/** A vote or pre-vote round under way. */
+/** A vote or pre-vote in progress. */
 export interface Campaign {
   readonly granted: Set<ReplicaId>;
 }
 
-/** A read that a follower passed on to its leader. */
+/** A read that a follower forwarded to its leader. */
 export interface ForwardedRead {
-  /** Id between this replica and the leader. */
+  /** Id of the read in messages between this replica and the leader. */
   readonly forwardId: number;
   readonly readId: number;
   readonly deadline: number;
 }
 
-/** A read whose index is confirmed, but not applied here yet. */
+/** A read whose index is confirmed, but not applied by this replica yet. */
 export interface ConfirmedRead {
   readonly readId: number;
   readonly index: number;
@@ -48,15 +48,16 @@
 const MICROS_PER_MILLI = 1000;
 const MAX_FIRST_FORWARD_ID = 0x3fffffff;
 
-/** Between which shares of the election timeout an election is put off. */
-type ElectionShares = readonly [least: number, most: number];
+/** Range of the randomized election delay, as multiples of the election timeout. */
+type ElectionTimeoutFactors = readonly [min: number, max: number];
 
-const USUAL_SHARES: ElectionShares = [1, 2];
-/** Right after the start of a replica, and again until it has heard a leader. */
-const FIRST_SHARES: ElectionShares = [0.1, 0.4];
-const STARTING_SHARES: ElectionShares = [0.2, 0.7];
-/** A start counts as over after so many election timeouts. */
-const STARTING_TIMEOUTS = 4;
+const REGULAR_FACTORS: ElectionTimeoutFactors = [1, 2];
+/** For the first election after the start of a replica. */
+const INITIAL_FACTORS: ElectionTimeoutFactors = [0.1, 0.4];
+/** For later elections while `isStarting`. */
+const STARTUP_FACTORS: ElectionTimeoutFactors = [0.2, 0.7];
+/** Length of the startup phase in election timeouts. */
+const STARTUP_ELECTION_TIMEOUTS = 4;
 
 export class RaftState {
   readonly config: RaftConfig;
@@ -74,9 +75,9 @@
   votedFor: ReplicaId | null;
   role: ActiveRole = 'follower';
   leader: ReplicaId | null = null;
-  /** When the leader was last heard. */
+  /** Time of the last message from a leader. */
   leaderHeardAt = Number.NEGATIVE_INFINITY;
-  /** When a quorum was last heard, if this replica stepped down for want of one since it last led. */
+  /** Time of the last quorum contact, if this replica lost its quorum and stepped down since it last became leader. */
   quorumLostAt: number | null = null;
   electionDeadline = 0;
   campaign: Campaign | undefined;
@@ -84,11 +85,11 @@
 
   snapshot: Snapshot | null;
   incomingSnapshot: IncomingSnapshot | undefined;
-  /** An installed snapshot that isn't on disk yet; nothing is applied meanwhile. */
-  restoring: Snapshot | undefined;
+  /** An installed snapshot that isn't on disk yet; no entries are applied until it is. */
+  pendingRestore: Snapshot | undefined;
 
   commitIndex: number;
-  /** Last index of the present log that is on disk. */
+  /** Last index of the current log that is on disk. */
   stableIndex: number;
   appliedIndex: number;
 
@@ -110,7 +111,7 @@
     this.stableIndex = this.log.lastIndex;
     this.memberships = MembershipHistory.restore(restored);
     this.#startedAt = now;
-    this.electionDeadline = now + this.#between(FIRST_SHARES, config.electionTimeoutMillis);
+    this.electionDeadline = now + this.#randomTimeout(INITIAL_FACTORS, config.electionTimeoutMillis);
   }
 
   get self(): ReplicaId {
@@ -125,8 +126,8 @@
     return isVoter(this.membership, this.self);
   }
 
-  /** Role as others see it. */
-  get visibleRole(): RaftRole {
+  /** Role as reported to the host, with learners distinguished from followers. */
+  get reportedRole(): RaftRole {
     return this.role === 'follower' && !this.isSelfVoter ? 'learner' : this.role;
   }
 
@@ -138,7 +139,7 @@
     this.emit({ type: 'send', message: { ...message, from: this.self } as RaftMessage });
   }
 
-  /** Sends once everything changed so far is on disk, unless the term has moved on by then. */
+  /** Sends once all changes made so far are on disk, unless the term has changed by then. */
   sendAfterPersist(message: OutgoingMessage): void {
     const { term } = this;
     this.persistQueue.afterPersist(() => {
@@ -148,9 +149,9 @@
     });
   }
 
-  /** Sends once the present term and vote are on disk; entries may still be on their way there. */
-  sendOncePromised(message: OutgoingMessage): void {
-    if (this.persistQueue.hardStatePending) {
+  /** Sends once the current term and vote are on disk; entries may still be pending. */
+  sendAfterHardStatePersisted(message: OutgoingMessage): void {
+    if (this.persistQueue.isHardStatePending) {
       this.sendAfterPersist(message);
     } else {
       this.send(message);
@@ -163,54 +164,57 @@
     this.persistQueue.setHardState({ term, votedFor });
   }
 
-  /** Appends to the log in memory and queues the entries for the disk. */
+  /** Appends to the log in memory and queues the entries for persistence. */
   appendEntries(entries: readonly LogEntry[]): void {
     this.log.append(entries);
-    this.memberships.appended(entries);
+    this.memberships.recordAppended(entries);
     this.persistQueue.appendEntries(entries);
   }
 
-  /** Drops entries from `index` on; the membership falls back to that of the entries before. */
+  /** Removes entries from `index` on; the membership reverts to that of the remaining entries. */
   truncateFrom(index: number): void {
     this.log.truncateFrom(index);
-    this.memberships.truncatedFrom(index);
+    this.memberships.truncateFrom(index);
     this.persistQueue.truncateFrom(index);
     this.stableIndex = Math.min(this.stableIndex, index - 1);
   }
 
   /**
-   * An id for a read passed on to the leader. It starts at random, so that an answer to an earlier run of this
-   * process isn't taken for one to this run.
+   * Returns an id for a read forwarded to the leader. Ids start at a random number, so that a response to an earlier run
+   * of this process isn't mistaken for a response to this run.
    */
-  takeForwardId(): number {
+  allocateForwardId(): number {
     const id = this.#nextForwardId;
     this.#nextForwardId += 1;
     return id;
   }
 
-  /** The next election starts after one to two election timeouts without a leader; sooner after a start. */
+  /** Schedules an election after one to two election timeouts without a leader; sooner during startup. */
   resetElectionDeadline(): void {
     const { electionTimeoutMillis } = this.config;
     this.electionDeadline = this.isStarting
-      ? this.now + this.#between(STARTING_SHARES, electionTimeoutMillis)
-      : this.now + this.#between(USUAL_SHARES, electionTimeoutMillis);
+      ? this.now + this.#randomTimeout(STARTUP_FACTORS, electionTimeoutMillis)
+      : this.now + this.#randomTimeout(REGULAR_FACTORS, electionTimeoutMillis);
   }
 
   /**
-   * A replica that was just started and has heard no leader yet: where all were down, nobody leads. Where someone does, the
-   * others refuse its pre-votes and nothing is disturbed.
+   * Whether this replica started recently and has had no contact with a leader: if all replicas were down, there is none.
+   * If there is one, the other replicas ignore the pre-votes, so an early election causes no disruption.
    */
   get isStarting(): boolean {
-    const hasHeardNone = this.leaderHeardAt === Number.NEGATIVE_INFINITY;
-    return hasHeardNone && this.now - this.#startedAt < STARTING_TIMEOUTS * this.config.electionTimeoutMillis;
+    const hasNoLeaderContact = this.leaderHeardAt === Number.NEGATIVE_INFINITY;
+    return (
+      hasNoLeaderContact &&
+      this.now - this.#startedAt < STARTUP_ELECTION_TIMEOUTS * this.config.electionTimeoutMillis
+    );
   }
 
-  #between([least, most]: ElectionShares, electionTimeoutMillis: number): number {
-    const from = Math.ceil(electionTimeoutMillis * least);
-    return uniformInt(this.#random, from, Math.max(from, Math.ceil(electionTimeoutMillis * most) - 1));
+  #randomTimeout([min, max]: ElectionTimeoutFactors, electionTimeoutMillis: number): number {
+    const from = Math.ceil(electionTimeoutMillis * min);
+    return uniformInt(this.#random, from, Math.max(from, Math.ceil(electionTimeoutMillis * max) - 1));
   }
 
-  /** Whether a leader was heard so recently that no other can be needed. */
+  /** Whether the leader has been in contact within the last election timeout, so that no election is needed. */
   get hasRecentLeader(): boolean {
     const silentMillis = this.now - this.leaderHeardAt;
     return this.leader !== null && silentMillis < this.config.electionTimeoutMillis;
--- a/src/consensus/status.ts
+++ b/src/consensus/status.ts
@@ -1,8 +1,8 @@
-/** A replica's state as operators see it. */
+/** Status of a replica for operators. */
 import type { RaftState } from './state.js';
 import type { RaftStatus } from './types.js';
 
-/** Copies what operators may see. */
+/** Creates a status from the state of a replica. */
 export function raftStatus(state: RaftState): RaftStatus {
   const { self, term, leader, commitIndex, log, membership, leaderState } = state;
   const matches = [...(leaderState?.progress ?? [])].map(
@@ -10,7 +10,7 @@
   );
   return {
     self,
-    role: state.visibleRole,
+    role: state.reportedRole,
     term,
     leader,
     commitIndex,
--- a/src/consensus/transfer.ts
+++ b/src/consensus/transfer.ts
@@ -1,9 +1,9 @@
-/** Leadership transfer: bring the target up to date, then tell it to stand for election at once. */
+/** Leadership transfer: waits until the target is up to date, then makes it start an election at once. */
 import type { ReplicaId } from '../model/identifiers.js';
 import { allVoters, isVoter } from './membership.js';
 import type { RaftState } from './state.js';
 
-/** Starts a transfer; nothing happens unless this replica leads and `to` is another voter. */
+/** Starts a transfer; has no effect unless this replica is the leader and `to` is another voter. */
 export function startTransfer(state: RaftState, to: ReplicaId): void {
   const { leaderState } = state;
   if (leaderState === undefined || to === state.self || !isVoter(state.membership, to)) {
@@ -13,7 +13,7 @@
   leaderState.transfer = { to, deadline, timeoutNowSent: false };
 }
 
-/** Tells the target to stand for election once it holds the whole log; gives up after an election timeout. */
+/** Sends `timeout-now` once the target has the whole log; cancels the transfer after an election timeout. */
 export function advanceTransfer(state: RaftState): void {
   const { leaderState, log, term } = state;
   const transfer = leaderState?.transfer;
@@ -31,11 +31,11 @@
   }
 }
 
-/** Lets the voter with the longest log stand for election at once: this leader was voted out. */
+/** Makes the voter with the longest log start an election at once, for a leader removed from the voters. */
 export function sendTimeoutNowToBestVoter(state: RaftState): void {
   const { leaderState, term } = state;
-  const matchOf = (replica: ReplicaId): number => leaderState?.progress.get(replica)?.matchIndex ?? 0;
-  const [best] = allVoters(state.membership).sort((a, b) => matchOf(b) - matchOf(a));
+  const matchIndexOf = (replica: ReplicaId): number => leaderState?.progress.get(replica)?.matchIndex ?? 0;
+  const [best] = allVoters(state.membership).sort((a, b) => matchIndexOf(b) - matchIndexOf(a));
   if (best !== undefined && best !== state.self) {
     state.send({ type: 'timeout-now', to: best, term });
   }
--- a/src/consensus/types.ts
+++ b/src/consensus/types.ts
@@ -1,7 +1,7 @@
 /** Messages, inputs and effects of the Raft core (Ongaro and Ousterhout 2014; Ongaro's thesis for the extensions). */
 import type { Address, ReplicaId, Term } from '../model/identifiers.js';
 
-/** Who votes. `outgoingVoters` is non-empty only while a joint change is under way. */
+/** Members of a cluster. `outgoingVoters` is non-empty only while a joint change is in progress. */
 export interface Membership {
   readonly voters: readonly ReplicaId[];
   readonly outgoingVoters: readonly ReplicaId[];
@@ -14,23 +14,23 @@
 export interface LogEntry {
   readonly index: number;
   readonly term: Term;
-  /** `membership` entries hold a JSON `Membership`; `noop` ones nothing. */
+  /** `membership` entries contain a JSON `Membership`; `noop` entries are empty. */
   readonly kind: 'command' | 'membership' | 'noop';
   readonly data: Uint8Array;
 }
 
-/** What must be on disk before a message that relies on it leaves. */
+/** State that must be on disk before a message that depends on it is sent. */
 export interface HardState {
   readonly term: Term;
   readonly votedFor: ReplicaId | null;
 }
 
-/** The state machine after `lastIndex`, in place of the log up to there. */
+/** The state machine as of `lastIndex`, which replaces the log up to that index. */
 export interface Snapshot {
   readonly lastIndex: number;
   readonly lastTerm: Term;
   readonly membership: Membership;
-  /** The state machine's own bytes. */
+  /** The serialized state machine. */
   readonly data: Uint8Array;
 }
 
@@ -40,44 +40,44 @@
   readonly term: Term;
 }
 
-/** A candidate asks for a vote; with `preVote`, whether it would get one, which changes no term. */
+/** Requests a vote for a candidate; with `preVote`, checks whether the vote would be granted, without a new term. */
 export interface VoteRequest extends MessageBase {
   readonly type: 'vote-request';
   readonly preVote: boolean;
   readonly lastLogIndex: number;
   readonly lastLogTerm: Term;
-  /** Set after a leadership transfer, so that followers don't hold back for the old leader. */
+  /** Set in a leadership transfer, so that followers vote even if the old leader was active recently. */
   readonly transfer: boolean;
 }
 
-/** Answers a `VoteRequest` of the same kind. */
+/** Response to a `VoteRequest` with the same `preVote`. */
 export interface VoteResponse extends MessageBase {
   readonly type: 'vote-response';
   readonly preVote: boolean;
   readonly granted: boolean;
 }
 
-/** Entries after `previousIndex`, or none as a heartbeat. */
+/** Entries after `previousIndex`; a heartbeat if empty. */
 export interface AppendRequest extends MessageBase {
   readonly type: 'append-request';
   readonly previousIndex: number;
   readonly previousTerm: Term;
   readonly entries: readonly LogEntry[];
   readonly commitIndex: number;
-  /** Number of the leader's confirmation round; echoed, so that reads and leases are quorum-confirmed. */
+  /** Number of the leader's confirmation round. Responses echo it, which confirms reads and leases by a quorum. */
   readonly round: number;
 }
 
-/** Answers an `AppendRequest`. */
+/** Response to an `AppendRequest`. */
 export interface AppendResponse extends MessageBase {
   readonly type: 'append-response';
   readonly success: boolean;
-  /** Success: last index known to match and be synced. Failure: a hint where to go on. */
+  /** On success, the last index known to match and be synced; on failure, a hint at which index to continue. */
   readonly matchIndex: number;
   readonly round: number;
 }
 
-/** One chunk of a snapshot, for a member that needs entries which are gone from the log. Sizes in bytes. */
+/** One chunk of a snapshot, for a member that needs compacted entries. Sizes are in bytes. */
 export interface SnapshotRequest extends MessageBase {
   readonly type: 'snapshot-request';
   readonly lastIndex: number;
@@ -89,38 +89,38 @@
   readonly round: number;
 }
 
-/** Answers a `SnapshotRequest`. */
+/** Response to a `SnapshotRequest`. */
 export interface SnapshotResponse extends MessageBase {
   readonly type: 'snapshot-response';
   readonly lastIndex: number;
-  /** Bytes held so far; `totalBytes` once the snapshot is synced and installed. */
+  /** Bytes received so far; `totalBytes` once the snapshot is synced and installed. */
   readonly nextOffset: number;
   readonly installed: boolean;
   readonly round: number;
 }
 
-/** Asks a voter to start an election at once, as the last step of a leadership transfer. */
+/** Makes a voter start an election at once, as the last step of a leadership transfer. */
 export interface TimeoutNow extends MessageBase {
   readonly type: 'timeout-now';
 }
 
-/** A follower asks the leader for the index that a linearizable read must see. */
+/** Request of a follower to the leader for the index that a linearizable read must observe. */
 export interface ReadIndexRequest extends MessageBase {
   readonly type: 'read-index-request';
   readonly readId: number;
-  /** The leader's next heartbeats are soon enough. */
+  /** Whether the read may wait for the leader's next heartbeats. */
   readonly mayWait: boolean;
 }
 
-/** Answers a `ReadIndexRequest`. */
+/** Response to a `ReadIndexRequest`. */
 export interface ReadIndexResponse extends MessageBase {
   readonly type: 'read-index-response';
   readonly readId: number;
-  /** `null`: the answerer isn't a confirmed leader. */
+  /** `null` if the responder isn't a confirmed leader. */
   readonly index: number | null;
 }
 
-/** What replicas send each other. Messages may be lost, repeated and reordered. */
+/** Messages between replicas, which may be lost, duplicated and reordered. */
 export type RaftMessage =
   | VoteRequest
   | VoteResponse
@@ -132,12 +132,12 @@
   | ReadIndexRequest
   | ReadIndexResponse;
 
-/** What a Raft core is told. */
+/** Inputs of a Raft core. */
 export type RaftInput =
   | { readonly type: 'tick' }
   | { readonly type: 'message'; readonly message: RaftMessage }
   | { readonly type: 'persisted'; readonly persistId: number }
-  /** Leader only. `proposalId` comes back in `proposal-accepted` or `proposal-rejected`. */
+  /** Leader only. `proposal-accepted` or `proposal-rejected` returns the `proposalId`. */
   | { readonly type: 'propose'; readonly proposalId: number; readonly data: Uint8Array }
   | {
       readonly type: 'add-learner';
@@ -145,37 +145,37 @@
       readonly replica: ReplicaId;
       readonly address: Address;
     }
-  /** Joint change to these voters; each new voter must be a caught-up learner. */
+  /** Joint change to these voters; each new voter must be a learner that is caught up. */
   | { readonly type: 'change-voters'; readonly proposalId: number; readonly voters: readonly ReplicaId[] }
   | { readonly type: 'remove-learner'; readonly proposalId: number; readonly replica: ReplicaId }
-  /** Any member: a linearizable read; a follower asks the leader. `mayWait`: the next heartbeats are soon enough. */
+  /** Linearizable read on any member; a follower forwards it. `mayWait`: it may wait for the next heartbeats. */
   | { readonly type: 'read'; readonly readId: number; readonly mayWait?: boolean }
   | { readonly type: 'transfer'; readonly to: ReplicaId }
-  /** The state machine's bytes after `lastIndex`; the core persists them and drops the log before. */
+  /** The state machine's bytes as of `lastIndex`; the core persists them and compacts the log up to that index. */
   | { readonly type: 'snapshot-taken'; readonly lastIndex: number; readonly data: Uint8Array };
 
-/** To be written in this order, then synced, then reported with `persisted`. */
+/** Must be written in this order, then synced, then reported with `persisted`. */
 export interface PersistRequest {
-  /** Grows by one a request; `persisted` of one implies all before. */
+  /** Increases by one per request; `persisted` for one request implies all earlier ones. */
   readonly persistId: number;
   readonly hardState?: HardState;
-  /** Entries from this index on are dropped first. */
+  /** Entries from this index on are removed first. */
   readonly truncateFrom?: number;
   readonly entries?: readonly LogEntry[];
   /** Replaces the log up to its last index. */
   readonly snapshot?: Snapshot;
 }
 
-/** `pre-candidate`: asks whether an election could be won. `learner`: gets the log and has no vote. */
+/** `pre-candidate`: checks whether an election could be won. `learner`: receives the log and has no vote. */
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader' | 'learner';
 
-/** What the host of a Raft core has to carry out, in this order. */
+/** Effects that the host of a Raft core must execute, in this order. */
 export type RaftEffect =
   | { readonly type: 'send'; readonly message: RaftMessage }
   | { readonly type: 'persist'; readonly request: PersistRequest }
-  /** Committed entries, each once, in order. */
+  /** Committed entries, each exactly once, in order. */
   | { readonly type: 'apply'; readonly entries: readonly LogEntry[] }
-  /** The state machine takes this state in place of its own. */
+  /** Replaces the state of the state machine. */
   | { readonly type: 'restore'; readonly snapshot: Snapshot }
   | {
       readonly type: 'proposal-accepted';
@@ -189,7 +189,7 @@
       readonly reason: 'not-leader' | 'membership-change-pending' | 'not-caught-up' | 'overloaded';
       readonly leader: ReplicaId | null;
     }
-  /** Leadership was confirmed by a quorum round begun after the read was asked for; `index` was committed by then. */
+  /** A quorum confirmed the leader in a round started after the read was requested; `index` was committed by then. */
   | { readonly type: 'read-ready'; readonly readId: number; readonly index: number }
   | { readonly type: 'read-failed'; readonly readId: number; readonly leader: ReplicaId | null }
   | {
@@ -200,17 +200,20 @@
       readonly evidence: RoleEvidence;
     };
 
-/** What a replica had heard when its role changed; monotonic milliseconds. */
+/** Contacts of a replica before its role changed, in monotonic milliseconds. */
 export interface RoleEvidence {
-  /** When another replica that led was last heard; `null`: never. */
+  /** Time of the last message from another replica as leader; `null` if there was none. */
   readonly leaderHeardAt: number | null;
-  /** When a quorum was last heard before this replica stepped down for want of one; `null`: it didn't since it last led. */
+  /**
+   * Time of the last quorum contact if this replica lost its quorum and stepped down since it last became leader, else
+   * `null`.
+   */
   readonly quorumLostAt: number | null;
 }
 
-/** Times in milliseconds. */
+/** Raft timings in milliseconds. */
 export interface RaftTimings {
-  /** An election starts after this to twice this without a leader. */
+  /** An election starts after one to two times this without contact with a leader. */
   readonly electionTimeoutMillis: number;
   readonly heartbeatMillis: number;
 }
@@ -218,16 +221,16 @@
 /** Settings of one replica. */
 export interface RaftConfig extends RaftTimings {
   readonly self: ReplicaId;
-  /** Seed of election jitter; best another one in each run of a process. */
+  /** Seed of the election jitter; should differ between runs of a process. */
   readonly seed: number;
   readonly maxEntriesPerAppend: number;
   readonly maxAppendsInFlight: number;
-  /** Most bytes of entries in one append, a single larger entry aside; 1 MiB if left out. */
+  /** Maximum bytes of entries in one append, except for a single larger entry; defaults to 1 MiB. */
   readonly maxAppendBytes?: number;
   readonly snapshotChunkBytes: number;
 }
 
-/** What a replica found on its disk. */
+/** State of a replica that was loaded from disk. */
 export interface RestoredState {
   readonly hardState: HardState;
   readonly snapshot: Snapshot | null;
@@ -237,7 +240,7 @@
   readonly entries: readonly LogEntry[];
 }
 
-/** State of a replica as operators see it. */
+/** Status of a replica for operators. */
 export interface RaftStatus {
   readonly self: ReplicaId;
   readonly role: RaftRole;
@@ -253,9 +256,9 @@
 
 /** The Raft core: deterministic, without clock, random source, socket or file of its own. */
 export interface RaftCore {
-  /** Takes one input at `now` (monotonic milliseconds) and gives what must be done. */
+  /** Processes one input at `now` (monotonic milliseconds) and returns the effects to execute. */
   step(input: RaftInput, now: number): RaftEffect[];
-  /** When the next `tick` is due. */
+  /** Time at which the next `tick` is due. */
   nextDeadline(): number;
   status(): RaftStatus;
 }
--- a/test/clock/suspension-watch.test.ts
+++ b/test/clock/suspension-watch.test.ts
@@ -1,11 +1,11 @@
-/** What two clocks tell of a machine that was suspended, and when they tell nothing. */
+/** Detection of suspensions from two clocks, without false positives. */
 import { expect } from 'chai';
 import { createLeaseClock, PROCESS_CLOCKS } from '../../src/clock/lease-clock.js';
 import { SuspensionWatch } from '../../src/clock/suspension-watch.js';
 
 const STEP_MILLIS = 10;
 
-/** A machine whose clocks a test moves; the time since boot is told in steps. */
+/** A machine whose clocks are advanced by the test; the time since boot advances in steps. */
 class Machine {
   steadyMillis = 123;
   bootMillis = 5_000_007;
@@ -24,8 +24,8 @@
   }
 }
 
-describe('a watch over suspensions', () => {
-  it('tells of one once, never too short and at most two steps too long', () => {
+describe('SuspensionWatch', () => {
+  it('reports a suspension once, never too short and at most two steps too long', () => {
     for (let offset = 0; offset < 2 * STEP_MILLIS; offset += 1) {
       const machine = new Machine();
       machine.run(offset);
@@ -38,7 +38,7 @@
     }
   });
 
-  it('tells of nothing while both clocks run', () => {
+  it('reports nothing while both clocks run', () => {
     const machine = new Machine();
     const watch = new SuspensionWatch(machine.sources);
     for (let count = 0; count < 1000; count += 1) {
@@ -47,19 +47,19 @@
     }
   });
 
-  it('tells of short ones once they add up', () => {
+  it('reports short suspensions once they add up', () => {
     const machine = new Machine();
     const watch = new SuspensionWatch(machine.sources);
-    let told = 0;
+    let detectedMillis = 0;
     for (let count = 0; count < 100; count += 1) {
       machine.run(50);
       machine.suspend(6);
-      told += watch.look();
+      detectedMillis += watch.look();
     }
-    expect(told).to.be.at.least(600 - 3 * STEP_MILLIS);
+    expect(detectedMillis).to.be.at.least(600 - 3 * STEP_MILLIS);
   });
 
-  it('relies no more on a time since boot that falls behind', () => {
+  it('stops using a time since boot that falls behind', () => {
     const machine = new Machine();
     const watch = new SuspensionWatch(machine.sources);
     machine.steadyMillis += 100;
@@ -70,8 +70,8 @@
   });
 });
 
-describe('the clock of a lease', () => {
-  it('counts the time of a suspension, and never goes back', () => {
+describe('the lease clock', () => {
+  it('includes the time of a suspension, and never goes backwards', () => {
     const machine = new Machine();
     const now = createLeaseClock(machine.sources);
     const before = now();
@@ -82,7 +82,7 @@
     expect(now() - after).to.be.closeTo(7, 0.001);
   });
 
-  it('reads clocks of this process that agree', () => {
+  it('finds no suspension between the clocks of this process', () => {
     const watch = new SuspensionWatch(PROCESS_CLOCKS);
     const until = performance.now() + 30;
     while (performance.now() < until) {
--- a/test/consensus/cluster.test.ts
+++ b/test/consensus/cluster.test.ts
@@ -1,8 +1,11 @@
 import { expect } from 'chai';
 import { ELECTION_TIMEOUT_MILLIS, TestCluster } from './test-cluster.js';
 
-/** A cluster with a leader whose noop is committed everywhere. */
-function settled(seed: number, voters: readonly string[]): { cluster: TestCluster; leader: string } {
+/** A cluster with a leader whose noop is committed on every replica. */
+function clusterWithLeader(
+  seed: number,
+  voters: readonly string[],
+): { cluster: TestCluster; leader: string } {
   const cluster = new TestCluster(seed, voters);
   expect(cluster.runUntil(() => cluster.leader !== undefined)).to.equal(true);
   cluster.runFor(ELECTION_TIMEOUT_MILLIS);
@@ -11,8 +14,8 @@
 
 describe('raft clusters', () => {
   for (const voters of [['a'], ['a', 'b', 'c'], ['a', 'b', 'c', 'd', 'e']]) {
-    it(`${voters.length} voters elect one leader and apply what is proposed`, () => {
-      const { cluster, leader } = settled(voters.length, voters);
+    it(`${voters.length} voters elect one leader and apply all proposals`, () => {
+      const { cluster, leader } = clusterWithLeader(voters.length, voters);
       for (let number = 0; number < 50; number += 1) {
         cluster.propose(leader, `command ${number}`);
       }
@@ -25,8 +28,8 @@
     });
   }
 
-  it('reads that may wait are confirmed by heartbeats that go out anyway, others by a round of their own', () => {
-    const { cluster, leader } = settled(7, ['a', 'b', 'c']);
+  it('reads that may wait are confirmed by regular heartbeats, others by their own round', () => {
+    const { cluster, leader } = clusterWithLeader(7, ['a', 'b', 'c']);
     const requestsWhile = (mayWait: boolean): number => {
       const before = appendRequests(cluster);
       for (let count = 0; count < 30; count += 1) {
@@ -39,14 +42,14 @@
     };
     const waiting = requestsWhile(true);
     const atOnce = requestsWhile(false);
-    // Heartbeats of 30 ms to two followers; a round of its own adds one request to each.
+    // Heartbeats each 30 ms to two followers; a separate round adds one request to each.
     expect(waiting).to.be.below(2 * 30 * 2);
     expect(atOnce).to.be.above(2 * 30);
     expect(atOnce / 600).to.be.above((waiting / 900) * 2);
   });
 
-  it('a read that may wait is no older than when it was asked for, at a follower too', () => {
-    const { cluster, leader } = settled(8, ['a', 'b', 'c']);
+  it('a read that may wait sees everything committed before its request, also on a follower', () => {
+    const { cluster, leader } = clusterWithLeader(8, ['a', 'b', 'c']);
     const follower = ['a', 'b', 'c'].find((name) => name !== leader) as string;
     cluster.propose(leader, 'before');
     cluster.runFor(100);
@@ -59,7 +62,7 @@
 
 const STARTS = 100;
 
-/** Times from a start of everything to a leader, the shortest first. */
+/** Times from the start of all replicas to the first leader, in ascending order. */
 function timesToLeader(lost: readonly string[]): number[] {
   const times: number[] = [];
   for (let seed = 1; seed <= STARTS; seed += 1) {
@@ -75,7 +78,7 @@
 
 describe('the first election', () => {
   for (const lost of [[], ['c']]) {
-    it(`comes soon after a start of everything, ${lost.length} of 3 lost`, () => {
+    it(`completes soon after the start of all replicas, ${lost.length} of 3 lost`, () => {
       const times = timesToLeader(lost);
       expect(times[STARTS / 2]).to.be.below(0.5 * ELECTION_TIMEOUT_MILLIS);
       expect(times[STARTS - 1]).to.be.below(2 * ELECTION_TIMEOUT_MILLIS);
@@ -83,7 +86,7 @@
   }
 
   it('is not disturbed by a replica that starts later: the leader and its term stay', () => {
-    const { cluster, leader } = settled(9, ['a', 'b', 'c']);
+    const { cluster, leader } = clusterWithLeader(9, ['a', 'b', 'c']);
     const follower = ['a', 'b', 'c'].find((name) => name !== leader) as string;
     const { term } = cluster.status(leader);
     cluster.crash(follower);
--- a/test/consensus/compacted-window.test.ts
+++ b/test/consensus/compacted-window.test.ts
@@ -1,12 +1,12 @@
-/** A follower whose appends were lost while the leader's log was cut behind them. */
+/** A follower whose appends were lost while the leader compacted its log past them. */
 import { expect } from 'chai';
 import { ELECTION_TIMEOUT_MILLIS, TestCluster } from './test-cluster.js';
 
 const VOTERS = ['a', 'b', 'c'];
-/** A quiet leader sends about a heartbeat and an answer each 30 ms; a snapshot takes some more. */
-const MOST_MESSAGES = 400;
+/** An idle cluster sends about one heartbeat and one response per follower each 30 ms; a snapshot takes some more. */
+const MAX_MESSAGES = 400;
 
-/** Loses a full window of appends to one follower, then cuts the leader's log behind it. */
+/** Loses a full window of appends to one follower, then compacts the leader's log past the window. */
 function loseWindow(): { cluster: TestCluster; leader: string; behind: string } {
   const cluster = new TestCluster(1, VOTERS);
   expect(cluster.runUntil(() => cluster.leader !== undefined)).to.equal(true);
@@ -24,17 +24,17 @@
   return { cluster, leader, behind };
 }
 
-describe('follower behind a log that was cut within its window', () => {
-  it('gets a snapshot and catches up', () => {
+describe('follower behind a log that was compacted within its window', () => {
+  it('receives a snapshot and catches up', () => {
     const { cluster, leader, behind } = loseWindow();
     cluster.runFor(1000);
     expect(cluster.status(behind).commitIndex).to.equal(cluster.status(leader).commitIndex);
   });
 
-  it('does not answer and be answered without end', () => {
+  it('does not exchange messages with the leader endlessly', () => {
     const { cluster } = loseWindow();
     const before = cluster.sent.length;
     cluster.runFor(1000);
-    expect(cluster.sent.length - before).to.be.below(MOST_MESSAGES);
+    expect(cluster.sent.length - before).to.be.below(MAX_MESSAGES);
   });
 });
--- a/test/consensus/history-checker.ts
+++ b/test/consensus/history-checker.ts
@@ -1,8 +1,8 @@
-/** Watches what every replica does, and fails on a breach of Raft's safety properties. */
+/** Checks the events of all replicas against Raft's safety properties. */
 import { expect } from 'chai';
 import type { LogEntry, RaftEffect } from '../../src/consensus/index.js';
 
-/** State machine of the tests: a digest of every entry applied so far. */
+/** State machine of the tests: a digest of all entries applied so far. */
 export interface MachineState {
   readonly index: number;
   readonly digest: number;
@@ -24,11 +24,11 @@
   readonly #digests = new Map<number, number>();
   readonly #readFloors = new Map<string, number>();
   readonly #terms = new Map<string, number>();
-  /** Largest index applied by any replica. */
+  /** Highest index applied by any replica. */
   maxApplied = 0;
   readsAnswered = 0;
 
-  roleChanged(replica: string, effect: Extract<RaftEffect, { type: 'role-changed' }>): void {
+  onRoleChanged(replica: string, effect: Extract<RaftEffect, { type: 'role-changed' }>): void {
     const before = this.#terms.get(replica) ?? 0;
     expect(effect.term, `terms of ${replica} only grow`).to.be.at.least(before);
     this.#terms.set(replica, effect.term);
@@ -39,23 +39,23 @@
     }
   }
 
-  /** A restarted replica may have lost terms that it never told. */
-  restarted(replica: string): void {
+  /** A restarted replica may have lost terms that were never persisted. */
+  onRestart(replica: string): void {
     this.#terms.delete(replica);
   }
 
-  applied(replica: string, state: MachineState): void {
+  onApplied(replica: string, state: MachineState): void {
     const digest = this.#digests.get(state.index) ?? state.digest;
     expect(state.digest, `${replica} applies the same as others up to ${state.index}`).to.equal(digest);
     this.#digests.set(state.index, digest);
     this.maxApplied = Math.max(this.maxApplied, state.index);
   }
 
-  readAsked(readKey: string): void {
+  onReadStarted(readKey: string): void {
     this.#readFloors.set(readKey, this.maxApplied);
   }
 
-  readReady(readKey: string, index: number, appliedIndex: number): void {
+  onReadReady(readKey: string, index: number, appliedIndex: number): void {
     const floor = this.#readFloors.get(readKey);
     expect(floor, `read ${readKey} was asked once`).to.not.equal(undefined);
     this.#readFloors.delete(readKey);
@@ -64,7 +64,7 @@
     this.readsAnswered += 1;
   }
 
-  readFailed(readKey: string): void {
+  onReadFailed(readKey: string): void {
     expect(this.#readFloors.delete(readKey), `read ${readKey} was asked once`).to.equal(true);
   }
 }
--- a/test/consensus/pause.test.ts
+++ b/test/consensus/pause.test.ts
@@ -4,9 +4,9 @@
 
 const VOTERS = ['a', 'b', 'c'];
 
-describe('a pause of the replicas themselves', () => {
+describe('a pause of the replicas', () => {
   for (const seed of [1, 2, 3, 4, 5]) {
-    it(`keeps the leader when all of them are paused for long (seed ${seed})`, () => {
+    it(`keeps the leader when all replicas are paused for long (seed ${seed})`, () => {
       const cluster = new TestCluster(seed, VOTERS);
       expect(cluster.runUntil(() => cluster.leader !== undefined)).to.equal(true);
       cluster.runFor(ELECTION_TIMEOUT_MILLIS);
@@ -25,7 +25,7 @@
     });
   }
 
-  it('still lets a leader that hears nobody step down', () => {
+  it('still makes a leader without contact to a quorum step down', () => {
     const cluster = new TestCluster(6, VOTERS);
     expect(cluster.runUntil(() => cluster.leader !== undefined)).to.equal(true);
     const leader = cluster.leader as string;
@@ -42,11 +42,11 @@
 });
 
 describe('PauseGrace', () => {
-  it('puts a deadline off once, and only for a late step', () => {
+  it('extends a deadline once, and only for a late step', () => {
     const grace = new PauseGrace(10);
     expect(grace.hasPassed(100, 100, 100)).to.equal(true);
     expect(grace.hasPassed(200, 200, 215)).to.equal(false);
-    expect(grace.deadlineOf(200)).to.equal(225);
+    expect(grace.extendedDeadline(200)).to.equal(225);
     expect(grace.hasPassed(200, 225, 240)).to.equal(true);
     expect(grace.hasPassed(300, 300, 320)).to.equal(false);
   });
--- a/test/consensus/safety.test.ts
+++ b/test/consensus/safety.test.ts
@@ -2,20 +2,20 @@
 import { type ReplicaName, TestCluster } from './test-cluster.js';
 
 const ROUNDS = 60;
-/** `TERNMOUNT_RAFT_SEEDS` runs more of them. */
+/** `TERNMOUNT_RAFT_SEEDS` sets the number of seeds. */
 const SEEDS = Number(process.env.TERNMOUNT_RAFT_SEEDS ?? 40);
 
-type Act = (cluster: TestCluster, name: ReplicaName) => void;
+type Action = (cluster: TestCluster, name: ReplicaName) => void;
 
-/** What clients, operators and the environment do; an act that stands here twice is twice as likely. */
-const ACTS: readonly Act[] = [
-  load,
-  load,
-  load,
-  load,
-  load,
+/** Actions of clients, operators and the environment; listing an action twice makes it twice as likely. */
+const ACTIONS: readonly Action[] = [
+  proposeAndRead,
+  proposeAndRead,
+  proposeAndRead,
+  proposeAndRead,
+  proposeAndRead,
   crashOrStart,
-  cutSome,
+  partitionRandomly,
   (cluster) => cluster.heal(),
   (cluster) => cluster.heal(),
   (cluster, name) => cluster.isUp(name) && cluster.pause(name),
@@ -25,10 +25,10 @@
   transferLeadership,
 ];
 
-function act(cluster: TestCluster): void {
+function runRandomAction(cluster: TestCluster): void {
   const { names } = cluster;
   const name = names[cluster.random(0, names.length - 1)] as ReplicaName;
-  const chosen = ACTS[cluster.random(0, ACTS.length - 1)] as Act;
+  const chosen = ACTIONS[cluster.random(0, ACTIONS.length - 1)] as Action;
   chosen(cluster, name);
 }
 
@@ -40,7 +40,7 @@
   }
 }
 
-function cutSome(cluster: TestCluster, name: ReplicaName): void {
+function partitionRandomly(cluster: TestCluster, name: ReplicaName): void {
   const others = cluster.names.filter((other) => other !== name && cluster.random(0, 1) === 0);
   cluster.cut([name], others);
 }
@@ -51,10 +51,10 @@
   }
 }
 
-function load(cluster: TestCluster, name: ReplicaName): void {
+function proposeAndRead(cluster: TestCluster, name: ReplicaName): void {
   const target = cluster.leader ?? name;
   for (let count = cluster.random(1, 12); count > 0; count -= 1) {
-    cluster.propose(target, `command ${cluster.takeId()}`);
+    cluster.propose(target, `command ${cluster.allocateId()}`);
   }
   if (cluster.isUp(name)) {
     cluster.read(name);
@@ -67,7 +67,7 @@
     return;
   }
   const { membership } = cluster.status(leader);
-  const proposalId = cluster.takeId();
+  const proposalId = cluster.allocateId();
   const outsider = cluster.names.find((name) => !Object.hasOwn(membership.addresses, name));
   if (outsider !== undefined) {
     cluster.input(leader, { type: 'add-learner', proposalId, replica: outsider, address: '127.0.0.1:1' });
@@ -85,7 +85,7 @@
   }
 }
 
-/** Ends all faults, and waits until every member of the leader's membership has applied the same. */
+/** Ends all faults and expects every member of the leader's membership to apply all committed entries. */
 function expectConvergence(cluster: TestCluster): void {
   cluster.network = { dropPerMille: 0, duplicatePerMille: 0, maxDelayMillis: 2 };
   cluster.heal();
@@ -106,7 +106,7 @@
   expect(applied, 'cluster converges once faults end').to.equal(true);
 }
 
-/** Two logs that hold the same index and term hold the same before it. */
+/** Log Matching: logs that share an entry with the same index and term have the same terms before it. */
 function expectLogsMatch(cluster: TestCluster): void {
   const logs = cluster.names.map((name) => cluster.disk(name).load().entries);
   for (const log of logs) {
@@ -121,7 +121,7 @@
 }
 
 describe('raft under random faults', () => {
-  it('elects one leader a term, applies the same everywhere, answers reads linearizably', function () {
+  it('elects one leader per term, applies the same entries on every replica, serves linearizable reads', function () {
     this.timeout(0);
     let reads = 0;
     let applied = 0;
@@ -136,7 +136,7 @@
           maxDelayMillis: cluster.random(2, 60),
         };
         for (let round = 0; round < ROUNDS; round += 1) {
-          act(cluster);
+          runRandomAction(cluster);
           cluster.runFor(cluster.random(1, 250));
           expectLogsMatch(cluster);
         }
--- a/test/consensus/simulated-disk.ts
+++ b/test/consensus/simulated-disk.ts
@@ -1,4 +1,4 @@
-/** A disk for consensus tests: holds what was persisted, and checks what a replica says about it. */
+/** A simulated disk, which checks that replies and applied entries of a replica are backed by persisted state. */
 import { expect } from 'chai';
 import type {
   LogEntry,
@@ -52,7 +52,7 @@
     return this.#entries.find((entry) => entry.index === index);
   }
 
-  /** A reply must not leave before what it says is on disk. */
+  /** A reply must not be sent before the state that it acknowledges is on disk. */
   checkReply(message: RaftMessage): void {
     const { term, votedFor } = this.#hardState;
     if (message.type === 'vote-response' && !message.preVote && message.granted) {
--- a/test/consensus/test-cluster.ts
+++ b/test/consensus/test-cluster.ts
@@ -1,4 +1,4 @@
-/** A cluster of Raft cores on a virtual clock, with a seeded network and disks that lose what wasn't synced. */
+/** A cluster of Raft cores on a virtual clock, with a seeded network and disks that lose unsynced writes. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import {
@@ -23,14 +23,14 @@
 export type ReplicaName = string;
 
 export interface NetworkFaults {
-  /** Chances in a thousand. */
+  /** Probabilities per thousand. */
   readonly dropPerMille: number;
   readonly duplicatePerMille: number;
-  /** Delays are drawn from 1 to this, so that messages overtake each other. */
+  /** Delays are chosen between 1 and this at random, so that messages are reordered. */
   readonly maxDelayMillis: number;
 }
 
-const CALM: NetworkFaults = { dropPerMille: 0, duplicatePerMille: 0, maxDelayMillis: 2 };
+const RELIABLE_NETWORK: NetworkFaults = { dropPerMille: 0, duplicatePerMille: 0, maxDelayMillis: 2 };
 const MAX_SYNC_MILLIS = 4;
 const PER_MILLE = 1000;
 
@@ -56,10 +56,10 @@
   readonly reads = new Map<number, Extract<RaftEffect, { readId: number }>>();
   readonly sent: RaftMessage[] = [];
   persistCount = 0;
-  network: NetworkFaults = CALM;
+  network: NetworkFaults = RELIABLE_NETWORK;
   readonly #members = new Map<ReplicaName, Member>();
   readonly #random;
-  readonly #cuts = new Set<string>();
+  readonly #blockedLinks = new Set<string>();
   readonly #events = new EventQueue();
   #nextId = 1;
   readonly #config: Partial<RaftConfig>;
@@ -72,12 +72,12 @@
     }
   }
 
-  /** Starts a replica on an empty disk; without a membership it waits to be joined. */
   /** Virtual time. */
   get now(): number {
     return this.#events.now;
   }
 
+  /** Starts a replica on an empty disk; without a membership it waits to be added to one. */
   addReplica(name: ReplicaName, membership: Membership | null = null): void {
     const disk = new SimulatedDisk(membership);
     const member: Member = {
@@ -97,7 +97,7 @@
     const restored = member.disk.load();
     member.machine = restored.snapshot ? decodeMachine(restored.snapshot.data) : INITIAL_MACHINE_STATE;
     member.run += 1;
-    this.checker.restarted(name);
+    this.checker.onRestart(name);
     const config: RaftConfig = {
       self: name,
       seed: this.random(0, 0x7fffffff),
@@ -123,7 +123,7 @@
     return this.#member(name).core !== undefined;
   }
 
-  /** A paused replica takes its inputs when it is resumed. */
+  /** A paused replica processes its inputs once it is resumed. */
   pause(name: ReplicaName): void {
     this.#member(name).paused = true;
   }
@@ -137,17 +137,17 @@
     this.#scheduleTick(name);
   }
 
-  /** Cuts both ways between each of one side and each of the other. */
+  /** Drops messages in both directions between each replica of one side and each of the other. */
   cut(side: readonly ReplicaName[], other: readonly ReplicaName[]): void {
     for (const a of side) {
       for (const b of other) {
-        this.#cuts.add(`${a}>${b}`).add(`${b}>${a}`);
+        this.#blockedLinks.add(`${a}>${b}`).add(`${b}>${a}`);
       }
     }
   }
 
   heal(): void {
-    this.#cuts.clear();
+    this.#blockedLinks.clear();
   }
 
   random(from: number, to: number): number {
@@ -177,14 +177,14 @@
   }
 
   propose(name: ReplicaName, text: string): number {
-    const proposalId = this.takeId();
+    const proposalId = this.allocateId();
     this.input(name, { type: 'propose', proposalId, data: new TextEncoder().encode(text) });
     return proposalId;
   }
 
   read(name: ReplicaName, mayWait = false): number {
-    const readId = this.takeId();
-    this.checker.readAsked(String(readId));
+    const readId = this.allocateId();
+    this.checker.onReadStarted(String(readId));
     this.input(name, { type: 'read', readId, mayWait });
     return readId;
   }
@@ -195,7 +195,7 @@
     this.input(name, { type: 'snapshot-taken', lastIndex: machine.index, data });
   }
 
-  takeId(): number {
+  allocateId(): number {
     const id = this.#nextId;
     this.#nextId += 1;
     return id;
@@ -213,7 +213,7 @@
       return;
     }
     for (const effect of member.core.step(input, this.now)) {
-      this.#carryOut(name, member, effect);
+      this.#execute(name, member, effect);
     }
     this.#scheduleTick(name);
   }
@@ -222,7 +222,7 @@
     this.#events.runUntil(this.now + millis);
   }
 
-  /** Runs until `condition` holds; false if it doesn't within `limitMillis`. */
+  /** Runs until `condition` is true; returns false if it isn't within `limitMillis`. */
   runUntil(condition: () => boolean, limitMillis = 10_000): boolean {
     const end = this.now + limitMillis;
     while (!condition() && this.now < end) {
@@ -231,7 +231,7 @@
     return condition();
   }
 
-  #carryOut(name: ReplicaName, member: Member, effect: RaftEffect): void {
+  #execute(name: ReplicaName, member: Member, effect: RaftEffect): void {
     switch (effect.type) {
       case 'send':
         member.disk.checkReply(effect.message);
@@ -245,23 +245,23 @@
         for (const entry of effect.entries) {
           member.disk.checkApplied(entry);
           member.machine = applyToMachine(this.#expectNext(member, entry), entry);
-          this.checker.applied(name, member.machine);
+          this.checker.onApplied(name, member.machine);
         }
         return;
       case 'restore':
         member.machine = decodeMachine(effect.snapshot.data);
-        this.checker.applied(name, member.machine);
+        this.checker.onApplied(name, member.machine);
         return;
       case 'role-changed':
-        this.checker.roleChanged(name, effect);
+        this.checker.onRoleChanged(name, effect);
         return;
       case 'read-ready':
         this.reads.set(effect.readId, effect);
-        this.checker.readReady(String(effect.readId), effect.index, member.machine.index);
+        this.checker.onReadReady(String(effect.readId), effect.index, member.machine.index);
         return;
       case 'read-failed':
         this.reads.set(effect.readId, effect);
-        this.checker.readFailed(String(effect.readId));
+        this.checker.onReadFailed(String(effect.readId));
         return;
       default:
         this.proposals.set(effect.proposalId, effect);
@@ -275,7 +275,7 @@
     return member.machine;
   }
 
-  /** The write lands at some moment before the report; a crash in between may find either. */
+  /** Writes at a random time before the completion is reported; a crash in between may precede or follow the write. */
   #persist(
     name: ReplicaName,
     member: Member,
@@ -306,14 +306,14 @@
       const lost = this.#chance(this.network.dropPerMille);
       const at = this.now + this.random(1, this.network.maxDelayMillis);
       if (!lost) {
-        this.#events.at(at, () => this.#arrive(message));
+        this.#events.at(at, () => this.#receive(message));
       }
     }
   }
 
-  #arrive(message: RaftMessage): void {
-    const cut = this.#cuts.has(`${message.from}>${message.to}`);
-    if (!cut && this.#members.has(message.to)) {
+  #receive(message: RaftMessage): void {
+    const isBlocked = this.#blockedLinks.has(`${message.from}>${message.to}`);
+    if (!isBlocked && this.#members.has(message.to)) {
       this.input(message.to, { type: 'message', message });
     }
   }
