--- a/src/registry/change-ring.ts
+++ b/src/registry/change-ring.ts
@@ -6,7 +6,7 @@
  * Changes kept. A router further behind gets a snapshot. The loss of a third of the servers changes a third of the
  * shards twice: at 90,000 shards that must still fit.
  */
-export const RECENT_CHANGES = 65_536;
+export const MAX_RECENT_CHANGES = 65_536;
 
 interface ChangeSet {
   readonly revision: Revision;
@@ -46,7 +46,7 @@
   /** `floor` is the revision after which every change is known. */
   constructor(
     private floor: Revision,
-    private readonly limit = RECENT_CHANGES,
+    private readonly limit = MAX_RECENT_CHANGES,
   ) {}
 
   add(revision: Revision, changes: readonly RegistryChange[]): void {
@@ -71,13 +71,13 @@
       return undefined;
     }
     const first = this.firstAfter(from);
-    const known = this.answers.get(first);
-    if (known !== undefined) {
-      return known;
+    const cached = this.answers.get(first);
+    if (cached !== undefined) {
+      return cached;
     }
-    const answer = this.latestFrom(first);
-    this.answers.set(first, answer);
-    return answer;
+    const latest = this.latestFrom(first);
+    this.answers.set(first, latest);
+    return latest;
   }
 
   private latestFrom(first: number): RegistryChange[] {
--- a/src/registry/commands/crash-commands.ts
+++ b/src/registry/commands/crash-commands.ts
@@ -10,14 +10,14 @@
 type QuarantineRelease = Extract<OperatorCommand, { readonly type: 'quarantine-release' }>;
 
 /** Runs named in a record; more are only counted. */
-const MOST_RUNS = 8;
+const MAX_LISTED_RUNS = 8;
 
 /** Each run counts once for a request, however many routers tell of it. */
 export function noteCrashes(transaction: Transaction, { crashes, terms }: CrashesNote): CommandResult {
   for (const crash of crashes) {
     noteCrash(transaction, crash, terms);
   }
-  for (const { fingerprint } of transaction.state.suspects.surplus(terms.mostRequests)) {
+  for (const { fingerprint } of transaction.state.suspects.excess(terms.mostRequests)) {
     transaction.putSuspect(fingerprint, null);
   }
   return accepted(transaction);
@@ -34,7 +34,7 @@
   transaction.putSuspect(fingerprint, {
     fingerprint,
     service,
-    runs: [...(before?.runs ?? []), run].slice(-MOST_RUNS),
+    runs: [...(before?.runs ?? []), run].slice(-MAX_LISTED_RUNS),
     crashes,
     needed: terms.crashes,
     trialMillis: terms.trialMillis,
@@ -78,9 +78,9 @@
  */
 export function expireSuspects(transaction: Transaction, { terms }: SuspectsExpire): CommandResult {
   const { state, revision } = transaction;
-  for (const suspect of state.suspects.due(state.clock)) {
-    const isOnTrial = suspect.quarantinedAt !== null && terms.crashes > 1;
-    const next: CrashSuspect | null = isOnTrial
+  for (const suspect of state.suspects.expired(state.clock)) {
+    const wasQuarantined = suspect.quarantinedAt !== null && terms.crashes > 1;
+    const next: CrashSuspect | null = wasQuarantined
       ? {
           ...suspect,
           crashes: terms.crashes - 1,
@@ -99,9 +99,9 @@
 /** An operator lets a request pass again; it begins with a clean sheet. */
 export function releaseQuarantine(transaction: Transaction, command: QuarantineRelease): CommandResult {
   const record = transaction.state.suspects.find(command.fingerprint);
-  const lost = checkExpected(command.expected, record);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, record);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (record === undefined) {
     return NOT_FOUND;
--- a/src/registry/commands/declaration-apply.ts
+++ b/src/registry/commands/declaration-apply.ts
@@ -37,7 +37,7 @@
 export function applyDeclaration(transaction: Transaction, change: DeclarationChange): CommandResult {
   const { declared } = transaction.state;
   const fingerprint = fingerprintOf(change);
-  if (declared.wasTaken(change.version, fingerprint)) {
+  if (declared.wasApplied(change.version, fingerprint)) {
     return accepted(transaction);
   }
   const current = declared.record.version;
@@ -50,7 +50,7 @@
   const draft = draftOf(transaction, change);
   checkReferences(draft);
   store(transaction, draft, change.version);
-  declared.remember(change.version, fingerprint);
+  declared.recordVersion(change.version, fingerprint);
   return accepted(transaction);
 }
 
@@ -170,7 +170,7 @@
     if (!services.has(name)) {
       declared.serviceSources.delete(name);
       transaction.putService(name, null);
-      transaction.noteAll(state.ranges.drop(name));
+      transaction.noteAll(state.ranges.removeService(name));
     }
   }
   for (const [name, { source, definition }] of services) {
@@ -179,7 +179,9 @@
     if (!isSame(state.services.get(name)?.definition, serviceDefinition)) {
       transaction.putService(name, { definition: serviceDefinition, revision, generation: 0 });
     }
-    transaction.noteAll(definition.keyed ? state.ranges.begin(name, revision) : state.ranges.drop(name));
+    transaction.noteAll(
+      definition.keyed ? state.ranges.addService(name, revision) : state.ranges.removeService(name),
+    );
   }
 }
 
@@ -188,12 +190,12 @@
 }
 
 /** Longest time of a request whose route says nothing shorter. */
-const LONGEST_DEADLINE_MILLIS = 3_600_000;
+const MAX_DEADLINE_MILLIS = 3_600_000;
 /** What holds for declared services beside what the document says; routes say how single requests are served. */
-const SERVICE_TERMS = {
+const FIXED_SERVICE_FIELDS = {
   repeatable: true,
   priority: 'interactive',
-  deadlineMillis: LONGEST_DEADLINE_MILLIS,
+  deadlineMillis: MAX_DEADLINE_MILLIS,
   slotsPerUpstream: 2,
   retryBudget: 0.15,
   savedRetries: 2,
@@ -214,7 +216,7 @@
   const definition = {
     name,
     keyed,
-    ...SERVICE_TERMS,
+    ...FIXED_SERVICE_FIELDS,
     keyspaces,
     connectionsPerUpstream: connections,
     healthPath,
@@ -239,6 +241,6 @@
   const carrierBefore = before?.rangeGrants?.carrier ?? DEFAULT_GRANT_CARRIER;
   const isChange = wasKeyed && carrierBefore !== grantedBy;
   const hasChanged = isChange || (before?.rangeGrants?.hasChanged ?? false);
-  const isPlain = grantedBy === DEFAULT_GRANT_CARRIER && !hasChanged;
-  return isPlain ? undefined : { carrier: grantedBy, hasChanged };
+  const isDefault = grantedBy === DEFAULT_GRANT_CARRIER && !hasChanged;
+  return isDefault ? undefined : { carrier: grantedBy, hasChanged };
 }
--- a/src/registry/commands/policy-apply.ts
+++ b/src/registry/commands/policy-apply.ts
@@ -8,9 +8,9 @@
 
 export function applyPolicy(transaction: Transaction, command: PolicyApply): CommandResult {
   const record = transaction.state.services.get(command.service);
-  const lost = checkExpected(command.expected, record);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, record);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (record === undefined) {
     return NOT_FOUND;
--- a/src/registry/commands/service-apply.ts
+++ b/src/registry/commands/service-apply.ts
@@ -13,9 +13,9 @@
   const { state, revision } = transaction;
   const definition = validateService(command.definition);
   const before = state.services.get(definition.name);
-  const lost = checkExpected(command.expected, before);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, before);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   checkUpstreamsStillFit(state, definition);
   const sameKeys = before !== undefined && sameKeyspaces(before.definition.keyspaces, definition.keyspaces);
--- a/src/registry/commands/service-delete.ts
+++ b/src/registry/commands/service-delete.ts
@@ -9,9 +9,9 @@
   const { state } = transaction;
   const { service } = command;
   const record = state.services.get(service);
-  const lost = checkExpected(command.expected, record);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, record);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (record === undefined) {
     return NOT_FOUND;
--- a/src/registry/commands/shard-move.ts
+++ b/src/registry/commands/shard-move.ts
@@ -14,9 +14,9 @@
   const { shard, to } = command;
   const parts = state.shards.currentParts(shard);
   const stored = state.shards.get(shard);
-  const lost = checkExpected(command.expected, stored);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, stored);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (parts === undefined) {
     return stored === undefined ? NOT_FOUND : invalid(`shard: ${shard} is of an older key map`);
@@ -25,7 +25,7 @@
   if (target === undefined || !mayOwn(transaction.state, target, parts)) {
     return invalid(`to: upstream ${to} doesn't exist, is leaving or may not hold ${parts.keyspace}`);
   }
-  const record = stored ?? neverGranted(shard);
+  const record = stored ?? ungrantedRecord(shard);
   const movingTo = record.owner === to ? null : to;
   if (record.movingTo !== movingTo) {
     setTarget(transaction, record, movingTo);
@@ -33,6 +33,6 @@
   return accepted(transaction);
 }
 
-function neverGranted(shard: string): ShardRecord {
+function ungrantedRecord(shard: string): ShardRecord {
   return { shard, owner: null, incarnation: null, epoch: 0, movingTo: null, revision: 0 };
 }
--- a/src/registry/commands/upstream-announce.ts
+++ b/src/registry/commands/upstream-announce.ts
@@ -21,9 +21,9 @@
     return accepted(transaction);
   }
   if (before === undefined || isLater(definition, before)) {
-    beginRun(transaction, definition);
+    startRun(transaction, definition);
   } else {
-    noteChange(transaction, before, definition);
+    updateRun(transaction, before, definition);
   }
   return accepted(transaction);
 }
@@ -47,7 +47,7 @@
  */
 export function forgetUpstreams(transaction: Transaction, { upstreams }: Forget): CommandResult {
   for (const upstream of upstreams) {
-    if (!transaction.state.ranges.isHolder(upstream)) {
+    if (!transaction.state.ranges.mayHoldKeys(upstream)) {
       forget(transaction, upstream);
     }
   }
@@ -55,18 +55,18 @@
 }
 
 /** The run of this id before has ended, as has any other one at the address. */
-function beginRun(transaction: Transaction, definition: UpstreamDefinition): void {
+function startRun(transaction: Transaction, definition: UpstreamDefinition): void {
   const { state, revision } = transaction;
   const { id } = definition;
   forgetAtAddress(transaction, definition);
   if (state.upstreams.has(id)) {
-    transaction.noteAll(state.ranges.vacate(id, revision));
+    transaction.noteAll(state.ranges.revokeOwner(id, revision));
   }
   transaction.putUpstream(id, { definition, revision, incarnation: runOfAnnounced(definition) });
 }
 
 /** A run that leaves stays leaving; what else it says of itself may change. */
-function noteChange(transaction: Transaction, before: UpstreamRecord, definition: UpstreamDefinition): void {
+function updateRun(transaction: Transaction, before: UpstreamRecord, definition: UpstreamDefinition): void {
   const { revision } = transaction;
   const warmupMillis = definition.announced?.warmupMillis ?? 0;
   const leaves = definition.leaving && !before.definition.leaving;
--- a/src/registry/commands/upstream-apply.ts
+++ b/src/registry/commands/upstream-apply.ts
@@ -12,9 +12,9 @@
   const { state, revision } = transaction;
   const definition = validateUpstream(command.definition, (name) => state.services.get(name));
   const before = state.upstreams.get(definition.id);
-  const lost = checkExpected(command.expected, before);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, before);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (before !== undefined && before.definition.service !== definition.service) {
     fail('service', `can't change from ${before.definition.service}; remove the upstream first`);
--- a/src/registry/commands/upstream-drain.ts
+++ b/src/registry/commands/upstream-drain.ts
@@ -8,9 +8,9 @@
 
 export function drainUpstream(transaction: Transaction, command: UpstreamDrain): CommandResult {
   const record = transaction.state.upstreams.get(command.upstream);
-  const lost = checkExpected(command.expected, record);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, record);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (record === undefined) {
     return NOT_FOUND;
--- a/src/registry/commands/upstream-remove.ts
+++ b/src/registry/commands/upstream-remove.ts
@@ -10,9 +10,9 @@
   const { state } = transaction;
   const { upstream } = command;
   const record = state.upstreams.get(upstream);
-  const lost = checkExpected(command.expected, record);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, record);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (record === undefined) {
     return NOT_FOUND;
@@ -21,7 +21,7 @@
   if (owned > 0) {
     return invalid(`upstream: ${upstream} owns ${owned} shards; drain it first`);
   }
-  if (state.ranges.isHolder(upstream)) {
+  if (state.ranges.mayHoldKeys(upstream)) {
     return invalid(`upstream: ${upstream} may hold ranges of keys; drain it first`);
   }
   cancelMovesTo(transaction, upstream);
--- a/src/registry/declaration/declared-state.ts
+++ b/src/registry/declaration/declared-state.ts
@@ -3,7 +3,7 @@
 import type { DeclaredDocument } from '../types.js';
 
 /** Versions whose content is remembered, so that a resent change is known. */
-const REMEMBERED_VERSIONS = 10_000;
+const MAX_REMEMBERED_VERSIONS = 10_000;
 
 /** The declared state as snapshots hold it. */
 export interface DeclaredImage {
@@ -15,11 +15,11 @@
   readonly versions: readonly (readonly [number, string])[];
 }
 
-const NOTHING: DeclarationRecord = { version: 0, limits: DEFAULT_CALLER_LIMITS, revision: 0 };
+const EMPTY_DECLARATION: DeclarationRecord = { version: 0, limits: DEFAULT_CALLER_LIMITS, revision: 0 };
 
 export class DeclaredState {
   /** Version 0 until something was declared. */
-  record: DeclarationRecord = NOTHING;
+  record: DeclarationRecord = EMPTY_DECLARATION;
   /** As it was sent. */
   limitsSource: unknown = null;
   readonly routes = new Map<string, RouteRecord>();
@@ -28,14 +28,14 @@
   readonly #versions = new Map<number, string>();
 
   /** Whether this very change was taken before. */
-  wasTaken(version: number, fingerprint: string): boolean {
+  wasApplied(version: number, fingerprint: string): boolean {
     return this.#versions.get(version) === fingerprint;
   }
 
-  remember(version: number, fingerprint: string): void {
+  recordVersion(version: number, fingerprint: string): void {
     this.#versions.set(version, fingerprint);
     for (const [oldest] of this.#versions) {
-      if (this.#versions.size <= REMEMBERED_VERSIONS) {
+      if (this.#versions.size <= MAX_REMEMBERED_VERSIONS) {
         return;
       }
       this.#versions.delete(oldest);
@@ -80,7 +80,7 @@
       state.serviceSources.set(name, source);
     }
     for (const [version, fingerprint] of image.versions) {
-      state.remember(version, fingerprint);
+      state.recordVersion(version, fingerprint);
     }
     return state;
   }
--- a/src/registry/dedup-table.ts
+++ b/src/registry/dedup-table.ts
@@ -13,9 +13,9 @@
 export const DEDUP_RETENTION_MILLIS = 24 * 60 * 60 * 1000;
 
 /** Results kept at most. */
-export const DEDUP_ENTRIES = 10_000;
+export const DEDUP_MAX_ENTRIES = 10_000;
 /** Longest accepted request id, in characters. */
-export const REQUEST_ID_LIMIT = 200;
+export const MAX_REQUEST_ID_LENGTH = 200;
 
 /** The result of one operator's command. */
 export interface DedupEntry {
@@ -55,7 +55,7 @@
 
   constructor(
     entries: readonly DedupEntry[] = [],
-    private readonly limit = DEDUP_ENTRIES,
+    private readonly limit = DEDUP_MAX_ENTRIES,
   ) {
     for (const entry of entries) {
       this.entries.set(entry.requestId, entry);
--- a/src/registry/departed-upstreams.ts
+++ b/src/registry/departed-upstreams.ts
@@ -2,7 +2,7 @@
 import type { Revision, UpstreamId, WallMillis } from '../model/identifiers.js';
 
 /** Ids remembered; a heartbeat is seconds late at most, so an id forgotten by then does no harm. */
-const REMEMBERED_IDS = 20_000;
+const MAX_REMEMBERED_IDS = 20_000;
 
 /** The last run of an id that is gone. */
 interface DepartedRun {
@@ -29,7 +29,7 @@
     const latest = known !== null && (born === null || born < known) ? known : born;
     this.#runs.set(upstream, { revision, born: latest });
     for (const [oldest] of this.#runs) {
-      if (this.#runs.size <= REMEMBERED_IDS) {
+      if (this.#runs.size <= MAX_REMEMBERED_IDS) {
         return;
       }
       this.#runs.delete(oldest);
--- a/src/registry/range-table.ts
+++ b/src/registry/range-table.ts
@@ -9,7 +9,7 @@
   /** Sorted by `from`; lists are replaced, never changed. */
   readonly #services = new Map<ServiceName, readonly KeyRange[]>();
 
-  of(service: ServiceName): readonly KeyRange[] {
+  rangesOf(service: ServiceName): readonly KeyRange[] {
     return this.#services.get(service) ?? NO_RANGES;
   }
 
@@ -18,19 +18,19 @@
   }
 
   /** Whether an upstream owns keys, or may still hold some that were its own. */
-  isHolder(upstream: UpstreamId): boolean {
+  mayHoldKeys(upstream: UpstreamId): boolean {
     return this.all().some(({ owner, former }) => owner === upstream || former === upstream);
   }
 
   /** Takes ranges that a snapshot held, sorted. */
   restore(ranges: readonly KeyRange[]): void {
     for (const range of ranges) {
-      this.#services.set(range.service, [...this.of(range.service), range]);
+      this.#services.set(range.service, [...this.rangesOf(range.service), range]);
     }
   }
 
   /** Begins a service with one range that nobody owns. */
-  begin(service: ServiceName, revision: Revision): RegistryChange[] {
+  addService(service: ServiceName, revision: Revision): RegistryChange[] {
     if (this.#services.has(service)) {
       return [];
     }
@@ -38,7 +38,7 @@
     return this.#replace(service, [whole]);
   }
 
-  drop(service: ServiceName): RegistryChange[] {
+  removeService(service: ServiceName): RegistryChange[] {
     const changes = this.#replace(service, NO_RANGES);
     this.#services.delete(service);
     return changes;
@@ -46,18 +46,18 @@
 
   /** Carries out those updates that fit what there is. */
   update(service: ServiceName, updates: readonly RangeUpdate[], revision: Revision): RegistryChange[] {
-    let ranges = this.of(service);
+    let ranges = this.rangesOf(service);
     for (const update of updates) {
-      ranges = withUpdate(ranges, update, revision);
+      ranges = withRangeUpdate(ranges, update, revision);
     }
-    return this.#replace(service, merge(ranges));
+    return this.#replace(service, mergeAdjacent(ranges));
   }
 
   /**
    * The owner of these ranges has started anew and holds nothing. Whatever was granted to its run before is void from here on; the new
    * one is asked to release it all the same, since a grant that is late may reach it.
    */
-  vacate(owner: UpstreamId, revision: Revision): RegistryChange[] {
+  revokeOwner(owner: UpstreamId, revision: Revision): RegistryChange[] {
     return [...this.#services].flatMap(([service, ranges]) => {
       if (!ranges.some((range) => range.owner === owner)) {
         return [];
@@ -65,18 +65,18 @@
       const next = ranges.map((range) =>
         range.owner === owner ? { ...range, owner: null, former: owner, fence: revision, revision } : range,
       );
-      return this.#replace(service, merge(next));
+      return this.#replace(service, mergeAdjacent(next));
     });
   }
 
   #replace(service: ServiceName, ranges: readonly KeyRange[]): RegistryChange[] {
-    const before = this.of(service);
+    const before = this.rangesOf(service);
     this.#services.set(service, ranges);
-    return differences(service, before, ranges);
+    return changesBetween(service, before, ranges);
   }
 }
 
-function withUpdate(
+function withRangeUpdate(
   ranges: readonly KeyRange[],
   update: RangeUpdate,
   revision: Revision,
@@ -99,12 +99,13 @@
 }
 
 /** Joins neighbours that stand alike. */
-function merge(ranges: readonly KeyRange[]): KeyRange[] {
+function mergeAdjacent(ranges: readonly KeyRange[]): KeyRange[] {
   const merged: KeyRange[] = [];
   for (const range of ranges) {
     const last = merged.at(-1);
-    const isAlike = last?.owner === range.owner && last.fence === range.fence && last.former === range.former;
-    if (last !== undefined && isAlike) {
+    const isMergeable =
+      last?.owner === range.owner && last.fence === range.fence && last.former === range.former;
+    if (last !== undefined && isMergeable) {
       merged[merged.length - 1] = {
         ...last,
         to: range.to,
@@ -117,20 +118,20 @@
   return merged;
 }
 
-function differences(
+function changesBetween(
   service: ServiceName,
   before: readonly KeyRange[],
   after: readonly KeyRange[],
 ): RegistryChange[] {
-  const known = new Map(before.map((range) => [range.from, range]));
+  const unmatched = new Map(before.map((range) => [range.from, range]));
   const changes: RegistryChange[] = [];
   for (const range of after) {
-    if (known.get(range.from) !== range) {
+    if (unmatched.get(range.from) !== range) {
       changes.push({ type: 'range', service, from: range.from, record: range });
     }
-    known.delete(range.from);
+    unmatched.delete(range.from);
   }
-  for (const from of known.keys()) {
+  for (const from of unmatched.keys()) {
     changes.push({ type: 'range', service, from, record: null });
   }
   return changes;
--- a/src/registry/registry-machine.ts
+++ b/src/registry/registry-machine.ts
@@ -7,7 +7,7 @@
 import type { UpstreamDefinition } from '../model/service.js';
 import { applyCommand } from './commands/index.js';
 import { invalid } from './commands/results.js';
-import { fingerprintOf, REQUEST_ID_LIMIT } from './dedup-table.js';
+import { fingerprintOf, MAX_REQUEST_ID_LENGTH } from './dedup-table.js';
 import { RegistryOrderError } from './errors.js';
 import { routingDelta } from './queries/routing-delta.js';
 import { routingSnapshot } from './queries/routing-snapshot.js';
@@ -33,7 +33,7 @@
 
 const NO_CHANGES: readonly RegistryChange[] = [];
 
-interface Applied {
+interface AppliedEntry {
   readonly result: CommandResult;
   readonly changes: readonly RegistryChange[];
 }
@@ -46,9 +46,9 @@
   }
 
   /** Applies the entry at `index`. Throws `RegistryOrderError` if it was passed before. */
-  apply(index: Revision, envelope: CommandEnvelope): Applied {
+  apply(index: Revision, envelope: CommandEnvelope): AppliedEntry {
     this.advance(index);
-    this.moveClock(envelope.at);
+    this.advanceClock(envelope.at);
     const { requestId } = envelope;
     return requestId === null ? this.applyNew(index, envelope) : this.applyOnce(index, requestId, envelope);
   }
@@ -107,7 +107,7 @@
   }
 
   ranges(service: ServiceName): readonly KeyRange[] {
-    return this.state.ranges.of(service);
+    return this.state.ranges.rangesOf(service);
   }
 
   suspects(): readonly CrashSuspect[] {
@@ -147,9 +147,9 @@
   }
 
   /** A command with a request id: a resend gets the first result. */
-  private applyOnce(index: Revision, requestId: string, envelope: CommandEnvelope): Applied {
-    if (requestId.length > REQUEST_ID_LIMIT) {
-      const result = invalid(`requestId: must be at most ${REQUEST_ID_LIMIT} characters`);
+  private applyOnce(index: Revision, requestId: string, envelope: CommandEnvelope): AppliedEntry {
+    if (requestId.length > MAX_REQUEST_ID_LENGTH) {
+      const result = invalid(`requestId: must be at most ${MAX_REQUEST_ID_LENGTH} characters`);
       return { result, changes: NO_CHANGES };
     }
     const { dedup, clock } = this.state;
@@ -165,14 +165,14 @@
     return { result, changes: NO_CHANGES };
   }
 
-  private applyNew(index: Revision, envelope: CommandEnvelope): Applied {
+  private applyNew(index: Revision, envelope: CommandEnvelope): AppliedEntry {
     const transaction = new Transaction(this.state, index);
     const result = applyCommand(transaction, envelope.command);
     this.state.recent.add(index, transaction.changes);
     return { result, changes: transaction.changes };
   }
 
-  private moveClock(at: number): void {
+  private advanceClock(at: number): void {
     const { state } = this;
     state.clock = Math.max(state.clock, Number.isFinite(at) ? at : 0);
     if (state.clock - state.sweptAt >= SWEEP_INTERVAL_MILLIS) {
--- a/src/registry/snapshot-codec.ts
+++ b/src/registry/snapshot-codec.ts
@@ -36,14 +36,14 @@
   const draft = new StateDraft();
   try {
     for (const part of readParts(bytes)) {
-      draft.take(part);
+      draft.add(part);
     }
   } catch (thrown) {
     throw thrown instanceof RegistrySnapshotError
       ? thrown
       : new RegistrySnapshotError("the registry's snapshot can't be read", toError(thrown));
   }
-  return draft.finish();
+  return draft.build();
 }
 
 /** Reads the parts of a snapshot in their order; throws what `zlib` or `JSON` throw. */
@@ -60,7 +60,7 @@
 /** A state as its parts come in. */
 class StateDraft {
   #head: Head | undefined;
-  #isWhole = false;
+  #isComplete = false;
   readonly #services: ServiceRecord[] = [];
   readonly #upstreams: UpstreamRecord[] = [];
   readonly #shards: ShardRecord[] = [];
@@ -73,7 +73,7 @@
   readonly #suspects: CrashSuspect[] = [];
   readonly #evacuations: EvacuationRecord[] = [];
 
-  take(part: SnapshotPart): void {
+  add(part: SnapshotPart): void {
     switch (part.part) {
       case 'head':
         this.#begin(part);
@@ -119,14 +119,14 @@
         this.#dedup.push(...part.dedup);
         break;
       case 'end':
-        this.#isWhole = true;
+        this.#isComplete = true;
         break;
     }
   }
 
-  finish(): RegistryState {
+  build(): RegistryState {
     const head = this.#head;
-    if (head === undefined || !this.#isWhole) {
+    if (head === undefined || !this.#isComplete) {
       throw new RegistrySnapshotError("the registry's snapshot isn't whole");
     }
     const ledger = Ledger.fromState({ services: this.#ledgers });
--- a/src/registry/snapshot-parts.ts
+++ b/src/registry/snapshot-parts.ts
@@ -18,7 +18,7 @@
 export const SNAPSHOT_VERSION = 2;
 
 /** Rough bytes of a part; a single larger record stands alone. */
-const PART_BYTES = 64 * 1024;
+const TARGET_PART_BYTES = 64 * 1024;
 /** Rough bytes of records as JSON, those of a stored answer's body aside. */
 const SERVICE_BYTES = 2000;
 const UPSTREAM_BYTES = 300;
@@ -104,22 +104,22 @@
 export function* partsOf(image: StateImage): Generator<SnapshotPart> {
   const { revision, clock, sweptAt } = image;
   yield { part: 'head', version: SNAPSHOT_VERSION, revision, clock, sweptAt };
-  for (const services of cut(image.services, () => SERVICE_BYTES)) {
+  for (const services of chunksOf(image.services, () => SERVICE_BYTES)) {
     yield { part: 'services', services };
   }
-  for (const upstreams of cut(image.upstreams, () => UPSTREAM_BYTES)) {
+  for (const upstreams of chunksOf(image.upstreams, () => UPSTREAM_BYTES)) {
     yield { part: 'upstreams', upstreams };
   }
   yield* shardParts(image.shards);
   yield* declaredParts(image);
-  for (const suspects of cut(image.suspects, () => SUSPECT_BYTES)) {
+  for (const suspects of chunksOf(image.suspects, () => SUSPECT_BYTES)) {
     yield { part: 'suspects', suspects };
   }
   if (image.evacuations.length > 0) {
     yield { part: 'evacuations', evacuations: image.evacuations };
   }
   yield* ledgerParts(image.ledger);
-  for (const dedup of cut(image.dedup, () => DEDUP_BYTES)) {
+  for (const dedup of chunksOf(image.dedup, () => DEDUP_BYTES)) {
     yield { part: 'dedup', dedup };
   }
   yield { part: 'end' };
@@ -127,7 +127,7 @@
 
 function* shardParts(records: readonly ShardRecord[]): Generator<SnapshotPart> {
   const table = new NameTable();
-  for (const chunk of cut(records, () => SHARD_BYTES)) {
+  for (const chunk of chunksOf(records, () => SHARD_BYTES)) {
     const known = table.names.length;
     const shards = encodeShardRows(chunk, table);
     yield { part: 'shards', names: table.names.slice(known), shards };
@@ -138,10 +138,10 @@
   if (declared !== null) {
     yield { part: 'declared', declared };
   }
-  for (const chunk of cut(departed, () => DEPARTED_BYTES)) {
+  for (const chunk of chunksOf(departed, () => DEPARTED_BYTES)) {
     yield { part: 'departed', departed: chunk };
   }
-  for (const chunk of cut(ranges, () => RANGE_BYTES)) {
+  for (const chunk of chunksOf(ranges, () => RANGE_BYTES)) {
     yield { part: 'ranges', ranges: chunk };
   }
 }
@@ -150,26 +150,29 @@
   for (const { name, active, ledger } of services) {
     const { horizon, retentionMillis } = ledger;
     yield { part: 'ledger', name, active, horizon, retentionMillis };
-    for (const records of cut(ledger.records, bytesOfRecord)) {
+    for (const records of chunksOf(ledger.records, recordBytes)) {
       yield { part: 'records', records };
     }
-    for (const tombstones of cut(ledger.tombstones, () => LEDGER_BYTES)) {
+    for (const tombstones of chunksOf(ledger.tombstones, () => LEDGER_BYTES)) {
       yield { part: 'tombstones', tombstones };
     }
   }
 }
 
-function bytesOfRecord({ record }: KeptRecord): number {
+function recordBytes({ record }: KeptRecord): number {
   return LEDGER_BYTES + (record.answer?.body.length ?? 0);
 }
 
 /** Cuts a list into pieces of about `PART_BYTES`. */
-function* cut<Item>(items: readonly Item[], bytesOf: (item: Item) => number): Generator<readonly Item[]> {
+function* chunksOf<Item>(
+  items: readonly Item[],
+  bytesOf: (item: Item) => number,
+): Generator<readonly Item[]> {
   let start = 0;
   let bytes = 0;
   for (let index = 0; index < items.length; index += 1) {
     bytes += bytesOf(items[index] as Item);
-    if (bytes >= PART_BYTES) {
+    if (bytes >= TARGET_PART_BYTES) {
       yield items.slice(start, index + 1);
       start = index + 1;
       bytes = 0;
--- a/src/registry/suspect-table.ts
+++ b/src/registry/suspect-table.ts
@@ -26,13 +26,13 @@
   }
 
   /** Those whose time is over. */
-  due(clock: WallMillis): CrashSuspect[] {
+  expired(clock: WallMillis): CrashSuspect[] {
     return this.all().filter(({ until }) => until <= clock);
   }
 
   /** Those beyond `most`, least suspected first, and of these the one whose time is over first. */
-  surplus(most: number): CrashSuspect[] {
-    const count = this.size - most;
+  excess(maxCount: number): CrashSuspect[] {
+    const count = this.size - maxCount;
     return count <= 0 ? [] : this.all().sort(bySuspicion).slice(0, count);
   }
 }
--- a/src/registry/validation/field-checks.ts
+++ b/src/registry/validation/field-checks.ts
@@ -27,16 +27,16 @@
 }
 
 /** Text of `longest` characters at most. */
-export function checkText(place: string, value: unknown, longest: number): string {
-  if (typeof value !== 'string' || value.length > longest) {
-    fail(place, `must be text of at most ${longest} characters`);
+export function checkText(place: string, value: unknown, maxLength: number): string {
+  if (typeof value !== 'string' || value.length > maxLength) {
+    fail(place, `must be text of at most ${maxLength} characters`);
   }
   return value;
 }
 
 /** The same, and not empty. */
-export function checkNonEmptyText(place: string, value: unknown, longest: number): string {
-  const text = checkText(place, value, longest);
+export function checkNonEmptyText(place: string, value: unknown, maxLength: number): string {
+  const text = checkText(place, value, maxLength);
   return text === '' ? fail(place, 'must not be empty') : text;
 }
 
@@ -46,19 +46,19 @@
 }
 
 /** A number from `least` to `most`. */
-export function checkNumber(place: string, value: unknown, least: number, most: number): number {
-  if (typeof value !== 'number' || !(value >= least && value <= most)) {
-    fail(place, `must be a number from ${least} to ${most}`);
+export function checkNumber(place: string, value: unknown, min: number, max: number): number {
+  if (typeof value !== 'number' || !(value >= min && value <= max)) {
+    fail(place, `must be a number from ${min} to ${max}`);
   }
   return value;
 }
 
 /** A whole number from `least` to `most`. */
-export function checkInteger(place: string, value: unknown, least: number, most: number): number {
+export function checkInteger(place: string, value: unknown, min: number, max: number): number {
   if (!Number.isInteger(value)) {
-    fail(place, `must be a whole number from ${least} to ${most}`);
+    fail(place, `must be a whole number from ${min} to ${max}`);
   }
-  return checkNumber(place, value, least, most);
+  return checkNumber(place, value, min, max);
 }
 
 /** One of the choices. */
@@ -72,9 +72,9 @@
 }
 
 /** A list of `longest` items at most; the items are still to be checked. */
-export function checkList(place: string, value: unknown, longest: number): readonly unknown[] {
-  if (!Array.isArray(value) || value.length > longest) {
-    fail(place, `must be a list of at most ${longest}`);
+export function checkList(place: string, value: unknown, maxItems: number): readonly unknown[] {
+  if (!Array.isArray(value) || value.length > maxItems) {
+    fail(place, `must be a list of at most ${maxItems}`);
   }
   return value;
 }
--- a/src/registry/validation/validate-declaration.ts
+++ b/src/registry/validation/validate-declaration.ts
@@ -19,38 +19,38 @@
   fail,
 } from './field-checks.js';
 
-const LONGEST_NAME = 200;
-const LONGEST_PREFIX = 2000;
-const LONGEST_TIMEOUT_MILLIS = 3_600_000;
-const MOST_ATTEMPTS = 100;
+const MAX_NAME_LENGTH = 200;
+const MAX_PATH_LENGTH = 2000;
+const MAX_TIMEOUT_MILLIS = 3_600_000;
+const MAX_ATTEMPTS = 100;
 const DEFAULT_ATTEMPTS = 2;
 const DEFAULT_PRIORITY = 1;
 const DEFAULT_CONNECTIONS = 100;
 const DEFAULT_HEALTH_PATH = '/health';
-const LARGEST_LIMIT = 2 ** 40;
-const LONGEST_WARMUP_SECONDS = 3600;
+const MAX_LIMIT = 2 ** 40;
+const MAX_WARMUP_SECONDS = 3600;
 const MILLIS_PER_SECOND = 1000;
 /** Whether a request may be run twice without harm, by the word that says so; a `download` is a read with a large answer. */
-const REPEATABLE_OF_TYPE: Readonly<Record<string, boolean>> = { safe: true, unsafe: false, download: true };
+const REPEATABLE_BY_TYPE: Readonly<Record<string, boolean>> = { safe: true, unsafe: false, download: true };
 
 /** Checks a route; throws `InvalidDefinitionError` that names the place. */
 export function validateRoute(place: string, input: unknown): RouteDefinition {
   const fields = checkObject(place, input);
-  const name = checkNonEmptyText(`${place}.name`, fields.name, LONGEST_NAME);
+  const name = checkNonEmptyText(`${place}.name`, fields.name, MAX_NAME_LENGTH);
   return {
     name,
-    host: checkNonEmptyText(`${place}.host`, fields.host, LONGEST_NAME).toLowerCase(),
+    host: checkNonEmptyText(`${place}.host`, fields.host, MAX_NAME_LENGTH).toLowerCase(),
     prefix: checkPrefix(`${place}.prefix`, fields.prefix),
-    repeatable: checkType(`${place}.type`, fields.type),
-    timeoutMillis: checkNumber(`${place}.timeoutMillis`, fields.timeoutMillis, 1, LONGEST_TIMEOUT_MILLIS),
+    repeatable: checkRouteType(`${place}.type`, fields.type),
+    timeoutMillis: checkNumber(`${place}.timeoutMillis`, fields.timeoutMillis, 1, MAX_TIMEOUT_MILLIS),
     targetMillis: optionalNumber(
       `${place}.targetMillis`,
       fields.targetMillis,
       Number(fields.timeoutMillis),
-      LONGEST_TIMEOUT_MILLIS,
+      MAX_TIMEOUT_MILLIS,
     ),
-    maxAttempts: optionalNumber(`${place}.attempts`, fields.attempts, DEFAULT_ATTEMPTS, MOST_ATTEMPTS),
-    priority: optionalNumber(`${place}.priority`, fields.priority, DEFAULT_PRIORITY, LARGEST_LIMIT, 0),
+    maxAttempts: optionalNumber(`${place}.attempts`, fields.attempts, DEFAULT_ATTEMPTS, MAX_ATTEMPTS),
+    priority: optionalNumber(`${place}.priority`, fields.priority, DEFAULT_PRIORITY, MAX_LIMIT, 0),
     split: checkSplit(place, fields),
   };
 }
@@ -63,23 +63,18 @@
   const grantedBy = checkCarrier(`${place}.grantedBy`, fields.grantedBy ?? DEFAULT_GRANT_CARRIER);
   return {
     name: checkName(`${place}.name`, fields.name),
-    healthPath: checkNonEmptyText(`${place}.healthPath`, healthPath, LONGEST_PREFIX),
-    connections: optionalNumber(
-      `${place}.connections`,
-      fields.connections,
-      DEFAULT_CONNECTIONS,
-      LARGEST_LIMIT,
-    ),
+    healthPath: checkNonEmptyText(`${place}.healthPath`, healthPath, MAX_PATH_LENGTH),
+    connections: optionalNumber(`${place}.connections`, fields.connections, DEFAULT_CONNECTIONS, MAX_LIMIT),
     keyed,
     grantedBy: keyed ? grantedBy : null,
     warmup: checkWarmup(place, fields),
-    unwarmedKeyMillis: keyed ? checkWarmSeconds(`${place}.warmSeconds`, fields.warmSeconds) : null,
+    unwarmedKeyMillis: keyed ? checkUnwarmedKeySeconds(`${place}.warmSeconds`, fields.warmSeconds) : null,
   };
 }
 
 /** 0 says that such keys aren't slow, which is what holds without a word. */
-function checkWarmSeconds(place: string, value: unknown): number | null {
-  const seconds = optionalNumber(place, value, 0, LONGEST_WARMUP_SECONDS, 0);
+function checkUnwarmedKeySeconds(place: string, value: unknown): number | null {
+  const seconds = optionalNumber(place, value, 0, MAX_WARMUP_SECONDS, 0);
   return seconds === 0 ? null : seconds * MILLIS_PER_SECOND;
 }
 
@@ -90,8 +85,8 @@
   if (isLeftOut(warmupPerSecond) || isLeftOut(warmupSeconds)) {
     return null;
   }
-  const perSecond = checkNumber(`${place}.warmupPerSecond`, warmupPerSecond, 0, LARGEST_LIMIT);
-  const seconds = checkNumber(`${place}.warmupSeconds`, warmupSeconds, 0, LONGEST_WARMUP_SECONDS);
+  const perSecond = checkNumber(`${place}.warmupPerSecond`, warmupPerSecond, 0, MAX_LIMIT);
+  const seconds = checkNumber(`${place}.warmupSeconds`, warmupSeconds, 0, MAX_WARMUP_SECONDS);
   const isNone = perSecond === 0 || seconds === 0;
   return isNone ? null : { perSecond, millis: seconds * MILLIS_PER_SECOND };
 }
@@ -100,7 +95,7 @@
 export function validateLimits(input: unknown): CallerLimits {
   const fields = checkObject('limits', input);
   const limit = (name: keyof CallerLimits): number =>
-    optionalNumber(`limits.${name}`, fields[name], DEFAULT_CALLER_LIMITS[name], LARGEST_LIMIT);
+    optionalNumber(`limits.${name}`, fields[name], DEFAULT_CALLER_LIMITS[name], MAX_LIMIT);
   return {
     headerBytes: limit('headerBytes'),
     bodyBytes: limit('bodyBytes'),
@@ -115,35 +110,35 @@
 }
 
 function checkPrefix(place: string, value: unknown): string {
-  const prefix = checkNonEmptyText(place, value, LONGEST_PREFIX);
-  const isWhole = prefix.startsWith('/') && prefix.endsWith('/');
-  return isWhole ? prefix : fail(place, 'must begin and end with a slash');
+  const prefix = checkNonEmptyText(place, value, MAX_PATH_LENGTH);
+  const isDelimited = prefix.startsWith('/') && prefix.endsWith('/');
+  return isDelimited ? prefix : fail(place, 'must begin and end with a slash');
 }
 
-function checkType(place: string, value: unknown): boolean {
-  const repeatable = typeof value === 'string' ? REPEATABLE_OF_TYPE[value] : undefined;
+function checkRouteType(place: string, value: unknown): boolean {
+  const repeatable = typeof value === 'string' ? REPEATABLE_BY_TYPE[value] : undefined;
   return repeatable ?? fail(place, 'must be safe, unsafe or download');
 }
 
-function optionalNumber(place: string, value: unknown, fallback: number, most: number, least = 1): number {
-  return value === undefined || value === null ? fallback : checkNumber(place, value, least, most);
+function optionalNumber(place: string, value: unknown, fallback: number, max: number, min = 1): number {
+  return value === undefined || value === null ? fallback : checkNumber(place, value, min, max);
 }
 
 function checkSplit(place: string, fields: Readonly<Record<string, unknown>>): SplitPart[] {
   if (fields.split === undefined || fields.split === null) {
     return [{ service: checkName(`${place}.service`, fields.service), weight: 1 }];
   }
-  const parts = checkList(`${place}.split`, fields.split, MOST_ATTEMPTS).map((item, position) =>
-    checkPart(`${place}.split[${position}]`, item),
+  const parts = checkList(`${place}.split`, fields.split, MAX_ATTEMPTS).map((item, position) =>
+    checkSplitPart(`${place}.split[${position}]`, item),
   );
   const isEmpty = parts.every(({ weight }) => weight === 0);
   return isEmpty ? fail(`${place}.split`, 'needs a weight above 0') : parts;
 }
 
-function checkPart(place: string, input: unknown): SplitPart {
+function checkSplitPart(place: string, input: unknown): SplitPart {
   const fields = checkObject(place, input);
   return {
     service: checkName(`${place}.service`, fields.service),
-    weight: checkNumber(`${place}.weight`, fields.weight, 0, LARGEST_LIMIT),
+    weight: checkNumber(`${place}.weight`, fields.weight, 0, MAX_LIMIT),
   };
 }
--- a/src/registry/validation/validate-service.ts
+++ b/src/registry/validation/validate-service.ts
@@ -84,12 +84,12 @@
     keyspaces: validateKeyspaces(fields.keyspaces, keyed),
     policy: validatePolicy(fields.policy),
   };
-  checkTogether(definition);
+  checkFieldCombinations(definition);
   return definition;
 }
 
 /** Rules over more than one field. */
-function checkTogether(definition: ServiceDefinition): void {
+function checkFieldCombinations(definition: ServiceDefinition): void {
   if (definition.coalesce && !definition.repeatable) {
     fail('coalesce', 'only a repeatable service may share attempts');
   }
--- a/src/registry/validation/validate-upstream.ts
+++ b/src/registry/validation/validate-upstream.ts
@@ -6,7 +6,7 @@
 import { checkBoolean, checkDistinct, checkList, checkName, checkObject, fail } from './field-checks.js';
 import { SERVICE_LIMITS } from './validate-service.js';
 
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 const ADDRESS_PATTERN = /^(.+):(\d{1,5})$/;
 const BRACKETED_PATTERN = /^\[(.+)\]$/;
 
@@ -40,8 +40,8 @@
   if (!isHost) {
     fail('address', 'the host must be an IP number (IPv6 in brackets)');
   }
-  if (Number(port) < 1 || Number(port) > LARGEST_PORT) {
-    fail('address', `the port must be from 1 to ${LARGEST_PORT}`);
+  if (Number(port) < 1 || Number(port) > MAX_PORT) {
+    fail('address', `the port must be from 1 to ${MAX_PORT}`);
   }
   return address;
 }
--- a/test/registry/range-table.test.ts
+++ b/test/registry/range-table.test.ts
@@ -9,7 +9,7 @@
 
 function expectCover(table: RangeTable): void {
   let next = 0;
-  for (const { from, to } of table.of(SERVICE)) {
+  for (const { from, to } of table.rangesOf(SERVICE)) {
     expect(from).to.equal(next);
     expect(to).to.be.at.least(from);
     next = to + 1;
@@ -29,11 +29,11 @@
         fc.array(fc.tuple(spanArbitrary, ownerArbitrary, fc.boolean()), { maxLength: 40 }),
         (steps) => {
           const table = new RangeTable();
-          table.begin(SERVICE, 1);
+          table.addService(SERVICE, 1);
           let revision = 1;
           for (const [span, owner, isStale] of steps) {
             revision += 1;
-            const ranges = table.of(SERVICE);
+            const ranges = table.rangesOf(SERVICE);
             const current = ranges[findRange(ranges, span.from)];
             const expectedFence = isStale ? -1 : (current?.fence ?? 0);
             const update: RangeUpdate = { ...span, owner, former: null, expectedFence };
@@ -41,7 +41,7 @@
             expectCover(table);
             const fits = !isStale && current !== undefined && span.to <= current.to;
             expect(changes.length > 0).to.equal(fits);
-            const after = table.of(SERVICE);
+            const after = table.rangesOf(SERVICE);
             const holder = after[findRange(after, span.from)];
             if (fits) {
               expect(holder).to.include({ owner, fence: revision });
@@ -56,7 +56,7 @@
 
   it('joins neighbours that stand alike, and only those', () => {
     const table = new RangeTable();
-    table.begin(SERVICE, 1);
+    table.addService(SERVICE, 1);
     const give = (from: number, to: number, owner: string): RangeUpdate => ({
       from,
       to,
@@ -65,7 +65,7 @@
       expectedFence: 0,
     });
     table.update(SERVICE, [give(0, 99, 'u1'), give(100, 199, 'u1'), give(200, LARGEST_KEY, 'u2')], 2);
-    expect(table.of(SERVICE).map(({ from, to, owner }) => [from, to, owner])).to.deep.equal([
+    expect(table.rangesOf(SERVICE).map(({ from, to, owner }) => [from, to, owner])).to.deep.equal([
       [0, 199, 'u1'],
       [200, LARGEST_KEY, 'u2'],
     ]);
@@ -74,13 +74,13 @@
   it('tells what changed so that another copy follows', () => {
     const table = new RangeTable();
     const copy = new Map(
-      table.begin(SERVICE, 1).map((change) => ['from' in change ? change.from : 0, change]),
+      table.addService(SERVICE, 1).map((change) => ['from' in change ? change.from : 0, change]),
     );
     const updates: RangeUpdate[] = [{ from: 10, to: 20, owner: 'u1', former: null, expectedFence: 0 }];
     for (const change of table.update(SERVICE, updates, 2)) {
       copy.set('from' in change ? change.from : 0, change);
     }
     const kept = [...copy.values()].flatMap((change) => (change.type === 'range' && change.record) || []);
-    expect(kept.sort((one, other) => one.from - other.from)).to.deep.equal([...table.of(SERVICE)]);
+    expect(kept.sort((one, other) => one.from - other.from)).to.deep.equal([...table.rangesOf(SERVICE)]);
   });
 });
