--- a/src/registry/change-ring.ts
+++ b/src/registry/change-ring.ts
@@ -1,10 +1,10 @@
-/** The latest changes, for routers that only need what they missed. Not part of snapshots. */
+/** The most recent changes, for routers that fetch only the changes they missed. Not part of snapshots. */
 import type { Revision } from '../model/identifiers.js';
 import type { RegistryChange } from './types.js';
 
 /**
- * Changes kept. A router further behind gets a snapshot. The loss of a third of the servers changes a third of the
- * shards twice: at 90,000 shards that must still fit.
+ * A router that is further behind gets a snapshot. The loss of a third of the servers changes a third of the shards
+ * twice, and that must fit with 90,000 shards.
  */
 export const MAX_RECENT_CHANGES = 65_536;
 
@@ -13,7 +13,7 @@
   readonly changes: readonly RegistryChange[];
 }
 
-/** Names what a change is about, so that later changes to it stand in for earlier ones. */
+/** Identifies the object of a change, so that a later change to it replaces earlier ones. */
 function subjectOf(change: RegistryChange): string {
   switch (change.type) {
     case 'service':
@@ -37,13 +37,13 @@
 
 export class ChangeRing {
   private sets: ChangeSet[] = [];
-  /** Sets before this position were dropped. */
+  /** Sets before this position have been dropped. */
   private start = 0;
   private count = 0;
-  /** Answers given since the last change, by the position they begin at: many routers ask for the same ones. */
+  /** Results cached since the last change, by their first position: many routers request the same ones. */
   private readonly answers = new Map<number, readonly RegistryChange[]>();
 
-  /** `floor` is the revision after which every change is known. */
+  /** `floor` is the revision after which every change is kept. */
   constructor(
     private floor: Revision,
     private readonly limit = MAX_RECENT_CHANGES,
@@ -63,8 +63,8 @@
   }
 
   /**
-   * The last state of each thing that changed after `from`; `undefined` if some of that was dropped. Until the next
-   * change the same answer is the same array, so that who encodes it can do so once.
+   * Returns the latest change of each object that changed after `from`; `undefined` if some of these changes were dropped.
+   * Until the next change the same result is the same array, so that it can be encoded once.
    */
   changesAfter(from: Revision): readonly RegistryChange[] | undefined {
     if (from < this.floor) {
@@ -111,7 +111,7 @@
     this.start += 1;
   }
 
-  /** Frees dropped sets once they are half of the list, which keeps `add` at constant cost on average. */
+  /** Frees dropped sets once they make up half of the list, which keeps the amortized cost of `add` constant. */
   private compact(): void {
     if (this.start * 2 > this.sets.length) {
       this.sets = this.sets.slice(this.start);
--- a/src/registry/commands/crash-commands.ts
+++ b/src/registry/commands/crash-commands.ts
@@ -1,4 +1,4 @@
-/** Commands about requests under which upstreams ended: crashes are noted, successes clear, time and operators release. */
+/** Commands about requests during which upstreams crashed: recording crashes, clearing, expiry, and release by operators. */
 import type { CrashSuspect, QuarantineTerms, UpstreamCrash } from '../../model/crash-suspect.js';
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, CrashCommand, OperatorCommand } from '../types.js';
@@ -9,10 +9,10 @@
 type SuspectsExpire = Extract<CrashCommand, { readonly type: 'suspects-expire' }>;
 type QuarantineRelease = Extract<OperatorCommand, { readonly type: 'quarantine-release' }>;
 
-/** Runs named in a record; more are only counted. */
+/** Number of the latest runs listed in a record; earlier ones are only counted. */
 const MAX_LISTED_RUNS = 8;
 
-/** Each run counts once for a request, however many routers tell of it. */
+/** Records crashes. Each run counts once for a request, even if several routers report it. */
 export function noteCrashes(transaction: Transaction, { crashes, terms }: CrashesNote): CommandResult {
   for (const crash of crashes) {
     noteCrash(transaction, crash, terms);
@@ -44,7 +44,10 @@
   });
 }
 
-/** The reporter of the crash that brings the quarantine may try it once; a crash after the time of the trial says that it failed. */
+/**
+ * The router that reports the crash which starts the quarantine may retry the request once. A crash after the trial period means that
+ * the trial has failed.
+ */
 function quarantineOf(
   before: CrashSuspect | undefined,
   { reporter }: UpstreamCrash,
@@ -61,7 +64,10 @@
     : { quarantinedAt: null, trialBy: null };
 }
 
-/** They succeeded, which whoever crashes its upstream never does. What came to be known since then stays. */
+/**
+ * Clears suspects whose request has succeeded, which a request that crashes its upstream never does. A suspect with a newer revision
+ * than the cleared one is kept.
+ */
 export function clearSuspects(transaction: Transaction, { cleared }: SuspectsClear): CommandResult {
   for (const { fingerprint, revision } of cleared) {
     const suspect = transaction.state.suspects.find(fingerprint);
@@ -73,8 +79,8 @@
 }
 
 /**
- * Suspicions whose time is over are forgotten. A quarantine that is over leaves the request one crash short of the next one, so
- * that a guilty request costs one upstream each time, and one that was wrongly accused clears itself.
+ * Removes expired suspects. After a quarantine expires, the request is one crash short of the next quarantine, so that a harmful
+ * request costs only one upstream each time, while a harmless one is cleared by succeeding or at the next expiry.
  */
 export function expireSuspects(transaction: Transaction, { terms }: SuspectsExpire): CommandResult {
   const { state, revision } = transaction;
@@ -96,7 +102,7 @@
   return accepted(transaction);
 }
 
-/** An operator lets a request pass again; it begins with a clean sheet. */
+/** Releases a request on an operator's command; its crash count starts again at 0. */
 export function releaseQuarantine(transaction: Transaction, command: QuarantineRelease): CommandResult {
   const record = transaction.state.suspects.find(command.fingerprint);
   const mismatch = checkExpected(command.expected, record);
--- a/src/registry/commands/declaration-apply.ts
+++ b/src/registry/commands/declaration-apply.ts
@@ -1,4 +1,4 @@
-/** Changes the declared document, whole or in part. A change is taken as one or changes nothing. */
+/** Changes the declared document, as a whole or in part. A change is atomic. */
 import { createHash } from 'node:crypto';
 import {
   type CallerLimits,
@@ -20,13 +20,13 @@
 } from '../validation/validate-declaration.js';
 import { accepted, conflict } from './results.js';
 
-/** An item as it was sent and what it means. */
+/** An item as it was sent and its parsed definition. */
 interface Item<Definition> {
   readonly source: unknown;
   readonly definition: Definition;
 }
 
-/** The document as a change would make it. */
+/** The document that results from a change. */
 interface Draft {
   readonly routes: ReadonlyMap<string, Item<RouteDefinition>>;
   readonly services: ReadonlyMap<string, Item<DeclaredService>>;
@@ -54,7 +54,7 @@
   return accepted(transaction);
 }
 
-/** Identifies all that a change says, its precondition included: a resent one is the same to the letter. */
+/** Hashes the whole change including its precondition: a resent change is identical. */
 function fingerprintOf(change: DeclarationChange): string {
   return createHash('sha256')
     .update(JSON.stringify(sortKeys(change)))
@@ -95,7 +95,7 @@
     : { limits: declared.record.limits, limitsSource: declared.limitsSource };
 }
 
-/** A name that isn't there is gone already. */
+/** Removes items by name; unknown names are ignored, as they may already have been removed. */
 function removeNamed<Value>(place: string, items: Map<string, Value>, names: readonly string[]): void {
   names.forEach((name, position) => {
     if (typeof name !== 'string') {
@@ -189,9 +189,9 @@
   return JSON.stringify(one) === JSON.stringify(other);
 }
 
-/** Longest time of a request whose route says nothing shorter. */
+/** Deadline of a request whose route has no shorter timeout. */
 const MAX_DEADLINE_MILLIS = 3_600_000;
-/** What holds for declared services beside what the document says; routes say how single requests are served. */
+/** Fields of a declared service that the document doesn't contain; routes define how single requests are handled. */
 const FIXED_SERVICE_FIELDS = {
   repeatable: true,
   priority: 'interactive',
@@ -229,7 +229,7 @@
   };
 }
 
-/** Once the carrier was changed that stays noted: a later leader can't tell how long ago it was. */
+/** `hasChanged` stays true after the first change of carrier, because a later leader can't determine how long ago it was. */
 function rangeGrantsOf(
   { grantedBy }: DeclaredService,
   before: ServiceDefinition | undefined,
--- a/src/registry/commands/evacuation-commands.ts
+++ b/src/registry/commands/evacuation-commands.ts
@@ -1,4 +1,4 @@
-/** Orders to use the upstreams of a zone no more, and to use them again. What is ordered already stays as it is. */
+/** Starts and ends the evacuation of a zone. A command whose effect is already in place changes nothing. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, EvacuationCommand } from '../types.js';
 import { accepted } from './results.js';
@@ -6,7 +6,7 @@
 type EvacuationStart = Extract<EvacuationCommand, { readonly type: 'evacuation-start' }>;
 type EvacuationEnd = Extract<EvacuationCommand, { readonly type: 'evacuation-end' }>;
 
-/** An order that comes again keeps the time of the first one. */
+/** A repeated command keeps the start time of the first one. */
 export function startEvacuation(transaction: Transaction, { zone }: EvacuationStart): CommandResult {
   const { state, revision } = transaction;
   if (!state.evacuations.has(zone)) {
--- a/src/registry/commands/grant-batch.ts
+++ b/src/registry/commands/grant-batch.ts
@@ -1,4 +1,4 @@
-/** Grants shards without owner. Each grant is judged by itself; one whose conditions don't hold is left out. */
+/** Grants unowned shards. Each grant is checked separately and skipped if its conditions don't hold. */
 import type { RegistryState, Transaction } from '../registry-state.js';
 import type { CommandResult, LeaderCommand } from '../types.js';
 import { acceptedIfAny } from './results.js';
@@ -26,7 +26,7 @@
   if (parts === undefined || upstream === undefined) {
     return false;
   }
-  // Under the key map before, some owner may still serve keys of this shard.
+  // An owner under the previous key map may still serve keys of this shard.
   if (state.shards.retiredOwned(parts.service).size > 0) {
     return false;
   }
--- a/src/registry/commands/index.ts
+++ b/src/registry/commands/index.ts
@@ -1,4 +1,4 @@
-/** Carries out one command. Each has its own module; a command that is refused has changed nothing. */
+/** Dispatches commands to their modules. A rejected command changes nothing. */
 import type { Transaction } from '../registry-state.js';
 import type { Command, CommandResult } from '../types.js';
 import { InvalidDefinitionError } from '../validation/field-checks.js';
@@ -24,7 +24,7 @@
 import { drainUpstream } from './upstream-drain.js';
 import { removeUpstream } from './upstream-remove.js';
 
-/** Applies a command. Wrong definitions give `invalid` with the place; nothing is thrown for what operators send. */
+/** Applies a command. An invalid definition gives an `invalid` result with the path of the field and never throws. */
 export function applyCommand(transaction: Transaction, command: Command): CommandResult {
   try {
     return dispatch(transaction, command);
--- a/src/registry/commands/ledger-claim.ts
+++ b/src/registry/commands/ledger-claim.ts
@@ -1,4 +1,4 @@
-/** Claims a key of the ledger for one run of a request. */
+/** Claims a ledger key for one execution of a request. */
 import type { ClaimCommand } from '../../ledger/types.js';
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult } from '../types.js';
--- a/src/registry/commands/ledger-settle.ts
+++ b/src/registry/commands/ledger-settle.ts
@@ -1,4 +1,4 @@
-/** Records how a claimed request ended. */
+/** Records the outcome of a claimed request. */
 import type { SettleCommand } from '../../ledger/types.js';
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult } from '../types.js';
--- a/src/registry/commands/move-cancel.ts
+++ b/src/registry/commands/move-cancel.ts
@@ -1,4 +1,4 @@
-/** Calls off a planned move; the owner, if there is one, keeps the shard. */
+/** Cancels a planned move; the owner, if any, keeps the shard. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, LeaderCommand } from '../types.js';
 import { accepted, conflict, NOT_FOUND } from './results.js';
--- a/src/registry/commands/move-start.ts
+++ b/src/registry/commands/move-start.ts
@@ -1,4 +1,4 @@
-/** Starts planned moves. The owner keeps each shard until it gave it up. */
+/** Starts planned moves. The owner keeps each shard until it releases it. */
 import type { RegistryState, Transaction } from '../registry-state.js';
 import type { CommandResult, LeaderCommand, ShardRecord } from '../types.js';
 import { acceptedIfAny } from './results.js';
@@ -19,7 +19,7 @@
   return acceptedIfAny(transaction, started);
 }
 
-/** The shard's record if it is owned at the epoch named, isn't moving, and the target can take it now. */
+/** Returns the shard's record if it is owned at the given epoch, isn't moving, and the target can own it now. */
 function movableRecord(state: RegistryState, move: Move): ShardRecord | undefined {
   const parts = state.shards.currentParts(move.shard);
   const record = state.shards.get(move.shard);
--- a/src/registry/commands/policy-apply.ts
+++ b/src/registry/commands/policy-apply.ts
@@ -1,4 +1,4 @@
-/** Changes the policy of a service. A resend is the same command whatever else of the service changed meanwhile. */
+/** Changes the policy of a service. A resend is the same command even if other fields of the service have changed meanwhile. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, OperatorCommand } from '../types.js';
 import { checkExpected, NOT_FOUND } from './results.js';
--- a/src/registry/commands/range-update.ts
+++ b/src/registry/commands/range-update.ts
@@ -1,4 +1,4 @@
-/** Gives ranges of numeric keys to other owners, or takes their owners off them. */
+/** Sets or removes the owners of ranges of numeric keys. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, LeaderCommand } from '../types.js';
 import { acceptedIfAny } from './results.js';
--- a/src/registry/commands/service-apply.ts
+++ b/src/registry/commands/service-apply.ts
@@ -32,7 +32,7 @@
   return accepted(transaction);
 }
 
-/** An upstream that names a keyspace which is gone would silently hold nothing. */
+/** Rejects the removal of a keyspace that an upstream lists in `mayHold`: that upstream could own nothing without any error. */
 function checkUpstreamsStillFit(state: RegistryState, definition: ServiceDefinition): void {
   const names = new Set(definition.keyspaces.map((keyspace) => keyspace.name));
   for (const { definition: upstream } of state.upstreams.values()) {
@@ -43,7 +43,7 @@
   }
 }
 
-/** Their order doesn't matter: a key's shard doesn't depend on it. */
+/** Compares keyspaces regardless of order, because a key's shard doesn't depend on it. */
 function sameKeyspaces(one: readonly KeyspaceDefinition[], other: readonly KeyspaceDefinition[]): boolean {
   const byName = new Map(other.map((keyspace) => [keyspace.name, keyspace]));
   return one.length === other.length && one.every((keyspace) => sameKeyspace(keyspace, byName));
@@ -62,7 +62,7 @@
   );
 }
 
-/** Shards of the generation before stay while they have an owner; they can't move any more. */
+/** Shards of the previous generation remain while they have an owner, but can't move any more. */
 function startGeneration(transaction: Transaction, record: ServiceRecord): void {
   for (const shard of transaction.state.shards.setKeyMap(record)) {
     if (shard.owner === null) {
--- a/src/registry/commands/session-end.ts
+++ b/src/registry/commands/session-end.ts
@@ -1,4 +1,4 @@
-/** The lease of an incarnation has ended: its shards have no owner, and planned moves to it are off. */
+/** Ends the session of an incarnation whose lease has ended: its shards become unowned and planned moves to it are cancelled. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, LeaderCommand } from '../types.js';
 import { accepted, conflict, NOT_FOUND } from './results.js';
--- a/src/registry/commands/session-open.ts
+++ b/src/registry/commands/session-open.ts
@@ -1,4 +1,4 @@
-/** A new incarnation of an upstream takes up its session. It owns nothing; what the one before owned is free. */
+/** Opens the session of a new incarnation of an upstream. It owns nothing; shards of the previous incarnation become unowned. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, LeaderCommand } from '../types.js';
 import { accepted, conflict, invalid, NOT_FOUND } from './results.js';
--- a/src/registry/commands/shard-changes.ts
+++ b/src/registry/commands/shard-changes.ts
@@ -1,9 +1,9 @@
-/** Changes of single shards that several commands make. */
+/** Changes of single shards, shared by several commands. */
 import type { ShardId, UpstreamId } from '../../model/identifiers.js';
 import type { RegistryState, Transaction } from '../registry-state.js';
 import type { ShardRecord, UpstreamRecord } from '../types.js';
 
-/** Whether an upstream may own a shard of this service and keyspace: declared, not leaving, allowed the keyspace. */
+/** Whether an upstream may own a shard of this service and keyspace: it serves the service, isn't leaving, and may hold the keyspace. */
 export function mayOwn(
   state: RegistryState,
   { definition }: UpstreamRecord,
@@ -14,8 +14,8 @@
 }
 
 /**
- * Takes the owner off a shard. The epoch and the target of a planned move stay, so that the next grant goes there.
- * A shard of an older generation goes for good.
+ * Removes the owner of a shard. The epoch and the target of a planned move remain, so that the next grant goes to the target.
+ * A shard of an older generation is deleted.
  */
 export function releaseShard(transaction: Transaction, record: ShardRecord): void {
   const { shard } = record;
@@ -27,14 +27,14 @@
   transaction.putShard(shard, { ...record, owner: null, incarnation: null, revision });
 }
 
-/** Takes the owner off every shard of an upstream: its session is over. */
+/** Removes the owner of every shard of an upstream whose session has ended. */
 export function releaseAllOf(transaction: Transaction, upstream: UpstreamId): void {
   for (const record of recordsOf(transaction, transaction.state.shards.ownedBy(upstream))) {
     releaseShard(transaction, record);
   }
 }
 
-/** Calls off every planned move to an upstream that can't take shards any more. */
+/** Cancels every planned move to an upstream that can't own new shards any more. */
 export function cancelMovesTo(transaction: Transaction, upstream: UpstreamId): void {
   for (const record of recordsOf(transaction, transaction.state.shards.movingTo(upstream))) {
     setTarget(transaction, record, null);
@@ -46,7 +46,7 @@
   transaction.putShard(record.shard, { ...record, movingTo: target, revision: transaction.revision });
 }
 
-/** A copy, because the index changes under way. */
+/** Returns a copy, because the index changes during iteration. */
 function recordsOf(transaction: Transaction, shards: ReadonlySet<ShardId>): ShardRecord[] {
   return [...shards].flatMap((shard) => transaction.state.shards.get(shard) ?? []);
 }
--- a/src/registry/commands/shard-move.ts
+++ b/src/registry/commands/shard-move.ts
@@ -1,4 +1,4 @@
-/** An operator's order to move a shard. It takes the place of a planned move that is under way. */
+/** Moves a shard on an operator's command, which replaces a planned move in progress. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, OperatorCommand, ShardRecord } from '../types.js';
 import { accepted, checkExpected, invalid, NOT_FOUND } from './results.js';
@@ -7,7 +7,7 @@
 type ShardMove = Extract<OperatorCommand, { type: 'shard-move' }>;
 
 /**
- * A shard without owner is granted to the target next. Moving a shard to its owner calls off a planned move.
+ * An unowned shard is granted to the target next. Moving a shard to its owner cancels a planned move.
  */
 export function moveShard(transaction: Transaction, command: ShardMove): CommandResult {
   const { state } = transaction;
--- a/src/registry/commands/shard-release.ts
+++ b/src/registry/commands/shard-release.ts
@@ -1,4 +1,4 @@
-/** Owners gave shards up for good. */
+/** Records that owners have released shards permanently. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, LeaderCommand } from '../types.js';
 import { acceptedIfAny } from './results.js';
--- a/src/registry/commands/upstream-announce.ts
+++ b/src/registry/commands/upstream-announce.ts
@@ -1,6 +1,6 @@
 /**
- * What upstreams say of themselves. Each word is of one run of a server, named by its id and, where it says so, by its start. Once a
- * run leaves it stays leaving, and once it is gone, or a later one of its id is known, a late word of it changes nothing.
+ * Announcements of upstreams. Each refers to one run of a server, identified by its id and, if reported, by its start. A run that is
+ * leaving stays leaving. After a run has ended, or a later run of its id is known, a late announcement of it changes nothing.
  */
 import type { UpstreamId } from '../../model/identifiers.js';
 import { runOfAnnounced, type UpstreamDefinition } from '../../model/service.js';
@@ -12,7 +12,7 @@
 type Withdraw = Extract<AnnouncementCommand, { type: 'upstream-withdraw' }>;
 type Forget = Extract<LeaderCommand, { type: 'upstream-forget' }>;
 
-/** Takes in a run of an upstream, or notes that it leaves, is cold or warm. */
+/** Registers a run of an upstream, or records that it is leaving or that its warmup changed. */
 export function announceUpstream(transaction: Transaction, { definition }: Announce): CommandResult {
   const { state } = transaction;
   const { id, announced } = definition;
@@ -28,7 +28,7 @@
   return accepted(transaction);
 }
 
-/** Notes that a run takes no new work; it may still answer what it has. */
+/** Records that a run accepts no new work; it may still finish the requests it has. */
 export function withdrawUpstream(transaction: Transaction, { upstream, born }: Withdraw): CommandResult {
   const { state, revision } = transaction;
   const before = state.upstreams.get(upstream);
@@ -42,8 +42,8 @@
 }
 
 /**
- * Drops upstreams that are gone for good. One that was given keys since that was proposed stays: without a record it would count as
- * gone, and its keys as free.
+ * Removes upstreams that have ended permanently. An upstream that was granted keys after the command was proposed is kept: without a
+ * record it would count as ended, and its keys as free.
  */
 export function forgetUpstreams(transaction: Transaction, { upstreams }: Forget): CommandResult {
   for (const upstream of upstreams) {
@@ -54,7 +54,7 @@
   return accepted(transaction);
 }
 
-/** The run of this id before has ended, as has any other one at the address. */
+/** The previous run of this id has ended, as has any other run at the same address. */
 function startRun(transaction: Transaction, definition: UpstreamDefinition): void {
   const { state, revision } = transaction;
   const { id } = definition;
@@ -65,7 +65,7 @@
   transaction.putUpstream(id, { definition, revision, incarnation: runOfAnnounced(definition) });
 }
 
-/** A run that leaves stays leaving; what else it says of itself may change. */
+/** A run that is leaving stays leaving; its warmup may change. */
 function updateRun(transaction: Transaction, before: UpstreamRecord, definition: UpstreamDefinition): void {
   const { revision } = transaction;
   const warmupMillis = definition.announced?.warmupMillis ?? 0;
@@ -83,7 +83,7 @@
   return isBefore(announced?.born, known);
 }
 
-/** Whether something is of a run before the known one. What doesn't name its run is taken for the known one. */
+/** Whether `born` is the start of an earlier run than the known one. Without `born` the known run is assumed. */
 function isBefore(born: number | undefined, { definition }: UpstreamRecord): boolean {
   const known = definition.announced?.born;
   return born !== undefined && known !== undefined && born < known;
@@ -94,7 +94,7 @@
   return announced?.born !== undefined && announced.born > known;
 }
 
-/** An address serves one run at a time: a new one there proves that the one before has ended. */
+/** An address serves one run at a time, so a new run at an address proves that the previous one has ended. */
 function forgetAtAddress(transaction: Transaction, { id, address }: UpstreamDefinition): void {
   for (const { definition } of [...transaction.state.upstreams.values()]) {
     const isOther = definition.id !== id && definition.address === address;
--- a/src/registry/commands/upstream-drain.ts
+++ b/src/registry/commands/upstream-drain.ts
@@ -1,4 +1,4 @@
-/** Says that an upstream is leaving, or takes it back. A resend is the same command whatever else changed meanwhile. */
+/** Starts or cancels the draining of an upstream. A resend is the same command even if other fields have changed meanwhile. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, OperatorCommand } from '../types.js';
 import { checkExpected, NOT_FOUND } from './results.js';
--- a/src/registry/commands/upstream-remove.ts
+++ b/src/registry/commands/upstream-remove.ts
@@ -1,4 +1,4 @@
-/** Removes an upstream that owns nothing. One that does may still serve under its lease, so it must drain first. */
+/** Removes an upstream that owns nothing. An upstream that owns keys may still serve them under its lease, so it must drain first. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, OperatorCommand } from '../types.js';
 import { accepted, checkExpected, invalid, NOT_FOUND } from './results.js';
--- a/src/registry/declaration/declared-state.ts
+++ b/src/registry/declaration/declared-state.ts
@@ -1,33 +1,33 @@
-/** What the registry keeps of the declared document: the items as they were sent, their versions, and what they mean. */
+/** The declared document in the registry: its items as sent and as parsed, and the versions of its changes. */
 import { DEFAULT_CALLER_LIMITS, type DeclarationRecord, type RouteRecord } from '../../model/declaration.js';
 import type { DeclaredDocument } from '../types.js';
 
-/** Versions whose content is remembered, so that a resent change is known. */
+/** Number of applied changes whose fingerprints are kept, so that a resent change is recognized. */
 const MAX_REMEMBERED_VERSIONS = 10_000;
 
-/** The declared state as snapshots hold it. */
+/** Snapshot format of the declared state. */
 export interface DeclaredImage {
   readonly record: DeclarationRecord;
   readonly limits: unknown;
   readonly routes: readonly { readonly source: unknown; readonly record: RouteRecord }[];
   readonly services: readonly { readonly name: string; readonly source: unknown }[];
-  /** Version and fingerprint of each change that is remembered, oldest first. */
+  /** Version and fingerprint of each recorded change, oldest first. */
   readonly versions: readonly (readonly [number, string])[];
 }
 
 const EMPTY_DECLARATION: DeclarationRecord = { version: 0, limits: DEFAULT_CALLER_LIMITS, revision: 0 };
 
 export class DeclaredState {
-  /** Version 0 until something was declared. */
+  /** Has version 0 until a document is declared. */
   record: DeclarationRecord = EMPTY_DECLARATION;
-  /** As it was sent. */
+  /** The limits as they were sent. */
   limitsSource: unknown = null;
   readonly routes = new Map<string, RouteRecord>();
   readonly routeSources = new Map<string, unknown>();
   readonly serviceSources = new Map<string, unknown>();
   readonly #versions = new Map<number, string>();
 
-  /** Whether this very change was taken before. */
+  /** Whether a change with this version and fingerprint was already applied. */
   wasApplied(version: number, fingerprint: string): boolean {
     return this.#versions.get(version) === fingerprint;
   }
@@ -54,7 +54,7 @@
     };
   }
 
-  /** `null` while nothing was declared. */
+  /** `null` until a document is declared. */
   toImage(): DeclaredImage | null {
     if (this.record.version === 0) {
       return null;
--- a/src/registry/dedup-table.ts
+++ b/src/registry/dedup-table.ts
@@ -1,9 +1,9 @@
 /**
- * Results of operators' commands by request id, so that a resend gets the first outcome and changes nothing.
+ * Results of operators' commands by request id, so that a resent command gets the first result and changes nothing.
  *
- * Retention: an entry goes once it is older than `DEDUP_RETENTION_MILLIS` by the registry's clock, or once
- * `DEDUP_ENTRIES` later ones came. A resend after that counts as a new command; its `expected` revision then
- * decides. Both bounds follow from the log alone, so every replica drops the same entries.
+ * Retention: an entry is removed when it is older than `DEDUP_RETENTION_MILLIS` by the registry's clock, or when
+ * `DEDUP_MAX_ENTRIES` later entries exist. A resend after that is a new command, which is checked by its `expected`
+ * revision. Both bounds depend only on the log, so every replica removes the same entries.
  */
 import { createHash } from 'node:crypto';
 import type { WallMillis } from '../model/identifiers.js';
@@ -12,9 +12,8 @@
 /** How long a result is kept, by the registry's clock. */
 export const DEDUP_RETENTION_MILLIS = 24 * 60 * 60 * 1000;
 
-/** Results kept at most. */
 export const DEDUP_MAX_ENTRIES = 10_000;
-/** Longest accepted request id, in characters. */
+/** In characters. */
 export const MAX_REQUEST_ID_LENGTH = 200;
 
 /** The result of one operator's command. */
@@ -26,7 +25,7 @@
   readonly result: CommandResult;
 }
 
-/** Copies a JSON value with the keys of each object in order, so that equal commands give equal text. */
+/** Copies a JSON value with the keys of each object sorted, so that equal commands serialize to equal text. */
 export function sortKeys(value: unknown): unknown {
   if (Array.isArray(value)) {
     return value.map(sortKeys);
@@ -39,8 +38,8 @@
 }
 
 /**
- * Identifies the content of a command. Its precondition isn't part of that: an operator whose answer was lost sends the
- * change again from what there is by then, and that revision is another one once the change was made.
+ * Returns a hash of the content of a command without its precondition `expected`: an operator who never received the response
+ * resends the change with the revision read by then, which differs once the change has been made.
  */
 export function fingerprintOf(command: Command): string {
   const { expected: _, ...content } = command as Command & { readonly expected?: unknown };
@@ -50,7 +49,7 @@
 }
 
 export class DedupTable {
-  /** In the order of the log. */
+  /** In log order. */
   private readonly entries = new Map<string, DedupEntry>();
 
   constructor(
@@ -80,7 +79,7 @@
     }
   }
 
-  /** Drops what is too old. `clock` never goes back, so the entries lie in order of age. */
+  /** Removes expired entries. `clock` never goes back, so the entries are in order of age. */
   expire(clock: WallMillis): void {
     for (const [requestId, entry] of this.entries) {
       if (entry.at > clock - DEDUP_RETENTION_MILLIS) {
--- a/src/registry/departed-upstreams.ts
+++ b/src/registry/departed-upstreams.ts
@@ -1,29 +1,29 @@
-/** Upstreams that announced themselves once and are gone, so that a late heartbeat doesn't bring one back. */
+/** Announced upstreams that have ended, remembered so that a late heartbeat doesn't register one again. */
 import type { Revision, UpstreamId, WallMillis } from '../model/identifiers.js';
 
-/** Ids remembered; a heartbeat is seconds late at most, so an id forgotten by then does no harm. */
+/** A heartbeat is at most seconds late, so evicting the oldest ids does no harm. */
 const MAX_REMEMBERED_IDS = 20_000;
 
-/** The last run of an id that is gone. */
+/** The last run of an id that has ended. */
 interface DepartedRun {
   readonly revision: Revision;
-  /** Its start; `null`: only its id names it. */
+  /** Start of the run; `null`: the run is identified by its id alone. */
   readonly born: WallMillis | null;
 }
 
-/** As snapshots hold it; left out: only its id names the run. */
+/** Snapshot format of a departed run; without a start the run is identified by its id alone. */
 export type DepartedEntry = readonly [UpstreamId, Revision, WallMillis?];
 
 export class DepartedUpstreams {
   readonly #runs = new Map<UpstreamId, DepartedRun>();
 
-  /** Whether what is said of an upstream is about a run that is gone: `born` is its start, if it says so. */
+  /** Whether the run of `upstream` that started at `born` (left out if not reported) has ended. */
   has(upstream: UpstreamId, born?: WallMillis): boolean {
     const run = this.#runs.get(upstream);
     return run !== undefined && !(born !== undefined && isAfter(born, run.born));
   }
 
-  /** The latest run of an id stays remembered, whichever is told of last. */
+  /** Records that a run has ended. The latest run of an id is kept, in whichever order the runs are added. */
   add(upstream: UpstreamId, revision: Revision, born: WallMillis | null = null): void {
     const known = this.#runs.get(upstream)?.born ?? null;
     const latest = known !== null && (born === null || born < known) ? known : born;
--- a/src/registry/errors.ts
+++ b/src/registry/errors.ts
@@ -3,14 +3,14 @@
 
 export class RegistryError extends TernmountError {}
 
-/** A snapshot that can't be read: damaged, or of a version that this release doesn't know. */
+/** A snapshot can't be decoded: it is damaged, or its version isn't supported by this release. */
 export class RegistrySnapshotError extends RegistryError {
   constructor(message: string, cause?: Error) {
     super({ code: 'TERNMOUNT_REGISTRY_SNAPSHOT', retriable: false, cause }, message);
   }
 }
 
-/** An entry out of order: the log and the state machine don't fit each other. */
+/** An entry is out of order: the log and the state machine don't match. */
 export class RegistryOrderError extends RegistryError {
   constructor(index: number, revision: number) {
     super(
--- a/src/registry/index.ts
+++ b/src/registry/index.ts
@@ -4,12 +4,12 @@
 import { decodeState } from './snapshot-codec.js';
 import type { Registry } from './types.js';
 
-/** An empty registry, before the first log entry. */
+/** Creates an empty registry, before the first log entry. */
 export function createRegistry(): Registry {
   return new RegistryMachine(new RegistryState());
 }
 
-/** A registry from the bytes of `Registry.encode`. Throws `RegistrySnapshotError` if they can't be read. */
+/** Restores a registry from the bytes of `Registry.encode`. Throws `RegistrySnapshotError` if they can't be decoded. */
 export function decodeRegistry(bytes: Uint8Array): Registry {
   return new RegistryMachine(decodeState(bytes));
 }
--- a/src/registry/queries/routing-delta.ts
+++ b/src/registry/queries/routing-delta.ts
@@ -1,11 +1,11 @@
-/** What a router missed. */
+/** Query for the changes that a router missed. */
 import type { Revision } from '../../model/identifiers.js';
 import type { RegistryState } from '../registry-state.js';
 import type { RoutingDelta } from '../types.js';
 
 /**
- * Changes after `from`, the last one of each thing only. `undefined` if some were dropped, or if `from` is a
- * revision that this replica hasn't reached.
+ * Returns the latest change after `from` of each object. `undefined` if some changes were dropped, or if this replica
+ * hasn't reached the revision `from`.
  */
 export function routingDelta(state: RegistryState, from: Revision): RoutingDelta | undefined {
   if (from > state.revision) {
--- a/src/registry/queries/routing-snapshot.ts
+++ b/src/registry/queries/routing-snapshot.ts
@@ -1,10 +1,10 @@
-/** Everything that a router needs, whole. */
+/** Query for all routing data. */
 import type { RegistryState } from '../registry-state.js';
 import type { RoutingSnapshot } from '../types.js';
 
 /**
- * The snapshot at the state's revision. While nothing that routers see changes, its lists are the same arrays, so that
- * many routers' snapshots are made and encoded once.
+ * Returns the snapshot at the state's revision. Its lists are the same arrays until routing data changes, so that a snapshot
+ * for many routers is built and encoded once.
  */
 export function routingSnapshot(state: RegistryState): RoutingSnapshot {
   state.routing ??= {
--- a/src/registry/range-table.ts
+++ b/src/registry/range-table.ts
@@ -1,4 +1,4 @@
-/** Owners of ranges of numeric keys, service by service. The ranges of a service always cover all its keys. */
+/** Owners of ranges of numeric keys, by service. The ranges of a service always cover its whole key space. */
 import type { Revision, ServiceName, UpstreamId } from '../model/identifiers.js';
 import { findRange, type KeyRange, LARGEST_KEY } from '../model/key-range.js';
 import type { RangeUpdate, RegistryChange } from './types.js';
@@ -6,7 +6,7 @@
 const NO_RANGES: readonly KeyRange[] = [];
 
 export class RangeTable {
-  /** Sorted by `from`; lists are replaced, never changed. */
+  /** Sorted by `from`; lists are replaced, never mutated. */
   readonly #services = new Map<ServiceName, readonly KeyRange[]>();
 
   rangesOf(service: ServiceName): readonly KeyRange[] {
@@ -17,19 +17,19 @@
     return [...this.#services.values()].flat();
   }
 
-  /** Whether an upstream owns keys, or may still hold some that were its own. */
+  /** Whether an upstream owns keys, or may still hold keys that it owned before. */
   mayHoldKeys(upstream: UpstreamId): boolean {
     return this.all().some(({ owner, former }) => owner === upstream || former === upstream);
   }
 
-  /** Takes ranges that a snapshot held, sorted. */
+  /** Restores the sorted ranges of a snapshot. */
   restore(ranges: readonly KeyRange[]): void {
     for (const range of ranges) {
       this.#services.set(range.service, [...this.rangesOf(range.service), range]);
     }
   }
 
-  /** Begins a service with one range that nobody owns. */
+  /** Adds a service with one unowned range over all keys; does nothing if the service exists. */
   addService(service: ServiceName, revision: Revision): RegistryChange[] {
     if (this.#services.has(service)) {
       return [];
@@ -44,7 +44,7 @@
     return changes;
   }
 
-  /** Carries out those updates that fit what there is. */
+  /** Applies the updates whose fence and span match the current ranges; ignores the others. */
   update(service: ServiceName, updates: readonly RangeUpdate[], revision: Revision): RegistryChange[] {
     let ranges = this.rangesOf(service);
     for (const update of updates) {
@@ -54,8 +54,8 @@
   }
 
   /**
-   * The owner of these ranges has started anew and holds nothing. Whatever was granted to its run before is void from here on; the new
-   * one is asked to release it all the same, since a grant that is late may reach it.
+   * Makes all ranges of `owner` unowned after a new run of it has started, which holds nothing. Grants to the previous run are void from
+   * here on. The new run is still asked to release the keys, because a late grant may reach it.
    */
   revokeOwner(owner: UpstreamId, revision: Revision): RegistryChange[] {
     return [...this.#services].flatMap(([service, ranges]) => {
@@ -98,7 +98,7 @@
   return [...ranges.slice(0, position), ...pieces, ...ranges.slice(position + 1)];
 }
 
-/** Joins neighbours that stand alike. */
+/** Merges adjacent ranges with the same owner, fence and former owner. */
 function mergeAdjacent(ranges: readonly KeyRange[]): KeyRange[] {
   const merged: KeyRange[] = [];
   for (const range of ranges) {
--- a/src/registry/registry-machine.ts
+++ b/src/registry/registry-machine.ts
@@ -28,7 +28,7 @@
   UpstreamRecord,
 } from './types.js';
 
-/** Expired entries of the ledger and the dedup table go at most this often, by the registry's clock. */
+/** Minimum interval between removals of expired ledger and dedup entries, by the registry's clock. */
 const SWEEP_INTERVAL_MILLIS = 1000;
 
 const NO_CHANGES: readonly RegistryChange[] = [];
@@ -45,7 +45,7 @@
     return this.state.revision;
   }
 
-  /** Applies the entry at `index`. Throws `RegistryOrderError` if it was passed before. */
+  /** Applies the entry at `index`. Throws `RegistryOrderError` if `index` isn't above the current revision. */
   apply(index: Revision, envelope: CommandEnvelope): AppliedEntry {
     this.advance(index);
     this.advanceClock(envelope.at);
@@ -146,7 +146,7 @@
     return routingDelta(this.state, from);
   }
 
-  /** A command with a request id: a resend gets the first result. */
+  /** Applies a command with a request id; a resend gets the result of the first application. */
   private applyOnce(index: Revision, requestId: string, envelope: CommandEnvelope): AppliedEntry {
     if (requestId.length > MAX_REQUEST_ID_LENGTH) {
       const result = invalid(`requestId: must be at most ${MAX_REQUEST_ID_LENGTH} characters`);
--- a/src/registry/registry-state.ts
+++ b/src/registry/registry-state.ts
@@ -1,4 +1,4 @@
-/** The parts of the replicated state, and the one way to change the parts that routers see. */
+/** The replicated state, and the transaction through which all data sent to routers is changed. */
 import { Ledger } from '../ledger/index.js';
 import type { CrashSuspect, RequestFingerprint } from '../model/crash-suspect.js';
 import type { DeclarationRecord, RouteRecord } from '../model/declaration.js';
@@ -17,9 +17,9 @@
 export class RegistryState {
   /** Revision of the last entry applied. */
   revision: Revision = 0;
-  /** Largest wall clock of any applied entry: never goes back, also when a new leader's clock is behind. */
+  /** Largest wall clock of any applied entry. It never goes back, even if a new leader's clock is behind. */
   clock: WallMillis = 0;
-  /** Clock at which expired entries were last dropped. */
+  /** Value of `clock` when expired entries were last removed. */
   sweptAt: WallMillis = 0;
   readonly services = new Map<ServiceName, ServiceRecord>();
   readonly upstreams = new Map<UpstreamId, UpstreamRecord>();
@@ -27,10 +27,10 @@
   readonly ranges = new RangeTable();
   readonly departed = new DepartedUpstreams();
   readonly suspects = new SuspectTable();
-  /** Zones out of use. */
+  /** Zones under evacuation. */
   readonly evacuations = new Map<Zone, EvacuationRecord>();
   declared = new DeclaredState();
-  /** What routers see, as it was last asked for; `null` once something of it changed. */
+  /** Cached routing data; `null` after a change to it. */
   routing: Omit<RoutingSnapshot, 'revision'> | null = null;
 
   constructor(
@@ -39,19 +39,19 @@
     readonly recent: ChangeRing = new ChangeRing(0),
   ) {}
 
-  /** Whether an upstream is to get nothing new: it leaves, or its zone is out of use. */
+  /** Whether an upstream must get no new work: it is leaving, or its zone is under evacuation. */
   isLeaving({ leaving, zone }: UpstreamDefinition): boolean {
     return leaving || this.evacuations.has(zone);
   }
 }
 
-/** The application of one log entry: changes go through here and are collected for routers. */
+/** The application of one log entry. It makes the changes and collects them for routers. */
 export class Transaction {
   readonly changes: RegistryChange[] = [];
 
   constructor(
     readonly state: RegistryState,
-    /** Index of the entry. */
+    /** Index of the log entry. */
     readonly revision: Revision,
   ) {}
 
@@ -106,7 +106,7 @@
     this.note({ type: 'evacuation', zone, record });
   }
 
-  /** Collects changes that a part of the state made itself. */
+  /** Collects changes that were already made to the state, e.g. by the range table. */
   noteAll(changes: readonly RegistryChange[]): void {
     for (const change of changes) {
       this.note(change);
--- a/src/registry/shard-table.ts
+++ b/src/registry/shard-table.ts
@@ -1,6 +1,6 @@
 /**
- * The shards of every service with indexes by owner, by target of a planned move, and of those without owner.
- * Each index is kept up with each change, so that no query scans the table.
+ * The shards of every service, with indexes by owner and by target of a planned move, and an index of unowned shards.
+ * Every change updates the indexes, so no query scans the table.
  */
 import {
   formatShardId,
@@ -14,19 +14,19 @@
 import type { KeyspaceDefinition } from '../model/service.js';
 import type { ServiceRecord, ShardRecord } from './types.js';
 
-/** Current generation of one service. */
+/** The current generation of one service. */
 interface ServiceShards {
   readonly generation: Revision;
-  /** Number of shards by name of keyspace. */
+  /** Number of shards by keyspace name. */
   readonly shardCounts: ReadonlyMap<string, number>;
   readonly unowned: Set<ShardId>;
-  /** Owned shards of older generations; the set outlives changes of generation. */
+  /** Owned shards of older generations; the set is kept across changes of generation. */
   readonly retiredOwned: Set<ShardId>;
 }
 
 const NO_SHARDS: ReadonlySet<ShardId> = new Set();
 
-/** A set by key; empty sets are dropped. */
+/** Sets of shards by key; empty sets are removed. */
 class SetIndex {
   private readonly sets = new Map<string, Set<ShardId>>();
 
@@ -82,7 +82,7 @@
     return this.services.get(service)?.retiredOwned ?? NO_SHARDS;
   }
 
-  /** Parts of the shard's name if it belongs to the current key map of its service. */
+  /** Returns the parts of the shard's id if it belongs to the current key map of its service. */
   currentParts(shard: ShardId): ShardParts | undefined {
     const parts = parseShardId(shard);
     if (parts === undefined) {
@@ -91,11 +91,11 @@
     const service = this.services.get(parts.service);
     const count = service?.shardCounts.get(parts.keyspace) ?? 0;
     const current = service?.generation === parts.generation && parts.number < count;
-    // A name with other digits ('007') isn't the shard's name.
+    // Rejects ids that spell the number differently ('007').
     return current && formatShardId(parts) === shard ? parts : undefined;
   }
 
-  /** Stores a record, or drops it (`null`): the shard then stands as never granted. */
+  /** Stores a record, or removes it (`null`): the shard then counts as never granted. */
   put(shard: ShardId, record: ShardRecord | null): void {
     const before = this.table.get(shard);
     if (before !== undefined) {
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Takes over a service's key map. Every shard of it counts as unowned until a record says otherwise.
-   * Returns the records of older generations, which the caller drops if nobody owns them.
+   * Sets a service's key map. Each of its shards counts as unowned until a record with an owner is stored.
+   * Returns the records of older generations; the calling code removes those without an owner.
    */
   setKeyMap(record: ServiceRecord): ShardRecord[] {
     const { name, keyspaces } = record.definition;
@@ -133,7 +133,7 @@
     return older;
   }
 
-  /** Forgets a service; returns its records, which the caller drops. */
+  /** Removes a service from the indexes; returns its records, which the calling code removes. */
   dropService(name: ServiceName): ShardRecord[] {
     const records = this.recordsOf(name);
     this.services.delete(name);
--- a/src/registry/snapshot-codec.ts
+++ b/src/registry/snapshot-codec.ts
@@ -1,4 +1,4 @@
-/** Reads snapshots of the registry: compressed JSON parts, each after its length. */
+/** Decodes snapshots of the registry: compressed JSON parts, each prefixed with its length. */
 import { gunzipSync } from 'node:zlib';
 import { toError } from '../errors/ternmount-error.js';
 import { type KeptRecord, Ledger, type LedgerState, type Tombstone } from '../ledger/index.js';
@@ -21,7 +21,7 @@
   readonly ledger: { readonly records: KeptRecord[]; readonly tombstones: Tombstone[] };
 };
 
-/** Writes a state at once. */
+/** Encodes a state in one go. */
 export function encodeState(state: RegistryState): Uint8Array {
   const encoder = new SnapshotEncoder(state);
   let bytes = encoder.step();
@@ -31,7 +31,7 @@
   return bytes;
 }
 
-/** Reads a state; throws `RegistrySnapshotError`. */
+/** Decodes a state; throws `RegistrySnapshotError` if that isn't possible. */
 export function decodeState(bytes: Uint8Array): RegistryState {
   const draft = new StateDraft();
   try {
@@ -41,12 +41,12 @@
   } catch (thrown) {
     throw thrown instanceof RegistrySnapshotError
       ? thrown
-      : new RegistrySnapshotError("the registry's snapshot can't be read", toError(thrown));
+      : new RegistrySnapshotError("the registry snapshot can't be decoded", toError(thrown));
   }
   return draft.build();
 }
 
-/** Reads the parts of a snapshot in their order; throws what `zlib` or `JSON` throw. */
+/** Reads the parts of a snapshot in order; errors of `zlib` and `JSON` pass through. */
 export function* readParts(snapshot: Uint8Array): Generator<SnapshotPart> {
   const bytes = Buffer.from(snapshot.buffer, snapshot.byteOffset, snapshot.byteLength);
   for (let offset = 0; offset < bytes.length; ) {
@@ -57,7 +57,7 @@
   }
 }
 
-/** A state as its parts come in. */
+/** Builds a state from the parts of a snapshot. */
 class StateDraft {
   #head: Head | undefined;
   #isComplete = false;
@@ -127,7 +127,7 @@
   build(): RegistryState {
     const head = this.#head;
     if (head === undefined || !this.#isComplete) {
-      throw new RegistrySnapshotError("the registry's snapshot isn't whole");
+      throw new RegistrySnapshotError('the registry snapshot is incomplete');
     }
     const ledger = Ledger.fromState({ services: this.#ledgers });
     const state = new RegistryState(ledger, new DedupTable(this.#dedup), new ChangeRing(head.revision));
@@ -160,7 +160,7 @@
 
   #begin(head: Head): void {
     if (head.version !== SNAPSHOT_VERSION) {
-      throw new RegistrySnapshotError(`version ${head.version} of the registry's snapshot isn't known`);
+      throw new RegistrySnapshotError(`version ${head.version} of the registry snapshot isn't supported`);
     }
     this.#head = head;
   }
--- a/src/registry/snapshot-encoder.ts
+++ b/src/registry/snapshot-encoder.ts
@@ -1,21 +1,21 @@
 /**
- * Writes a snapshot in slices, so that a large state doesn't keep a member from its heartbeats. The state may change
- * meanwhile: what is written is the image taken at the start.
+ * Writes a snapshot in slices, so that a large state doesn't block the heartbeats of a cluster member. The state may change
+ * meanwhile: the snapshot holds the image taken at the start.
  */
 import { gzipSync } from 'node:zlib';
 import type { Revision } from '../model/identifiers.js';
 import type { RegistryState } from './registry-state.js';
 import { imageOf, partsOf, type SnapshotPart } from './snapshot-parts.js';
 
-/** The fastest; higher levels cost more time than the bytes they save are worth. */
+/** The fastest level; the bytes saved by higher levels don't justify their time. */
 const COMPRESSION_LEVEL = 1;
-/** Bytes of JSON after which a slice ends: a few milliseconds of work. */
+/** Bytes of JSON after which a slice ends; they take a few milliseconds. */
 const SLICE_BYTES = 128 * 1024;
-/** Length before each compressed part. */
+/** Size of the length prefix of each compressed part. */
 export const LENGTH_BYTES = 4;
 
 export class SnapshotEncoder {
-  /** Revision of the state that is written. */
+  /** Revision of the state being written. */
   readonly revision: Revision;
   readonly #parts: Iterator<SnapshotPart>;
   readonly #written: Buffer[] = [];
@@ -26,7 +26,7 @@
     this.#parts = partsOf(image);
   }
 
-  /** Writes the next slice. Gives the whole snapshot once it is done, `null` before. */
+  /** Writes the next slice. Returns the whole snapshot after the last slice, `null` before. */
   step(): Uint8Array | null {
     for (let bytes = 0; bytes < SLICE_BYTES; ) {
       const next = this.#parts.next();
@@ -45,7 +45,7 @@
   }
 }
 
-/** The bytes of one part: its length, then its compressed JSON. */
+/** Encodes one part: its length, then its compressed JSON. */
 export function encodePart(part: SnapshotPart): Buffer {
   return frame(JSON.stringify(part));
 }
--- a/src/registry/snapshot-parts.ts
+++ b/src/registry/snapshot-parts.ts
@@ -1,6 +1,6 @@
 /**
- * The parts that a snapshot of the registry consists of, each small enough to be written without holding up anything
- * else. Their order and content follow from the log alone, so that equal states give equal parts.
+ * The parts of a registry snapshot, each small enough to be written without blocking the event loop. Their order and content
+ * depend only on the log, so that equal states give equal parts.
  */
 import type { KeptRecord, LedgerState, Tombstone } from '../ledger/index.js';
 import type { CrashSuspect } from '../model/crash-suspect.js';
@@ -14,12 +14,12 @@
 import type { RegistryState } from './registry-state.js';
 import type { ServiceRecord, ShardRecord, UpstreamRecord } from './types.js';
 
-/** Version of the format, in the head of each snapshot. */
+/** Format version, stored in the head of each snapshot. */
 export const SNAPSHOT_VERSION = 2;
 
-/** Rough bytes of a part; a single larger record stands alone. */
+/** Approximate size at which a part ends; a large record can make its part exceed it. */
 const TARGET_PART_BYTES = 64 * 1024;
-/** Rough bytes of records as JSON, those of a stored answer's body aside. */
+/** Approximate sizes of records as JSON, without the body of a stored response. */
 const SERVICE_BYTES = 2000;
 const UPSTREAM_BYTES = 300;
 const SHARD_BYTES = 30;
@@ -40,9 +40,9 @@
     }
   | { readonly part: 'services'; readonly services: readonly ServiceRecord[] }
   | { readonly part: 'upstreams'; readonly upstreams: readonly UpstreamRecord[] }
-  /** `names` are those that no part before had; positions count through all parts. */
+  /** `names` holds the names that no earlier part contains; their positions continue across parts. */
   | { readonly part: 'shards'; readonly names: readonly string[]; readonly shards: readonly ShardGroup[] }
-  /** Begins the ledger of a service, whose records follow. */
+  /** Starts the ledger of a service; its records and tombstones follow. */
   | {
       readonly part: 'ledger';
       readonly name: ServiceName;
@@ -56,12 +56,12 @@
   | { readonly part: 'departed'; readonly departed: readonly DepartedEntry[] }
   | { readonly part: 'ranges'; readonly ranges: readonly KeyRange[] }
   | { readonly part: 'suspects'; readonly suspects: readonly CrashSuspect[] }
-  /** Left out where no zone is out of use. */
+  /** Left out if no zone is under evacuation. */
   | { readonly part: 'evacuations'; readonly evacuations: readonly EvacuationRecord[] }
   | { readonly part: 'dedup'; readonly dedup: readonly DedupEntry[] }
   | { readonly part: 'end' };
 
-/** A state as it was at one revision. Holds the records themselves, which are never changed but replaced. */
+/** The state at one revision. It references the records themselves, which are replaced and never mutated. */
 export interface StateImage {
   readonly revision: Revision;
   readonly clock: WallMillis;
@@ -69,7 +69,7 @@
   readonly services: readonly ServiceRecord[];
   readonly upstreams: readonly UpstreamRecord[];
   readonly shards: readonly ShardRecord[];
-  /** `null`: nothing was declared as one document. */
+  /** `null`: no document has been declared. */
   readonly declared: DeclaredImage | null;
   readonly departed: readonly DepartedEntry[];
   readonly ranges: readonly KeyRange[];
@@ -79,7 +79,7 @@
   readonly dedup: readonly DedupEntry[];
 }
 
-/** Takes an image of a state: copies lists, no records. */
+/** Takes an image of a state: copies the lists, not the records. */
 export function imageOf(state: RegistryState): StateImage {
   const { revision, clock, sweptAt, services, upstreams, shards, ledger, dedup } = state;
   const { declared, departed, ranges, suspects, evacuations } = state;
@@ -100,7 +100,7 @@
   };
 }
 
-/** The parts of an image, made as they are asked for. */
+/** Generates the parts of an image lazily. */
 export function* partsOf(image: StateImage): Generator<SnapshotPart> {
   const { revision, clock, sweptAt } = image;
   yield { part: 'head', version: SNAPSHOT_VERSION, revision, clock, sweptAt };
@@ -163,7 +163,7 @@
   return LEDGER_BYTES + (record.answer?.body.length ?? 0);
 }
 
-/** Cuts a list into pieces of about `PART_BYTES`. */
+/** Splits a list into chunks of about `TARGET_PART_BYTES`. */
 function* chunksOf<Item>(
   items: readonly Item[],
   bytesOf: (item: Item) => number,
--- a/src/registry/suspect-table.ts
+++ b/src/registry/suspect-table.ts
@@ -1,4 +1,4 @@
-/** Requests under which upstreams ended, bounded: those least suspected are forgotten first. */
+/** Requests during which upstreams crashed, bounded: the least suspected are evicted first. */
 import type { CrashSuspect, RequestFingerprint } from '../model/crash-suspect.js';
 import type { WallMillis } from '../model/identifiers.js';
 
@@ -25,12 +25,12 @@
     return [...this.#suspects.values()];
   }
 
-  /** Those whose time is over. */
+  /** Returns the suspects that have expired. */
   expired(clock: WallMillis): CrashSuspect[] {
     return this.all().filter(({ until }) => until <= clock);
   }
 
-  /** Those beyond `most`, least suspected first, and of these the one whose time is over first. */
+  /** Returns the suspects to evict so that at most `maxCount` remain: least suspected first, then earliest expiry first. */
   excess(maxCount: number): CrashSuspect[] {
     const count = this.size - maxCount;
     return count <= 0 ? [] : this.all().sort(bySuspicion).slice(0, count);
--- a/src/registry/types.ts
+++ b/src/registry/types.ts
@@ -1,4 +1,4 @@
-/** The replicated state machine: what operators declared, who owns each shard, the ledger and the dedup table. */
+/** Types of the replicated state machine: declarations, shard and range owners, the ledger, the dedup table, and their commands. */
 import type { ClaimCommand, ClaimResult, LedgerRecord, SettleCommand } from '../ledger/types.js';
 import type {
   ClearedSuspect,
@@ -25,33 +25,33 @@
 /** A declared service. */
 export interface ServiceRecord {
   readonly definition: ServiceDefinition;
-  /** Revision of the last change to it. */
+  /** Revision of the last change to the service. */
   readonly revision: Revision;
-  /** Revision at which keyspaces last changed; part of the names of its shards. */
+  /** Revision at which the keyspaces last changed; part of the ids of its shards. */
   readonly generation: Revision;
 }
 
 /** A declared upstream and its session. */
 export interface UpstreamRecord {
   readonly definition: UpstreamDefinition;
-  /** Revision of the last change to the definition; sessions don't change it. */
+  /** Revision of the last change to the definition; opening or ending a session doesn't change it. */
   readonly revision: Revision;
-  /** Incarnation which holds the session; `null` before the first and after its lease ended. */
+  /** Incarnation that holds the session; `null` before the first session and after its lease has ended. */
   readonly incarnation: Incarnation | null;
 }
 
-/** Where a shard stands. Absent records mean `unowned`, never granted. */
+/** The state of a shard. A shard without a record is unowned and has never been granted. */
 export interface ShardRecord {
   readonly shard: ShardId;
   readonly owner: UpstreamId | null;
   readonly incarnation: Incarnation | null;
   readonly epoch: Epoch;
-  /** Planned move under way: the owner gives up, then `target` is granted. */
+  /** Target of the planned move in progress: the owner releases the shard, then it is granted to this upstream. */
   readonly movingTo: UpstreamId | null;
   readonly revision: Revision;
 }
 
-/** Changes asked for by operators. `expected` is the revision of the thing as the operator saw it; 0: must not exist; `null`: any. */
+/** Changes requested by operators. `expected` is the revision of the object that the operator last read; 0: it must not exist; `null`: any. */
 export type OperatorCommand =
   | {
       readonly type: 'service-apply';
@@ -59,7 +59,7 @@
       readonly expected: Revision | null;
     }
   | { readonly type: 'service-delete'; readonly service: ServiceName; readonly expected: Revision | null }
-  /** Changes the policy of a service and nothing else of it. */
+  /** Changes only the policy of a service. */
   | {
       readonly type: 'policy-apply';
       readonly service: ServiceName;
@@ -71,7 +71,7 @@
       readonly definition: UpstreamDefinition;
       readonly expected: Revision | null;
     }
-  /** Changes whether an upstream is leaving and nothing else of it. */
+  /** Changes only whether an upstream is leaving (drained by the operator). */
   | {
       readonly type: 'upstream-drain';
       readonly upstream: UpstreamId;
@@ -85,7 +85,7 @@
       readonly to: UpstreamId;
       readonly expected: Revision | null;
     }
-  /** Lets a request pass again under which upstreams ended. */
+  /** Releases a quarantined request (one during which upstreams crashed). */
   | {
       readonly type: 'quarantine-release';
       readonly fingerprint: RequestFingerprint;
@@ -93,31 +93,31 @@
     };
 
 /**
- * Operators' orders that the upstreams of a zone get nothing new, and that they may again. One that stands already changes nothing, so
- * each may be sent again.
+ * Starts or ends the evacuation of a zone, during which its upstreams get no new work. A command whose effect is already in place
+ * changes nothing, so each can be resent.
  */
 export type EvacuationCommand =
   | { readonly type: 'evacuation-start'; readonly zone: Zone }
   | { readonly type: 'evacuation-end'; readonly zone: Zone };
 
-/** A change of the declared document as its sender wrote it; items are checked when the change is applied. */
+/** A change of the declared document as it was sent; items are validated when the change is applied. */
 export interface DeclarationChange {
   readonly type: 'declaration-apply';
-  /** Version that the change makes. */
+  /** Version of the document after the change. */
   readonly version: number;
-  /** Version that it builds on; 0: there is none yet. */
+  /** Version that the change is based on; 0: no document exists yet. */
   readonly expected: number;
-  /** `whole`: what isn't listed goes. `partial`: items are added or replaced by name. */
+  /** `whole`: items that aren't listed are removed. `partial`: items are added or replaced by name. */
   readonly extent: 'whole' | 'partial';
   readonly routes: readonly unknown[];
   readonly services: readonly unknown[];
-  /** `null`: as before. */
+  /** `null`: unchanged in a partial change, the defaults in a whole one. */
   readonly limits: unknown;
   readonly removedRoutes: readonly string[];
   readonly removedServices: readonly string[];
 }
 
-/** What routers report of requests under which upstreams ended, and what time makes of it. The terms are the leader's. */
+/** Reports by routers about requests during which upstreams crashed, and the expiry of such records. The leader sets the terms. */
 export type CrashCommand =
   | {
       readonly type: 'crashes-note';
@@ -127,14 +127,14 @@
   | { readonly type: 'suspects-clear'; readonly cleared: readonly ClearedSuspect[] }
   | { readonly type: 'suspects-expire'; readonly terms: QuarantineTerms };
 
-/** What upstreams say of themselves. */
+/** Commands derived from the announcements of upstreams. */
 export type AnnouncementCommand =
-  /** An upstream is there, or says that it leaves. */
+  /** An upstream is running, or reports that it is shutting down. */
   | { readonly type: 'upstream-announce'; readonly definition: UpstreamDefinition }
-  /** It will end; its id won't come back, but for a run that says that it was born later. `born`: left out if it doesn't say. */
+  /** The upstream will end. Its id is accepted again only from a run with a later `born`. `born` is left out if the run doesn't report it. */
   | { readonly type: 'upstream-withdraw'; readonly upstream: UpstreamId; readonly born?: WallMillis };
 
-/** New owners of ranges of one service's keys. Each update applies only if its span lies in a range with that fence. */
+/** A new owner for a span of keys of one service. It applies only if the span lies within a single range whose fence is `expectedFence`. */
 export interface RangeUpdate {
   readonly from: number;
   readonly to: number;
@@ -143,18 +143,18 @@
   readonly former: UpstreamId | null;
 }
 
-/** Changes that the leader itself makes. Each names what it relies on, so a stale one changes nothing. */
+/** Changes made by the leader. Each contains its preconditions, so a stale one changes nothing. */
 export type LeaderCommand =
-  /** A new incarnation was seen: the session and all grants of the one before are void (its lease ended or it said so itself). */
+  /** A new incarnation started: the session and all grants of the previous one are void (its lease ended or it gave them up). */
   | {
       readonly type: 'session-open';
       readonly upstream: UpstreamId;
       readonly incarnation: Incarnation;
       readonly previous: Incarnation | null;
     }
-  /** The lease of this incarnation has ended; its shards are unowned. */
+  /** The lease of this incarnation has ended; its shards become unowned. */
   | { readonly type: 'session-end'; readonly upstream: UpstreamId; readonly incarnation: Incarnation }
-  /** Grants for many shards at once; each applies only if the shard is unowned and at `expectedEpoch`. */
+  /** Grants several shards; each grant applies only if the shard is unowned and at `expectedEpoch`. */
   | {
       readonly type: 'grant-batch';
       readonly grants: readonly {
@@ -168,7 +168,7 @@
       readonly type: 'move-start';
       readonly moves: readonly { readonly shard: ShardId; readonly to: UpstreamId; readonly epoch: Epoch }[];
     }
-  /** The owner at `epoch` gave the shard up for good. */
+  /** The owner at `epoch` has released the shard permanently. */
   | {
       readonly type: 'shard-release';
       readonly releases: readonly { readonly shard: ShardId; readonly epoch: Epoch }[];
@@ -179,10 +179,10 @@
       readonly service: ServiceName;
       readonly updates: readonly RangeUpdate[];
     }
-  /** Upstreams that announced themselves are gone for good. */
+  /** Removes announced upstreams that have ended permanently. */
   | { readonly type: 'upstream-forget'; readonly upstreams: readonly UpstreamId[] };
 
-/** Every command that a log entry may hold. */
+/** Every command that a log entry can hold. */
 export type Command =
   | OperatorCommand
   | EvacuationCommand
@@ -193,34 +193,34 @@
   | ClaimCommand
   | SettleCommand;
 
-/** What a log entry of kind `command` holds, as JSON. */
+/** The content of a log entry of kind `command`, as JSON. */
 export interface CommandEnvelope {
-  /** Operators' id of the request, for the dedup table; `null` for the system's own. */
+  /** Request id set by the operator, for the dedup table; `null` for commands of the system itself. */
   readonly requestId: string | null;
-  /** Who asked, for the audit log. */
+  /** Originator of the command, for the audit log. */
   readonly actor: string;
-  /** The leader's wall clock when it proposed. */
+  /** The leader's wall clock when it proposed the entry. */
   readonly at: WallMillis;
   readonly command: Command;
 }
 
-/** What the registry made of a command, the same on every replica. */
+/** The result of a command, identical on every replica. */
 export type CommandResult =
   | { readonly type: 'accepted'; readonly revision: Revision }
-  /** Compare-and-set lost; `current` is the revision now (0: doesn't exist). */
+  /** The compare-and-set failed; `current` is the current revision (0: the object doesn't exist). */
   | { readonly type: 'conflict'; readonly current: Revision }
   | { readonly type: 'invalid'; readonly message: string }
   | { readonly type: 'not-found' }
   | { readonly type: 'claim'; readonly result: ClaimResult };
 
-/** A thing that changed, as routers and the leader's own tasks see it. */
+/** The new record of an object that changed, for routers and the leader's own tasks; `null`: it was removed. */
 export type RegistryChange =
   | { readonly type: 'service'; readonly name: ServiceName; readonly record: ServiceRecord | null }
   | { readonly type: 'upstream'; readonly id: UpstreamId; readonly record: UpstreamRecord | null }
   | { readonly type: 'shard'; readonly shard: ShardId; readonly record: ShardRecord | null }
   | { readonly type: 'route'; readonly name: string; readonly record: RouteRecord | null }
   | { readonly type: 'declaration'; readonly record: DeclarationRecord | null }
-  /** The range that begins at `from`; `null`: none begins there any more. */
+  /** The range that starts at `from`; `null`: no range starts there any more. */
   | {
       readonly type: 'range';
       readonly service: ServiceName;
@@ -234,7 +234,7 @@
     }
   | { readonly type: 'evacuation'; readonly zone: Zone; readonly record: EvacuationRecord | null };
 
-/** The declared document as its senders wrote it. */
+/** The declared document as it was sent. */
 export interface DeclaredDocument {
   readonly version: number;
   readonly routes: readonly unknown[];
@@ -242,19 +242,19 @@
   readonly limits: unknown;
 }
 
-/** Everything a router needs; sent whole or as changes. */
+/** All registry data that a router needs; sent as a whole or as a delta. */
 export interface RoutingSnapshot {
   readonly revision: Revision;
   readonly services: readonly ServiceRecord[];
   readonly upstreams: readonly UpstreamRecord[];
   readonly shards: readonly ShardRecord[];
   readonly routes: readonly RouteRecord[];
-  /** `null`: nothing was declared as one document. */
+  /** `null`: no document has been declared. */
   readonly declaration: DeclarationRecord | null;
   readonly ranges: readonly KeyRange[];
-  /** Requests under which upstreams ended; left out: none. */
+  /** Requests during which upstreams crashed; left out: none. */
   readonly suspects?: readonly CrashSuspect[];
-  /** Zones out of use; left out: none. */
+  /** Zones under evacuation; left out: none. */
   readonly evacuations?: readonly EvacuationRecord[];
 }
 
@@ -265,15 +265,15 @@
   readonly changes: readonly RegistryChange[];
 }
 
-/** Writes one snapshot. */
+/** Writes one snapshot in slices. */
 export interface RegistrySnapshotEncoder {
-  /** Revision of the state that is written. */
+  /** Revision of the state being written. */
   readonly revision: Revision;
-  /** Writes the next slice. Gives the whole snapshot once it is done, `null` before. */
+  /** Writes the next slice. Returns the whole snapshot after the last slice, `null` before. */
   step(): Uint8Array | null;
 }
 
-/** The state machine. Deterministic: the same entries give the same state and results on every replica. */
+/** The state machine. It is deterministic: the same entries give the same state and results on every replica. */
 export interface Registry {
   /** Revision of the last entry applied. */
   readonly revision: Revision;
@@ -283,40 +283,40 @@
   ): { readonly result: CommandResult; readonly changes: readonly RegistryChange[] };
   /** Entries that carry no command still advance the revision. */
   advance(index: Revision): void;
-  /** Records held of every kind. */
+  /** Number of records of all kinds. */
   readonly recordCount: number;
-  /** A snapshot of the whole state, written at once. */
+  /** Returns a snapshot of the whole state, written in one go. */
   encode(): Uint8Array;
-  /** A snapshot of the state as it is now, written in slices; the state may change meanwhile. */
+  /** Starts a snapshot of the current state that is written in slices; the state may change meanwhile. */
   beginEncode(): RegistrySnapshotEncoder;
   services(): ReadonlyMap<ServiceName, ServiceRecord>;
   upstreams(): ReadonlyMap<UpstreamId, UpstreamRecord>;
   shards(): ReadonlyMap<ShardId, ShardRecord>;
-  /** Shards that this upstream owns, retired ones included. */
+  /** Shards that this upstream owns, including retired ones. */
   shardsOwnedBy(upstream: UpstreamId): ReadonlySet<ShardId>;
   /** Shards with a planned move to this upstream. */
   shardsMovingTo(upstream: UpstreamId): ReadonlySet<ShardId>;
-  /** Shards of the service's current generation without an owner; those never granted included. */
+  /** Shards of the service's current generation without an owner, including shards that were never granted. */
   unownedShards(service: ServiceName): ReadonlySet<ShardId>;
-  /** Shards of older generations that still have an owner. While there is one, no shard of the service is granted. */
+  /** Shards of older generations that still have an owner. While any exists, no shard of the service is granted. */
   retiredOwned(service: ServiceName): ReadonlySet<ShardId>;
   ledgerRecord(service: ServiceName, key: string): LedgerRecord | undefined;
-  /** Ranges of a service whose keys are numbers, sorted; empty for any other. */
+  /** Sorted ranges of a service with numeric keys; empty for any other service. */
   ranges(service: ServiceName): readonly KeyRange[];
-  /** Requests under which upstreams ended. */
+  /** Requests during which upstreams crashed. */
   suspects(): readonly CrashSuspect[];
-  /** How many they are, without a copy. */
+  /** Number of suspects, without copying them. */
   readonly suspectCount: number;
   suspect(fingerprint: RequestFingerprint): CrashSuspect | undefined;
-  /** Zones out of use. */
+  /** Zones under evacuation. */
   evacuations(): readonly EvacuationRecord[];
-  /** Whether an upstream is to get nothing new: it leaves, or its zone is out of use. */
+  /** Whether an upstream must get no new work: it is leaving, or its zone is under evacuation. */
   isLeaving(definition: UpstreamDefinition): boolean;
-  /** Whether this run of an upstream announced itself once and is gone for good. `born`: left out if it doesn't say. */
+  /** Whether this run of an upstream announced itself and has ended permanently. `born` is left out if the run doesn't report it. */
   isDeparted(upstream: UpstreamId, born?: WallMillis): boolean;
-  /** `null`: nothing was declared as one document. */
+  /** `null`: no document has been declared. */
   declaredDocument(): DeclaredDocument | null;
   routingSnapshot(): RoutingSnapshot;
-  /** Changes after `from`, or `undefined` if that is too long ago. */
+  /** Changes after `from`, or `undefined` if some of them are no longer kept. */
   routingDelta(from: Revision): RoutingDelta | undefined;
 }
--- a/src/registry/validation/field-checks.ts
+++ b/src/registry/validation/field-checks.ts
@@ -1,7 +1,7 @@
-/** Checks of single fields. They throw `InvalidDefinitionError`, which `apply` turns into an `invalid` result. */
+/** Validation of single fields. Failures throw `InvalidDefinitionError`, which `applyCommand` turns into an `invalid` result. */
 import { RegistryError } from '../errors.js';
 
-/** A definition that operators must mend; the message starts with the place, e.g. `keyspaces[0].shards`. */
+/** A definition is invalid; the message starts with the path of the field, e.g. `keyspaces[0].shards`. */
 export class InvalidDefinitionError extends RegistryError {
   constructor(place: string, problem: string) {
     super({ code: 'TERNMOUNT_REGISTRY_INVALID', retriable: false }, `${place}: ${problem}`);
@@ -10,12 +10,11 @@
 
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 
-/** Refuses a definition. */
 export function fail(place: string, problem: string): never {
   throw new InvalidDefinitionError(place, problem);
 }
 
-/** A name that may stand in the id of a shard. */
+/** Checks a name that can be part of a shard id. */
 export function checkName(place: string, value: unknown): string {
   if (typeof value !== 'string' || !NAME_PATTERN.test(value)) {
     fail(
@@ -26,7 +25,7 @@
   return value;
 }
 
-/** Text of `longest` characters at most. */
+/** Checks text of at most `maxLength` characters. */
 export function checkText(place: string, value: unknown, maxLength: number): string {
   if (typeof value !== 'string' || value.length > maxLength) {
     fail(place, `must be text of at most ${maxLength} characters`);
@@ -34,18 +33,17 @@
   return value;
 }
 
-/** The same, and not empty. */
+/** Checks text of 1 to `maxLength` characters. */
 export function checkNonEmptyText(place: string, value: unknown, maxLength: number): string {
   const text = checkText(place, value, maxLength);
   return text === '' ? fail(place, 'must not be empty') : text;
 }
 
-/** `true` or `false`. */
 export function checkBoolean(place: string, value: unknown): boolean {
   return typeof value === 'boolean' ? value : fail(place, 'must be true or false');
 }
 
-/** A number from `least` to `most`. */
+/** Checks a number from `min` to `max`, both included. */
 export function checkNumber(place: string, value: unknown, min: number, max: number): number {
   if (typeof value !== 'number' || !(value >= min && value <= max)) {
     fail(place, `must be a number from ${min} to ${max}`);
@@ -53,7 +51,7 @@
   return value;
 }
 
-/** A whole number from `least` to `most`. */
+/** Checks an integer from `min` to `max`, both included. */
 export function checkInteger(place: string, value: unknown, min: number, max: number): number {
   if (!Number.isInteger(value)) {
     fail(place, `must be a whole number from ${min} to ${max}`);
@@ -61,7 +59,6 @@
   return checkNumber(place, value, min, max);
 }
 
-/** One of the choices. */
 export function checkChoice<Choice extends string>(
   place: string,
   value: unknown,
@@ -71,7 +68,7 @@
   return choice ?? fail(place, `must be one of ${choices.join(', ')}`);
 }
 
-/** A list of `longest` items at most; the items are still to be checked. */
+/** Checks a list of at most `maxItems` items; the items themselves remain unchecked. */
 export function checkList(place: string, value: unknown, maxItems: number): readonly unknown[] {
   if (!Array.isArray(value) || value.length > maxItems) {
     fail(place, `must be a list of at most ${maxItems}`);
@@ -79,7 +76,7 @@
   return value;
 }
 
-/** An object whose fields are still to be checked. */
+/** Checks for an object; its fields remain unchecked. */
 export function checkObject(place: string, value: unknown): Readonly<Record<string, unknown>> {
   if (value === null || typeof value !== 'object' || Array.isArray(value)) {
     fail(place, 'must be an object');
@@ -87,7 +84,7 @@
   return value as Readonly<Record<string, unknown>>;
 }
 
-/** Fails if two items give the same text. */
+/** Fails if two texts are equal; `what` names what they are in the message. */
 export function checkDistinct(place: string, texts: readonly string[], what: string): void {
   const seen = new Map<string, number>();
   for (const [position, text] of texts.entries()) {
--- a/src/registry/validation/validate-declaration.ts
+++ b/src/registry/validation/validate-declaration.ts
@@ -1,4 +1,4 @@
-/** Checks of the items of a declared document. Fields that aren't known here are kept as they came and mean nothing. */
+/** Validates the items of a declared document. Unknown fields have no effect; they are kept only in the document as it was sent. */
 import {
   type CallerLimits,
   DEFAULT_CALLER_LIMITS,
@@ -30,10 +30,10 @@
 const MAX_LIMIT = 2 ** 40;
 const MAX_WARMUP_SECONDS = 3600;
 const MILLIS_PER_SECOND = 1000;
-/** Whether a request may be run twice without harm, by the word that says so; a `download` is a read with a large answer. */
+/** Whether a request may safely run more than once, by route type; a `download` is a read with a large response. */
 const REPEATABLE_BY_TYPE: Readonly<Record<string, boolean>> = { safe: true, unsafe: false, download: true };
 
-/** Checks a route; throws `InvalidDefinitionError` that names the place. */
+/** Validates a route; throws an `InvalidDefinitionError` with the path of the invalid field. */
 export function validateRoute(place: string, input: unknown): RouteDefinition {
   const fields = checkObject(place, input);
   const name = checkNonEmptyText(`${place}.name`, fields.name, MAX_NAME_LENGTH);
@@ -55,7 +55,7 @@
   };
 }
 
-/** Checks a service; throws `InvalidDefinitionError` that names the place. */
+/** Validates a service; throws an `InvalidDefinitionError` with the path of the invalid field. */
 export function validateDeclaredService(place: string, input: unknown): DeclaredService {
   const fields = checkObject(place, input);
   const { healthPath = DEFAULT_HEALTH_PATH } = fields;
@@ -72,13 +72,13 @@
   };
 }
 
-/** 0 says that such keys aren't slow, which is what holds without a word. */
+/** 0 means that unwarmed keys aren't slow, the same as leaving the field out. */
 function checkUnwarmedKeySeconds(place: string, value: unknown): number | null {
   const seconds = optionalNumber(place, value, 0, MAX_WARMUP_SECONDS, 0);
   return seconds === 0 ? null : seconds * MILLIS_PER_SECOND;
 }
 
-/** Both fields or neither: a bound on requests holds for a time. */
+/** Warmup needs both fields: a request rate and how long it applies. Without either of them there is no warmup. */
 function checkWarmup(place: string, fields: Readonly<Record<string, unknown>>): WarmupTerms | null {
   const { warmupPerSecond, warmupSeconds } = fields;
   const isLeftOut = (value: unknown): boolean => value === undefined || value === null;
@@ -91,7 +91,7 @@
   return isNone ? null : { perSecond, millis: seconds * MILLIS_PER_SECOND };
 }
 
-/** Checks limits; those left out take the defaults. Throws `InvalidDefinitionError` that names the place. */
+/** Validates limits and fills in defaults; throws an `InvalidDefinitionError` with the path of the invalid field. */
 export function validateLimits(input: unknown): CallerLimits {
   const fields = checkObject('limits', input);
   const limit = (name: keyof CallerLimits): number =>
@@ -104,7 +104,7 @@
   };
 }
 
-/** An unknown way of granting is refused also where the service isn't keyed: it would mean something else later. */
+/** An unknown carrier is rejected even if the service isn't keyed, because a later release may give the value a meaning. */
 function checkCarrier(place: string, value: unknown): GrantCarrier {
   return checkChoice(place, value, Object.values(GRANT_CARRIERS));
 }
--- a/src/registry/validation/validate-service.ts
+++ b/src/registry/validation/validate-service.ts
@@ -1,4 +1,4 @@
-/** Checks of service definitions. The result holds the known fields only, in a fixed order. */
+/** Validates service definitions. The result contains only the known fields, in a fixed order. */
 import {
   type KeyspaceDefinition,
   type PlacementWeights,
@@ -21,7 +21,7 @@
 } from './field-checks.js';
 
 const MINUTE_MILLIS = 60_000;
-/** Ranges of the numbers in a service definition, ends included. */
+/** Upper bounds, both for numbers and for lengths, in a service definition. All are inclusive. */
 export const SERVICE_LIMITS = {
   deadlineMillis: 60 * MINUTE_MILLIS,
   slotsPerUpstream: 10_000,
@@ -41,7 +41,7 @@
 const KEYSPACE_KINDS = ['exact', 'prefix'] as const;
 const POLICY_ACTIONS = ['weigh', 'refuse', 'hold'] as const;
 
-/** Checks a definition; throws `InvalidDefinitionError` naming the first wrong place. */
+/** Validates a definition; throws an `InvalidDefinitionError` with the path of the first invalid field. */
 export function validateService(input: unknown): ServiceDefinition {
   const fields = checkObject('definition', input);
   const keyed = checkBoolean('keyed', fields.keyed);
@@ -88,7 +88,7 @@
   return definition;
 }
 
-/** Rules over more than one field. */
+/** Checks rules that involve more than one field. */
 function checkFieldCombinations(definition: ServiceDefinition): void {
   if (definition.coalesce && !definition.repeatable) {
     fail('coalesce', 'only a repeatable service may share attempts');
@@ -152,8 +152,8 @@
 }
 
 /**
- * Checks the shape. Expressions are compiled before a change is proposed, and not here: replicas whose versions of the
- * expression library differ must still come to the same result.
+ * Checks the structure only. Expressions are compiled before a change is proposed, not here: replicas with different versions of
+ * the expression library must still compute the same result.
  */
 function validateRule(input: unknown, position: number): PolicyRule {
   const place = `policy[${position}]`;
--- a/src/registry/validation/validate-upstream.ts
+++ b/src/registry/validation/validate-upstream.ts
@@ -1,4 +1,4 @@
-/** Checks of upstream definitions. The result holds the known fields only, in a fixed order. */
+/** Validates upstream definitions. The result contains only the known fields, in a fixed order. */
 import { isIP } from 'node:net';
 import type { Address } from '../../model/identifiers.js';
 import type { UpstreamDefinition } from '../../model/service.js';
@@ -13,7 +13,7 @@
 /** Finds a declared service. */
 export type ServiceLookup = (name: string) => ServiceRecord | undefined;
 
-/** Checks a definition; throws `InvalidDefinitionError` naming the first wrong place. */
+/** Validates a definition; throws an `InvalidDefinitionError` with the path of the first invalid field. */
 export function validateUpstream(input: unknown, findService: ServiceLookup): UpstreamDefinition {
   const fields = checkObject('definition', input);
   const id = checkName('id', fields.id);
--- a/test/registry/announcements.test.ts
+++ b/test/registry/announcements.test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that announce themselves: an id leaves once, and never comes back. */
+/** Announced upstreams: after a run of an id has left, only a later run of that id is accepted. */
 import { expect } from 'chai';
 import type { UpstreamDefinition } from '../../src/model/service.js';
 import { type Command, createRegistry, decodeRegistry, type Registry } from '../../src/registry/index.js';
@@ -26,7 +26,7 @@
   expect(apply(registry, command).type).to.equal('accepted');
 }
 
-/** Declares a service whose keys are owned in ranges. */
+/** Declares a service whose keys are owned by range. */
 const DECLARED: Command = {
   type: 'declaration-apply',
   version: 1,
@@ -42,7 +42,7 @@
 const announce = (definition: UpstreamDefinition): Command => ({ type: 'upstream-announce', definition });
 
 describe('announced upstreams', () => {
-  it('stay leaving whatever comes late', () => {
+  it('stay leaving when late announcements arrive', () => {
     const registry = createRegistry();
     send(registry, announce(upstream('u1')));
     send(registry, announce(upstream('u1', { leaving: true })));
@@ -50,7 +50,7 @@
     expect(registry.upstreams().get('u1')?.definition.leaving).to.equal(true);
   });
 
-  it('give way to another run at their address and never come back', () => {
+  it('are replaced by another run at their address and are not registered again', () => {
     const registry = createRegistry();
     send(registry, announce(upstream('u1')));
     send(registry, announce(upstream('u2', { service: 'pantry' })));
@@ -62,9 +62,9 @@
     expect([...restored.upstreams().keys()]).to.deep.equal(['u2']);
   });
 
-  // Read, not seen: an upstream owned nothing when its end was proposed, and was given keys before the entry was applied. Without a
-  // record it counts as gone, so its keys were free for others at once while it held them.
-  it('stay while they own keys or may still hold some, whoever proposed their end', () => {
+  // A fault found by reading the code: an upstream owned nothing when its removal was proposed, but was granted keys before the entry
+  // was applied. Without a record it counts as ended, so others could be granted its keys at once while it still held them.
+  it('are kept while they own keys or may still hold some, whichever command removes them', () => {
     for (const [owner, former] of [
       ['u1', null],
       [null, 'u1'],
@@ -93,14 +93,14 @@
     }
   });
 
-  it('are not brought in by a heartbeat after they withdrew unheard', () => {
+  it('are not registered by a heartbeat after a withdrawal that preceded any announcement', () => {
     const registry = createRegistry();
     send(registry, { type: 'upstream-withdraw', upstream: 'u1' });
     send(registry, announce(upstream('u1')));
     expect(registry.upstreams().size).to.equal(0);
   });
 
-  it('leave an upstream at the same address alone that an operator declared', () => {
+  it('do not affect an upstream at the same address that an operator declared', () => {
     const registry = createRegistry();
     const { announced: _announced, ...plain } = upstream('u1');
     const state = registry.upstreams() as Map<string, unknown>;
@@ -115,7 +115,7 @@
   const born = (start: number, changes: Partial<UpstreamDefinition> = {}): UpstreamDefinition =>
     upstream('u1', { announced: { slots: 2, warmupMillis: 0, born: start }, ...changes });
 
-  function owning(start: number): Registry {
+  function registryWithOwner(start: number): Registry {
     const registry = createRegistry();
     send(registry, DECLARED);
     send(registry, announce(born(start)));
@@ -126,8 +126,8 @@
     return registry;
   }
 
-  it('a later one takes the place of the one before, which holds nothing any more', () => {
-    const registry = owning(100);
+  it('a later run replaces the previous one, which owns nothing any more', () => {
+    const registry = registryWithOwner(100);
     const [before] = registry.ranges('menu');
     send(registry, announce(born(200)));
     const [range] = registry.ranges('menu');
@@ -136,8 +136,8 @@
     expect(registry.upstreams().get('u1')?.incarnation).to.equal('u1@200');
   });
 
-  it('an earlier one changes nothing, whatever it says', () => {
-    const registry = owning(200);
+  it('an earlier run changes nothing, whatever it reports', () => {
+    const registry = registryWithOwner(200);
     const before = registry.encode();
     send(registry, announce(born(100)));
     send(registry, announce(born(100, { leaving: true })));
@@ -147,7 +147,7 @@
     expect(registry.ranges('menu')).to.deep.equal(restored.ranges('menu'));
   });
 
-  it('serve again after one that left, withdrew or was forgotten', () => {
+  it('are accepted after an earlier run that left, withdrew or was forgotten', () => {
     for (const end of [
       announce(born(100, { leaving: true })),
       { type: 'upstream-withdraw', upstream: 'u1', born: 100 },
@@ -166,7 +166,7 @@
     }
   });
 
-  it('that withdrew before it was known is told from the next one', () => {
+  it('are distinguished from a run that withdrew before it was announced', () => {
     const registry = createRegistry();
     send(registry, { type: 'upstream-withdraw', upstream: 'u1', born: 200 });
     send(registry, { type: 'upstream-withdraw', upstream: 'u1', born: 100 });
@@ -177,7 +177,7 @@
     expect(registry.upstreams().size).to.equal(1);
   });
 
-  it('are served as before where they say nothing of their start', () => {
+  it('are identified by id alone if they do not report their start', () => {
     const registry = createRegistry();
     send(registry, announce(upstream('u1')));
     expect(registry.upstreams().get('u1')?.incarnation).to.equal('u1');
@@ -186,8 +186,8 @@
     expect(registry.upstreams().size).to.equal(0);
   });
 
-  it('turn cold and warm as one run', () => {
-    const registry = owning(100);
+  it('remain the same run when their warmup changes', () => {
+    const registry = registryWithOwner(100);
     const [before] = registry.ranges('menu');
     send(registry, announce(born(100, { announced: { slots: 2, warmupMillis: 3000, born: 100 } })));
     expect(registry.upstreams().get('u1')?.definition.announced?.warmupMillis).to.equal(3000);
--- a/test/registry/declaration.test.ts
+++ b/test/registry/declaration.test.ts
@@ -1,4 +1,4 @@
-/** The declared document: what is refused changes nothing, and a change that was taken is taken again when it is resent. */
+/** The declared document: a rejected change changes nothing, and a resent change is accepted without being applied again. */
 import { expect } from 'chai';
 import {
   type Command,
@@ -103,7 +103,7 @@
 
 describe('declared document', () => {
   for (const { name, change: invalid, place } of INVALID) {
-    it(`refuses ${name} with its place and changes nothing`, () => {
+    it(`rejects ${name} with the path of the field and changes nothing`, () => {
       const registry = declared();
       const before = registry.routingSnapshot();
       const result = send(registry, invalid);
@@ -115,14 +115,14 @@
     });
   }
 
-  it('lets one of two changes on the same version win', () => {
+  it('accepts only one of two changes based on the same version', () => {
     const registry = declared();
     expect(send(registry, change(7, 5)).type).to.equal('accepted');
     const lost = send(registry, change(8, 5, { routes: [ROUTE] }));
     expect(lost).to.deep.equal({ type: 'conflict', current: 7 });
   });
 
-  it('lets one of two changes that pick the same number win', () => {
+  it('accepts only one of two changes with the same new version', () => {
     const registry = declared();
     expect(send(registry, change(7, 5)).type).to.equal('accepted');
     expect(send(registry, change(7, 5, { routes: [ROUTE] }))).to.deep.equal({ type: 'conflict', current: 7 });
@@ -140,7 +140,7 @@
     }
   });
 
-  it('gives the document back as it was sent', () => {
+  it('returns the document as it was sent', () => {
     const limits = { headerBytes: 1000, extra: true };
     const registry = createRegistry();
     send(registry, change(5, 0, { limits }));
@@ -149,7 +149,7 @@
     expect(decodeRegistry(registry.encode()).declaredDocument()).to.deep.equal(expected);
   });
 
-  it('changes and removes named items, and tells routers just those', () => {
+  it('changes and removes named items, and sends only those to routers', () => {
     const registry = declared();
     const from = registry.revision;
     const moved = { ...ROUTE, timeoutMillis: 900 };
@@ -162,7 +162,7 @@
     expect(changed).to.have.members(['route sheets', 'route orders', 'declaration ']);
   });
 
-  it('begins keyed services with one range that nobody owns, and drops it with the service', () => {
+  it('creates keyed services with one unowned range, and removes it with the service', () => {
     const registry = declared();
     expect(registry.ranges('menu')).to.have.length(1);
     expect(registry.ranges('menu')[0]).to.include({ from: 0, to: 65_535, owner: null });
--- a/test/registry/download-routes.test.ts
+++ b/test/registry/download-routes.test.ts
@@ -1,4 +1,4 @@
-/** Routes whose answers are large: what they ask for may be run twice, like that of `safe` ones. */
+/** Routes with large responses: their requests may run twice, like those of `safe` routes. */
 import { expect } from 'chai';
 import { validateRoute } from '../../src/registry/validation/validate-declaration.js';
 
@@ -14,11 +14,11 @@
 };
 
 describe('a route of type download', () => {
-  it('is taken, and may be repeated', () => {
+  it('is accepted, and its requests may be repeated', () => {
     expect(validateRoute('routes[0]', ROUTE).repeatable).to.equal(true);
   });
 
-  it('is named among the types that there are when another is declared', () => {
+  it('is listed among the valid types when an unknown type is declared', () => {
     const declare = (): unknown => validateRoute('routes[0]', { ...ROUTE, type: 'upload' });
     expect(declare).to.throw('routes[0].type: must be safe, unsafe or download');
   });
--- a/test/registry/evacuations.test.ts
+++ b/test/registry/evacuations.test.ts
@@ -1,4 +1,4 @@
-/** Orders to take zones out of use: state like any other, and each may be sent again. */
+/** Evacuations of zones: they are part of the replicated state, and their commands can be resent. */
 import { expect } from 'chai';
 import type { UpstreamDefinition } from '../../src/model/service.js';
 import { type Command, createRegistry, decodeRegistry, type Registry } from '../../src/registry/index.js';
@@ -25,7 +25,7 @@
 const end = (zone: string): Command => ({ type: 'evacuation-end', zone });
 
 describe('evacuations of zones', () => {
-  it('hold for upstreams of the zone alone, known or not', () => {
+  it('apply only to upstreams of the zone, registered or not', () => {
     const registry = createRegistry();
     send(registry, start('b'));
     expect(registry.isLeaving(DEFINITION)).to.equal(true);
@@ -34,7 +34,7 @@
     expect(registry.isLeaving(DEFINITION)).to.equal(false);
   });
 
-  it('change nothing when they come twice, and are undone by their opposite, whichever came last', () => {
+  it('change nothing when repeated, and each command reverses the other', () => {
     const registry = createRegistry();
     expect(send(registry, end('b'))).to.equal(0);
     expect(send(registry, start('b'))).to.equal(1);
@@ -47,7 +47,7 @@
     expect(registry.evacuations().map(({ zone }) => zone)).to.deep.equal(['b']);
   });
 
-  it('are whole in a snapshot', () => {
+  it('are kept in a snapshot', () => {
     const registry = createRegistry();
     send(registry, start('b'));
     send(registry, start('c'));
@@ -57,17 +57,17 @@
     expect(restored.encode()).to.deep.equal(registry.encode());
   });
 
-  it('reach routers as changes and whole', () => {
+  it('are sent to routers as changes and in full', () => {
     const registry = createRegistry();
     send(registry, { type: 'upstream-announce', definition: DEFINITION });
     const before = registry.revision;
     send(registry, start('b'));
     const delta = registry.routingDelta(before);
-    const news = controlToRouterCodecs.encode({
+    const message = controlToRouterCodecs.encode({
       type: 'sync-news',
       delta: delta as NonNullable<typeof delta>,
     });
-    const decoded = controlToRouterCodecs.decode(news.kind, news.payload);
+    const decoded = controlToRouterCodecs.decode(message.kind, message.payload);
     expect(decoded).to.deep.equal({ type: 'sync-news', delta });
     expect(registry.routingSnapshot().evacuations?.map(({ zone }) => zone)).to.deep.equal(['b']);
     const started = registry.revision;
--- a/test/registry/range-table.test.ts
+++ b/test/registry/range-table.test.ts
@@ -1,4 +1,4 @@
-/** Ranges always cover all keys without overlap, and fences only grow. */
+/** Ranges always cover all keys without overlap, and fences only increase. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { findRange, LARGEST_KEY } from '../../src/model/key-range.js';
@@ -23,7 +23,7 @@
 const ownerArbitrary = fc.constantFrom('u1', 'u2', null);
 
 describe('range table', () => {
-  it('covers all keys after any updates, and refuses stale ones', () => {
+  it('covers all keys after any updates, and ignores stale ones', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(spanArbitrary, ownerArbitrary, fc.boolean()), { maxLength: 40 }),
@@ -54,7 +54,7 @@
     );
   });
 
-  it('joins neighbours that stand alike, and only those', () => {
+  it('merges adjacent ranges only if they have the same owner, fence and former owner', () => {
     const table = new RangeTable();
     table.addService(SERVICE, 1);
     const give = (from: number, to: number, owner: string): RangeUpdate => ({
@@ -71,7 +71,7 @@
     ]);
   });
 
-  it('tells what changed so that another copy follows', () => {
+  it('returns changes from which a copy can be maintained', () => {
     const table = new RangeTable();
     const copy = new Map(
       table.addService(SERVICE, 1).map((change) => ['from' in change ? change.from : 0, change]),
--- a/test/registry/resent-changes.test.ts
+++ b/test/registry/resent-changes.test.ts
@@ -1,4 +1,4 @@
-/** A change that is sent again with its request id gives its first outcome, whatever happened in between. */
+/** A change that is resent with its request id gets its first result, whatever happened in between. */
 import { expect } from 'chai';
 import type { PolicyRule, ServiceDefinition, UpstreamDefinition } from '../../src/model/service.js';
 import {
@@ -50,7 +50,7 @@
 interface ResendCase {
   readonly name: string;
   readonly first: OperatorCommand;
-  /** As the operator's program makes it anew, with the revision that it sees by then. */
+  /** The command as the operator's client rebuilds it, with the revision read at that time. */
   readonly resent: (revision: number) => OperatorCommand;
 }
 
@@ -78,9 +78,9 @@
   { name: 'a policy', first: policy(1), resent: (revision) => policy(revision) },
 ];
 
-describe('a change sent again with its request id', () => {
+describe('a change resent with its request id', () => {
   for (const { name, first, resent } of CASES) {
-    it(`${name}: its first outcome, after a later change by someone else and a snapshot`, () => {
+    it(`${name}: gets the first result after another client's change and a snapshot`, () => {
       const registry = prepared();
       const outcome = send(registry, 'request-1', first);
       expect(outcome.type).to.equal('accepted');
@@ -97,7 +97,7 @@
     });
   }
 
-  it('another change under the same id is refused', () => {
+  it('a different change with the same id is rejected', () => {
     const registry = prepared();
     send(registry, 'request-1', drain(null));
     const result = send(registry, 'request-1', { ...drain(null), leaving: false } as OperatorCommand);
@@ -106,8 +106,8 @@
   });
 });
 
-describe('changes of a part', () => {
-  it('a policy leaves the rest of its service, and its shards, as they are', () => {
+describe('partial changes', () => {
+  it('a policy changes neither the rest of its service nor its shards', () => {
     const registry = prepared();
     const { generation } = registry.services().get('menu') ?? { generation: 0 };
     expect(send(registry, null, policy(1)).type).to.equal('accepted');
@@ -118,9 +118,9 @@
 
   for (const [name, command, type] of [
     ['a policy at another revision', policy(77), 'conflict'],
-    ['a policy of no service', { ...policy(null), service: 'nothing' }, 'not-found'],
+    ['a policy of an unknown service', { ...policy(null), service: 'nothing' }, 'not-found'],
     ['a drain at another revision', drain(77), 'conflict'],
-    ['a drain of no upstream', { ...drain(null), upstream: 'nothing' }, 'not-found'],
+    ['a drain of an unknown upstream', { ...drain(null), upstream: 'nothing' }, 'not-found'],
     ['a malformed rule', { ...policy(null), policy: [{ name: 'x' }] }, 'invalid'],
   ] as const) {
     it(`${name}: ${type}, and nothing changes`, () => {
--- a/test/registry/snapshot.test.ts
+++ b/test/registry/snapshot.test.ts
@@ -1,4 +1,4 @@
-/** Snapshots of the registry: written in slices, read back whole or refused. */
+/** Snapshots of the registry: written in slices, and either restored completely or rejected. */
 import { gzipSync } from 'node:zlib';
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -9,10 +9,10 @@
 const START = 1_700_000_000_000;
 const BODY = 'x'.repeat(500);
 
-/** Applies commands one after the other, a second apart. */
+/** Applies commands in sequence, one second apart. */
 class Writer {
   readonly registry: Registry = createRegistry();
-  /** The entry applied last. */
+  /** The last applied entry. */
   last: CommandEnvelope | undefined;
   #index = 0;
 
@@ -48,7 +48,7 @@
 }
 
 describe('snapshot of the registry', () => {
-  it('is of the state at its start, however the state changes between its slices', () => {
+  it('holds the state at its start, even if the state changes between slices', () => {
     const writer = new Writer();
     for (let number = 0; number < 2000; number += 1) {
       writer.claim(`key-${number}`);
@@ -71,7 +71,7 @@
     expect(restored.ledgerRecord(SERVICE.name, 'key-1999')?.answer?.body).to.equal(BODY);
   });
 
-  it('gives a registry that goes on as the first one does, to the byte', () => {
+  it('restores a registry that stays byte-identical to the original under further commands', () => {
     const step = fc.tuple(fc.nat(12), fc.constantFrom('claim', 'ran', 'not-run', 'unknown', 'restart'));
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
@@ -96,7 +96,7 @@
     );
   });
 
-  it('is refused if it is cut off, damaged, or of another version', () => {
+  it('is rejected if it is truncated, damaged, or of another version', () => {
     const whole = new Writer().registry.encode();
     for (const length of [0, 3, 40, whole.length - 40, whole.length - 1]) {
       expect(() => decodeRegistry(whole.subarray(0, length)), `${length} bytes`).to.throw(
--- a/test/registry/suspects.test.ts
+++ b/test/registry/suspects.test.ts
@@ -1,4 +1,4 @@
-/** Requests under which upstreams ended, as the replicated state keeps them. */
+/** Requests during which upstreams crashed, as kept in the replicated state. */
 import { expect } from 'chai';
 import type { QuarantineTerms } from '../../src/model/crash-suspect.js';
 import { type Command, createRegistry, decodeRegistry, type Registry } from '../../src/registry/index.js';
@@ -15,7 +15,7 @@
   send(registry, { type: 'crashes-note', crashes, terms: TERMS }, at);
 }
 
-/** A registry with a request that is quarantined since time 0. */
+/** Creates a registry with a request that has been quarantined since time 0. */
 function withQuarantine(): Registry {
   const registry = createRegistry();
   for (const run of ['a', 'b', 'c']) {
@@ -25,7 +25,7 @@
 }
 
 describe('suspects of the registry', () => {
-  it('are quarantined after as many ended runs as the terms say, each counted once', () => {
+  it('are quarantined after the number of crashed runs set by the terms, each run counted once', () => {
     const registry = createRegistry();
     for (const run of ['a', 'a', 'b', 'b', 'a']) {
       crash(registry, 'guilty', run);
@@ -40,7 +40,7 @@
     });
   });
 
-  it('have one trial, which a later crash says has failed', () => {
+  it('have one trial, which ends with a crash after the trial period', () => {
     const registry = withQuarantine();
     crash(registry, 'guilty', 'd', 50);
     expect(registry.suspect('guilty')).to.include({ trialBy: 'r1/1', quarantinedAt: 0 });
@@ -48,7 +48,7 @@
     expect(registry.suspect('guilty')).to.include({ trialBy: null, quarantinedAt: 0, until: 1150 });
   });
 
-  it('go when they succeed, unless more is known of them since', () => {
+  it('are removed when they succeed, unless a newer crash was recorded', () => {
     const registry = createRegistry();
     crash(registry, 'one', 'a');
     const { revision } = registry;
@@ -62,7 +62,7 @@
     expect(registry.suspect('one')).to.equal(undefined);
   });
 
-  it('are one crash from the next quarantine when the first is over, and then forgotten', () => {
+  it('are one crash short of the next quarantine when the first expires, and are then removed', () => {
     const registry = withQuarantine();
     send(registry, { type: 'suspects-expire', terms: TERMS }, 999);
     expect(registry.suspect('guilty')?.quarantinedAt).to.equal(0);
@@ -72,14 +72,14 @@
     expect(registry.suspect('guilty')).to.equal(undefined);
   });
 
-  it('come back with one more crash after a quarantine', () => {
+  it('are quarantined again by one crash after a quarantine', () => {
     const registry = withQuarantine();
     send(registry, { type: 'suspects-expire', terms: TERMS }, 1000);
     crash(registry, 'guilty', 'd', 1500);
     expect(registry.suspect('guilty')).to.include({ crashes: 3, quarantinedAt: 1500 });
   });
 
-  it('are bounded: a flood of them forgets neither who is quarantined nor who is suspected most', () => {
+  it('are bounded: a flood evicts neither quarantined nor the most suspected requests', () => {
     const registry = withQuarantine();
     crash(registry, 'twice', 'a');
     crash(registry, 'twice', 'b');
@@ -90,7 +90,7 @@
     expect(names).to.have.members(['guilty', 'twice', 'once-98', 'once-99']);
   });
 
-  it('name the last runs only', () => {
+  it('list only the last runs', () => {
     const registry = createRegistry();
     for (let number = 1; number <= 20; number += 1) {
       crash(registry, 'guilty', `run-${number}`);
@@ -99,7 +99,7 @@
     expect(registry.suspect('guilty')?.runs).to.have.length(8);
   });
 
-  it('are released by operators, at the revision that they saw', () => {
+  it('are released by operators at the revision they read', () => {
     const registry = withQuarantine();
     const release = { type: 'quarantine-release', fingerprint: 'guilty' } as const;
     expect(send(registry, { ...release, expected: 1 })).to.equal('conflict');
@@ -110,7 +110,7 @@
     expect(send(registry, { ...release, expected: null })).to.equal('not-found');
   });
 
-  it('survive a snapshot, and routers get them whole and as changes', () => {
+  it('are kept in a snapshot, and are sent to routers in full and as changes', () => {
     const registry = withQuarantine();
     const { revision } = registry;
     crash(registry, 'other', 'a');
--- a/test/registry/unwarmed-keys.test.ts
+++ b/test/registry/unwarmed-keys.test.ts
@@ -1,4 +1,4 @@
-/** How long keys are slow that come without a hand-over, as a document declares it. */
+/** The declared time for which keys received without a handover are slow. */
 import { expect } from 'chai';
 import { type CommandResult, createRegistry, type Registry } from '../../src/registry/index.js';
 
@@ -24,18 +24,18 @@
   return registry.services().get('menu')?.definition.unwarmedKeyMillis;
 }
 
-describe('the declared time of keys without hand-over', () => {
-  it('is taken into the service in milliseconds', () => {
+describe('the declared warmup time of keys without handover', () => {
+  it('is stored in the service in milliseconds', () => {
     expect(unwarmedMillis({ warmSeconds: 2.5 })).to.equal(2500);
   });
 
-  it('is left out where nothing is said, or that such keys are not slow, or nothing is keyed', () => {
+  it('is left out if it is not declared, is 0, or the service is not keyed', () => {
     expect(unwarmedMillis({})).to.equal(undefined);
     expect(unwarmedMillis({ warmSeconds: 0 })).to.equal(undefined);
     expect(unwarmedMillis({ keyed: false, warmSeconds: 2 })).to.equal(undefined);
   });
 
-  it('is refused with its place where it is no time', () => {
+  it('is rejected with the path of the field if it is not a valid time', () => {
     for (const warmSeconds of [-1, '2', 1e9]) {
       const result = declare(createRegistry(), { warmSeconds });
       expect(result.type).to.equal('invalid');
