--- a/src/registry/commands/crash-commands.ts
+++ b/src/registry/commands/crash-commands.ts
@@ -85,8 +85,8 @@
 export function expireSuspects(transaction: Transaction, { terms }: SuspectsExpire): CommandResult {
   const { state, revision } = transaction;
   for (const suspect of state.suspects.expired(state.clock)) {
-    const wasQuarantined = suspect.quarantinedAt !== null && terms.crashes > 1;
-    const next: CrashSuspect | null = wasQuarantined
+    const isOnProbation = suspect.quarantinedAt !== null && terms.crashes > 1;
+    const next: CrashSuspect | null = isOnProbation
       ? {
           ...suspect,
           crashes: terms.crashes - 1,
--- a/src/registry/commands/index.ts
+++ b/src/registry/commands/index.ts
@@ -24,7 +24,7 @@
 import { drainUpstream } from './upstream-drain.js';
 import { removeUpstream } from './upstream-remove.js';
 
-/** Applies a command. An invalid definition gives an `invalid` result with the path of the field and never throws. */
+/** Applies a command. Invalid definitions from operators don't throw; they give an `invalid` result with the path of the field. */
 export function applyCommand(transaction: Transaction, command: Command): CommandResult {
   try {
     return dispatch(transaction, command);
--- a/src/registry/departed-upstreams.ts
+++ b/src/registry/departed-upstreams.ts
@@ -17,7 +17,7 @@
 export class DepartedUpstreams {
   readonly #runs = new Map<UpstreamId, DepartedRun>();
 
-  /** Whether the run of `upstream` that started at `born` (left out if not reported) has ended. */
+  /** Whether the run of `upstream` that started at `born` has ended. Without `born`, whether any run of this id has ended. */
   has(upstream: UpstreamId, born?: WallMillis): boolean {
     const run = this.#runs.get(upstream);
     return run !== undefined && !(born !== undefined && isAfter(born, run.born));
--- a/src/registry/types.ts
+++ b/src/registry/types.ts
@@ -145,7 +145,7 @@
 
 /** Changes made by the leader. Each contains its preconditions, so a stale one changes nothing. */
 export type LeaderCommand =
-  /** A new incarnation started: the session and all grants of the previous one are void (its lease ended or it gave them up). */
+  /** A new incarnation started: the session and all grants of the previous one are void (its lease ended, or it reported its own end). */
   | {
       readonly type: 'session-open';
       readonly upstream: UpstreamId;
--- a/src/registry/validation/field-checks.ts
+++ b/src/registry/validation/field-checks.ts
@@ -84,7 +84,7 @@
   return value as Readonly<Record<string, unknown>>;
 }
 
-/** Fails if two texts are equal; `what` names what they are in the message. */
+/** Fails if two texts are equal; the error message describes them as `what`. */
 export function checkDistinct(place: string, texts: readonly string[], what: string): void {
   const seen = new Map<string, number>();
   for (const [position, text] of texts.entries()) {
--- a/src/registry/validation/validate-service.ts
+++ b/src/registry/validation/validate-service.ts
@@ -21,7 +21,7 @@
 } from './field-checks.js';
 
 const MINUTE_MILLIS = 60_000;
-/** Upper bounds, both for numbers and for lengths, in a service definition. All are inclusive. */
+/** Inclusive upper bounds of the numbers and lengths in a service definition. */
 export const SERVICE_LIMITS = {
   deadlineMillis: 60 * MINUTE_MILLIS,
   slotsPerUpstream: 10_000,
--- a/test/registry/declaration.test.ts
+++ b/test/registry/declaration.test.ts
@@ -45,7 +45,7 @@
   return registry.apply(registry.revision + 1, envelope).result;
 }
 
-function declared(): Registry {
+function registryWithDocument(): Registry {
   const registry = createRegistry();
   expect(send(registry, change(5, 0)).type).to.equal('accepted');
   return registry;
@@ -64,7 +64,7 @@
     place: 'there is no service nobody',
   },
   {
-    name: 'two routes at one place',
+    name: 'two routes with the same host and prefix',
     change: change(7, 5, { routes: [ROUTE, { ...ORDERS, prefix: '/sheets/', host: 'MENU.example' }] }),
     place: 'same host and prefix',
   },
@@ -79,23 +79,23 @@
     place: 'routes[0].type',
   },
   {
-    name: 'no timeout',
+    name: 'a timeout of 0',
     change: change(7, 5, { routes: [{ ...ROUTE, timeoutMillis: 0 }] }),
     place: 'routes[0].timeoutMillis',
   },
   {
-    name: 'a split without weight',
+    name: 'a split whose weights are all 0',
     change: change(7, 5, { routes: [{ ...ROUTE, split: [{ service: 'menu', weight: 0 }] }] }),
     place: 'routes[0].split',
   },
   { name: 'an older version', change: change(4, 5), place: 'version' },
   {
-    name: 'the version there is',
+    name: 'the current version',
     change: change(5, 5, { services: [...SERVICES, { name: 'x' }] }),
     place: 'version',
   },
   {
-    name: 'a partial change that takes away a service in use',
+    name: 'a partial change that removes a service in use',
     change: change(7, 5, { extent: 'partial', routes: [], services: [], removedServices: ['pantry'] }),
     place: 'there is no service pantry',
   },
@@ -104,7 +104,7 @@
 describe('declared document', () => {
   for (const { name, change: invalid, place } of INVALID) {
     it(`rejects ${name} with the path of the field and changes nothing`, () => {
-      const registry = declared();
+      const registry = registryWithDocument();
       const before = registry.routingSnapshot();
       const result = send(registry, invalid);
       expect(result).to.have.property('type', 'invalid');
@@ -116,20 +116,20 @@
   }
 
   it('accepts only one of two changes based on the same version', () => {
-    const registry = declared();
+    const registry = registryWithDocument();
     expect(send(registry, change(7, 5)).type).to.equal('accepted');
     const lost = send(registry, change(8, 5, { routes: [ROUTE] }));
     expect(lost).to.deep.equal({ type: 'conflict', current: 7 });
   });
 
   it('accepts only one of two changes with the same new version', () => {
-    const registry = declared();
+    const registry = registryWithDocument();
     expect(send(registry, change(7, 5)).type).to.equal('accepted');
     expect(send(registry, change(7, 5, { routes: [ROUTE] }))).to.deep.equal({ type: 'conflict', current: 7 });
   });
 
   it('accepts a resent change after others and after a snapshot, and does not apply it again', () => {
-    const registry = declared();
+    const registry = registryWithDocument();
     send(registry, change(7, 5));
     send(registry, change(9, 7, { routes: [ROUTE] }));
     const restored = decodeRegistry(registry.encode());
@@ -150,7 +150,7 @@
   });
 
   it('changes and removes named items, and sends only those to routers', () => {
-    const registry = declared();
+    const registry = registryWithDocument();
     const from = registry.revision;
     const moved = { ...ROUTE, timeoutMillis: 900 };
     const partial = { extent: 'partial', routes: [moved], services: [], removedRoutes: ['orders'] } as const;
@@ -163,7 +163,7 @@
   });
 
   it('creates keyed services with one unowned range, and removes it with the service', () => {
-    const registry = declared();
+    const registry = registryWithDocument();
     expect(registry.ranges('menu')).to.have.length(1);
     expect(registry.ranges('menu')[0]).to.include({ from: 0, to: 65_535, owner: null });
     expect(registry.ranges('pantry')).to.deep.equal([]);
--- a/test/registry/range-table.test.ts
+++ b/test/registry/range-table.test.ts
@@ -54,7 +54,7 @@
     );
   });
 
-  it('merges adjacent ranges only if they have the same owner, fence and former owner', () => {
+  it('merges equal adjacent ranges, and only those', () => {
     const table = new RangeTable();
     table.addService(SERVICE, 1);
     const give = (from: number, to: number, owner: string): RangeUpdate => ({
--- a/test/registry/resent-changes.test.ts
+++ b/test/registry/resent-changes.test.ts
@@ -40,7 +40,7 @@
   return registry.apply(registry.revision + 1, { requestId, actor: 'test', at: 0, command }).result;
 }
 
-function prepared(): Registry {
+function registryWithUpstream(): Registry {
   const registry = createRegistry();
   send(registry, null, { type: 'service-apply', definition: SERVICE, expected: 0 });
   send(registry, null, { type: 'upstream-apply', definition: UPSTREAM, expected: 0 });
@@ -81,7 +81,7 @@
 describe('a change resent with its request id', () => {
   for (const { name, first, resent } of CASES) {
     it(`${name}: gets the first result after another client's change and a snapshot`, () => {
-      const registry = prepared();
+      const registry = registryWithUpstream();
       const outcome = send(registry, 'request-1', first);
       expect(outcome.type).to.equal('accepted');
       send(registry, null, { type: 'service-apply', definition: SERVICE, expected: null });
@@ -98,7 +98,7 @@
   }
 
   it('a different change with the same id is rejected', () => {
-    const registry = prepared();
+    const registry = registryWithUpstream();
     send(registry, 'request-1', drain(null));
     const result = send(registry, 'request-1', { ...drain(null), leaving: false } as OperatorCommand);
     expect(result.type).to.equal('invalid');
@@ -108,7 +108,7 @@
 
 describe('partial changes', () => {
   it('a policy changes neither the rest of its service nor its shards', () => {
-    const registry = prepared();
+    const registry = registryWithUpstream();
     const { generation } = registry.services().get('menu') ?? { generation: 0 };
     expect(send(registry, null, policy(1)).type).to.equal('accepted');
     const record = registry.services().get('menu');
@@ -124,7 +124,7 @@
     ['a malformed rule', { ...policy(null), policy: [{ name: 'x' }] }, 'invalid'],
   ] as const) {
     it(`${name}: ${type}, and nothing changes`, () => {
-      const registry = prepared();
+      const registry = registryWithUpstream();
       const before = JSON.stringify([...registry.services(), ...registry.upstreams()]);
       expect(send(registry, null, command as OperatorCommand).type).to.equal(type);
       expect(JSON.stringify([...registry.services(), ...registry.upstreams()])).to.equal(before);
