--- a/src/registry/commands/declaration-apply.ts
+++ b/src/registry/commands/declaration-apply.ts
@@ -1,4 +1,4 @@
-/** Changes the declared document, whole or in part. A change is taken as one or changes nothing. */
+/** Changes the declared document, as a whole or in part. A change is atomic. */
 import { createHash } from 'node:crypto';
 import {
   type CallerLimits,
@@ -20,13 +20,13 @@
 } from '../validation/validate-declaration.js';
 import { accepted, conflict } from './results.js';
 
-/** An item as it was sent and what it means. */
+/** An item as it was sent and its parsed definition. */
 interface Item<Definition> {
   readonly source: unknown;
   readonly definition: Definition;
 }
 
-/** The document as a change would make it. */
+/** The document that results from a change. */
 interface Draft {
   readonly routes: ReadonlyMap<string, Item<RouteDefinition>>;
   readonly services: ReadonlyMap<string, Item<DeclaredService>>;
@@ -37,7 +37,7 @@
 export function applyDeclaration(transaction: Transaction, change: DeclarationChange): CommandResult {
   const { declared } = transaction.state;
   const fingerprint = fingerprintOf(change);
-  if (declared.wasTaken(change.version, fingerprint)) {
+  if (declared.wasApplied(change.version, fingerprint)) {
     return accepted(transaction);
   }
   const current = declared.record.version;
@@ -50,11 +50,11 @@
   const draft = draftOf(transaction, change);
   checkReferences(draft);
   store(transaction, draft, change.version);
-  declared.remember(change.version, fingerprint);
+  declared.recordVersion(change.version, fingerprint);
   return accepted(transaction);
 }
 
-/** Identifies all that a change says, its precondition included: a resent one is the same to the letter. */
+/** Hashes the whole change including its precondition: a resent change is identical. */
 function fingerprintOf(change: DeclarationChange): string {
   return createHash('sha256')
     .update(JSON.stringify(sortKeys(change)))
@@ -95,7 +95,7 @@
     : { limits: declared.record.limits, limitsSource: declared.limitsSource };
 }
 
-/** A name that isn't there is gone already. */
+/** Removes items by name; unknown names are ignored, as they may already have been removed. */
 function removeNamed<Value>(place: string, items: Map<string, Value>, names: readonly string[]): void {
   names.forEach((name, position) => {
     if (typeof name !== 'string') {
@@ -170,7 +170,7 @@
     if (!services.has(name)) {
       declared.serviceSources.delete(name);
       transaction.putService(name, null);
-      transaction.noteAll(state.ranges.drop(name));
+      transaction.noteAll(state.ranges.removeService(name));
     }
   }
   for (const [name, { source, definition }] of services) {
@@ -179,7 +179,9 @@
     if (!isSame(state.services.get(name)?.definition, serviceDefinition)) {
       transaction.putService(name, { definition: serviceDefinition, revision, generation: 0 });
     }
-    transaction.noteAll(definition.keyed ? state.ranges.begin(name, revision) : state.ranges.drop(name));
+    transaction.noteAll(
+      definition.keyed ? state.ranges.addService(name, revision) : state.ranges.removeService(name),
+    );
   }
 }
 
@@ -187,13 +189,13 @@
   return JSON.stringify(one) === JSON.stringify(other);
 }
 
-/** Longest time of a request whose route says nothing shorter. */
-const LONGEST_DEADLINE_MILLIS = 3_600_000;
-/** What holds for declared services beside what the document says; routes say how single requests are served. */
-const SERVICE_TERMS = {
+/** Deadline of a request whose route has no shorter timeout. */
+const MAX_DEADLINE_MILLIS = 3_600_000;
+/** Fields of a declared service that the document doesn't contain; routes define how single requests are handled. */
+const FIXED_SERVICE_FIELDS = {
   repeatable: true,
   priority: 'interactive',
-  deadlineMillis: LONGEST_DEADLINE_MILLIS,
+  deadlineMillis: MAX_DEADLINE_MILLIS,
   slotsPerUpstream: 2,
   retryBudget: 0.15,
   savedRetries: 2,
@@ -214,7 +216,7 @@
   const definition = {
     name,
     keyed,
-    ...SERVICE_TERMS,
+    ...FIXED_SERVICE_FIELDS,
     keyspaces,
     connectionsPerUpstream: connections,
     healthPath,
@@ -227,7 +229,7 @@
   };
 }
 
-/** Once the carrier was changed that stays noted: a later leader can't tell how long ago it was. */
+/** `hasChanged` stays true after the first change of carrier, because a later leader can't determine how long ago it was. */
 function rangeGrantsOf(
   { grantedBy }: DeclaredService,
   before: ServiceDefinition | undefined,
@@ -239,6 +241,6 @@
   const carrierBefore = before?.rangeGrants?.carrier ?? DEFAULT_GRANT_CARRIER;
   const isChange = wasKeyed && carrierBefore !== grantedBy;
   const hasChanged = isChange || (before?.rangeGrants?.hasChanged ?? false);
-  const isPlain = grantedBy === DEFAULT_GRANT_CARRIER && !hasChanged;
-  return isPlain ? undefined : { carrier: grantedBy, hasChanged };
+  const isDefault = grantedBy === DEFAULT_GRANT_CARRIER && !hasChanged;
+  return isDefault ? undefined : { carrier: grantedBy, hasChanged };
 }
--- a/src/registry/commands/policy-apply.ts
+++ b/src/registry/commands/policy-apply.ts
@@ -1,4 +1,4 @@
-/** Changes the policy of a service. A resend is the same command whatever else of the service changed meanwhile. */
+/** Changes the policy of a service. A resend is the same command even if other fields of the service have changed meanwhile. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, OperatorCommand } from '../types.js';
 import { checkExpected, NOT_FOUND } from './results.js';
@@ -8,9 +8,9 @@
 
 export function applyPolicy(transaction: Transaction, command: PolicyApply): CommandResult {
   const record = transaction.state.services.get(command.service);
-  const lost = checkExpected(command.expected, record);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, record);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (record === undefined) {
     return NOT_FOUND;
--- a/src/registry/commands/upstream-drain.ts
+++ b/src/registry/commands/upstream-drain.ts
@@ -1,4 +1,4 @@
-/** Says that an upstream is leaving, or takes it back. A resend is the same command whatever else changed meanwhile. */
+/** Starts or cancels the draining of an upstream. A resend is the same command even if other fields have changed meanwhile. */
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, OperatorCommand } from '../types.js';
 import { checkExpected, NOT_FOUND } from './results.js';
@@ -8,9 +8,9 @@
 
 export function drainUpstream(transaction: Transaction, command: UpstreamDrain): CommandResult {
   const record = transaction.state.upstreams.get(command.upstream);
-  const lost = checkExpected(command.expected, record);
-  if (lost !== undefined) {
-    return lost;
+  const mismatch = checkExpected(command.expected, record);
+  if (mismatch !== undefined) {
+    return mismatch;
   }
   if (record === undefined) {
     return NOT_FOUND;
--- a/src/registry/range-table.ts
+++ b/src/registry/range-table.ts
@@ -1,4 +1,4 @@
-/** Owners of ranges of numeric keys, service by service. The ranges of a service always cover all its keys. */
+/** Owners of ranges of numeric keys, by service. The ranges of a service always cover its whole key space. */
 import type { Revision, ServiceName, UpstreamId } from '../model/identifiers.js';
 import { findRange, type KeyRange, LARGEST_KEY } from '../model/key-range.js';
 import type { RangeUpdate, RegistryChange } from './types.js';
@@ -6,10 +6,10 @@
 const NO_RANGES: readonly KeyRange[] = [];
 
 export class RangeTable {
-  /** Sorted by `from`; lists are replaced, never changed. */
+  /** Sorted by `from`; lists are replaced, never mutated. */
   readonly #services = new Map<ServiceName, readonly KeyRange[]>();
 
-  of(service: ServiceName): readonly KeyRange[] {
+  rangesOf(service: ServiceName): readonly KeyRange[] {
     return this.#services.get(service) ?? NO_RANGES;
   }
 
@@ -17,20 +17,20 @@
     return [...this.#services.values()].flat();
   }
 
-  /** Whether an upstream owns keys, or may still hold some that were its own. */
-  isHolder(upstream: UpstreamId): boolean {
+  /** Whether an upstream owns keys, or may still hold keys that it owned before. */
+  mayHoldKeys(upstream: UpstreamId): boolean {
     return this.all().some(({ owner, former }) => owner === upstream || former === upstream);
   }
 
-  /** Takes ranges that a snapshot held, sorted. */
+  /** Restores the sorted ranges of a snapshot. */
   restore(ranges: readonly KeyRange[]): void {
     for (const range of ranges) {
-      this.#services.set(range.service, [...this.of(range.service), range]);
+      this.#services.set(range.service, [...this.rangesOf(range.service), range]);
     }
   }
 
-  /** Begins a service with one range that nobody owns. */
-  begin(service: ServiceName, revision: Revision): RegistryChange[] {
+  /** Adds a service with one unowned range over all keys; does nothing if the service exists. */
+  addService(service: ServiceName, revision: Revision): RegistryChange[] {
     if (this.#services.has(service)) {
       return [];
     }
@@ -38,26 +38,26 @@
     return this.#replace(service, [whole]);
   }
 
-  drop(service: ServiceName): RegistryChange[] {
+  removeService(service: ServiceName): RegistryChange[] {
     const changes = this.#replace(service, NO_RANGES);
     this.#services.delete(service);
     return changes;
   }
 
-  /** Carries out those updates that fit what there is. */
+  /** Applies the updates whose fence and span match the current ranges; ignores the others. */
   update(service: ServiceName, updates: readonly RangeUpdate[], revision: Revision): RegistryChange[] {
-    let ranges = this.of(service);
+    let ranges = this.rangesOf(service);
     for (const update of updates) {
-      ranges = withUpdate(ranges, update, revision);
+      ranges = withRangeUpdate(ranges, update, revision);
     }
-    return this.#replace(service, merge(ranges));
+    return this.#replace(service, mergeAdjacent(ranges));
   }
 
   /**
-   * The owner of these ranges has started anew and holds nothing. Whatever was granted to its run before is void from here on; the new
-   * one is asked to release it all the same, since a grant that is late may reach it.
+   * Makes all ranges of `owner` unowned after a new run of it has started, which holds nothing. Grants to the previous run are void from
+   * here on. The new run is still asked to release the keys, because a late grant may reach it.
    */
-  vacate(owner: UpstreamId, revision: Revision): RegistryChange[] {
+  revokeOwner(owner: UpstreamId, revision: Revision): RegistryChange[] {
     return [...this.#services].flatMap(([service, ranges]) => {
       if (!ranges.some((range) => range.owner === owner)) {
         return [];
@@ -65,18 +65,18 @@
       const next = ranges.map((range) =>
         range.owner === owner ? { ...range, owner: null, former: owner, fence: revision, revision } : range,
       );
-      return this.#replace(service, merge(next));
+      return this.#replace(service, mergeAdjacent(next));
     });
   }
 
   #replace(service: ServiceName, ranges: readonly KeyRange[]): RegistryChange[] {
-    const before = this.of(service);
+    const before = this.rangesOf(service);
     this.#services.set(service, ranges);
-    return differences(service, before, ranges);
+    return changesBetween(service, before, ranges);
   }
 }
 
-function withUpdate(
+function withRangeUpdate(
   ranges: readonly KeyRange[],
   update: RangeUpdate,
   revision: Revision,
@@ -98,13 +98,14 @@
   return [...ranges.slice(0, position), ...pieces, ...ranges.slice(position + 1)];
 }
 
-/** Joins neighbours that stand alike. */
-function merge(ranges: readonly KeyRange[]): KeyRange[] {
+/** Merges adjacent ranges with the same owner, fence and former owner. */
+function mergeAdjacent(ranges: readonly KeyRange[]): KeyRange[] {
   const merged: KeyRange[] = [];
   for (const range of ranges) {
     const last = merged.at(-1);
-    const isAlike = last?.owner === range.owner && last.fence === range.fence && last.former === range.former;
-    if (last !== undefined && isAlike) {
+    const isMergeable =
+      last?.owner === range.owner && last.fence === range.fence && last.former === range.former;
+    if (last !== undefined && isMergeable) {
       merged[merged.length - 1] = {
         ...last,
         to: range.to,
@@ -117,20 +118,20 @@
   return merged;
 }
 
-function differences(
+function changesBetween(
   service: ServiceName,
   before: readonly KeyRange[],
   after: readonly KeyRange[],
 ): RegistryChange[] {
-  const known = new Map(before.map((range) => [range.from, range]));
+  const unmatched = new Map(before.map((range) => [range.from, range]));
   const changes: RegistryChange[] = [];
   for (const range of after) {
-    if (known.get(range.from) !== range) {
+    if (unmatched.get(range.from) !== range) {
       changes.push({ type: 'range', service, from: range.from, record: range });
     }
-    known.delete(range.from);
+    unmatched.delete(range.from);
   }
-  for (const from of known.keys()) {
+  for (const from of unmatched.keys()) {
     changes.push({ type: 'range', service, from, record: null });
   }
   return changes;
--- a/src/registry/snapshot-parts.ts
+++ b/src/registry/snapshot-parts.ts
@@ -1,6 +1,6 @@
 /**
- * The parts that a snapshot of the registry consists of, each small enough to be written without holding up anything
- * else. Their order and content follow from the log alone, so that equal states give equal parts.
+ * The parts of a registry snapshot, each small enough to be written without blocking the event loop. Their order and content
+ * depend only on the log, so that equal states give equal parts.
  */
 import type { KeptRecord, LedgerState, Tombstone } from '../ledger/index.js';
 import type { CrashSuspect } from '../model/crash-suspect.js';
@@ -14,12 +14,12 @@
 import type { RegistryState } from './registry-state.js';
 import type { ServiceRecord, ShardRecord, UpstreamRecord } from './types.js';
 
-/** Version of the format, in the head of each snapshot. */
+/** Format version, stored in the head of each snapshot. */
 export const SNAPSHOT_VERSION = 2;
 
-/** Rough bytes of a part; a single larger record stands alone. */
-const PART_BYTES = 64 * 1024;
-/** Rough bytes of records as JSON, those of a stored answer's body aside. */
+/** Approximate size at which a part ends; a large record can make its part exceed it. */
+const TARGET_PART_BYTES = 64 * 1024;
+/** Approximate sizes of records as JSON, without the body of a stored response. */
 const SERVICE_BYTES = 2000;
 const UPSTREAM_BYTES = 300;
 const SHARD_BYTES = 30;
@@ -40,9 +40,9 @@
     }
   | { readonly part: 'services'; readonly services: readonly ServiceRecord[] }
   | { readonly part: 'upstreams'; readonly upstreams: readonly UpstreamRecord[] }
-  /** `names` are those that no part before had; positions count through all parts. */
+  /** `names` holds the names that no earlier part contains; their positions continue across parts. */
   | { readonly part: 'shards'; readonly names: readonly string[]; readonly shards: readonly ShardGroup[] }
-  /** Begins the ledger of a service, whose records follow. */
+  /** Starts the ledger of a service; its records and tombstones follow. */
   | {
       readonly part: 'ledger';
       readonly name: ServiceName;
@@ -56,12 +56,12 @@
   | { readonly part: 'departed'; readonly departed: readonly DepartedEntry[] }
   | { readonly part: 'ranges'; readonly ranges: readonly KeyRange[] }
   | { readonly part: 'suspects'; readonly suspects: readonly CrashSuspect[] }
-  /** Left out where no zone is out of use. */
+  /** Left out if no zone is under evacuation. */
   | { readonly part: 'evacuations'; readonly evacuations: readonly EvacuationRecord[] }
   | { readonly part: 'dedup'; readonly dedup: readonly DedupEntry[] }
   | { readonly part: 'end' };
 
-/** A state as it was at one revision. Holds the records themselves, which are never changed but replaced. */
+/** The state at one revision. It references the records themselves, which are replaced and never mutated. */
 export interface StateImage {
   readonly revision: Revision;
   readonly clock: WallMillis;
@@ -69,7 +69,7 @@
   readonly services: readonly ServiceRecord[];
   readonly upstreams: readonly UpstreamRecord[];
   readonly shards: readonly ShardRecord[];
-  /** `null`: nothing was declared as one document. */
+  /** `null`: no document has been declared. */
   readonly declared: DeclaredImage | null;
   readonly departed: readonly DepartedEntry[];
   readonly ranges: readonly KeyRange[];
@@ -79,7 +79,7 @@
   readonly dedup: readonly DedupEntry[];
 }
 
-/** Takes an image of a state: copies lists, no records. */
+/** Takes an image of a state: copies the lists, not the records. */
 export function imageOf(state: RegistryState): StateImage {
   const { revision, clock, sweptAt, services, upstreams, shards, ledger, dedup } = state;
   const { declared, departed, ranges, suspects, evacuations } = state;
@@ -100,26 +100,26 @@
   };
 }
 
-/** The parts of an image, made as they are asked for. */
+/** Generates the parts of an image lazily. */
 export function* partsOf(image: StateImage): Generator<SnapshotPart> {
   const { revision, clock, sweptAt } = image;
   yield { part: 'head', version: SNAPSHOT_VERSION, revision, clock, sweptAt };
-  for (const services of cut(image.services, () => SERVICE_BYTES)) {
+  for (const services of chunksOf(image.services, () => SERVICE_BYTES)) {
     yield { part: 'services', services };
   }
-  for (const upstreams of cut(image.upstreams, () => UPSTREAM_BYTES)) {
+  for (const upstreams of chunksOf(image.upstreams, () => UPSTREAM_BYTES)) {
     yield { part: 'upstreams', upstreams };
   }
   yield* shardParts(image.shards);
   yield* declaredParts(image);
-  for (const suspects of cut(image.suspects, () => SUSPECT_BYTES)) {
+  for (const suspects of chunksOf(image.suspects, () => SUSPECT_BYTES)) {
     yield { part: 'suspects', suspects };
   }
   if (image.evacuations.length > 0) {
     yield { part: 'evacuations', evacuations: image.evacuations };
   }
   yield* ledgerParts(image.ledger);
-  for (const dedup of cut(image.dedup, () => DEDUP_BYTES)) {
+  for (const dedup of chunksOf(image.dedup, () => DEDUP_BYTES)) {
     yield { part: 'dedup', dedup };
   }
   yield { part: 'end' };
@@ -127,7 +127,7 @@
 
 function* shardParts(records: readonly ShardRecord[]): Generator<SnapshotPart> {
   const table = new NameTable();
-  for (const chunk of cut(records, () => SHARD_BYTES)) {
+  for (const chunk of chunksOf(records, () => SHARD_BYTES)) {
     const known = table.names.length;
     const shards = encodeShardRows(chunk, table);
     yield { part: 'shards', names: table.names.slice(known), shards };
@@ -138,10 +138,10 @@
   if (declared !== null) {
     yield { part: 'declared', declared };
   }
-  for (const chunk of cut(departed, () => DEPARTED_BYTES)) {
+  for (const chunk of chunksOf(departed, () => DEPARTED_BYTES)) {
     yield { part: 'departed', departed: chunk };
   }
-  for (const chunk of cut(ranges, () => RANGE_BYTES)) {
+  for (const chunk of chunksOf(ranges, () => RANGE_BYTES)) {
     yield { part: 'ranges', ranges: chunk };
   }
 }
@@ -150,26 +150,29 @@
   for (const { name, active, ledger } of services) {
     const { horizon, retentionMillis } = ledger;
     yield { part: 'ledger', name, active, horizon, retentionMillis };
-    for (const records of cut(ledger.records, bytesOfRecord)) {
+    for (const records of chunksOf(ledger.records, recordBytes)) {
       yield { part: 'records', records };
     }
-    for (const tombstones of cut(ledger.tombstones, () => LEDGER_BYTES)) {
+    for (const tombstones of chunksOf(ledger.tombstones, () => LEDGER_BYTES)) {
       yield { part: 'tombstones', tombstones };
     }
   }
 }
 
-function bytesOfRecord({ record }: KeptRecord): number {
+function recordBytes({ record }: KeptRecord): number {
   return LEDGER_BYTES + (record.answer?.body.length ?? 0);
 }
 
-/** Cuts a list into pieces of about `PART_BYTES`. */
-function* cut<Item>(items: readonly Item[], bytesOf: (item: Item) => number): Generator<readonly Item[]> {
+/** Splits a list into chunks of about `TARGET_PART_BYTES`. */
+function* chunksOf<Item>(
+  items: readonly Item[],
+  bytesOf: (item: Item) => number,
+): Generator<readonly Item[]> {
   let start = 0;
   let bytes = 0;
   for (let index = 0; index < items.length; index += 1) {
     bytes += bytesOf(items[index] as Item);
-    if (bytes >= PART_BYTES) {
+    if (bytes >= TARGET_PART_BYTES) {
       yield items.slice(start, index + 1);
       start = index + 1;
       bytes = 0;
--- a/src/registry/validation/validate-upstream.ts
+++ b/src/registry/validation/validate-upstream.ts
@@ -1,4 +1,4 @@
-/** Checks of upstream definitions. The result holds the known fields only, in a fixed order. */
+/** Validates upstream definitions. The result contains only the known fields, in a fixed order. */
 import { isIP } from 'node:net';
 import type { Address } from '../../model/identifiers.js';
 import type { UpstreamDefinition } from '../../model/service.js';
@@ -6,14 +6,14 @@
 import { checkBoolean, checkDistinct, checkList, checkName, checkObject, fail } from './field-checks.js';
 import { SERVICE_LIMITS } from './validate-service.js';
 
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 const ADDRESS_PATTERN = /^(.+):(\d{1,5})$/;
 const BRACKETED_PATTERN = /^\[(.+)\]$/;
 
 /** Finds a declared service. */
 export type ServiceLookup = (name: string) => ServiceRecord | undefined;
 
-/** Checks a definition; throws `InvalidDefinitionError` naming the first wrong place. */
+/** Validates a definition; throws an `InvalidDefinitionError` with the path of the first invalid field. */
 export function validateUpstream(input: unknown, findService: ServiceLookup): UpstreamDefinition {
   const fields = checkObject('definition', input);
   const id = checkName('id', fields.id);
@@ -40,8 +40,8 @@
   if (!isHost) {
     fail('address', 'the host must be an IP number (IPv6 in brackets)');
   }
-  if (Number(port) < 1 || Number(port) > LARGEST_PORT) {
-    fail('address', `the port must be from 1 to ${LARGEST_PORT}`);
+  if (Number(port) < 1 || Number(port) > MAX_PORT) {
+    fail('address', `the port must be from 1 to ${MAX_PORT}`);
   }
   return address;
 }
--- a/test/registry/resent-changes.test.ts
+++ b/test/registry/resent-changes.test.ts
@@ -1,4 +1,4 @@
-/** A change that is sent again with its request id gives its first outcome, whatever happened in between. */
+/** A change that is resent with its request id gets its first result, whatever happened in between. */
 import { expect } from 'chai';
 import type { PolicyRule, ServiceDefinition, UpstreamDefinition } from '../../src/model/service.js';
 import {
@@ -40,7 +40,7 @@
   return registry.apply(registry.revision + 1, { requestId, actor: 'test', at: 0, command }).result;
 }
 
-function prepared(): Registry {
+function registryWithUpstream(): Registry {
   const registry = createRegistry();
   send(registry, null, { type: 'service-apply', definition: SERVICE, expected: 0 });
   send(registry, null, { type: 'upstream-apply', definition: UPSTREAM, expected: 0 });
@@ -50,7 +50,7 @@
 interface ResendCase {
   readonly name: string;
   readonly first: OperatorCommand;
-  /** As the operator's program makes it anew, with the revision that it sees by then. */
+  /** The command as the operator's client rebuilds it, with the revision read at that time. */
   readonly resent: (revision: number) => OperatorCommand;
 }
 
@@ -78,10 +78,10 @@
   { name: 'a policy', first: policy(1), resent: (revision) => policy(revision) },
 ];
 
-describe('a change sent again with its request id', () => {
+describe('a change resent with its request id', () => {
   for (const { name, first, resent } of CASES) {
-    it(`${name}: its first outcome, after a later change by someone else and a snapshot`, () => {
-      const registry = prepared();
+    it(`${name}: gets the first result after another client's change and a snapshot`, () => {
+      const registry = registryWithUpstream();
       const outcome = send(registry, 'request-1', first);
       expect(outcome.type).to.equal('accepted');
       send(registry, null, { type: 'service-apply', definition: SERVICE, expected: null });
@@ -97,8 +97,8 @@
     });
   }
 
-  it('another change under the same id is refused', () => {
-    const registry = prepared();
+  it('a different change with the same id is rejected', () => {
+    const registry = registryWithUpstream();
     send(registry, 'request-1', drain(null));
     const result = send(registry, 'request-1', { ...drain(null), leaving: false } as OperatorCommand);
     expect(result.type).to.equal('invalid');
@@ -106,9 +106,9 @@
   });
 });
 
-describe('changes of a part', () => {
-  it('a policy leaves the rest of its service, and its shards, as they are', () => {
-    const registry = prepared();
+describe('partial changes', () => {
+  it('a policy changes neither the rest of its service nor its shards', () => {
+    const registry = registryWithUpstream();
     const { generation } = registry.services().get('menu') ?? { generation: 0 };
     expect(send(registry, null, policy(1)).type).to.equal('accepted');
     const record = registry.services().get('menu');
@@ -118,13 +118,13 @@
 
   for (const [name, command, type] of [
     ['a policy at another revision', policy(77), 'conflict'],
-    ['a policy of no service', { ...policy(null), service: 'nothing' }, 'not-found'],
+    ['a policy of an unknown service', { ...policy(null), service: 'nothing' }, 'not-found'],
     ['a drain at another revision', drain(77), 'conflict'],
-    ['a drain of no upstream', { ...drain(null), upstream: 'nothing' }, 'not-found'],
+    ['a drain of an unknown upstream', { ...drain(null), upstream: 'nothing' }, 'not-found'],
     ['a malformed rule', { ...policy(null), policy: [{ name: 'x' }] }, 'invalid'],
   ] as const) {
     it(`${name}: ${type}, and nothing changes`, () => {
-      const registry = prepared();
+      const registry = registryWithUpstream();
       const before = JSON.stringify([...registry.services(), ...registry.upstreams()]);
       expect(send(registry, null, command as OperatorCommand).type).to.equal(type);
       expect(JSON.stringify([...registry.services(), ...registry.upstreams()])).to.equal(before);
