--- a/src/errors/ternmount-error.ts
+++ b/src/errors/ternmount-error.ts
@@ -1,14 +1,14 @@
-/** Root of the error hierarchy. Each layer has its own subclasses and wraps errors from below as `cause`. */
+/** Base of the error hierarchy. Each layer defines its own subclasses and wraps lower-level errors as `cause`. */
 import VError from 'verror';
 
-/** What every error of the project carries. */
+/** Properties of every error of the project. */
 export interface TernmountErrorOptions {
   /** Stable code, e.g. `TERNMOUNT_STORAGE_DAMAGED`. */
   readonly code: string;
-  /** Whether the same call may succeed later without a change by the caller. */
+  /** Whether the same call may succeed later without changes. */
   readonly retriable: boolean;
   readonly cause?: Error;
-  /** Facts for the log. */
+  /** Details for the log. */
   readonly info?: Readonly<Record<string, unknown>>;
 }
 
@@ -23,7 +23,7 @@
   }
 }
 
-/** Turns whatever was thrown into an `Error`. */
+/** Converts any thrown value to an `Error`. */
 export function toError(thrown: unknown): Error {
   return thrown instanceof Error ? thrown : new Error(String(thrown));
 }
--- a/src/logging/events.ts
+++ b/src/logging/events.ts
@@ -1,15 +1,15 @@
 /**
- * Every event that daemons log: which process logs it and with which fields. docs/operators/log-events.md is the page for
- * readers; tests hold that sources, this table and the page agree. Each record also has `time` (ISO 8601, the time of day,
+ * All events that daemons log, with the logging process and the fields. docs/operators/log-events.md documents them for
+ * operators; tests check that sources, this table and the page agree. Each record also has `time` (ISO 8601 wall-clock time,
  * which may jump), `level`, `process`, `zone`, `namespace` and `event`.
  */
 
-/** Which daemon logs an event. */
+/** Daemon that logs an event. */
 export type EventSource = 'router' | 'control' | 'both';
 
 export interface EventDescription {
   readonly source: EventSource;
-  /** Names of its own fields; times end in `Millis`. */
+  /** Event-specific fields; names of times end in `Millis`. */
   readonly fields: readonly string[];
 }
 
--- a/src/logging/log-writer.ts
+++ b/src/logging/log-writer.ts
@@ -1,16 +1,16 @@
 /**
- * Writes lines to a file descriptor without ever waiting for its reader: what doesn't fit into a bounded buffer is dropped
- * and counted. Node's own standard output waits for the reader of a pipe, so a pipe is taken over as a socket.
+ * Writes lines to a file descriptor without blocking on its reader: lines that don't fit into a bounded buffer are dropped
+ * and counted. Node's standard output blocks on the reader of a pipe, so a pipe is wrapped in a socket.
  */
 import { fstatSync, write } from 'node:fs';
 import { Socket } from 'node:net';
 
-/** Characters that may wait, about. */
-const MOST_WAITING = 256 * 1024;
+/** Approximate bound of the buffer. */
+const MAX_BUFFERED_CHARACTERS = 256 * 1024;
 
-/** Where lines go. */
+/** Destination of lines. */
 interface LineSink {
-  /** Characters that wait. */
+  /** Buffered characters. */
   readonly waiting: number;
   write(text: string): void;
 }
@@ -21,15 +21,15 @@
 
   constructor(private readonly descriptor: number) {}
 
-  /** Lines dropped since the writer was made. */
+  /** Lines dropped since the writer was created. */
   get dropped(): number {
     return this.#dropped;
   }
 
-  /** Queues a line, or drops it; `false` if it was dropped. */
+  /** Queues a line; returns `false` if it was dropped. */
   line(text: string): boolean {
-    this.#sink ??= sinkOf(this.descriptor);
-    if (this.#sink.waiting + text.length > MOST_WAITING) {
+    this.#sink ??= createSink(this.descriptor);
+    if (this.#sink.waiting + text.length > MAX_BUFFERED_CHARACTERS) {
       this.#dropped += 1;
       return false;
     }
@@ -38,7 +38,7 @@
   }
 }
 
-function sinkOf(descriptor: number): LineSink {
+function createSink(descriptor: number): LineSink {
   const kind = fstatSync(descriptor);
   return kind.isFIFO() || kind.isSocket() ? new SocketSink(descriptor) : new FileSink(descriptor);
 }
@@ -49,12 +49,12 @@
   constructor(descriptor: number) {
     this.#socket = new Socket({ fd: descriptor, readable: false, writable: true });
     this.#socket.unref();
-    // Nobody reads any more: lines are dropped once the buffer is full.
+    // The reader is gone; lines are dropped once the buffer is full.
     this.#socket.on('error', () => {});
   }
 
   get waiting(): number {
-    return this.#socket.writable ? this.#socket.writableLength : MOST_WAITING;
+    return this.#socket.writable ? this.#socket.writableLength : MAX_BUFFERED_CHARACTERS;
   }
 
   write(text: string): void {
@@ -62,7 +62,7 @@
   }
 }
 
-/** A file or a terminal takes bytes at once; one write is under way at a time. */
+/** Sink for files and terminals, with at most one write in progress. */
 class FileSink implements LineSink {
   #lines: string[] = [];
   #waiting = 0;
--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -1,18 +1,18 @@
 /**
- * Structured logs: one JSON object a line on standard output, with `debug` deciding which namespaces are on. Writing never
- * waits for a reader, and each event has a bound a second; what is dropped is counted and said.
+ * Structured logs: one JSON object per line on standard output; `debug` selects the enabled namespaces. Writing never
+ * blocks on a reader, and each event is rate-limited; dropped records are counted and reported.
  */
 import createDebug from 'debug';
 import { LogWriter } from './log-writer.js';
 import { RecordBudget } from './record-budget.js';
 
-/** How grave a record is, mildest first. */
+/** Severity of a record, lowest first. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** A record's own facts; values must suit JSON, errors may stand among them. */
+/** Event-specific fields of a record; values must be serialisable as JSON or errors. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** Facts that stand in each record of a process. */
+/** Fields in every record of a process. */
 export interface ProcessIdentity {
   readonly process: string;
   readonly zone: string;
@@ -25,42 +25,42 @@
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
   log(level: LogLevel, event: string, fields?: LogFields): void;
-  /** A record of something ordinary, of which a few a second are enough; `fields` is asked for only if it is written. */
+  /** Logs a sample of a frequent event; `fields` is called only if the record is written. */
   sample(event: string, fields: () => LogFields): void;
 }
 
-/** Records of one event a second, and of one that is sampled. */
-const RECORDS_A_SECOND = 50;
-const SAMPLES_A_SECOND = 2;
+/** Rate limits per event. */
+const MAX_RECORDS_PER_SECOND = 50;
+const MAX_SAMPLES_PER_SECOND = 2;
 const STANDARD_OUTPUT = 1;
-/** Time that the last lines have before the process ends. */
+/** Time for the last lines to be written before the process exits. */
 const FINISH_MILLIS = 20;
 
 let identity: ProcessIdentity = { process: 'ternmount', zone: '' };
 const writer = new LogWriter(STANDARD_OUTPUT);
-const budget = new RecordBudget(RECORDS_A_SECOND);
+const budget = new RecordBudget(MAX_RECORDS_PER_SECOND);
 
-/** Sets the facts that each later record of this process carries. */
-export function identifyProcess(facts: ProcessIdentity): void {
-  identity = facts;
+/** Sets the process fields of all later records. */
+export function identifyProcess(processIdentity: ProcessIdentity): void {
+  identity = processIdentity;
 }
 
-/** Turns namespaces on; `pattern` as for `debug`, e.g. `ternmount:*`. */
+/** Enables namespaces; `pattern` is a `debug` pattern such as `ternmount:*`. */
 export function enableLogs(pattern: string): void {
   createDebug.enable(pattern);
 }
 
-/** Lines that a reader who is too slow has cost. */
+/** Number of lines dropped because of a slow reader. */
 export function droppedLogLines(): number {
   return writer.dropped;
 }
 
-/** Gives what waits a moment to get out; for the end of the process. */
+/** Waits a short time for buffered lines to be written. Called before the process exits. */
 export function finishLogs(): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, FINISH_MILLIS));
 }
 
-/** Errors in fields become their message, code and stack. */
+/** Replaces errors in fields by their name, message, code and stack. */
 function serialise(_key: string, value: unknown): unknown {
   if (value instanceof Error) {
     const { code } = value as Error & { code?: unknown };
@@ -74,21 +74,20 @@
   writer.line(JSON.stringify(record, serialise));
 }
 
-/** Says what the second before had too much of. */
+/** Logs how many records the rate limits dropped in the previous second. */
 function reportDropped(): void {
-  const dropped = budget.turn(performance.now());
+  const dropped = budget.startSecond(performance.now());
   if (dropped !== null) {
     write('warn', 'logging', 'records-dropped', { dropped });
   }
 }
 
-/** How a logger differs from the usual. */
 export interface LoggerOptions {
-  /** Write each record, whichever namespaces are on. For audit records. */
+  /** Writes each record regardless of enabled namespaces. For audit records. */
   readonly always?: boolean;
 }
 
-/** Makes the logger of a namespace: `ternmount:<namespace>`. Warnings and errors are always written. */
+/** Creates the logger of the namespace `ternmount:<namespace>`. Warnings and errors are written even if it is disabled. */
 export function createLogger(namespace: string, options: LoggerOptions = {}): Logger {
   const channel = createDebug(`ternmount:${namespace}`);
   const isOn = (level: LogLevel): boolean => {
@@ -97,7 +96,7 @@
   };
   const log = (level: LogLevel, event: string, fields: LogFields = {}): void => {
     reportDropped();
-    if (isOn(level) && (options.always === true || budget.take(event))) {
+    if (isOn(level) && (options.always === true || budget.tryTake(event))) {
       write(level, namespace, event, fields);
     }
   };
@@ -109,7 +108,7 @@
     error: (event, fields) => log('error', event, fields),
     sample: (event, fields) => {
       reportDropped();
-      if (isOn('info') && budget.takeSample(event, SAMPLES_A_SECOND)) {
+      if (isOn('info') && budget.tryTakeSample(event, MAX_SAMPLES_PER_SECOND)) {
         write('info', namespace, event, fields());
       }
     },
--- a/src/logging/record-budget.ts
+++ b/src/logging/record-budget.ts
@@ -1,4 +1,4 @@
-/** Bounds how many records of one event are written a second; the others are counted. */
+/** Limits the records written per event and second, and counts the dropped ones. */
 
 const SECOND_MILLIS = 1000;
 
@@ -11,14 +11,14 @@
   #counts = new Map<string, EventCount>();
   #since = Number.NEGATIVE_INFINITY;
 
-  /** `most`: records of one event a second. */
-  constructor(private readonly most: number) {}
+  /** `maxPerSecond` applies to each event. */
+  constructor(private readonly maxPerSecond: number) {}
 
-  /** Whether one more record may be written now; if not, it is counted as dropped. */
-  take(event: string): boolean {
+  /** Returns whether a record may be written; if not, counts it as dropped. */
+  tryTake(event: string): boolean {
     const count = this.#counts.get(event) ?? { written: 0, dropped: 0 };
     this.#counts.set(event, count);
-    if (count.written >= this.most) {
+    if (count.written >= this.maxPerSecond) {
       count.dropped += 1;
       return false;
     }
@@ -26,13 +26,13 @@
     return true;
   }
 
-  /** Whether one more of a few records that stand for many may be written now; those left out aren't missed. */
-  takeSample(event: string, most: number): boolean {
-    return (this.#counts.get(event)?.written ?? 0) < most && this.take(event);
+  /** Returns whether a sample may be written; if not, it isn't counted as dropped. */
+  tryTakeSample(event: string, maxPerSecond: number): boolean {
+    return (this.#counts.get(event)?.written ?? 0) < maxPerSecond && this.tryTake(event);
   }
 
-  /** Begins a new second if it is time; gives what was dropped in the one before, by event. */
-  turn(now: number): Readonly<Record<string, number>> | null {
+  /** Starts a new second when the previous one is over; returns the records dropped in that one, by event. */
+  startSecond(now: number): Readonly<Record<string, number>> | null {
     if (now - this.#since < SECOND_MILLIS) {
       return null;
     }
--- a/src/model/configuration-lease.ts
+++ b/src/model/configuration-lease.ts
@@ -1,14 +1,14 @@
-/** Times of the configuration lease: how long a router may serve without a quorum-confirmed refresh. */
+/** Timings of the configuration lease, which bounds how long a router serves without a quorum-confirmed refresh. */
 
-/** Times in milliseconds; `clockRateError`: largest share by which two clocks differ in rate. */
+/** `clockRateError` is the largest relative difference in rate between two clocks. */
 export interface ConfigLeaseTimings {
-  /** A router that heard nothing confirmed for this long serves nothing. */
+  /** A router without a confirmed response for this long stops serving. */
   readonly configLeaseMillis: number;
   readonly syncMillis: number;
   readonly clockRateError: number;
 }
 
-/** A cut router stops within 1.8 s, so that an accepted change holds everywhere within 2 s. */
+/** A partitioned router stops within 1.8 s, so an accepted change is in effect everywhere within 2 s. */
 export const DEFAULT_CONFIG_LEASE_TIMINGS: ConfigLeaseTimings = {
   configLeaseMillis: 1800,
   syncMillis: 400,
--- a/src/model/crash-suspect.ts
+++ b/src/model/crash-suspect.ts
@@ -1,67 +1,68 @@
 /**
- * Requests under which upstreams ended. A request that crashes whoever runs it looks like any other, comes again at any
- * router, and takes one upstream after the other; it is told from those that merely ran beside it by what happens next: they succeed.
+ * Requests suspected of crashing upstreams. A request that crashes its upstream can't be recognised in advance, is retried through
+ * any router and crashes one upstream after the other. Requests that only ran beside it are exonerated when they succeed later.
  */
 import type { Incarnation, Revision, ServiceName, UpstreamId, WallMillis } from './identifiers.js';
 
-/** Names what a request asks for, however often it is sent and by whichever router: 32 hexadecimal digits. */
+/** Identifies the content of a request across retries and routers: 32 hexadecimal digits. */
 export type RequestFingerprint = string;
 
-/** Names one run of an upstream. */
+/** Identifies one run of an upstream: one lifetime of its process. */
 export type RunName = string;
 
-/** One run that ended while a request was under way there and unanswered. */
+/** A run that ended while a request was in flight there and unanswered. */
 export interface UpstreamCrash {
   readonly fingerprint: RequestFingerprint;
   readonly service: ServiceName;
   readonly run: RunName;
-  /** Run of the router that reports it. */
+  /** Run of the reporting router. */
   readonly reporter: Incarnation;
 }
 
-/** A suspect that succeeded, and the revision of what was known of it then. */
+/** A suspect that succeeded, with the revision of its record at that time. */
 export interface ClearedSuspect {
   readonly fingerprint: RequestFingerprint;
   readonly revision: Revision;
 }
 
-/** What is known of one request under which upstreams ended, and which never succeeded since. */
+/** A request during which upstream runs ended and which has not succeeded since. */
 export interface CrashSuspect {
   readonly fingerprint: RequestFingerprint;
   readonly service: ServiceName;
-  /** Runs that ended, the latest last; the oldest ones are left out where there are many. */
+  /** Runs that ended, latest last; the oldest are dropped when there are many. */
   readonly runs: readonly RunName[];
   readonly crashes: number;
-  /** Crashes at which it is quarantined. */
+  /** Number of crashes at which the request is quarantined. */
   readonly needed: number;
-  /** By the registry's clock: since when routers refuse it; `null`: they don't. */
+  /** Registry time since which routers refuse the request; `null` if it isn't quarantined. */
   readonly quarantinedAt: WallMillis | null;
-  /** Run of the one router that may send it once more before the quarantine is over; `null`: nobody may. */
+  /** Run of the only router that may send the request once during the quarantine; `null` if none may. */
   readonly trialBy: Incarnation | null;
-  /** Time from then to that trial. */
+  /** Time from `quarantinedAt` to that trial. */
   readonly trialMillis: number;
-  /** By the registry's clock: the quarantine is lifted then, or the suspicion forgotten. */
+  /** Registry time at which the quarantine ends or the suspect is removed. */
   readonly until: WallMillis;
   readonly revision: Revision;
 }
 
-/** When a request is quarantined, for how long, and how many suspects are kept. */
+/** When and for how long a request is quarantined, and how many suspects are kept. */
 export interface QuarantineTerms {
-  /** Runs that must have ended under it, with no success in between. */
+  /** Crashes without a success in between that lead to quarantine. */
   readonly crashes: number;
-  /** Time since the last one. After it, one more crash quarantines it again. */
+  /** Time after the last crash until the quarantine ends. After that, one more crash quarantines the request again. */
   readonly keepMillis: number;
-  /** Time from the beginning of a quarantine to the one trial in it. */
+  /** Time from the start of a quarantine to its single trial. */
   readonly trialMillis: number;
-  /** Suspects kept at once; the least suspected ones are forgotten first. */
+  /** Maximum number of suspects; the least suspected are removed first. */
   readonly mostRequests: number;
 }
 
 /**
- * Three crashes: one may be chance, and of those beside a guilty request few come to be beside it three times without a
- * success. A trial after five seconds: callers of a wrongly accused request wait no longer than that if it comes often, and a guilty one
- * costs one upstream more; routers in touch know of the quarantine well before. Ten minutes: a guilty request then costs one upstream in that time, and a wrongly accused caller waits no longer.
- * 512 suspects, some 100 bytes each, are 50 kB in a router's snapshot; a lost rack of 40 upstreams accuses about 200 requests.
+ * Three crashes: one may be coincidence, and few innocent requests run beside a crashing one three times without a success.
+ * A trial after five seconds bounds the wait for a frequent innocent request and costs one more upstream for a crashing one;
+ * connected routers learn of the quarantine well before that. Ten minutes: a crashing request costs one upstream in that time,
+ * and an innocent one is blocked no longer. 512 suspects of about 100 bytes each take 50 kB in a router's snapshot; losing a rack
+ * of 40 upstreams makes about 200 requests suspects.
  */
 export const DEFAULT_QUARANTINE_TERMS: QuarantineTerms = {
   crashes: 3,
@@ -70,10 +71,10 @@
   mostRequests: 512,
 };
 
-/** Runs without a name of their own that end within this time at one upstream are one: the next takes longer to start. */
+/** Unnamed runs of one upstream that end within this time count as one, since a restart takes longer. */
 const UNNAMED_RUN_MILLIS = 1000;
 
-/** Name of a run that is known by its upstream alone, by when it ended. */
+/** Derives the name of an unnamed run from its upstream and its end time. */
 export function nameUnnamedRun(upstream: UpstreamId, endedAt: WallMillis): RunName {
   return `${upstream}@${Math.round(endedAt / UNNAMED_RUN_MILLIS)}`;
 }
--- a/src/model/declaration.ts
+++ b/src/model/declaration.ts
@@ -1,55 +1,55 @@
 /**
- * What operators declare as one document under one version: routes, the services that they lead to, and limits on what
- * callers may send. Upstreams of these services announce themselves.
+ * The declaration that operators apply as one versioned document: routes, their services, and limits on callers.
+ * Upstreams of these services announce themselves.
  */
 import type { GrantCarrier } from './grant-carrier.js';
 import type { Revision, ServiceName } from './identifiers.js';
 import type { WarmupTerms } from './service.js';
 
-/** A part of a route's requests. */
+/** A weighted target of a route's traffic. */
 export interface SplitPart {
   readonly service: ServiceName;
-  /** Share among the parts of the route; 0 or more, one of them above 0. */
+  /** Weight relative to the other parts of the route; at least 0, and above 0 for at least one part. */
   readonly weight: number;
 }
 
-/** Requests of one host under one path prefix, and the terms on which they are served. */
+/** Requests of one host under one path prefix, and how they are served. */
 export interface RouteDefinition {
   readonly name: string;
   /** Lower case, without a port. */
   readonly host: string;
-  /** Begins and ends with a slash; the longest prefix of a host that begins the path wins. */
+  /** Starts and ends with a slash; the longest matching prefix of a host wins. */
   readonly prefix: string;
-  /** Whether a request may be run twice without harm. */
+  /** Whether requests are safe to run twice. */
   readonly repeatable: boolean;
-  /** Longest time that a request is held, in milliseconds. */
+  /** Request timeout in milliseconds. */
   readonly timeoutMillis: number;
-  /** Time within which an answer is worth most, in milliseconds. */
+  /** Latency target in milliseconds. */
   readonly targetMillis: number;
-  /** Upstreams that one request may be sent to at most. */
+  /** Maximum number of upstreams that one request may be sent to. */
   readonly maxAttempts: number;
   /** 0 is the most important. */
   readonly priority: number;
   readonly split: readonly SplitPart[];
 }
 
-/** A service as the document declares it. */
+/** A service as declared in the document. */
 export interface DeclaredService {
   readonly name: ServiceName;
   readonly healthPath: string;
-  /** Connections that one upstream takes from all callers together. */
+  /** Maximum connections of one upstream, from all clients together. */
   readonly connections: number;
-  /** Whether its upstreams own keys, numbers from 0 to `LARGEST_KEY`. */
+  /** Whether its upstreams own keys, which are numbers from 0 to `MAX_KEY`. */
   readonly keyed: boolean;
-  /** How ranges of its keys are granted; `null` if it isn't keyed. */
+  /** How its key ranges are granted; `null` if it isn't keyed. */
   readonly grantedBy: GrantCarrier | null;
-  /** What its upstreams bear while they are cold; `null`: nothing is said of that. */
+  /** Limits for its upstreams while they are cold; `null` if not declared. */
   readonly warmup: WarmupTerms | null;
-  /** How long keys are slow that come without their last owner's hand-over, in milliseconds; `null`: nothing is said of that. */
+  /** How long keys stay slow after a move without a handover from the last owner, in milliseconds; `null` if not declared. */
   readonly unwarmedKeyMillis: number | null;
 }
 
-/** Bounds on what a caller may send and on how long it may take; bytes and milliseconds. */
+/** Size and time limits on requests of a caller. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -63,15 +63,15 @@
   readonly revision: Revision;
 }
 
-/** What holds for the document as a whole. */
+/** Properties of the document as a whole. */
 export interface DeclarationRecord {
-  /** Picked by the operator; only grows. */
+  /** Chosen by the operator; only increases. */
   readonly version: number;
   readonly limits: CallerLimits;
   readonly revision: Revision;
 }
 
-/** Used until a document says otherwise. */
+/** Used until a declaration sets other limits. */
 export const DEFAULT_CALLER_LIMITS: CallerLimits = {
   headerBytes: 16 * 1024,
   bodyBytes: 1024 * 1024,
--- a/src/model/evacuation.ts
+++ b/src/model/evacuation.ts
@@ -1,10 +1,10 @@
-/** Zones that operators have taken out of use for a while. */
+/** Zones that operators have temporarily taken out of service. */
 import type { Revision, WallMillis, Zone } from './identifiers.js';
 
-/** An order that the upstreams of a zone get nothing new. It stands until it is taken back, also for upstreams that join meanwhile. */
+/** Excludes the upstreams of a zone from new work until it is revoked, including upstreams that join meanwhile. */
 export interface EvacuationRecord {
   readonly zone: Zone;
-  /** The registry's clock when the order was taken. */
+  /** Registry time at which the evacuation started. */
   readonly since: WallMillis;
   readonly revision: Revision;
 }
--- a/src/model/fleet-view.ts
+++ b/src/model/fleet-view.ts
@@ -1,7 +1,7 @@
-/** What the fleet knows of upstreams and zones that no single router sees, as the control leader tells it. */
+/** Fleet-wide view of upstreams and zones, which the control leader aggregates from the reports of all routers. */
 import type { ServiceName, UpstreamId, Zone } from './identifiers.js';
 
-/** Which state of a leader's knowledge a router holds. A leader that begins has a term of its own, and knows nothing. */
+/** Version of the leader's fleet view that a router holds. A new leader starts a new term with an empty view. */
 export interface FleetVersion {
   readonly term: number;
   readonly number: number;
@@ -9,56 +9,56 @@
 
 export const UNTOLD_VERSION: FleetVersion = { term: 0, number: 0 };
 
-/** Requests of one kind that an upstream answered. */
+/** Requests of one kind that an upstream completed. */
 export interface UpstreamSample {
   readonly upstream: UpstreamId;
-  /** Route or service that they were addressed to: those of one kind take alike. */
+  /** Route or service of the requests; requests of one kind take similar time. */
   readonly kind: string;
   readonly requests: number;
-  /** Milliseconds that they were worked on, waits for a slot left out. */
+  /** Total processing time, without waits for a slot. */
   readonly workMillis: number;
-  /** Whether the reporting router finds it out of order. */
+  /** Whether the reporting router considers the upstream failed. */
   readonly isOut: boolean;
 }
 
-/** Requests that came to a router for a service without keys. */
+/** Requests that arrived at a router for a service without keys. */
 export interface DemandSample {
   readonly service: ServiceName;
   readonly kind: string;
   readonly requests: number;
 }
 
-/** What a router adds to its load report. */
+/** Fleet part of a router's load report. */
 export interface FleetReport {
   readonly zone: Zone;
-  /** Counts the reports of one run; one that isn't above the latest came twice or late. */
+  /** Increases with each report of one run; a report that isn't above the latest is a duplicate or late. */
   readonly number: number;
   readonly have: FleetVersion;
   readonly upstreams: readonly UpstreamSample[];
   readonly demand: readonly DemandSample[];
 }
 
-/** Speed of an upstream, 1 for the mean of its service. */
+/** Relative speed of an upstream; 1 is the mean of its service. */
 export interface UpstreamSpeed {
   readonly upstream: UpstreamId;
   readonly speed: number;
 }
 
-/** A part of a zone's requests that goes to another zone. */
+/** Share of a zone's requests that is sent to another zone. */
 export interface SpillPart {
   readonly zone: Zone;
   readonly share: number;
 }
 
-/** Demand of a zone for a service against what its upstreams there can do. */
+/** Demand of a zone for a service compared to the capacity of its upstreams there. */
 export interface ZoneRoom {
   readonly service: ServiceName;
   readonly zone: Zone;
-  /** What a request takes at an upstream of speed 1, in milliseconds. */
+  /** Mean processing time of a request at an upstream of speed 1. */
   readonly meanMillis: number;
-  /** Whether the speeds of the service's upstreams differ enough to count. */
+  /** Whether the speeds of the service's upstreams differ significantly. */
   readonly isUneven: boolean;
-  /** Part of the zone's slots that work there fills, what comes from other zones included. */
+  /** Share of the zone's slots in use, including requests from other zones. */
   readonly use: number;
   readonly spill: readonly SpillPart[];
 }
--- a/src/model/grant-carrier.ts
+++ b/src/model/grant-carrier.ts
@@ -1,13 +1,13 @@
-/** How upstreams that announce themselves are told which ranges of keys they hold. */
+/** How grants of key ranges reach upstreams that announce themselves. */
 
 export const GRANT_CARRIERS = {
-  /** Each range is granted and released by a call to the upstream. */
+  /** Each range is granted and released by a request to the upstream. */
   request: 'request',
-  /** The answer to each of its heartbeats names all that it holds. */
+  /** The response to each heartbeat lists all ranges that the upstream holds. */
   heartbeat: 'heartbeat',
 } as const;
 
 export type GrantCarrier = (typeof GRANT_CARRIERS)[keyof typeof GRANT_CARRIERS];
 
-/** The carrier where a declaration names none. */
+/** Used for declarations without a carrier. */
 export const DEFAULT_GRANT_CARRIER: GrantCarrier = GRANT_CARRIERS.request;
--- a/src/model/header-names.ts
+++ b/src/model/header-names.ts
@@ -1,22 +1,22 @@
-/** Names of the headers that routers share with callers and with upstreams that announce themselves; settings may change them. */
+/** Configurable names of the headers exchanged with callers and with upstreams that announce themselves. */
 
 /** Lower case. */
 export interface HeaderNames {
-  /** Names a request; the upstream's answer carries it back. */
+  /** Identifies a request; the upstream echoes it in its response. */
   readonly requestId: string;
-  /** Milliseconds that the sender will wait. */
+  /** Remaining time of the request in milliseconds. */
   readonly deadline: string;
-  /** Run of an upstream that alone may take the request. */
+  /** The only run of an upstream that may accept the request. */
   readonly instance: string;
   /** Key of a request for a keyed service. */
   readonly key: string;
-  /** Load that an answer reports: requests running, then, if given, waiting and slots, with commas. */
+  /** Load reported in a response: running requests, optionally followed by waiting requests and slots, separated by commas. */
   readonly load: string;
-  /** On an answer: the request was turned away before it ran. */
+  /** In a response: the request was rejected before it ran. */
   readonly notRun: string;
-  /** On an answer: requests a second that the upstream takes from all routers together, for as long as it says so. */
+  /** In a response: rate limit of the upstream in requests per second over all routers, in effect while responses carry it. */
   readonly limit: string;
-  /** On an answer: its upstream leaves, and takes no new work. */
+  /** In a response: the upstream is draining and accepts no new work. */
   readonly leaving: string;
 }
 
--- a/src/model/health-path.ts
+++ b/src/model/health-path.ts
@@ -1,2 +1,2 @@
-/** Where upstreams answer for their health unless a declaration or settings say otherwise. */
+/** Default path of the health endpoint of upstreams; declarations and settings may override it. */
 export const HEALTH_PATH = '/ternmount/v1/health';
--- a/src/model/holder-protocol.ts
+++ b/src/model/holder-protocol.ts
@@ -1,15 +1,15 @@
-/** Where upstreams that take plain grants are called, and the headers of these calls. */
+/** Paths and headers of grant and release requests to upstreams that own key ranges. */
 import { DEFAULT_HEADER_NAMES } from './header-names.js';
 
 export interface HolderProtocol {
-  /** Paths of the calls. */
+  /** Request paths. */
   readonly grantPath: string;
   readonly releasePath: string;
-  /** On the answer to a release: what the owner hands over. Lower case. */
+  /** In the response to a release: the handover data of the owner. Lower case. */
   readonly handoverHeader: string;
-  /** On a call: the run that alone may take it; another one answers 421. Lower case. */
+  /** In a request: the only run that may accept it; any other responds with 421. Lower case. */
   readonly instanceHeader: string;
-  /** On an upstream's answer for its health: the run that gave it. Lower case. */
+  /** In a health response: the run that sent it. Lower case. */
   readonly identityHeader: string;
 }
 
--- a/src/model/identifiers.ts
+++ b/src/model/identifiers.ts
@@ -1,35 +1,35 @@
-/** Identifiers and units that every layer shares. Times are milliseconds unless a name says otherwise. */
+/** Identifiers and units shared by all layers. Times are in milliseconds unless the name has another unit. */
 
-/** Names one control cluster; made once by `ternmount control init`. */
+/** Identifies a control cluster; created once by `ternmount control init`. */
 export type ClusterId = string;
-/** Names one replica of the log. Made with its data folder and never reused. */
+/** Identifies a replica of the log. Created with its data folder and never reused. */
 export type ReplicaId = string;
-/** Names one upstream server as operators know it. */
+/** Identifies an upstream server to operators. */
 export type UpstreamId = string;
-/** Names one run of a process; a restarted process has a new one. */
+/** Identifies one run of a process; a restarted process has a new one. */
 export type Incarnation = string;
-/** Names one router process as its settings say. */
+/** Name of a router process, from its settings. */
 export type RouterId = string;
-/** Names a service that operators declared. */
+/** Name of a declared service. */
 export type ServiceName = string;
 /** Availability zone of a process. */
 export type Zone = string;
 /** `service/keyspace@generation/number`; see `formatShardId`. */
 export type ShardId = string;
-/** Index of a log entry. Revisions only grow; they are not a count of changes. */
+/** Index of a log entry. Revisions only increase, not necessarily by one per change. */
 export type Revision = number;
 /** Fencing epoch of one grant of one shard: the revision of the entry that granted it. */
 export type Epoch = number;
 /** Raft term. */
 export type Term = number;
-/** Milliseconds on some process's own monotonic clock. Never compared between processes. */
+/** Milliseconds on the monotonic clock of one process. Not comparable between processes. */
 export type MonotonicMillis = number;
 /** Milliseconds since the Unix epoch. */
 export type WallMillis = number;
-/** `host:port`, host an IP number. */
+/** `host:port`, where host is an IP address. */
 export type Address = string;
 
-/** The parts of a shard's name. */
+/** Components of a shard's name. */
 export interface ShardParts {
   readonly service: ServiceName;
   readonly keyspace: string;
@@ -38,14 +38,14 @@
   readonly number: number;
 }
 
-/** Writes a shard's name. */
+/** Formats a shard's name. */
 export function formatShardId(parts: ShardParts): ShardId {
   return `${parts.service}/${parts.keyspace}@${parts.generation}/${parts.number}`;
 }
 
 const SHARD_ID_PATTERN = /^([^/@]+)\/([^/@]+)@(\d+)\/(\d+)$/;
 
-/** Reads a shard's name; `undefined` if it isn't one. */
+/** Parses a shard's name; returns `undefined` if it is malformed. */
 export function parseShardId(shardId: ShardId): ShardParts | undefined {
   const match = SHARD_ID_PATTERN.exec(shardId);
   if (!match) {
--- a/src/model/key-map.ts
+++ b/src/model/key-map.ts
@@ -1,4 +1,4 @@
-/** Which shard a key belongs to. The same rule runs in routers and in the fence of each upstream. */
+/** Maps keys to shards. Routers and the fence of each upstream use the same rule. */
 import xxhash from 'xxhash-wasm';
 import type { KeyMap } from '../lease/types.js';
 import { formatShardId, type ShardId } from './identifiers.js';
@@ -6,7 +6,7 @@
 
 const hasher = await xxhash();
 
-/** The keyspace that takes `key`: an exact match first, then the longest prefix. */
+/** Returns the keyspace of `key`: an exact match first, then the longest prefix. */
 export function keyspaceOfKey(
   keyspaces: readonly KeyspaceDefinition[],
   key: string,
@@ -24,7 +24,7 @@
   return best;
 }
 
-/** The shard of `key`, by xxhash64 modulo the keyspace's shards; `undefined` if no keyspace takes it. */
+/** Returns the shard of `key`: xxhash64 modulo the number of shards; `undefined` if no keyspace matches. */
 export function shardOfKey(keyMap: KeyMap, key: string): ShardId | undefined {
   const keyspace = keyspaceOfKey(keyMap.keyspaces, key);
   if (keyspace === undefined) {
@@ -39,7 +39,7 @@
   });
 }
 
-/** Every shard of a key map. */
+/** Lists all shards of a key map. */
 export function shardsOfKeyMap(keyMap: KeyMap): ShardId[] {
   const { service, generation } = keyMap;
   return keyMap.keyspaces.flatMap((keyspace) =>
--- a/src/model/key-range.ts
+++ b/src/model/key-range.ts
@@ -1,4 +1,4 @@
-/** Keys as numbers, and ranges of them that one upstream owns. */
+/** Numeric keys, and ranges of them owned by upstreams. */
 import type { Epoch, Revision, ServiceName, UpstreamId } from './identifiers.js';
 
 /** Largest key of a keyspace of kind `range`; the smallest is 0. */
@@ -7,31 +7,31 @@
 /** Name of the one keyspace of a service whose keys are numbers. */
 export const RANGE_KEYSPACE = 'numbers';
 
-/** A run of keys, both ends inside. */
+/** Consecutive keys, both ends inclusive. */
 export interface KeySpan {
   readonly from: number;
   readonly to: number;
 }
 
-/** Who owns a run of keys. The ranges of a service cover all its keys and don't overlap. */
+/** Ownership of a span of keys. The ranges of a service cover all its keys and don't overlap. */
 export interface KeyRange extends KeySpan {
   readonly service: ServiceName;
-  /** `null`: nobody may serve it now. */
+  /** `null` while the range is unowned and must not be served. */
   readonly owner: UpstreamId | null;
-  /** Fencing token: the revision at which this owner, or that there is none, was decided. */
+  /** Fencing token: the revision of the decision that assigned this owner, or none. */
   readonly fence: Epoch;
-  /** Owner before, if it may still hold the keys; only while there is no owner. */
+  /** Previous owner if it may still hold the keys; set only while the range is unowned. */
   readonly former: UpstreamId | null;
   readonly revision: Revision;
 }
 
-/** Reads a key of a keyspace of kind `range`; `undefined` if it is none. */
+/** Parses a key of a keyspace of kind `range`; returns `undefined` if it is invalid. */
 export function parseNumericKey(text: string): number | undefined {
   const key = Number(text);
   return /^\d{1,5}$/.test(text) && key <= LARGEST_KEY ? key : undefined;
 }
 
-/** Position of the range that holds `key` in a list that is sorted by `from`; -1 if none does. */
+/** Index of the range that contains `key` in a list sorted by `from`; -1 if there is none. */
 export function findRange(ranges: readonly KeySpan[], key: number): number {
   let low = 0;
   let high = ranges.length - 1;
@@ -59,12 +59,12 @@
   return one.from <= other.to && other.from <= one.to;
 }
 
-/** Whether spans, in any order, hold all keys of one among them. */
+/** Whether `spans`, in any order, together contain all keys of `span`. */
 export function covers(spans: readonly KeySpan[], span: KeySpan): boolean {
   const sorted = [...spans].sort((one, other) => one.from - other.from);
-  const firstLeft = sorted.reduce(
+  const firstMissing = sorted.reduce(
     (first, { from, to }) => (from <= first && first <= to ? to + 1 : first),
     span.from,
   );
-  return firstLeft > span.to;
+  return firstMissing > span.to;
 }
--- a/src/model/limit-shares.ts
+++ b/src/model/limit-shares.ts
@@ -1,24 +1,27 @@
 /**
- * How a limit that an upstream names for all routers together is shared among them. A small part goes round in even turns, which need
- * nobody; the rest is permits that the control leader issues one by one to routers that have requests waiting. Both are good for a
- * short time only, so what a router that is cut off holds is soon worth nothing.
+ * How the rate limit of an upstream is shared among all routers. A small part is assigned in even time slots, which need no
+ * coordination; the control leader issues the rest as permits to routers with waiting requests. Both expire soon, so a partitioned
+ * router can't withhold capacity for long.
  */
 
-/** Part of a limit that goes round in even turns, so that each router hears of a changed limit, and some is served without a leader. */
+/**
+ * Part of a limit assigned in even time slots, so that each router sees changes of the limit and can send some requests without a
+ * leader.
+ */
 export const EVEN_SHARE = 0.2;
-/** Part that is issued as permits. */
+/** Part of a limit issued as permits. */
 export const PERMIT_SHARE = 1 - EVEN_SHARE;
-/** How long a permit is good for after it was issued, in milliseconds. */
+/** How long a permit is valid after it was issued. */
 export const PERMIT_MILLIS = 500;
-/** How long a turn that isn't used is good for, in milliseconds. */
+/** How long an unused time slot stays valid. */
 export const EVEN_TURN_MILLIS = 1000;
 /**
- * Requests a second that are sent to an upstream that names less: without an answer nobody would hear that the limit is over. One in four
+ * Lower bound on the request rate to a limited upstream, since only a response can show that a limit has ended. One request in four
  * seconds over all routers.
  */
 export const LEAST_LIMIT_PER_SECOND = 0.25;
 
-/** Requests a second that routers send together under a limit. */
+/** Requests per second that all routers together send under a limit. */
 export function sharedPerSecond(perSecond: number): number {
   return Math.max(LEAST_LIMIT_PER_SECOND, perSecond);
 }
--- a/src/model/outcome.ts
+++ b/src/model/outcome.ts
@@ -1,12 +1,12 @@
-/** What is known of a request whose answer the router made itself. */
+/** Outcome of a request to which the router itself generates the response. */
 
 /**
- * `not-run`: nothing has run and nothing will. `unknown`: it may have run or may still run.
- * `ran`: it ran; the upstream's answer is at hand or was.
+ * `not-run`: the request has not run and will not. `unknown`: it may have run or may still run.
+ * `ran`: it ran, and the upstream's response is or was available.
  */
 export type Outcome = 'not-run' | 'unknown' | 'ran';
 
-/** HTTP headers of the project's own, lower case. Callers' own copies of all but `SERVICE_HEADER` are dropped. */
+/** Project-specific HTTP headers, lower case. Routers drop all but `SERVICE_HEADER` from callers' requests. */
 export const HEADERS = {
   outcome: 'ternmount-outcome',
   reason: 'ternmount-reason',
--- a/src/model/router-turn.ts
+++ b/src/model/router-turn.ts
@@ -1,21 +1,21 @@
-/** A router's places among those that share what cold upstreams bear. */
+/** Time slots of a router, by which routers share the limited capacity of cold upstreams. */
 
-/** A place in rounds of turns. */
+/** Position of a router in the rounds of time slots. */
 export interface RoundPlace {
-  /** Where its turns lie in each round, 0 to below 1, spread evenly over the routers. */
+  /** Offset of the router's slot in each round, from 0 to below 1, evenly spread over the routers. */
   readonly phaseShare: number;
-  /** Routers that take turns, as far as whoever says so knows; never too few. */
+  /** Number of routers that share the rounds; an estimate that is never too low. */
   readonly routers: number;
 }
 
 export interface RouterTurn {
-  /** Among the routers of its zone, which alone use the cold upstreams of that zone that any of them can use. */
+  /** Among the routers of its zone. Only these use the cold upstreams of that zone that any router of it can use. */
   readonly inZone: RoundPlace;
-  /** Among all routers, which all send to the owner of a key. */
+  /** Among all routers, since every router sends to the owner of a key. */
   readonly inAll: RoundPlace;
 }
 
-const UNTOLD_PLACE: RoundPlace = { phaseShare: 0, routers: 300 };
+const DEFAULT_POSITION: RoundPlace = { phaseShare: 0, routers: 300 };
 
-/** Until a router is told its place it takes itself for one of many. */
-export const UNTOLD_TURN: RouterTurn = { inZone: UNTOLD_PLACE, inAll: UNTOLD_PLACE };
+/** Used until control assigns time slots: a high number of routers keeps each share small. */
+export const UNTOLD_TURN: RouterTurn = { inZone: DEFAULT_POSITION, inAll: DEFAULT_POSITION };
--- a/src/model/service.ts
+++ b/src/model/service.ts
@@ -1,25 +1,25 @@
-/** Declarations that operators make: services, their keyspaces, upstreams and policies. */
+/** Operator declarations: services with keyspaces and policies, and upstreams. */
 import type { GrantCarrier } from './grant-carrier.js';
 import type { Address, Incarnation, ServiceName, UpstreamId, WallMillis, Zone } from './identifiers.js';
 
-/** Classes of requests, most important first. */
+/** Priority classes of requests, most important first. */
 export const PRIORITY_CLASSES = ['critical', 'interactive', 'bulk'] as const;
 export type PriorityClass = (typeof PRIORITY_CLASSES)[number];
 
-/** A part of a service's keys, cut into shards. The longest matching rule of a service wins. */
+/** Part of a service's keys, split into shards. The longest matching rule of a service wins. */
 export interface KeyspaceDefinition {
   readonly name: string;
   /**
-   * `exact` matches one key, `prefix` all keys which start with `match` ('' matches every key). `range`: the keys are
-   * numbers, owned in ranges that are cut as load asks for it; it stands alone and has no shards.
+   * `exact` matches one key, `prefix` all keys that start with `match` ('' matches every key). `range`: keys are
+   * numbers, owned in ranges that are split by load; it must be the only keyspace of its service and has no shards.
    */
   readonly kind: 'exact' | 'prefix' | 'range';
   readonly match: string;
-  /** Number of shards, 1 or more; 1 for `exact`, 0 for `range`. */
+  /** Number of shards: 1 for `exact`, 0 for `range`, otherwise at least 1. */
   readonly shards: number;
 }
 
-/** Relative costs that placement minimises; each 0 or more. */
+/** Weights of the costs that placement minimises; each at least 0. */
 export interface PlacementWeights {
   readonly unavailability: number;
   readonly imbalance: number;
@@ -31,106 +31,105 @@
   readonly name: string;
   readonly when: string;
   readonly action: 'weigh' | 'refuse' | 'hold';
-  /** `weigh`: a CEL expression giving a factor above 0 on the picked upstream's cost. */
+  /** `weigh`: a CEL expression for a factor above 0 on the picked upstream's cost. */
   readonly weight?: string;
-  /** `refuse`: seconds for Retry-After, as CEL; the measured drain time if left out. */
+  /** `refuse`: CEL expression for Retry-After in seconds; defaults to the measured drain time. */
   readonly retryAfterSeconds?: string;
-  /** `hold`: longest hold in milliseconds, as CEL. */
+  /** `hold`: CEL expression for the maximum hold in milliseconds. */
   readonly holdMillis?: string;
 }
 
-/** How ranges of a service's keys are granted. */
+/** How a service's key ranges are granted. */
 export interface RangeGrantTerms {
   readonly carrier: GrantCarrier;
-  /** Whether it was another one before: keys may still be held by that. */
+  /** Whether the carrier has changed: upstreams may still hold keys granted by the previous one. */
   readonly hasChanged: boolean;
 }
 
-/** What upstreams of a service bear while they are cold. */
+/** Limit for upstreams of a service while they are cold. */
 export interface WarmupTerms {
-  /** Requests a second, from all routers together. */
+  /** Requests per second from all routers together. */
   readonly perSecond: number;
-  /** How long one is cold after its start, in milliseconds. */
+  /** How long an upstream is cold after its start. */
   readonly millis: number;
 }
 
-/** What operators declare for a service. */
+/** Declaration of a service. */
 export interface ServiceDefinition {
   readonly name: ServiceName;
   readonly keyed: boolean;
-  /** Whether a request may be run twice without harm. */
+  /** Whether requests are safe to run twice. */
   readonly repeatable: boolean;
   readonly priority: PriorityClass;
-  /** Longest time a request may take, from its arrival. */
+  /** Maximum duration of a request, from its arrival. */
   readonly deadlineMillis: number;
-  /** Requests an upstream works on at once. */
+  /** Concurrent requests of an upstream. */
   readonly slotsPerUpstream: number;
-  /** Retries as a share of first attempts, 0 to 1. */
+  /** Retries as a share of first attempts, from 0 to 1. */
   readonly retryBudget: number;
   /**
-   * Retries that one router may save up; 10 if left out. All routers together may spend theirs in the same moment, so where
-   * there are many it is small.
+   * Retries that one router may accumulate; defaults to 10. All routers may spend theirs at the same moment, so the
+   * value should be small where there are many.
    */
   readonly savedRetries?: number;
-  /** Requests a router keeps waiting for this service. */
+  /** Maximum requests waiting for this service in one router. */
   readonly queueLimit: number;
-  /** Longest wait in a router's queue. */
+  /** Maximum wait in a router's queue. */
   readonly holdLimitMillis: number;
   /** Whether identical reads in flight may share one attempt. */
   readonly coalesce: boolean;
-  /** Answers up to this many bytes are read whole before the first byte goes out. */
+  /** Responses of up to this many bytes are read whole before the first byte is sent. */
   readonly wholeAnswerBytes: number;
   /** How long outcomes of non-repeatable requests are kept. */
   readonly retentionMillis: number;
   readonly placement: PlacementWeights;
-  /** Planned moves of shards a minute. */
+  /** Maximum planned shard moves per minute. */
   readonly movesPerMinute: number;
-  /** Empty for services that aren't keyed. */
+  /** Empty for services without keys. */
   readonly keyspaces: readonly KeyspaceDefinition[];
   readonly policy: readonly PolicyRule[];
-  /** Connections that one upstream takes from all routers together; left out: no bound is known. */
+  /** Maximum connections of one upstream from all routers together; unbounded if omitted. */
   readonly connectionsPerUpstream?: number;
-  /** Path of its upstreams' health endpoint; left out: the routers' settings say. */
+  /** Path of its upstreams' health endpoint; defaults to the routers' settings. */
   readonly healthPath?: string;
-  /** How ranges of its keys are granted; left out: by calls, and never otherwise. */
+  /** How its key ranges are granted; if omitted, by requests and never changed. */
   readonly rangeGrants?: RangeGrantTerms;
-  /** What its upstreams bear while they are cold; left out: nothing is known of that. */
+  /** Limit for its upstreams while they are cold; unknown if omitted. */
   readonly warmup?: WarmupTerms;
   /**
-   * How long keys are slow that come to an owner without the hand-over of their last one, in milliseconds; left out: nothing is known
-   * of that.
+   * How long keys stay slow after a move without a handover from the last owner, in milliseconds; unknown if omitted.
    */
   readonly unwarmedKeyMillis?: number;
 }
 
-/** What operators declare for an upstream server. */
+/** Declaration of an upstream server. */
 export interface UpstreamDefinition {
   readonly id: UpstreamId;
   readonly service: ServiceName;
   readonly address: Address;
   readonly zone: Zone;
-  /** Names of the keyspaces whose shards it may hold; empty: all of its service's. */
+  /** Names of the keyspaces whose shards it may hold; empty for all keyspaces of its service. */
   readonly mayHold: readonly string[];
-  /** Set by `upstream drain`, or said by the upstream itself: no new work, its shards move away. */
+  /** Set by `upstream drain` or by the upstream itself: it gets no new work and its shards move away. */
   readonly leaving: boolean;
-  /** Facts of an upstream that announced itself; left out for one that an operator declared. */
+  /** Properties of an upstream that announced itself; omitted if an operator declared it. */
   readonly announced?: AnnouncedFacts;
 }
 
-/** What an upstream says of itself by heartbeat. */
+/** Properties that an upstream announces by heartbeat. */
 export interface AnnouncedFacts {
-  /** Requests that it works on at once. */
+  /** Concurrent requests. */
   readonly slots: number;
-  /** How much longer it was to be cold when it said that it is, in milliseconds; 0: it is warm. */
+  /** Remaining warm-up at the time of the announcement, in milliseconds; 0 if the upstream is warm. */
   readonly warmupMillis: number;
   /**
-   * Its start by its own clock, which names the run where upstreams start again under their id; left out: the id alone names it, and
-   * a restarted one has another id.
+   * Start time by the upstream's own clock, which identifies the run where a restarted upstream keeps its id. If omitted, the id
+   * alone identifies the run, and a restarted upstream has another id.
    */
   readonly born?: WallMillis;
 }
 
-/** Name of the run of an upstream that announced itself. */
+/** Returns the run of an announced upstream. */
 export function runOfAnnounced({ id, announced }: UpstreamDefinition): Incarnation {
   return announced?.born === undefined ? id : `${id}@${announced.born}`;
 }
--- a/src/model/shard-rows.ts
+++ b/src/model/shard-rows.ts
@@ -1,11 +1,11 @@
 /**
- * Shards as rows of numbers, grouped by service, keyspace and generation, with the names of upstreams and incarnations
- * as positions in a table: a tenth of the size of one object a shard. Snapshots on disk and on the wire use it.
+ * Compact encoding of shards as rows of numbers, grouped by service, keyspace and generation, with upstreams and incarnations
+ * as indexes into a table of names. It takes a tenth of the size of one object per shard. Snapshots on disk and on the wire use it.
  */
 import type { ShardRecord } from '../registry/types.js';
 import { formatShardId, parseShardId, type Revision } from './identifiers.js';
 
-/** Position of `null` in a table of names. */
+/** Index of `null` in a table of names. */
 const NO_NAME = -1;
 /** Fields of a row: number, owner, incarnation, epoch, target, revision. */
 const ROW_LENGTH = 6;
@@ -15,11 +15,11 @@
   readonly service: string;
   readonly keyspace: string;
   readonly generation: Revision;
-  /** Rows one after the other, in the order of the shards' numbers. */
+  /** Concatenated rows, ordered by shard number. */
   readonly rows: number[];
 }
 
-/** Gives each name a position. */
+/** Assigns an index to each name. */
 export class NameTable {
   readonly names: string[] = [];
   private readonly positions = new Map<string, number>();
@@ -43,7 +43,7 @@
   readonly record: ShardRecord;
 }
 
-/** Writes shards; equal sets of shards give equal groups. Throws `TypeError` on what isn't the name of a shard. */
+/** Encodes shards; equal sets of shards give equal groups. Throws `TypeError` on a malformed shard name. */
 export function encodeShardRows(records: Iterable<ShardRecord>, table: NameTable): ShardGroup[] {
   const groups = new Map<string, NumberedShard[]>();
   for (const record of records) {
@@ -61,7 +61,7 @@
   return names.map((name) => encodeGroup(groups.get(name) as NumberedShard[], table));
 }
 
-/** Reads shards that `encodeShardRows` wrote. */
+/** Decodes the output of `encodeShardRows`. */
 export function* decodeShardRows(
   groups: readonly ShardGroup[],
   names: readonly string[],
--- a/src/model/upstream-notice.ts
+++ b/src/model/upstream-notice.ts
@@ -1,31 +1,34 @@
-/** What an upstream says of itself in the head of an answer, whatever it answers: read by routers, told to control. */
+/**
+ * Notices: what an upstream reports in its response headers (rate limit, back-off, draining). Routers read them and forward them to
+ * control.
+ */
 import type { RunName } from './crash-suspect.js';
 import type { UpstreamId } from './identifiers.js';
 
-/** `unreadable`: the header is there and makes no sense, so it says neither that there is a limit nor that there is none. */
+/** `unreadable`: the header is present but malformed, so it neither sets nor removes a limit. */
 export type LimitNotice =
   | { readonly type: 'none' }
   | { readonly type: 'named'; readonly perSecond: number }
   | { readonly type: 'unreadable' };
 
-/** A header that is there and makes no sense. */
+/** A malformed header. */
 export interface UnreadableHeader {
   readonly header: string;
   readonly text: string;
 }
 
 export interface UpstreamNotice {
-  /** Requests that it takes from all routers together, for as long as it says so. */
+  /** Rate limit over all routers together, in effect while responses carry it. */
   readonly limit: LimitNotice;
-  /** It turned the request away, and wants nothing from this router for so many milliseconds; `null`: it asks for no rest. */
+  /** The upstream rejected the request and requests a back-off of this router for this time; `null` if it requests none. */
   readonly restMillis: number | null;
-  /** It takes no new work. */
+  /** The upstream accepts no new work. */
   readonly isLeaving: boolean;
   /** For the log. */
   readonly unreadable: readonly UnreadableHeader[];
 }
 
-/** An answer that says nothing. */
+/** Notice of a response without notice headers. */
 export const SILENT_NOTICE: UpstreamNotice = {
   limit: { type: 'none' },
   restMillis: null,
@@ -33,39 +36,39 @@
   unreadable: [],
 };
 
-/** The limit of one run of an upstream as somebody heard it last. */
+/** Last reported limit of one run of an upstream. */
 export interface HeardLimit {
-  /** `null`: it names none any more. */
+  /** `null` if there is no limit any more. */
   readonly perSecond: number | null;
-  /** How long ago that was heard, in milliseconds. */
+  /** Age of the report in milliseconds. */
   readonly heardAgoMillis: number;
 }
 
-/** What one router heard one run of an upstream say, and what it wants from there. */
+/** Notices of one run of an upstream as reported by one router, with its demand for permits. */
 export interface HeardUpstream {
   readonly upstream: UpstreamId;
   readonly run: RunName;
   readonly limit: HeardLimit;
-  /** Rest that it asked this router for, as far as it isn't over, in milliseconds; 0: none. */
+  /** Remaining back-off that the upstream requested from this router; 0 if there is none. */
   readonly restMillis: number;
-  /** It says that it leaves, and control hasn't shown so yet. */
+  /** The upstream reports that it is draining, and the configuration doesn't show it yet. */
   readonly isLeaving: boolean;
-  /** Permits for requests that wait; 0: none. */
+  /** Permits requested for waiting requests; 0 if there are none. */
   readonly wanted: number;
-  /** Rank of the most important of them, 0 the highest. */
+  /** Rank of the most important of them; 0 is the most important. */
   readonly rank: number;
-  /** How long the one that can wait longest can wait, in milliseconds. */
+  /** Longest remaining wait among them, in milliseconds. */
   readonly patienceMillis: number;
 }
 
-/** What the leader has for one router at one run of an upstream. */
+/** Permits that the leader issues to one router for one run of an upstream. */
 export interface IssuedPermits {
   readonly upstream: UpstreamId;
   readonly run: RunName;
-  /** Requests that may be sent there beyond the router's own turns. */
+  /** Requests that may be sent in addition to the router's time slots. */
   readonly granted: number;
-  /** What else was wanted was turned down: there is nothing before this time; `null`: nothing was turned down. */
+  /** Time until the next permit if some of the requested ones were denied; `null` if none was. */
   readonly nextInMillis: number | null;
-  /** The latest that any router told. */
+  /** Latest limit reported by any router. */
   readonly limit: HeardLimit;
 }
--- a/src/model/warmup-bounds.ts
+++ b/src/model/warmup-bounds.ts
@@ -1,4 +1,4 @@
-/** How far all routers together may go beyond what a cold upstream bears, in any second: by a factor and a number of requests. */
+/** How far all routers together may exceed the limit of a cold upstream in any second: a factor plus a number of requests. */
 export interface WarmupBounds {
   readonly overrunFactor: number;
   readonly marginRequests: number;
--- a/src/security/operator-tokens.ts
+++ b/src/security/operator-tokens.ts
@@ -1,37 +1,34 @@
-/**
- * Operators' tokens. A token is 256 random bits, so that one SHA-256 of it is enough to store: there is nothing to guess
- * that a slow hash would have to protect.
- */
+/** Operators' tokens. A token has 256 random bits and can't be guessed, so a plain SHA-256 is stored instead of a slow hash. */
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto';
 
-/** `read` may look; `write` may also change. */
+/** `read` permits reading; `write` also permits changes. */
 export const OPERATOR_ROLES = ['read', 'write'] as const;
 export type OperatorRole = (typeof OPERATOR_ROLES)[number];
 
-/** Who asks. */
+/** An authenticated operator. */
 export interface Operator {
   readonly name: string;
   readonly role: OperatorRole;
 }
 
-/** A token as the tokens file keeps it. */
+/** A token as stored in the tokens file. */
 export interface TokenRecord extends Operator {
   /** SHA-256 of the token, hex. */
   readonly sha256: string;
-  /** When it stops working, ISO 8601; `null`: never. */
+  /** Expiry time, ISO 8601; `null` if it never expires. */
   readonly expires: string | null;
 }
 
-/** Tells who a token belongs to. */
+/** Authenticates operators by token. */
 export interface TokenAuthority {
-  /** `undefined`: nobody's, or expired. */
+  /** Returns `undefined` if the token is unknown or expired. */
   authenticate(token: string): Operator | undefined;
 }
 
 const TOKEN_BYTES = 32;
 const TOKEN_PREFIX = 'tmt_';
 
-/** Makes a token; it is shown once and never stored. */
+/** Creates a token; it is shown once and never stored. */
 export function createToken(): string {
   return TOKEN_PREFIX + randomBytes(TOKEN_BYTES).toString('base64url');
 }
@@ -41,7 +38,7 @@
   return createHash('sha256').update(token, 'utf8').digest('hex');
 }
 
-/** Finds whose token it is. Compares with each record in constant time. */
+/** Returns the operator of a token. Compares the token with each record in constant time. */
 export function findOperator(
   records: readonly TokenRecord[],
   token: string,
--- a/src/security/secret-file.ts
+++ b/src/security/secret-file.ts
@@ -1,11 +1,11 @@
-/** The secret that a cluster's own processes share. */
+/** The secret shared by the processes of a cluster. */
 import { readFileSync } from 'node:fs';
 import { toError } from '../errors/ternmount-error.js';
 import { SettingsError } from '../settings/settings-error.js';
 
-const MINIMUM_LENGTH = 16;
+const MIN_LENGTH = 16;
 
-/** Reads the secret; empty without a file. Throws `SettingsError`. */
+/** Reads the secret; returns an empty string if `path` is `null`. Throws `SettingsError`. */
 export function readSecret(path: string | null): string {
   if (path === null) {
     return '';
@@ -17,8 +17,8 @@
     const { code, message } = toError(thrown) as NodeJS.ErrnoException;
     throw new SettingsError([{ source: path, path: '', message: `can't be read (${code ?? message})` }]);
   }
-  if (secret.length < MINIMUM_LENGTH) {
-    const message = `the secret must have ${MINIMUM_LENGTH} characters or more`;
+  if (secret.length < MIN_LENGTH) {
+    const message = `the secret must have ${MIN_LENGTH} characters or more`;
     throw new SettingsError([{ source: path, path: '', message }]);
   }
   return secret;
--- a/src/security/token-file.ts
+++ b/src/security/token-file.ts
@@ -1,4 +1,4 @@
-/** The tokens file: YAML with a list `tokens`. A daemon takes up changes to it without a restart. */
+/** The tokens file: YAML with a list `tokens`. Daemons apply changes to it without a restart. */
 import { closeSync, fsyncSync, openSync, renameSync, statSync, writeSync } from 'node:fs';
 import { dirname } from 'node:path';
 import { stringify } from 'yaml';
@@ -71,11 +71,11 @@
   syncFolder(dirname(path));
 }
 
-/** Adds a token to a file, which is made if it isn't there. Throws `SettingsError` if the name stands in it already. */
+/** Adds a token to a file, which is created if needed. Throws `SettingsError` if the file already has a token of this name. */
 export function addToken(path: string, record: TokenRecord): void {
   const records = fileExists(path) ? readTokenFile(path) : [];
   if (records.some((other) => other.name === record.name)) {
-    const message = `a token named ${JSON.stringify(record.name)} stands in the file already`;
+    const message = `a token named ${JSON.stringify(record.name)} already exists in the file`;
     throw new SettingsError([{ source: path, path: 'tokens', message }]);
   }
   const tokens = [...records, record].map(({ expires, ...rest }) =>
@@ -84,7 +84,7 @@
   replaceFile(path, stringify({ tokens }));
 }
 
-/** Checks tokens against a file, which is read again within a second of a change. */
+/** Authenticates against a tokens file, which is reloaded within a second of a change. */
 export class TokenFile implements TokenAuthority {
   readonly #path: string;
   readonly #wallClock: () => number;
@@ -93,7 +93,7 @@
   #modified: number;
   #checkedAt: number;
 
-  /** Throws `SettingsError` if the file can't be used. */
+  /** Throws `SettingsError` if the file is invalid. */
   constructor(path: string, wallClock: () => number = Date.now) {
     this.#path = path;
     this.#wallClock = wallClock;
@@ -111,7 +111,7 @@
     return findOperator(this.#records, token, now);
   }
 
-  /** A file that can't be used any more leaves the last good tokens in force. */
+  /** If the file has become invalid, the last valid tokens stay in effect. */
   #reload(): void {
     try {
       const modified = statSync(this.#path).mtimeMs;
--- a/src/text/columns.ts
+++ b/src/text/columns.ts
@@ -1,17 +1,16 @@
-/** Lines of text in columns, for terminals and reports. */
+/** Aligns text in columns, for terminals and reports. */
 
-/** Where a column's shorter cells stand. */
 export type Alignment = 'left' | 'right';
 
 export const COLUMN_GAP = '  ';
 
-/** Characters of the widest cell of each column; the first row says how many columns there are. */
+/** Width of the widest cell of each column; the first row determines the number of columns. */
 export function columnWidths(rows: readonly (readonly string[])[]): number[] {
   const [head = []] = rows;
   return head.map((_, column) => Math.max(...rows.map((row) => row[column]?.length ?? 0)));
 }
 
-/** A line for each row. Blanks at the end of a line are left out. */
+/** Formats each row as a line without trailing blanks. */
 export function alignColumns(
   rows: readonly (readonly string[])[],
   alignmentOf: (column: number) => Alignment,
@@ -25,7 +24,7 @@
   );
 }
 
-/** The first column holds names, the others numbers. */
+/** Aligns the first column (names) to the left and the others (numbers) to the right. */
 export function namesThenNumbers(column: number): Alignment {
   return column === 0 ? 'left' : 'right';
 }
--- a/src/upstream/fence-options.ts
+++ b/src/upstream/fence-options.ts
@@ -1,4 +1,4 @@
-/** Settings and hooks of the embeddable fence. */
+/** Options and hooks of the embeddable fence. */
 import type { ClusterId, Incarnation, ServiceName, ShardId, UpstreamId } from '../model/identifiers.js';
 
 export interface FenceOptions {
@@ -7,31 +7,31 @@
   readonly service: ServiceName;
   /** Whether requests name a shard that this server must own. Default: true. */
   readonly keyed?: boolean;
-  /** The cluster's secret. With it, only messages of control members that prove it are followed. Default: any are. */
+  /** The cluster's secret. If set, only messages with a proof of it are accepted. Default: messages need no proof. */
   readonly secret?: string;
-  /** Names this run of the process; a random one by default. Must never repeat. */
+  /** Identifies this run of the process and must never repeat. Default: random. */
   readonly incarnation?: Incarnation;
-  /** Requests worked on at once; more are refused as overloaded. Default: no bound. */
+  /** Maximum concurrent requests; more are refused as overloaded. Default: unbounded. */
   readonly maxInFlight?: number;
-  /** Seconds in Retry-After of refusals that pass by themselves. Default: 1. */
+  /** Retry-After of temporary refusals, in seconds. Default: 1. */
   readonly retryAfterSeconds?: number;
-  /** Work outstanding, reported with each answer, in requests. Default: requests in flight. */
+  /** Outstanding work in requests, reported with each response. Default: requests in flight. */
   readonly load?: () => number;
   /**
-   * A monotonic clock in milliseconds that counts suspensions of the machine. Default: `performance.now` and what `os.uptime` shows
-   * beyond it.
+   * A monotonic clock in milliseconds that includes time in which the machine is suspended. Default: `performance.now` plus the
+   * time by which `os.uptime` exceeds it.
    */
   readonly clock?: () => number;
-  /** Loads a shard's state before it is granted. The shard counts as warm once this resolves. */
+  /** Loads a shard's state before the shard is granted. The shard is warm once this resolves. */
   readonly onWarm?: (shard: ShardId) => void | Promise<void>;
-  /** Requests of the shard may come from now on. */
+  /** Called when the shard is granted and its requests are admitted. */
   readonly onGranted?: (shard: ShardId) => void;
-  /** The shard is given up for good; its state may be dropped. */
+  /** Called when the shard is released; its state may be dropped. */
   readonly onReleased?: (shard: ShardId) => void;
 }
 
-/** How long `drain` waits for the control leader to move the shards away, and how often it looks. */
+/** How long `drain` waits for the control leader to move the shards away. */
 export interface DrainOptions {
-  /** Default: 5000 ms. Shards still held after that are refused from then on. */
+  /** Default: 5000 ms. After that, requests for shards still held are refused. */
   readonly moveMillis?: number;
 }
--- a/src/upstream/fence.ts
+++ b/src/upstream/fence.ts
@@ -1,6 +1,6 @@
 /**
- * The fence that a server which owns keys embeds. It answers the control leader's session requests, lets in only
- * requests of shards that this run of the server holds, and hands each handler the check for the point of effect.
+ * The fence embedded by servers that own keys. It answers the control leader's session requests, admits only requests for
+ * shards that this run of the server holds, and passes each handler a check to call right before a request takes effect.
  */
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -24,7 +24,7 @@
 const DEFAULT_MOVE_MILLIS = 5000;
 const DRAIN_CHECK_MILLIS = 20;
 
-/** State of a fence, as its health endpoint shows it. */
+/** State of a fence, as reported by its health endpoint. */
 export interface FenceStatus {
   readonly upstream: string;
   readonly service: string;
@@ -66,7 +66,7 @@
     };
   }
 
-  /** Serves the fence's own endpoints. Gives `false`, and does nothing, if the request is for none of them. */
+  /** Serves the fence's own endpoints. Returns `false` without an effect if the request is for none of them. */
   serveEndpoint(request: IncomingMessage, response: ServerResponse): boolean {
     const path = request.url?.split('?', 1)[0];
     this.closeIfDrained(response);
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Checks a request and lets it in, or answers it and gives `null`. The caller must call `closeHandler` when the
-   * handler has returned. A request whose connection is gone already is not let in: its end could not be seen.
+   * Admits a request, or responds to it and returns `null`. The caller must call `closeHandler` when the handler has
+   * returned. A request whose connection is already closed is not admitted, since its end could not be observed.
    */
   open(request: IncomingMessage, response: ServerResponse): GuardedExchange | null {
     if (response.destroyed) {
@@ -106,9 +106,9 @@
   }
 
   /**
-   * Planned stop: asks the control leader to move the shards away and goes on serving them meanwhile, until the leader
-   * was told that each is given up; then lets in nothing more and resolves when all that runs is done. The server's
-   * sockets may be closed after that. Without a lease it may serve none of its shards, so it then waits for none.
+   * Planned stop: requests that the control leader move the shards away, and keeps serving them until the release of each
+   * is reported to the leader. Then admits no more requests and resolves when the running ones are done. The server's
+   * sockets may be closed after that. Without a lease, no shard may be served, so the fence doesn't wait for moves.
    */
   async drain(options: DrainOptions = {}): Promise<void> {
     if (this.state === 'serving') {
@@ -125,8 +125,8 @@
   }
 
   /**
-   * A drained server is about to close; control and routers, which call it all the time, must not keep their
-   * connections open then.
+   * A drained server is about to close, so control and routers, which call it continuously, must not keep their
+   * connections open.
    */
   private closeIfDrained(response: ServerResponse): void {
     if (this.state === 'draining') {
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Whether this server may serve shards, and the leader still takes it for the owner of one. */
+  /** Whether this server may serve shards and the leader still regards it as the owner of at least one. */
   private isHolding(): boolean {
     const { held, unreported, leased } = this.holder.status(this.clock());
     return leased && held + unreported > 0;
@@ -220,7 +220,7 @@
     }
   }
 
-  /** A shard that couldn't be loaded isn't reported as warm; the leader then moves it cold or elsewhere. */
+  /** A shard that couldn't be loaded isn't reported as warm, so the leader moves it cold or elsewhere. */
   private async warm(shard: ShardId): Promise<void> {
     try {
       await this.options.onWarm?.(shard);
@@ -235,7 +235,7 @@
   }
 }
 
-/** Makes the fence of this run of a server. */
+/** Creates the fence for this run of a server. */
 export function createFence(options: FenceOptions): Fence {
   return new Fence(options);
 }
--- a/src/upstream/guarded-request.ts
+++ b/src/upstream/guarded-request.ts
@@ -1,43 +1,43 @@
-/** One request that the fence let in, as its handler sees it. */
+/** A request admitted by the fence, as passed to its handler. */
 import type { ServerResponse } from 'node:http';
 import type { ShardId } from '../model/identifiers.js';
 import type { RequestHead } from './request-head.js';
 
-/** What the fence keeps of a request while it runs. */
+/** An admitted request from the point of view of the fence. */
 export interface GuardedWork {
   /** Whether the request may still take effect. */
   confirmEffect(): boolean;
-  /** The request is over. Called once. */
+  /** Ends the request. Called once. */
   finish(): void;
 }
 
 /**
- * What a handler gets. `confirmEffect` must be called, without waiting for anything afterwards, right before the
- * handler changes state that outlives the request; `false` means that it must not.
+ * Passed to handlers. `confirmEffect` must be called synchronously right before the handler changes state that outlives
+ * the request; if it returns `false`, the handler must not make the change.
  */
 export interface GuardedRequest {
   readonly requestId: string | null;
   readonly key: string | null;
   readonly shard: ShardId | null;
-  /** Aborted when the deadline passes or the router gives the request up. */
+  /** Aborted when the deadline passes or the router cancels the request. */
   readonly signal: AbortSignal;
   confirmEffect(): boolean;
 }
 
-/** A request whose deadline passed, as the reason of its signal. */
+/** Abort reason of a request whose deadline has passed. */
 export class DeadlinePassedError extends Error {}
-/** A request that its router gave up, as the reason of its signal. */
+/** Abort reason of a request that its router cancelled. */
 export class RequestCancelledError extends Error {}
 
-/** Watches deadline and disconnect, and ends the work once handler and answer are both done. */
+/** Monitors deadline and disconnect, and finishes the work once both handler and response are done. */
 export class GuardedExchange implements GuardedRequest {
   readonly requestId: string | null;
   readonly key: string | null;
   readonly shard: ShardId | null;
-  private readonly abortion = new AbortController();
+  private readonly abortController = new AbortController();
   private readonly deadline: NodeJS.Timeout | undefined;
   private handlerDone = false;
-  private answerDone = false;
+  private responseDone = false;
 
   constructor(
     head: RequestHead,
@@ -50,25 +50,25 @@
     if (head.deadlineMillis !== null) {
       this.deadline = setTimeout(() => this.abort(new DeadlinePassedError()), head.deadlineMillis);
     }
-    response.once('close', () => this.closeAnswer(response.writableFinished));
+    response.once('close', () => this.closeResponse(response.writableFinished));
   }
 
   get signal(): AbortSignal {
-    return this.abortion.signal;
+    return this.abortController.signal;
   }
 
   confirmEffect(): boolean {
-    return !this.abortion.signal.aborted && this.work.confirmEffect();
+    return !this.abortController.signal.aborted && this.work.confirmEffect();
   }
 
-  /** The handler has returned, so it will do nothing more. */
+  /** Marks the handler as returned. */
   closeHandler(): void {
     this.handlerDone = true;
     this.finishIfDone();
   }
 
-  private closeAnswer(whole: boolean): void {
-    this.answerDone = true;
+  private closeResponse(whole: boolean): void {
+    this.responseDone = true;
     if (!whole) {
       this.abort(new RequestCancelledError());
     }
@@ -76,11 +76,11 @@
   }
 
   private abort(reason: Error): void {
-    this.abortion.abort(reason);
+    this.abortController.abort(reason);
   }
 
   private finishIfDone(): void {
-    if (this.handlerDone && this.answerDone) {
+    if (this.handlerDone && this.responseDone) {
       clearTimeout(this.deadline);
       this.work.finish();
     }
--- a/src/upstream/index.ts
+++ b/src/upstream/index.ts
@@ -1,4 +1,4 @@
-/** The fence that a server embeds to hold keys; docs/UPSTREAM-PROTOCOL.md describes what it speaks. */
+/** The fence embedded by servers that own keys. docs/UPSTREAM-PROTOCOL.md describes its protocol. */
 export { HEALTH_PATH } from '../model/health-path.js';
 export { createFence, Fence, type FenceStatus, SESSION_PATH } from './fence.js';
 export type { DrainOptions, FenceOptions } from './fence-options.js';
--- a/src/upstream/koa-middleware.ts
+++ b/src/upstream/koa-middleware.ts
@@ -3,12 +3,12 @@
 import type { Fence } from './fence.js';
 import type { GuardedRequest } from './guarded-request.js';
 
-/** What the middleware leaves in `ctx.state`. */
+/** State that the middleware sets in `ctx.state`. */
 export interface GuardedState {
   guarded: GuardedRequest;
 }
 
-/** Serves the fence's endpoints and guards everything after it. Put it first, and parse no body before it. */
+/** Serves the fence's endpoints and guards all later middleware. Must come first, before any body parser. */
 export function createKoaMiddleware(fence: Fence): Middleware<GuardedState> {
   return async (context, next) => {
     if (fence.serveEndpoint(context.req, context.res)) {
--- a/src/upstream/node-handler.ts
+++ b/src/upstream/node-handler.ts
@@ -3,7 +3,7 @@
 import type { Fence } from './fence.js';
 import type { GuardedRequest } from './guarded-request.js';
 
-/** Serves one request that was let in. The promise must last as long as the work does. */
+/** Handles an admitted request. The promise must not settle before the work is done. */
 export type GuardedHandler = (
   request: IncomingMessage,
   response: ServerResponse,
@@ -12,7 +12,7 @@
 
 const INTERNAL_SERVER_ERROR = 500;
 
-/** Makes a request listener which serves the fence's endpoints and lets guarded requests through to `handler`. */
+/** Creates a request listener that serves the fence's endpoints and passes admitted requests to `handler`. */
 export function createNodeHandler(fence: Fence, handler: GuardedHandler): RequestListener {
   return (request, response) => {
     if (!fence.serveEndpoint(request, response)) {
@@ -34,14 +34,14 @@
   try {
     await handler(request, response, exchange);
   } catch {
-    breakAnswer(response);
+    failResponse(response);
   } finally {
     exchange.closeHandler();
   }
 }
 
-/** A handler that threw may have run in part: the router must not take the answer for a refusal. */
-function breakAnswer(response: ServerResponse): void {
+/** A handler that threw may have run in part, so the response must not look like a refusal to the router. */
+function failResponse(response: ServerResponse): void {
   if (response.headersSent) {
     response.destroy();
   } else {
--- a/src/upstream/refusal.ts
+++ b/src/upstream/refusal.ts
@@ -1,4 +1,4 @@
-/** Answers that the fence gives in place of the handler. Each says that the request has not run. */
+/** Responses that the fence sends instead of the handler. Each states that the request has not run. */
 import type { ServerResponse } from 'node:http';
 import type { FenceRefusal } from '../lease/types.js';
 import { HEADERS } from '../model/outcome.js';
@@ -7,17 +7,17 @@
 const SERVICE_UNAVAILABLE = 503;
 const BAD_REQUEST = 400;
 
-/** Refusals that pass by themselves; the others mean that the request came to the wrong server. */
-const PASSING: ReadonlySet<FenceRefusal> = new Set(['draining', 'overloaded']);
+/** Refusals for a temporary condition; the others mean that the request was sent to the wrong server. */
+const TEMPORARY_REFUSALS: ReadonlySet<FenceRefusal> = new Set(['draining', 'overloaded']);
 
-/** Writes a JSON body with its length. */
+/** Sends a JSON body with its length. */
 export function writeJson(response: ServerResponse, status: number, value: unknown): void {
   const body = Buffer.from(JSON.stringify(value));
   response.writeHead(status, { 'content-type': 'application/json', 'content-length': body.length });
   response.end(body);
 }
 
-/** Turns a request away before it has run. */
+/** Refuses a request before it has run. */
 export function writeRefusal(
   response: ServerResponse,
   refusal: FenceRefusal,
@@ -25,15 +25,15 @@
 ): void {
   response.setHeader(HEADERS.outcome, 'not-run');
   response.setHeader(HEADERS.reason, refusal);
-  const passing = PASSING.has(refusal);
-  if (passing) {
+  const isTemporary = TEMPORARY_REFUSALS.has(refusal);
+  if (isTemporary) {
     response.setHeader('retry-after', retryAfterSeconds);
   }
-  const status = passing ? SERVICE_UNAVAILABLE : MISDIRECTED_REQUEST;
+  const status = isTemporary ? SERVICE_UNAVAILABLE : MISDIRECTED_REQUEST;
   writeJson(response, status, { outcome: 'not-run', reason: refusal });
 }
 
-/** Turns away a request whose headers make no sense. */
+/** Refuses a request with malformed headers. */
 export function writeMalformed(response: ServerResponse, message: string): void {
   response.setHeader(HEADERS.outcome, 'not-run');
   response.setHeader(HEADERS.reason, 'malformed');
--- a/src/upstream/request-head.ts
+++ b/src/upstream/request-head.ts
@@ -1,4 +1,4 @@
-/** Reads the headers that a router adds to each request. */
+/** Parses the headers that routers add to each request. */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { FenceCredentials } from '../lease/types.js';
 import { HEADERS } from '../model/outcome.js';
@@ -6,23 +6,23 @@
 export interface RequestHead {
   readonly requestId: string | null;
   readonly key: string | null;
-  /** `null` on requests of services that aren't keyed. */
+  /** `null` for services without keys. */
   readonly credentials: FenceCredentials | null;
-  /** Time left; `null`: no deadline. */
+  /** Remaining time; `null` without a deadline. */
   readonly deadlineMillis: number | null;
 }
 
-/** A header that isn't what docs/UPSTREAM-PROTOCOL.md says. */
+/** A header that violates docs/UPSTREAM-PROTOCOL.md. */
 export class MalformedHeadError extends Error {}
 
-/** Longest deadline that is taken: a day. */
+/** Longest accepted deadline: one day. */
 const MAX_DEADLINE_MILLIS = 86_400_000;
 
-/** Reads them all; throws `MalformedHeadError`. */
+/** Parses the headers. Throws `MalformedHeadError`. */
 export function readRequestHead(headers: IncomingHttpHeaders): RequestHead {
   const key = readKey(headers);
   return {
-    requestId: textOf(headers, HEADERS.requestId),
+    requestId: readText(headers, HEADERS.requestId),
     key,
     credentials: readCredentials(headers, key),
     deadlineMillis: readInteger(headers, HEADERS.deadlineMillis, MAX_DEADLINE_MILLIS),
@@ -30,12 +30,12 @@
 }
 
 function readCredentials(headers: IncomingHttpHeaders, key: string | null): FenceCredentials | null {
-  const shard = textOf(headers, HEADERS.shard);
+  const shard = readText(headers, HEADERS.shard);
   if (shard === null) {
     return null;
   }
   const epoch = readInteger(headers, HEADERS.epoch, Number.MAX_SAFE_INTEGER);
-  const incarnation = textOf(headers, HEADERS.incarnation);
+  const incarnation = readText(headers, HEADERS.incarnation);
   if (epoch === null || incarnation === null || key === null) {
     throw new MalformedHeadError(
       `${HEADERS.shard} needs ${HEADERS.epoch}, ${HEADERS.incarnation} and ${HEADERS.key}`,
@@ -44,21 +44,21 @@
   return { shard, epoch, incarnation, key };
 }
 
-/** Keys travel percent-encoded, since header values are no UTF-8. */
+/** Keys are percent-encoded, since header values are not UTF-8. */
 function readKey(headers: IncomingHttpHeaders): string | null {
-  const encoded = textOf(headers, HEADERS.key);
+  const encoded = readText(headers, HEADERS.key);
   if (encoded === null) {
     return null;
   }
   try {
     return decodeURIComponent(encoded);
   } catch {
-    throw new MalformedHeadError(`${HEADERS.key} is no percent-encoded UTF-8`);
+    throw new MalformedHeadError(`${HEADERS.key} is not percent-encoded UTF-8`);
   }
 }
 
 function readInteger(headers: IncomingHttpHeaders, name: string, max: number): number | null {
-  const value = textOf(headers, name);
+  const value = readText(headers, name);
   if (value === null) {
     return null;
   }
@@ -69,7 +69,7 @@
   return number;
 }
 
-function textOf(headers: IncomingHttpHeaders, name: string): string | null {
+function readText(headers: IncomingHttpHeaders, name: string): string | null {
   const value = headers[name];
   return typeof value === 'string' ? value : null;
 }
--- a/src/upstream/session-endpoint.ts
+++ b/src/upstream/session-endpoint.ts
@@ -1,4 +1,4 @@
-/** `POST /ternmount/v1/session`: the control leader's messages. */
+/** `POST /ternmount/v1/session`, which receives the control leader's messages. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { toError } from '../errors/ternmount-error.js';
 import type { SessionAnswer, SessionRequest } from '../lease/types.js';
@@ -14,14 +14,14 @@
 const METHOD_NOT_ALLOWED = 405;
 const PAYLOAD_TOO_LARGE = 413;
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface SessionEndpoint {
-  /** The cluster's secret, which messages must prove; `null`: none is asked for. */
+  /** The cluster's secret, which messages must prove; `null` if no proof is required. */
   readonly secret: string | null;
   readonly handle: (message: SessionRequest) => SessionAnswer;
 }
 
-/** Reads one message and writes the answer that `handle` gives. A malformed or unproved message changes nothing. */
+/** Reads one message and responds with the result of `handle`. A malformed or unproved message has no effect. */
 export function serveSession(
   request: IncomingMessage,
   response: ServerResponse,
@@ -47,7 +47,7 @@
       return;
     }
     const body = Buffer.concat(chunks);
-    if (isProved(request, body, endpoint.secret)) {
+    if (hasValidProof(request, body, endpoint.secret)) {
       answer(response, body, endpoint.handle);
     } else {
       writeJson(response, UNAUTHORIZED, { message: `${HEADERS.sessionProof} is missing or wrong` });
@@ -55,7 +55,7 @@
   });
 }
 
-function isProved(request: IncomingMessage, body: Buffer, secret: string | null): boolean {
+function hasValidProof(request: IncomingMessage, body: Buffer, secret: string | null): boolean {
   const proof = request.headers[HEADERS.sessionProof];
   return secret === null || (typeof proof === 'string' && isSessionProof(secret, body, proof));
 }
--- a/src/wire/control/join-request.ts
+++ b/src/wire/control/join-request.ts
@@ -1,4 +1,4 @@
-/** A replica that is no member yet asks to be taken in. */
+/** Request of a replica to join the cluster. */
 import type { JoinRequest } from '../../control/messages.js';
 import { text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/fields.ts
+++ b/src/wire/fields.ts
@@ -1,15 +1,15 @@
-/** Field types that messages are made of, on top of `restructure`. */
+/** Field types of messages, built on `restructure`. */
 import * as restructure from 'restructure';
 import { MalformedFrameError } from './wire-error.js';
 
 const VARINT_RANGE = 128;
-const MOST_VARINT_BYTES = 8;
+const MAX_VARINT_BYTES = 8;
 const MAX_TEXT_BYTES = 65535;
 const textDecoder = new TextDecoder('utf-8', { fatal: true, ignoreBOM: true });
 
 /**
- * Integers 0 to 2^53 - 1, seven bits a byte, the lowest first; the top bit says that another byte follows (LEB128). Most are small,
- * and they are most of what heartbeats carry.
+ * Integers from 0 to 2^53 - 1 as LEB128: seven bits per byte, lowest first, with the top bit set if another byte follows. Most
+ * values are small, and they make up most of a heartbeat.
  */
 class SafeIntegerField implements restructure.FieldType<number> {
   size(value: number): number {
@@ -23,7 +23,7 @@
   decode(stream: restructure.DecodeStream): number {
     let value = 0;
     let scale = 1;
-    for (let count = 0; count < MOST_VARINT_BYTES; count += 1) {
+    for (let count = 0; count < MAX_VARINT_BYTES; count += 1) {
       const byte = stream.readUInt8();
       value += (byte % VARINT_RANGE) * scale;
       if (byte < VARINT_RANGE) {
@@ -31,7 +31,7 @@
       }
       scale *= VARINT_RANGE;
     }
-    throw new MalformedFrameError(`integer of more than ${MOST_VARINT_BYTES} bytes`);
+    throw new MalformedFrameError(`integer of more than ${MAX_VARINT_BYTES} bytes`);
   }
 
   encode(stream: restructure.EncodeStream, value: number): void {
@@ -46,12 +46,12 @@
 
 function checkedInteger(value: number): number {
   if (!Number.isSafeInteger(value) || value < 0) {
-    throw new MalformedFrameError(`${value} is no integer from 0 to 2^53 - 1`);
+    throw new MalformedFrameError(`${value} is not an integer from 0 to 2^53 - 1`);
   }
   return value;
 }
 
-/** Bytes after their length of four bytes; a length beyond the frame is an error. */
+/** Bytes preceded by their length in four bytes; a length beyond the frame is an error. */
 class BytesField implements restructure.FieldType<Uint8Array> {
   size(value: Uint8Array): number {
     return 4 + value.length;
@@ -67,7 +67,7 @@
   }
 }
 
-/** UTF-8 text of up to 65535 bytes after its length. */
+/** UTF-8 text of up to 65535 bytes, preceded by its length. */
 class TextField implements restructure.FieldType<string> {
   size(value: string): number {
     const length = Buffer.byteLength(value);
@@ -89,7 +89,7 @@
   }
 }
 
-/** A truth value in one byte, 0 or 1. */
+/** A boolean in one byte, 0 or 1. */
 class FlagField implements restructure.FieldType<boolean> {
   size(): number {
     return 1;
@@ -98,7 +98,7 @@
   decode(stream: restructure.DecodeStream): boolean {
     const value = restructure.uint8.decode(stream);
     if (value > 1) {
-      throw new MalformedFrameError(`${value} is no truth value`);
+      throw new MalformedFrameError(`${value} is not a boolean`);
     }
     return value === 1;
   }
@@ -108,7 +108,7 @@
   }
 }
 
-/** One of a fixed list of words, as its place in the list. */
+/** One of a fixed list of words, encoded as its index. */
 class ChoiceField<Word extends string> implements restructure.FieldType<Word> {
   constructor(private readonly words: readonly Word[]) {}
 
@@ -131,8 +131,8 @@
 }
 
 /**
- * A nested value as JSON text; its sender proved that it belongs to the cluster, so the shape is trusted.
- * `restructure` asks for the size several times before it writes, so the text is kept until it was written.
+ * A nested value as JSON text. Its sender has proved that it belongs to the cluster, so the shape isn't validated.
+ * `restructure` calls `size` several times before `encode`, so the text is cached until it is written.
  */
 class JsonField<Value> implements restructure.FieldType<Value> {
   private encodedValue: Value | undefined;
@@ -151,20 +151,20 @@
     try {
       return JSON.parse(text) as Value;
     } catch (thrown) {
-      throw new MalformedFrameError('nested value is no JSON', thrown as Error);
+      throw new MalformedFrameError('nested value is not JSON', thrown as Error);
     }
   }
 
   encode(stream: restructure.EncodeStream, value: Value): void {
-    const known = this.encodedValue === value && this.encodedBytes !== undefined;
-    const bytes = known ? (this.encodedBytes as Uint8Array) : Buffer.from(JSON.stringify(value));
+    const isCached = this.encodedValue === value && this.encodedBytes !== undefined;
+    const bytes = isCached ? (this.encodedBytes as Uint8Array) : Buffer.from(JSON.stringify(value));
     this.encodedValue = undefined;
     this.encodedBytes = undefined;
     bytesField.encode(stream, bytes);
   }
 }
 
-/** Reads as many bytes as asked for; `restructure` itself would give fewer at the end of a frame. */
+/** Reads exactly `length` bytes; `restructure` would return fewer at the end of a frame. */
 function readExactly(stream: restructure.DecodeStream, length: number): Uint8Array {
   const left = stream.length - stream.pos;
   if (length > left) {
@@ -177,7 +177,7 @@
   try {
     return textDecoder.decode(bytes);
   } catch (thrown) {
-    throw new MalformedFrameError('text is no UTF-8', thrown as Error);
+    throw new MalformedFrameError('text is not UTF-8', thrown as Error);
   }
 }
 
@@ -189,7 +189,7 @@
 export const text: restructure.FieldType<string> = new TextField();
 export const flag: restructure.FieldType<boolean> = new FlagField();
 export const uint8: restructure.FieldType<number> = restructure.uint8;
-/** Any number, fractions included. */
+/** Any number, including fractions. */
 export const real: restructure.FieldType<number> = restructure.double;
 
 /** Exactly `length` bytes. */
@@ -205,7 +205,7 @@
   return new JsonField<Value>();
 }
 
-/** A list after its number of items. */
+/** A list preceded by its number of items. */
 export function list<Item>(item: restructure.FieldType<Item>): restructure.FieldType<Item[]> {
   return new restructure.Array(item, restructure.uint32);
 }
--- a/src/wire/frame-client.ts
+++ b/src/wire/frame-client.ts
@@ -1,4 +1,4 @@
-/** Task that keeps one outgoing connection alive: dials, reconnects with backoff and jitter, and passes frames on. */
+/** Maintains one outgoing connection: connects, reconnects with backoff and jitter, and forwards frames. */
 import { connect, type Socket } from 'node:net';
 import type { Greeting } from '../control/messages.js';
 import type { Address } from '../model/identifiers.js';
@@ -11,33 +11,33 @@
   readonly maxMillis: number;
 }
 
-const MOST_DOUBLINGS = 20;
+const MAX_DOUBLINGS = 20;
 
 export const DEFAULT_BACKOFF: BackoffTimings = { firstMillis: 50, maxMillis: 500 };
 
 /**
- * A machine that has no power yet doesn't even refuse, and what was sent to it is sent again only after a second or more; so the
- * first tries to connect are short.
+ * Initial connect timeout. A machine without power doesn't refuse connections, and TCP retransmits to it only after a second or
+ * more, so the first attempts are short.
  */
-const FIRST_DIAL_MILLIS = 200;
+const FIRST_DIAL_TIMEOUT_MILLIS = 200;
 
-/** How long a connection may take to come up after so many failures in a row, in milliseconds. */
+/** Returns the connect timeout after this number of consecutive failures. */
 export function dialMillis(failures: number, limits: Pick<WireLimits, 'handshakeMillis'>): number {
-  return Math.min(limits.handshakeMillis, FIRST_DIAL_MILLIS * 2 ** Math.min(failures, MOST_DOUBLINGS));
+  return Math.min(limits.handshakeMillis, FIRST_DIAL_TIMEOUT_MILLIS * 2 ** Math.min(failures, MAX_DOUBLINGS));
 }
 
 export interface FrameClientOptions {
   readonly address: Address;
-  /** Own IP number from which the connection goes out; the system's choice if left out. */
+  /** Local IP address of the connection; chosen by the operating system if omitted. */
   readonly localAddress?: string | undefined;
   readonly identity: WireIdentity;
   readonly limits: WireLimits;
   readonly backoff?: BackoffTimings;
-  /** 0 to below 1; spreads reconnects of many processes. */
+  /** Returns 0 to below 1; spreads the reconnects of many processes. */
   readonly random?: () => number;
   readonly onReady?: (peer: Greeting) => void;
   readonly onFrame?: (frame: Frame) => void;
-  /** A connection ended or could not be made; another try follows. */
+  /** Called when a connection ended or could not be established; another attempt follows. */
   readonly onLost?: (reason: Error | null) => void;
 }
 
@@ -52,7 +52,7 @@
     this.dial();
   }
 
-  /** Whether the handshake of a connection is done. */
+  /** Whether the handshake of the connection is complete. */
   get ready(): boolean {
     return this.connection?.peer != null;
   }
@@ -61,7 +61,7 @@
     return this.connection?.send(kind, payload) ?? 'not-connected';
   }
 
-  /** Ends the connection and all further tries. */
+  /** Closes the connection and stops reconnecting. */
   stop(): void {
     this.stopped = true;
     clearTimeout(this.retryTimer);
@@ -74,15 +74,15 @@
     const socket = connect({ ...parseAddress(address), ...(localAddress && { localAddress }) });
     this.dialing = socket;
     const dialTimer = setTimeout(() => socket.destroy(), dialMillis(this.failures, this.options.limits));
-    const failed = (reason: Error | null): void => {
+    const onFailure = (reason: Error | null): void => {
       clearTimeout(dialTimer);
-      this.lost(reason);
+      this.handleLoss(reason);
     };
     let dialError: Error | null = null;
     const onError = (error: Error): void => {
       dialError = error;
     };
-    const onClose = (): void => failed(dialError);
+    const onClose = (): void => onFailure(dialError);
     socket.once('error', onError);
     socket.once('close', onClose);
     socket.once('connect', () => {
@@ -101,11 +101,11 @@
         this.options.onReady?.(peer);
       },
       received: (_connection, frame) => this.options.onFrame?.(frame),
-      closed: (_connection, reason) => this.lost(reason),
+      closed: (_connection, reason) => this.handleLoss(reason),
     });
   }
 
-  private lost(reason: Error | null): void {
+  private handleLoss(reason: Error | null): void {
     this.connection = undefined;
     this.dialing = undefined;
     if (this.stopped) {
@@ -116,11 +116,11 @@
     this.options.onLost?.(reason);
   }
 
-  /** Doubles up to the bound; half of it is random. */
+  /** Doubles with each failure up to the maximum; half of it is random. */
   private backoffMillis(): number {
     const { firstMillis, maxMillis } = this.options.backoff ?? DEFAULT_BACKOFF;
     const random = this.options.random ?? Math.random;
-    const full = Math.min(maxMillis, firstMillis * 2 ** Math.min(this.failures, MOST_DOUBLINGS));
+    const full = Math.min(maxMillis, firstMillis * 2 ** Math.min(this.failures, MAX_DOUBLINGS));
     return full / 2 + (random() * full) / 2;
   }
 }
--- a/src/wire/frame-connection.ts
+++ b/src/wire/frame-connection.ts
@@ -1,6 +1,6 @@
 /**
- * Task that owns one TCP socket between two of the system's processes: handshake, frames in and out, heartbeats that
- * find a half-open connection, and a bounded send queue. Its owner gets calls, one at a time, and never touches the socket.
+ * Owns one TCP socket between two processes of the system: handshake, frames in both directions, pings that detect a
+ * half-open connection, and a bounded send queue. Its owner gets callbacks, one at a time, and never accesses the socket.
  */
 import { randomBytes } from 'node:crypto';
 import type { Socket } from 'node:net';
@@ -14,10 +14,10 @@
 
 export interface WireLimits {
   readonly maxFrameBytes: number;
-  /** Bytes that may wait for the socket; frames beyond are dropped. */
+  /** Bytes that may be queued for the socket; further frames are dropped. */
   readonly maxQueuedBytes: number;
   readonly pingMillis: number;
-  /** A connection on which nothing was heard this long is closed. */
+  /** A connection on which nothing is received for this long is closed. */
   readonly silentMillis: number;
   readonly handshakeMillis: number;
 }
@@ -30,14 +30,14 @@
   handshakeMillis: 1000,
 };
 
-/** What both ends of a connection share. */
+/** Identity of this end, and what it expects of the peer. */
 export interface WireIdentity {
   readonly greeting: Greeting;
   readonly secret: string;
   readonly expects: readonly Greeting['kind'][];
 }
 
-/** Told of what happens on a connection, in order; `closed` comes once and last. */
+/** Callbacks for the events of a connection, in order; `closed` is called once, as the last one. */
 export interface FrameConnectionOwner {
   ready(connection: FrameConnection, peer: Greeting): void;
   received(connection: FrameConnection, frame: Frame): void;
@@ -54,9 +54,9 @@
   private closeReason: Error | null = null;
   private done = false;
   private readonly openedAt = performance.now();
-  private heardAt = this.openedAt;
-  private checkedAt = this.openedAt;
-  private wroteAt = this.openedAt;
+  private lastReceivedAt = this.openedAt;
+  private lastCheckedAt = this.openedAt;
+  private lastWrittenAt = this.openedAt;
   private pings = 0;
 
   constructor(
@@ -70,7 +70,7 @@
     this.handshake = new Handshake({ ...identity, role, nonce: randomBytes(NONCE_BYTES) });
     this.timer = setInterval(() => this.check(), limits.pingMillis);
     socket.setNoDelay(true);
-    socket.on('data', (chunk: Buffer) => this.takeBytes(chunk));
+    socket.on('data', (chunk: Buffer) => this.handleBytes(chunk));
     socket.on('error', (error) => this.destroy(error));
     socket.on('end', () => this.destroy(null));
     socket.on('close', () => this.finish());
@@ -79,12 +79,12 @@
     }
   }
 
-  /** The other end, once it has proved itself. */
+  /** The peer, once its proof has been verified. */
   get peer(): Greeting | null {
     return this.peerGreeting;
   }
 
-  /** Queues a frame. Nothing is said of its arrival. Throws `FrameTooLargeError`. */
+  /** Queues a frame, without a guarantee of delivery. Throws `FrameTooLargeError`. */
   send(kind: number, payload: Uint8Array): SendResult {
     if (this.peerGreeting === null || this.done) {
       return 'not-connected';
@@ -96,7 +96,7 @@
     return 'queued';
   }
 
-  /** Closes at once; what is queued is lost. */
+  /** Closes immediately; queued frames are lost. */
   destroy(reason: Error | null): void {
     if (!this.done) {
       this.done = true;
@@ -113,27 +113,27 @@
   }
 
   private write(frame: Frame): void {
-    this.wroteAt = performance.now();
+    this.lastWrittenAt = performance.now();
     this.socket.write(encodeFrame(frame, this.limits.maxFrameBytes));
   }
 
-  private takeBytes(chunk: Buffer): void {
-    this.heardAt = performance.now();
+  private handleBytes(chunk: Buffer): void {
+    this.lastReceivedAt = performance.now();
     try {
       for (const frame of this.decoder.read(chunk)) {
-        this.takeFrame(frame);
+        this.handleFrame(frame);
       }
     } catch (thrown) {
       this.destroy(toError(thrown));
     }
   }
 
-  private takeFrame(frame: Frame): void {
+  private handleFrame(frame: Frame): void {
     if (this.done) {
       return;
     }
     if (this.peerGreeting === null) {
-      this.takeHandshake(frame);
+      this.handleHandshakeFrame(frame);
     } else if (frame.kind === FRAME_KINDS.ping) {
       this.write({ kind: FRAME_KINDS.pong, correlation: frame.correlation, payload: frame.payload });
     } else if (frame.kind !== FRAME_KINDS.pong) {
@@ -141,7 +141,7 @@
     }
   }
 
-  private takeHandshake(frame: Frame): void {
+  private handleHandshakeFrame(frame: Frame): void {
     const step = this.handshake.receive(frame);
     for (const reply of step.send) {
       this.write(reply);
@@ -153,22 +153,22 @@
     }
   }
 
-  /** Pings, and closes a connection that is silent. A check that is itself late, as after a pause, closes nothing. */
+  /** Pings the peer, and closes a silent connection. A check that is itself isLate, as after a suspension, closes nothing. */
   private check(): void {
     const now = performance.now();
-    const late = now - this.checkedAt > this.limits.pingMillis * 2;
-    this.checkedAt = now;
-    if (late) {
-      this.heardAt = now;
+    const isLate = now - this.lastCheckedAt > this.limits.pingMillis * 2;
+    this.lastCheckedAt = now;
+    if (isLate) {
+      this.lastReceivedAt = now;
     }
-    const silentMillis = Math.round(now - this.heardAt);
+    const silentMillis = Math.round(now - this.lastReceivedAt);
     if (silentMillis >= this.limits.silentMillis) {
       this.destroy(new PeerSilentError(silentMillis));
       return;
     }
     if (this.peerGreeting === null) {
-      if (now - this.openedAt >= this.limits.handshakeMillis && !late) {
-        this.destroy(new HandshakeRefusedError('the handshake took too long'));
+      if (now - this.openedAt >= this.limits.handshakeMillis && !isLate) {
+        this.destroy(new HandshakeRefusedError('handshake timed out'));
       }
       return;
     }
@@ -176,11 +176,11 @@
   }
 
   /**
-   * The other end needs to hear something of this one, and this end of the other. What was written since the check
-   * before does for the first, and the other end's own checks for the second.
+   * Each end must receive something from the other regularly. A frame written since the previous check makes a ping
+   * unnecessary; the peer's own checks make it send to this end.
    */
   private pingIfQuiet(now: number): void {
-    if (now - this.wroteAt < this.limits.pingMillis * QUIET_SHARE) {
+    if (now - this.lastWrittenAt < this.limits.pingMillis * QUIET_SHARE) {
       return;
     }
     this.pings = (this.pings + 1) % 2 ** 32;
@@ -188,8 +188,8 @@
   }
 }
 
-/** A frame written within this share of the time between pings stands in for a ping. */
+/** A frame written within this share of the ping interval replaces a ping. */
 const QUIET_SHARE = 0.5;
 const NO_BYTES = new Uint8Array(0);
-/** Largest frame of an end that has not proved itself yet; names and nonce fit. */
+/** Maximum frame size before the peer is verified; enough for names and nonce. */
 const HANDSHAKE_FRAME_BYTES = 4096;
--- a/src/wire/frame-server.ts
+++ b/src/wire/frame-server.ts
@@ -1,4 +1,4 @@
-/** Task that owns a listening TCP socket and the connections that came in on it. */
+/** Owns a listening TCP socket and its accepted connections. */
 import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
 import type { Address } from '../model/identifiers.js';
 import { formatAddress, parseAddress } from './address.js';
@@ -11,16 +11,16 @@
 import { ListenError } from './listen-error.js';
 
 export interface FrameServerOptions {
-  /** Port 0 takes any free one. */
+  /** Port 0 selects any free port. */
   readonly listen: Address;
   readonly identity: WireIdentity;
   readonly limits: WireLimits;
-  /** Connections above this are closed at once. */
+  /** Further connections are closed immediately. */
   readonly maxConnections?: number;
   readonly owner: FrameConnectionOwner;
 }
 
-/** Room for every router of a large cluster, each connected to this process, and for strangers that are turned away. */
+/** Enough for all routers of a large cluster, plus connections that are rejected in the handshake. */
 const DEFAULT_MAX_CONNECTIONS = 4096;
 const LISTEN_BACKLOG = 511;
 
@@ -32,22 +32,22 @@
     this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** Listens. Throws `ListenError`. */
+  /** Starts listening. Throws `ListenError`. */
   static async listen(options: FrameServerOptions): Promise<FrameServer> {
-    const task = new FrameServer(options);
+    const frameServer = new FrameServer(options);
     const { host, port } = parseAddress(options.listen);
     await new Promise<void>((resolve, reject) => {
-      const refuse = (error: Error): void => reject(new ListenError(options.listen, error));
-      task.server.once('error', refuse);
-      task.server.listen({ host, port, backlog: LISTEN_BACKLOG }, () => {
-        task.server.off('error', refuse);
+      const onError = (error: Error): void => reject(new ListenError(options.listen, error));
+      frameServer.server.once('error', onError);
+      frameServer.server.listen({ host, port, backlog: LISTEN_BACKLOG }, () => {
+        frameServer.server.off('error', onError);
         resolve();
       });
     });
-    return task;
+    return frameServer;
   }
 
-  /** Where it listens, with the real port. */
+  /** The listening address with the actual port. */
   get address(): Address {
     const { address, port } = this.server.address() as AddressInfo;
     return formatAddress({ host: address, port });
--- a/src/wire/frame.ts
+++ b/src/wire/frame.ts
@@ -1,13 +1,13 @@
 /**
- * Frames between the system's own processes over TCP:
- * u32 length of what follows, u8 version, u8 kind, u32 correlation, payload. All numbers are big endian.
+ * Frames between the processes of the system over TCP:
+ * u32 length of the rest, u8 version, u8 kind, u32 correlation, payload. All numbers are big endian.
  */
 import * as restructure from 'restructure';
 import { FrameTooLargeError, MalformedFrameError } from './wire-error.js';
 
 export const PROTOCOL_VERSION = 2;
 
-/** What a frame carries. Numbers are never reused. */
+/** Types of frames. Numbers are never reused. */
 export const FRAME_KINDS = {
   hello: 1,
   proof: 2,
@@ -39,14 +39,14 @@
 } as const;
 
 export interface Frame {
-  /** One of `FRAME_KINDS`; a number unknown here comes from a newer version. */
+  /** One of `FRAME_KINDS`; an unknown number comes from a newer version. */
   readonly kind: number;
-  /** Ties a pong to its ping on one connection; 0 in other frames, whose messages name their request themselves. */
+  /** Matches a pong to its ping on one connection; 0 in other frames, whose messages identify their request themselves. */
   readonly correlation: number;
   readonly payload: Uint8Array;
 }
 
-/** Largest frame by default: the routing snapshot of a large cluster fits, and so does a chunk of a Raft snapshot. */
+/** Default maximum, enough for the routing snapshot of a large cluster and for a chunk of a Raft snapshot. */
 export const DEFAULT_MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
 interface FrameHeader {
@@ -64,11 +64,11 @@
 });
 
 const LENGTH_BYTES = 4;
-/** Bytes of a frame before its payload. */
+/** Size of a frame without its payload. */
 export const HEADER_BYTES = 10;
 const COUNTED_HEADER_BYTES = HEADER_BYTES - LENGTH_BYTES;
 
-/** Writes a frame. Throws `FrameTooLargeError` above `maxFrameBytes` (the length field's value). */
+/** Encodes a frame. Throws `FrameTooLargeError` if the value of its length field is above `maxFrameBytes`. */
 export function encodeFrame(frame: Frame, maxFrameBytes: number): Uint8Array {
   const length = COUNTED_HEADER_BYTES + frame.payload.length;
   if (length > maxFrameBytes) {
@@ -86,46 +86,46 @@
   return encoded;
 }
 
-/** Cuts a stream of bytes into frames, however the bytes are split. Holds at most one frame that isn't whole. */
+/** Splits a byte stream into frames, independent of chunk boundaries. Buffers at most one incomplete frame. */
 export class FrameDecoder {
   private chunks: Uint8Array[] = [];
-  private held = 0;
-  private needed = HEADER_BYTES;
+  private bufferedBytes = 0;
+  private requiredBytes = HEADER_BYTES;
 
-  /** `maxFrameBytes` may be raised between two frames. */
+  /** `maxFrameBytes` may be raised between frames. */
   constructor(public maxFrameBytes: number) {}
 
-  /** Takes bytes and gives the frames that became whole. Throws on what is no frame; the stream is of no use then. */
+  /** Adds bytes and returns the completed frames. Throws on a malformed frame, after which the stream is unusable. */
   push(chunk: Uint8Array): Frame[] {
     return [...this.read(chunk)];
   }
 
-  /** As `push`, one frame at a time: what is done about one, such as another bound, holds for the next. */
+  /** Like `push`, but yields one frame at a time, so that changes made for one frame, such as a new limit, apply to the next. */
   *read(chunk: Uint8Array): Generator<Frame, void> {
     this.chunks.push(chunk);
-    this.held += chunk.length;
-    while (this.held >= this.needed) {
-      const frame = this.take();
+    this.bufferedBytes += chunk.length;
+    while (this.bufferedBytes >= this.requiredBytes) {
+      const frame = this.decodeNext();
       if (frame !== undefined) {
         yield frame;
       }
     }
   }
 
-  /** Reads a header, or the frame whose header was read before. */
-  private take(): Frame | undefined {
+  /** Decodes the header, and the frame if it is complete. */
+  private decodeNext(): Frame | undefined {
     const joined = this.chunks.length === 1 ? (this.chunks[0] as Uint8Array) : Buffer.concat(this.chunks);
     const head = header.decode(new restructure.DecodeStream(joined));
     this.check(head);
     const frameBytes = LENGTH_BYTES + head.length;
     if (joined.length < frameBytes) {
       this.chunks = [joined];
-      this.needed = frameBytes;
+      this.requiredBytes = frameBytes;
       return undefined;
     }
     this.chunks = [joined.subarray(frameBytes)];
-    this.held = joined.length - frameBytes;
-    this.needed = HEADER_BYTES;
+    this.bufferedBytes = joined.length - frameBytes;
+    this.requiredBytes = HEADER_BYTES;
     const payload = joined.subarray(HEADER_BYTES, frameBytes);
     return { kind: head.kind, correlation: head.correlation, payload };
   }
--- a/src/wire/handshake/handshake.ts
+++ b/src/wire/handshake/handshake.ts
@@ -1,7 +1,7 @@
 /**
- * Mutual proof of the cluster's secret. The initiator says hello, the acceptor says hello, the initiator proves,
- * the acceptor proves. The acceptor proves nothing to an end that didn't, so a stranger gets no material to guess
- * the secret from. Pure: the nonce comes in.
+ * Mutual authentication by the cluster's secret: hello of the initiator, hello of the acceptor, proof of the initiator, proof
+ * of the acceptor. The acceptor sends its proof only after verifying the initiator's, so an unauthenticated peer gets nothing for
+ * an offline guess of the secret. Free of I/O: the nonce is passed in.
  */
 import { timingSafeEqual } from 'node:crypto';
 import type { Greeting } from '../../control/messages.js';
@@ -14,16 +14,16 @@
   readonly role: HandshakeRole;
   readonly greeting: Greeting;
   readonly secret: string;
-  /** Random bytes, `NONCE_BYTES` long, new for each connection. */
+  /** `NONCE_BYTES` random bytes, new for each connection. */
   readonly nonce: Uint8Array;
-  /** Kinds of peers that are let in. */
+  /** Accepted kinds of peers. */
   readonly expects: readonly Greeting['kind'][];
 }
 
-/** What to do after a frame of the handshake. */
+/** Result of processing a handshake frame. */
 export interface HandshakeStep {
   readonly send: readonly Frame[];
-  /** Set once the other end has proved itself. */
+  /** Set once the peer is authenticated. */
   readonly peer: Greeting | null;
 }
 
@@ -37,52 +37,52 @@
     this.ownHello = helloCodec.encode({ type: 'hello', cluster, kind, name, zone, nonce: options.nonce });
   }
 
-  /** Frames to send as soon as the connection stands. */
+  /** Returns the frames to send as soon as the connection is established. */
   start(): readonly Frame[] {
-    return this.options.role === 'initiator' ? [frameOf(FRAME_KINDS.hello, this.ownHello)] : [];
+    return this.options.role === 'initiator' ? [createFrame(FRAME_KINDS.hello, this.ownHello)] : [];
   }
 
-  /** Takes the other end's next frame. Throws `HandshakeRefusedError` if it is a stranger. */
+  /** Processes the peer's next frame. Throws `HandshakeRefusedError` if the peer is rejected. */
   receive(frame: Frame): HandshakeStep {
     if (frame.kind === FRAME_KINDS.hello && this.peer === undefined) {
-      return this.takeHello(frame.payload);
+      return this.handleHello(frame.payload);
     }
     if (frame.kind === FRAME_KINDS.proof && this.peer !== undefined) {
-      return this.takeProof(frame.payload, this.peer);
+      return this.handleProof(frame.payload, this.peer);
     }
-    throw new HandshakeRefusedError(`frame of kind ${frame.kind} before the handshake was done`);
+    throw new HandshakeRefusedError(`unexpected frame of kind ${frame.kind} during the handshake`);
   }
 
-  private takeHello(payload: Uint8Array): HandshakeStep {
+  private handleHello(payload: Uint8Array): HandshakeStep {
     const { cluster, kind, name, zone } = helloCodec.decode(payload);
     if (cluster !== this.options.greeting.cluster) {
-      throw new HandshakeRefusedError(`it belongs to cluster ${JSON.stringify(cluster)}`);
+      throw new HandshakeRefusedError(`peer belongs to cluster ${JSON.stringify(cluster)}`);
     }
     if (!this.options.expects.includes(kind)) {
-      throw new HandshakeRefusedError(`a ${kind} isn't let in here`);
+      throw new HandshakeRefusedError(`peers of kind ${kind} are not accepted here`);
     }
     this.peerHello = payload;
     this.peer = { type: 'greeting', cluster, kind, name, zone };
     const acceptor = this.options.role === 'acceptor';
-    const reply = acceptor ? frameOf(FRAME_KINDS.hello, this.ownHello) : this.ownProof();
+    const reply = acceptor ? createFrame(FRAME_KINDS.hello, this.ownHello) : this.createOwnProof();
     return { send: [reply], peer: null };
   }
 
-  private takeProof(payload: Uint8Array, peer: Greeting): HandshakeStep {
+  private handleProof(payload: Uint8Array, peer: Greeting): HandshakeStep {
     const { mac } = proofCodec.decode(payload);
     const prover = this.options.role === 'initiator' ? 'acceptor' : 'initiator';
-    if (!timingSafeEqual(mac, this.proofOf(prover))) {
-      throw new HandshakeRefusedError('its proof of the secret is wrong');
+    if (!timingSafeEqual(mac, this.computeProofOf(prover))) {
+      throw new HandshakeRefusedError('peer has an invalid proof of the secret');
     }
-    return { send: this.options.role === 'acceptor' ? [this.ownProof()] : [], peer };
+    return { send: this.options.role === 'acceptor' ? [this.createOwnProof()] : [], peer };
   }
 
-  private ownProof(): Frame {
-    const mac = this.proofOf(this.options.role);
-    return frameOf(FRAME_KINDS.proof, proofCodec.encode({ type: 'proof', mac }));
+  private createOwnProof(): Frame {
+    const mac = this.computeProofOf(this.options.role);
+    return createFrame(FRAME_KINDS.proof, proofCodec.encode({ type: 'proof', mac }));
   }
 
-  private proofOf(prover: HandshakeRole): Uint8Array {
+  private computeProofOf(prover: HandshakeRole): Uint8Array {
     const peerHello = this.peerHello as Uint8Array;
     const initiates = this.options.role === 'initiator';
     const initiatorHello = initiates ? this.ownHello : peerHello;
@@ -91,6 +91,6 @@
   }
 }
 
-function frameOf(kind: number, payload: Uint8Array): Frame {
+function createFrame(kind: number, payload: Uint8Array): Frame {
   return { kind, correlation: 0, payload };
 }
--- a/src/wire/handshake/hello.ts
+++ b/src/wire/handshake/hello.ts
@@ -1,4 +1,4 @@
-/** First frame of a connection, both ways. */
+/** First frame of a connection in each direction. */
 import type { Greeting } from '../../control/messages.js';
 import { choice, fixedBytes, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
@@ -6,7 +6,7 @@
 
 export const NONCE_BYTES = 16;
 
-/** A greeting with the nonce that the other end's proof must cover. */
+/** A greeting with the nonce that the peer's proof must cover. */
 export interface Hello extends Omit<Greeting, 'type'> {
   readonly type: 'hello';
   readonly nonce: Uint8Array;
--- a/src/wire/handshake/proof.ts
+++ b/src/wire/handshake/proof.ts
@@ -1,4 +1,4 @@
-/** Proof that the sender knows the cluster's secret. */
+/** Proof that the sender has the cluster's secret. */
 import { createHmac } from 'node:crypto';
 import { fixedBytes } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
@@ -17,8 +17,8 @@
 export const proofCodec = defineMessage<Proof>(FRAME_KINDS.proof, 'proof', { mac: fixedBytes(PROOF_BYTES) });
 
 /**
- * HMAC over the prover's role and both hello payloads. The role keeps one end's proof from being
- * sent back to it; the nonces in the hellos keep an old proof from being used again.
+ * HMAC over the prover's role and both hello payloads. The role prevents reflecting a proof to its sender; the nonces in
+ * the hello messages prevent replaying an old proof.
  */
 export function computeProof(
   secret: string,
--- a/src/wire/http/http-listener.ts
+++ b/src/wire/http/http-listener.ts
@@ -1,4 +1,4 @@
-/** Task that owns an HTTP server: listens, bounds slow callers, and stops without cutting off an answer. */
+/** Owns an HTTP server: listens, limits slow callers, and stops gracefully. */
 import { createServer, type RequestListener, type Server } from 'node:http';
 import { type AddressInfo, Server as NetServer } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -9,9 +9,9 @@
 
 export interface HttpLimits {
   readonly maxHeaderBytes: number;
-  /** Time in which the header of a request must arrive. */
+  /** Time within which the header of a request must arrive. */
   readonly headersMillis: number;
-  /** Time in which a whole request must arrive. */
+  /** Time within which a whole request must arrive. */
   readonly requestMillis: number;
   readonly keepAliveMillis: number;
   readonly maxConnections: number;
@@ -26,23 +26,23 @@
 };
 
 export interface HttpListenerOptions {
-  /** Whether requests without a Host header are turned away before the listener hears of them; yes if left out. */
+  /** Whether requests without a Host header are rejected before they reach the listener. Default: true. */
   readonly requireHost?: boolean;
-  /** Words the answers to what is no request. */
+  /** Creates the responses to malformed requests. */
   readonly describeFault?: DescribeFault;
 }
 
-const describePlainly: DescribeFault = (fault) => ({ headers: {}, body: { error: fault } });
+const describeFaultByName: DescribeFault = (fault) => ({ headers: {}, body: { error: fault } });
 
 const LISTEN_BACKLOG = 4096;
 const CONNECTIONS_CHECK_MILLIS = 1000;
 const IDLE_CHECK_MILLIS = 20;
 
-/** Times of a planned stop, in milliseconds. */
+/** Timings of a graceful stop. */
 export interface HttpStopTimes {
-  /** How long requests on open connections are still answered once no connection is taken any more. */
+  /** How long requests on open connections are still served after new connections are no longer accepted. */
   readonly idleMillis: number;
-  /** How long connections are still taken; 0 if left out. */
+  /** How long connections are still accepted. Default: 0. */
   readonly lameDuckMillis?: number;
 }
 
@@ -51,7 +51,7 @@
 
   private constructor(private readonly server: Server) {}
 
-  /** Listens. Throws `ListenError`. */
+  /** Starts listening. Throws `ListenError`. */
   static async listen(
     address: Address,
     limits: HttpLimits,
@@ -67,37 +67,37 @@
       noDelay: true,
       requireHostHeader: options.requireHost ?? true,
     });
-    new RequestFaults(server, options.describeFault ?? describePlainly);
+    new RequestFaults(server, options.describeFault ?? describeFaultByName);
     server.maxConnections = limits.maxConnections;
     const listener = new HttpListener(server);
     server.on('request', (request, response) => {
       if (listener.stopping) {
-        // As a header it would make Node keep only the last of several headers of one name.
+        // Setting the header instead would make Node keep only the last of several headers with the same name.
         response.shouldKeepAlive = false;
       }
       onRequest(request, response);
     });
-    // An expectation that nobody knows is no reason to turn a request away (RFC 9110, 10.1.1).
+    // An unknown expectation is no reason to reject a request (RFC 9110, 10.1.1).
     server.on('checkExpectation', (request, response) => server.emit('request', request, response));
     const { host, port } = parseAddress(address);
     await new Promise<void>((resolve, reject) => {
-      const refuse = (error: Error): void => reject(new ListenError(address, error));
-      server.once('error', refuse);
+      const onError = (error: Error): void => reject(new ListenError(address, error));
+      server.once('error', onError);
       server.listen({ host, port, backlog: LISTEN_BACKLOG }, () => {
-        server.off('error', refuse);
+        server.off('error', onError);
         resolve();
       });
     });
     return listener;
   }
 
-  /** Where it listens, with the real port. */
+  /** The listening address with the actual port. */
   get address(): Address {
     const { address, port } = this.server.address() as AddressInfo;
     return formatAddress({ host: address, port });
   }
 
-  /** Takes over other bounds; those of a header's size can't be changed while it listens. */
+  /** Changes the limits, except for the header size, which is fixed while the server listens. */
   resize(limits: Omit<HttpLimits, 'maxHeaderBytes' | 'maxConnections'>): void {
     this.server.headersTimeout = limits.headersMillis;
     this.server.requestTimeout = limits.requestMillis;
@@ -105,8 +105,9 @@
   }
 
   /**
-   * Stops taking connections, after `lameDuckMillis` in which each answer says `Connection: close`; answers what still comes in on open ones for `idleMillis`, with `Connection: close`,
-   * so that a request which crosses with the stop isn't lost; then closes idle connections and waits for the rest.
+   * Sends `Connection: close` with each response from now on. Stops accepting connections after `lameDuckMillis`; serves requests on
+   * open ones for another `idleMillis`, so that a request already on its way isn't lost; then closes idle connections and waits for
+   * the rest.
    */
   async stop({ idleMillis, lameDuckMillis = 0 }: HttpStopTimes): Promise<void> {
     this.stopping = true;
@@ -114,7 +115,7 @@
       await sleep(lameDuckMillis);
     }
     const closed = new Promise<void>((resolve) => {
-      // The HTTP server's own close would at once cut idle connections, on which a request may be under way.
+      // The HTTP server's own `close` would immediately close idle connections, on which a request may be on its way.
       NetServer.prototype.close.call(this.server, () => resolve());
     });
     let sweep: NodeJS.Timeout | undefined;
--- a/src/wire/http/monitor-listener.ts
+++ b/src/wire/http/monitor-listener.ts
@@ -1,4 +1,4 @@
-/** `/metrics` for Prometheus and `/healthz` for supervisors; everything else goes on to the listener behind. */
+/** Serves `/metrics` for Prometheus and `/healthz` for supervisors; passes other requests to the next listener. */
 import type { RequestListener, ServerResponse } from 'node:http';
 import type { Registry } from 'prom-client';
 
@@ -9,18 +9,18 @@
 export function createMonitorListener(
   metrics: Registry,
   health: () => { readonly healthy: boolean },
-  rest: RequestListener,
+  next: RequestListener,
 ): RequestListener {
   return (request, response) => {
     const path = request.url?.split('?', 1)[0];
     if (request.method === 'GET' && path === '/metrics') {
       void writeMetrics(metrics, response);
     } else if (request.method === 'GET' && path === '/healthz') {
-      const facts = health();
-      const status = facts.healthy ? OK : SERVICE_UNAVAILABLE;
-      writeBody(response, status, 'application/json', JSON.stringify(facts));
+      const report = health();
+      const status = report.healthy ? OK : SERVICE_UNAVAILABLE;
+      writeBody(response, status, 'application/json', JSON.stringify(report));
     } else {
-      rest(request, response);
+      next(request, response);
     }
   };
 }
--- a/src/wire/http/request-faults.ts
+++ b/src/wire/http/request-faults.ts
@@ -1,15 +1,15 @@
 /**
- * Answers connections on which something came that is no whole request. Left to itself, the HTTP server would write such an
- * answer also where requests before it still run, and their caller would take it for the answer to one of them. It waits until
- * those are answered.
+ * Responds to malformed or incomplete requests. By default the HTTP server would send the error response even while earlier
+ * requests of the connection still run, and the caller would mistake it for the response to one of them. The error response is
+ * therefore delayed until those are answered.
  */
 import { type IncomingMessage, type Server, type ServerResponse, STATUS_CODES } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** What was wrong with the bytes of a caller. */
+/** Reasons for rejecting the bytes of a caller. */
 export type RequestFault = 'malformed' | 'header-too-large' | 'too-slow';
 
-/** An answer in JSON with headers of the listener's own. */
+/** A JSON response with additional headers. */
 export interface FaultAnswer {
   readonly headers: Readonly<Record<string, string>>;
   readonly body: object;
@@ -17,7 +17,7 @@
 
 export type DescribeFault = (fault: RequestFault) => FaultAnswer;
 
-/** The caller closed its connection in the middle of a request. */
+/** Error code if the caller closed its connection in the middle of a request. */
 const ENDED_MIDWAY = 'HPE_INVALID_EOF_STATE';
 
 const STATUSES: Readonly<Record<RequestFault, number>> = {
@@ -26,12 +26,12 @@
   'too-slow': 408,
 };
 
-/** Requests of one connection. */
+/** State of the requests of one connection. */
 interface Exchanges {
-  /** Those whose answer isn't whole yet. */
+  /** Requests without a complete response. */
   open: number;
   last: IncomingMessage;
-  /** What came behind them, until they are answered. */
+  /** Fault after these requests, until they are answered. */
   fault: RequestFault | null;
 }
 
@@ -42,11 +42,11 @@
     server: Server,
     private readonly describe: DescribeFault,
   ) {
-    server.on('request', (request, response) => this.count(request, response));
-    server.on('clientError', (error, socket) => this.take(error, socket as Socket));
+    server.on('request', (request, response) => this.track(request, response));
+    server.on('clientError', (error, socket) => this.handleError(error, socket as Socket));
   }
 
-  private count(request: IncomingMessage, response: ServerResponse): void {
+  private track(request: IncomingMessage, response: ServerResponse): void {
     const known = this.exchanges.get(request.socket);
     const exchanges = known ?? { open: 0, last: request, fault: null };
     exchanges.open += 1;
@@ -56,25 +56,25 @@
     }
     response.once('close', () => {
       exchanges.open -= 1;
-      if (exchanges.fault !== null && !mayRun(exchanges)) {
+      if (exchanges.fault !== null && !hasRunningRequest(exchanges)) {
         this.answer(exchanges.fault, request.socket);
       }
     });
   }
 
-  private take(error: NodeJS.ErrnoException, socket: Socket): void {
+  private handleError(error: NodeJS.ErrnoException, socket: Socket): void {
     const fault = faultOf(error.code);
     const exchanges = this.exchanges.get(socket);
-    const runs = exchanges !== undefined && mayRun(exchanges);
-    if (!socket.writable || (runs && error.code === ENDED_MIDWAY)) {
+    const isRunning = exchanges !== undefined && hasRunningRequest(exchanges);
+    if (!socket.writable || (isRunning && error.code === ENDED_MIDWAY)) {
       socket.destroySoon();
       return;
     }
     if (fault === 'too-slow' && socket.isPaused()) {
-      // It isn't read, so nobody knows how slow its caller is.
+      // The socket isn't being read, so the caller may not be slow.
       return;
     }
-    if (runs) {
+    if (isRunning) {
       exchanges.fault ??= fault;
       return;
     }
@@ -105,8 +105,8 @@
   }
 }
 
-/** Whether a request that came whole has no whole answer yet; none runs before it came whole. */
-function mayRun({ open, last }: Exchanges): boolean {
+/** Whether a complete request has no complete response yet; incomplete requests don't run. */
+function hasRunningRequest({ open, last }: Exchanges): boolean {
   return open > (last.complete ? 0 : 1);
 }
 
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -1,4 +1,4 @@
-/** Frames, codecs and TCP tasks between the system's own processes. */
+/** Frames, codecs and TCP connections between the processes of the system. */
 export { formatAddress, parseAddress } from './address.js';
 export { joinRequestCodec } from './control/join-request.js';
 export {
--- a/src/wire/listen-error.ts
+++ b/src/wire/listen-error.ts
@@ -1,4 +1,4 @@
-/** A port that can't be listened on, said in one line. */
+/** One-line errors for addresses that can't be listened on. */
 import { createServer } from 'node:net';
 import { TernmountError, toError } from '../errors/ternmount-error.js';
 import type { Address } from '../model/identifiers.js';
@@ -10,7 +10,7 @@
   EACCES: 'needs more rights',
 };
 
-/** The operating system refused to listen at an address. */
+/** Listening at an address failed. */
 export class ListenError extends TernmountError {
   constructor(address: Address, cause: Error) {
     const { code = '' } = cause as NodeJS.ErrnoException;
@@ -19,7 +19,7 @@
   }
 }
 
-/** Listens at an address and lets go at once, so that a taken port is found before anything is touched. */
+/** Throws `ListenError` if an address is in use. Called at start, before any state is touched. */
 export async function checkFree(address: Address): Promise<void> {
   const { host, port } = parseAddress(address);
   const server = createServer();
--- a/src/wire/message-codec.ts
+++ b/src/wire/message-codec.ts
@@ -1,18 +1,18 @@
-/** Turns one type of message into the payload of one kind of frame and back. */
+/** Codecs between one type of message and the payload of one kind of frame. */
 import * as restructure from 'restructure';
 import { toError } from '../errors/ternmount-error.js';
 import { MalformedFrameError } from './wire-error.js';
 
 export interface MessageCodec<Message> {
-  /** Kind of the frame that carries the message. */
+  /** Kind of the frames of this message. */
   readonly kind: number;
   readonly type: string;
   encode(message: Message): Uint8Array;
-  /** Throws `MalformedFrameError` on anything but exactly one message. */
+  /** Throws `MalformedFrameError` unless the payload is exactly one message. */
   decode(payload: Uint8Array): Message;
 }
 
-/** Makes the codec of the message `type` from its fields, which are written in the order they stand in. */
+/** Defines the codec of the message `type`. Its fields are encoded in the order of `fields`. */
 export function defineMessage<Message extends { readonly type: string }>(
   kind: number,
   type: Message['type'],
@@ -30,7 +30,7 @@
   };
 }
 
-/** Reads one value that fills the payload. */
+/** Decodes a value that must fill the payload. */
 export function decodeWhole<Value>(type: restructure.FieldType<Value>, payload: Uint8Array): Value {
   const stream = new restructure.DecodeStream(payload);
   let value: Value;
@@ -40,7 +40,10 @@
     if (thrown instanceof MalformedFrameError) {
       throw thrown;
     }
-    throw new MalformedFrameError(`message cut off in a payload of ${payload.length} bytes`, toError(thrown));
+    throw new MalformedFrameError(
+      `message truncated in a payload of ${payload.length} bytes`,
+      toError(thrown),
+    );
   }
   if (stream.pos !== payload.length) {
     throw new MalformedFrameError(
@@ -50,7 +53,7 @@
   return value;
 }
 
-/** Finds codecs by message type and by kind of frame. */
+/** Encodes by message type and decodes by kind of frame. */
 export class MessageCodecSet<Message extends { readonly type: string }> {
   private readonly byType = new Map<string, MessageCodec<Message>>();
   private readonly byKind = new Map<number, MessageCodec<Message>>();
@@ -62,7 +65,7 @@
     }
   }
 
-  /** Whether frames of this kind carry one of these messages. */
+  /** Whether the set has a codec for frames of this kind. */
   carries(kind: number): boolean {
     return this.byKind.has(kind);
   }
@@ -78,7 +81,7 @@
   decode(kind: number, payload: Uint8Array): Message {
     const codec = this.byKind.get(kind);
     if (codec === undefined) {
-      throw new MalformedFrameError(`no message travels in frames of kind ${kind}`);
+      throw new MalformedFrameError(`no codec for frames of kind ${kind}`);
     }
     return codec.decode(payload);
   }
--- a/src/wire/raft/append-request.ts
+++ b/src/wire/raft/append-request.ts
@@ -1,4 +1,4 @@
-/** The leader's entries and heartbeats. */
+/** Log entries and heartbeats of the leader. */
 import type { AppendRequest } from '../../consensus/types.js';
 import { list, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/raft/append-response.ts
+++ b/src/wire/raft/append-response.ts
@@ -1,4 +1,4 @@
-/** A follower says up to where its log matches. */
+/** Response of a follower with the index up to which its log matches. */
 import type { AppendResponse } from '../../consensus/types.js';
 import { flag, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/raft/read-index-request.ts
+++ b/src/wire/raft/read-index-request.ts
@@ -1,4 +1,4 @@
-/** A follower asks the leader for the index of a linearizable read. */
+/** Request of a follower for the index of a linearizable read. */
 import type { ReadIndexRequest } from '../../consensus/types.js';
 import { flag, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/raft/read-index-response.ts
+++ b/src/wire/raft/read-index-response.ts
@@ -1,4 +1,4 @@
-/** Index at which a follower may read. */
+/** Response with the index of a linearizable read. */
 import type { ReadIndexResponse } from '../../consensus/types.js';
 import { json, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/raft/snapshot-response.ts
+++ b/src/wire/raft/snapshot-response.ts
@@ -1,4 +1,4 @@
-/** A follower says how much of a snapshot it holds. */
+/** Progress of a follower in receiving a snapshot. */
 import type { SnapshotResponse } from '../../consensus/types.js';
 import { flag, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/raft/timeout-now.ts
+++ b/src/wire/raft/timeout-now.ts
@@ -1,4 +1,4 @@
-/** The leader hands leadership on. */
+/** Transfer of leadership: the recipient starts an election immediately. */
 import type { TimeoutNow } from '../../consensus/types.js';
 import { safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/raft/vote-request.ts
+++ b/src/wire/raft/vote-request.ts
@@ -1,4 +1,4 @@
-/** A candidate asks for a vote. */
+/** Vote request of a candidate. */
 import type { VoteRequest } from '../../consensus/types.js';
 import { flag, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/raft/vote-response.ts
+++ b/src/wire/raft/vote-response.ts
@@ -1,4 +1,4 @@
-/** Answer to a request for a vote. */
+/** Response to a vote request. */
 import type { VoteResponse } from '../../consensus/types.js';
 import { flag, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/restructure.d.ts
+++ b/src/wire/restructure.d.ts
@@ -1,4 +1,4 @@
-/** Types of the parts of `restructure` in use; the package brings none. */
+/** Types of the used parts of `restructure`, which has no type declarations. */
 declare module 'restructure' {
   export class DecodeStream {
     constructor(buffer: Uint8Array);
@@ -20,13 +20,13 @@
     writeFloatBE(value: number): void;
     writeBuffer(buffer: Uint8Array): void;
   }
-  /** A type of which values are read from and written to bytes; the package takes any object of this shape. */
+  /** A type that decodes and encodes values; the package accepts any object of this shape. */
   export interface FieldType<Value> {
     size(value?: Value | null, parent?: unknown): number;
     decode(stream: DecodeStream, parent?: unknown): Value;
     encode(stream: EncodeStream, value: Value, parent?: unknown): void;
   }
-  /** The package's own types; their common base class isn't exported. */
+  /** Base class of the package's types, which it doesn't export. */
   abstract class BuiltInType<Value> implements FieldType<Value> {
     size(value?: Value | null, parent?: unknown): number;
     decode(stream: DecodeStream, parent?: unknown): Value;
@@ -41,7 +41,7 @@
   export const uint16: NumberType;
   export const uint32: NumberType;
   export const double: NumberType;
-  /** `length` is a fixed length or the type of the length that stands before the bytes. */
+  /** `length` is a fixed length or the type of the length that precedes the bytes. */
   class BufferType extends BuiltInType<Uint8Array> {
     constructor(length: NumberType | number);
   }
--- a/src/wire/router/change-notice.ts
+++ b/src/wire/router/change-notice.ts
@@ -1,4 +1,4 @@
-/** A hint that there is something to fetch. */
+/** Hint that a new revision is available. */
 import type { ChangeNotice } from '../../control/messages.js';
 import { safeInteger } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/router/claim-request.ts
+++ b/src/wire/router/claim-request.ts
@@ -1,4 +1,4 @@
-/** A router claims an idempotency key. */
+/** Request of a router to claim an idempotency key. */
 import type { ClaimRequest } from '../../control/messages.js';
 import { safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/router/crash-report.ts
+++ b/src/wire/router/crash-report.ts
@@ -1,4 +1,4 @@
-/** A router tells the leader of requests under which upstreams ended. */
+/** Report of a router to the leader: requests during which upstreams crashed. */
 import type { CrashReport } from '../../control/messages.js';
 import type { ClearedSuspect, UpstreamCrash } from '../../model/crash-suspect.js';
 import { json } from '../fields.js';
--- a/src/wire/router/fleet-news.ts
+++ b/src/wire/router/fleet-news.ts
@@ -1,4 +1,4 @@
-/** The leader's answer to a report of upstreams without keys. */
+/** The leader's response to a report of upstreams without keys. */
 import * as restructure from 'restructure';
 import type { FleetNews } from '../../control/messages.js';
 import type { FleetVersion, UpstreamSpeed, ZoneRoom } from '../../model/fleet-view.js';
--- a/src/wire/router/fleet-rows.ts
+++ b/src/wire/router/fleet-rows.ts
@@ -1,24 +1,24 @@
-/** What a router saw of upstreams without keys, as rows of a load report. */
+/** Encodes observations of upstreams without keys as rows of a load report. */
 import type { LoadReport } from '../../control/messages.js';
 import type { DemandSample, FleetReport, FleetVersion, UpstreamSample } from '../../model/fleet-view.js';
 
 type Row = LoadReport['shards'][number];
 
-/** No service has such a name. */
-const MARK = '.';
+/** Prefix of fleet rows; no service name starts with it. */
+const ROW_PREFIX = '.';
 const ROW_NAMES = { zone: '.zone', have: '.have', upstream: '.upstream', demand: '.demand' } as const;
-/** Names of upstreams, services and routes have no such character. */
+/** Doesn't occur in names of upstreams, services and routes. */
 const SEPARATOR = ' ';
 
-/** Fields of a report while its rows are read. */
-interface ReadFleet {
+/** A report while its rows are decoded. */
+interface PartialFleetReport {
   zone: { readonly zone: string; readonly number: number } | null;
   have: FleetVersion | null;
   readonly upstreams: UpstreamSample[];
   readonly demand: DemandSample[];
 }
 
-const READERS: Readonly<Record<string, (fleet: ReadFleet, row: ReadRow) => void>> = {
+const ROW_DECODERS: Readonly<Record<string, (fleet: PartialFleetReport, row: DecodedRow) => void>> = {
   [ROW_NAMES.zone]: (fleet, { name, number }) => {
     fleet.zone = { zone: name, number };
   },
@@ -35,7 +35,7 @@
   },
 };
 
-interface ReadRow {
+interface DecodedRow {
   readonly name: string;
   readonly number: number;
   readonly workMillis: number;
@@ -43,14 +43,14 @@
 }
 
 export function isFleetRow({ shard }: Row): boolean {
-  return shard.startsWith(MARK);
+  return shard.startsWith(ROW_PREFIX);
 }
 
-export function rowsOf({ zone, number, have, upstreams, demand }: FleetReport): Row[] {
-  const plain = { workMillis: 0, requests: 0 };
+export function toFleetRows({ zone, number, have, upstreams, demand }: FleetReport): Row[] {
+  const noWork = { workMillis: 0, requests: 0 };
   return [
-    { shard: `${ROW_NAMES.zone}/${zone}/${number}`, ...plain },
-    { shard: `${ROW_NAMES.have}/${have.term}/${have.number}`, ...plain },
+    { shard: `${ROW_NAMES.zone}/${zone}/${number}`, ...noWork },
+    { shard: `${ROW_NAMES.have}/${have.term}/${have.number}`, ...noWork },
     ...upstreams.map(({ upstream, kind, requests, workMillis, isOut }) => ({
       shard: `${ROW_NAMES.upstream}/${upstream}${SEPARATOR}${kind}/${isOut ? 1 : 0}`,
       workMillis,
@@ -64,16 +64,16 @@
   ];
 }
 
-/** `undefined`: there is none, or not enough of it to tell whose it is. */
-export function fleetOf(rows: readonly Row[]): FleetReport | undefined {
-  const fleet: ReadFleet = { zone: null, have: null, upstreams: [], demand: [] };
+/** Decodes the fleet report; returns `undefined` if the rows have none or lack its zone or version. */
+export function fromFleetRows(rows: readonly Row[]): FleetReport | undefined {
+  const fleet: PartialFleetReport = { zone: null, have: null, upstreams: [], demand: [] };
   for (const row of rows) {
     const parts = row.shard.split('/');
-    const [mark = ''] = parts;
+    const [rowName = ''] = parts;
     const { workMillis, requests } = row;
     const name = parts.slice(1, -1).join('/');
-    // Rows of a later version are passed over.
-    READERS[mark]?.(fleet, { name, number: Number(parts.at(-1)), workMillis, requests });
+    // Unknown rows come from a newer version and are ignored.
+    ROW_DECODERS[rowName]?.(fleet, { name, number: Number(parts.at(-1)), workMillis, requests });
   }
   const { zone, have, upstreams, demand } = fleet;
   return zone === null || have === null ? undefined : { ...zone, have, upstreams, demand };
--- a/src/wire/router/routing-fields.ts
+++ b/src/wire/router/routing-fields.ts
@@ -1,6 +1,6 @@
 /**
- * Field types of routing snapshots and deltas: JSON, compressed if it is large, with shards as rows of numbers. What many routers are
- * sent is encoded once: the bytes are kept for as long as the registry gives the same lists.
+ * Field types of routing snapshots and deltas: JSON, compressed if it is large, with shards as rows of numbers. Data sent to many
+ * routers is encoded once: the bytes are cached while the registry returns the same lists.
  */
 import { gunzipSync, gzipSync } from 'node:zlib';
 import type * as restructure from 'restructure';
@@ -21,27 +21,27 @@
 import { bytes, safeInteger } from '../fields.js';
 import { MalformedFrameError } from '../wire-error.js';
 
-/** The fastest; higher levels cost more time than the bytes they save are worth. */
+/** The fastest level; the savings of higher levels are not worth their time. */
 const COMPRESSION_LEVEL = 1;
-/** Smaller documents go as plain JSON: a stream of zlib costs each end more than their bytes. */
+/** Smaller documents are sent as plain JSON, since a zlib stream costs each end more than it saves. */
 const COMPRESSED_FROM_BYTES = 2048;
-/** No JSON text begins with it. */
+/** First byte of gzip data; no JSON text starts with it. */
 const GZIP_FIRST_BYTE = 0x1f;
 const NO_BYTES = new Uint8Array(0);
 
-/** The parts of a configuration, or of what changed of it. Gone things are named by kind. */
+/** A configuration, or the changes of one. Removed records are listed by kind in `gone`. */
 interface RoutingDocument {
   readonly services: readonly ServiceRecord[];
   readonly upstreams: readonly UpstreamRecord[];
   readonly names: readonly string[];
   readonly shards: readonly ShardGroup[];
   readonly routes: readonly RouteRecord[];
-  /** `undefined` in a delta: as before. */
+  /** `undefined` in a delta if unchanged. */
   readonly declaration?: DeclarationRecord | null | undefined;
   readonly ranges: readonly KeyRange[];
-  /** Left out: none. */
+  /** Omitted if there are none. */
   readonly suspects?: readonly CrashSuspect[];
-  /** Left out: none. */
+  /** Omitted if there are none. */
   readonly evacuations?: readonly EvacuationRecord[];
   readonly gone: {
     readonly services: readonly string[];
@@ -50,9 +50,9 @@
     readonly routes: readonly string[];
     /** Service and first key. */
     readonly ranges: readonly (readonly [string, number])[];
-    /** Left out: none. */
+    /** Omitted if there are none. */
     readonly suspects?: readonly string[];
-    /** Left out: none. */
+    /** Omitted if there are none. */
     readonly evacuations?: readonly string[];
   };
 }
@@ -65,7 +65,7 @@
   ranges: [],
 };
 
-/** A snapshot or nothing: its bytes after their length, which is 0 for nothing, and then its revision. */
+/** A snapshot or `null`: length (0 for `null`), document, and then the revision. */
 class SnapshotField implements restructure.FieldType<RoutingSnapshot | null> {
   private readonly encoded = new WeakMap<
     readonly ShardRecord[],
@@ -122,14 +122,14 @@
   }
 }
 
-/** Lists of a registry are the same arrays for as long as nothing of them changed. */
+/** A registry returns the same array for a list until the list changes. */
 function isSameContent(one: RoutingSnapshot, other: RoutingSnapshot): boolean {
   const isSameDeclared = one.services === other.services && one.upstreams === other.upstreams;
   const isSameState = one.suspects === other.suspects && one.evacuations === other.evacuations;
   return isSameDeclared && one.ranges === other.ranges && isSameState;
 }
 
-/** A delta or nothing: its changes after their length, which is 0 for nothing, and then its two revisions. */
+/** A delta or `null`: length (0 for `null`), changes, and then both revisions. */
 class DeltaField implements restructure.FieldType<RoutingDelta | null> {
   private readonly encoded = new WeakMap<readonly RegistryChange[], Uint8Array>();
 
@@ -164,7 +164,7 @@
     if (known !== undefined) {
       return known;
     }
-    const encoded = encodeDocument(sortChanges(delta.changes));
+    const encoded = encodeDocument(groupChanges(delta.changes));
     this.encoded.set(delta.changes, encoded);
     return encoded;
   }
@@ -174,7 +174,7 @@
   readonly shards: readonly ShardRecord[];
 }
 
-function sortChanges(changes: readonly RegistryChange[]): RoutingParts {
+function groupChanges(changes: readonly RegistryChange[]): RoutingParts {
   const services: ServiceRecord[] = [];
   const upstreams: UpstreamRecord[] = [];
   const shards: ShardRecord[] = [];
@@ -195,35 +195,35 @@
   for (const change of changes) {
     switch (change.type) {
       case 'service':
-        put(services, gone.services, change.record, change.name);
+        addChange(services, gone.services, change.record, change.name);
         break;
       case 'upstream':
-        put(upstreams, gone.upstreams, change.record, change.id);
+        addChange(upstreams, gone.upstreams, change.record, change.id);
         break;
       case 'shard':
-        put(shards, gone.shards, change.record, change.shard);
+        addChange(shards, gone.shards, change.record, change.shard);
         break;
       case 'route':
-        put(routes, gone.routes, change.record, change.name);
+        addChange(routes, gone.routes, change.record, change.name);
         break;
       case 'declaration':
         declaration = change.record;
         break;
       case 'range':
-        put(ranges, gone.ranges, change.record, [change.service, change.from] as const);
+        addChange(ranges, gone.ranges, change.record, [change.service, change.from] as const);
         break;
       case 'suspect':
-        put(suspects, gone.suspects, change.record, change.fingerprint);
+        addChange(suspects, gone.suspects, change.record, change.fingerprint);
         break;
       case 'evacuation':
-        put(evacuations, gone.evacuations, change.record, change.zone);
+        addChange(evacuations, gone.evacuations, change.record, change.zone);
         break;
     }
   }
   return { services, upstreams, shards, routes, declaration, ranges, suspects, evacuations, gone };
 }
 
-function put<Item, Name>(records: Item[], gone: Name[], record: Item | null, name: Name): void {
+function addChange<Item, Name>(records: Item[], gone: Name[], record: Item | null, name: Name): void {
   if (record === null) {
     gone.push(name);
   } else {
@@ -231,7 +231,7 @@
   }
 }
 
-/** What is gone first, then services before their upstreams before shards, as in a router's own comparison. */
+/** Orders removals first, then services before upstreams before shards, the order in which a router compares them. */
 function changesOf(document: RoutingDocument): RegistryChange[] {
   const { services, upstreams, names, shards, routes, declaration, ranges, gone } = document;
   const { suspects = [], evacuations = [] } = document;
@@ -280,20 +280,20 @@
     const text = content[0] === GZIP_FIRST_BYTE ? gunzipSync(content) : Buffer.from(content);
     return JSON.parse(text.toString('utf8')) as RoutingDocument;
   } catch (thrown) {
-    throw new MalformedFrameError('configuration is no JSON, compressed or plain', toError(thrown));
+    throw new MalformedFrameError('configuration is neither plain nor compressed JSON', toError(thrown));
   }
 }
 
 export const routingSnapshotField: restructure.FieldType<RoutingSnapshot | null> = new SnapshotField();
 export const routingDeltaField: restructure.FieldType<RoutingDelta | null> = new DeltaField();
-/** A delta that is always there. */
+/** A delta that is never `null`. */
 export const routingDeltaOnlyField: restructure.FieldType<RoutingDelta> = {
   size: (value) => routingDeltaField.size(value),
   encode: (stream, value) => routingDeltaField.encode(stream, value),
   decode: (stream) => {
     const delta = routingDeltaField.decode(stream);
     if (delta === null) {
-      throw new MalformedFrameError('news without changes');
+      throw new MalformedFrameError('update without changes');
     }
     return delta;
   },
--- a/src/wire/router/settle-request.ts
+++ b/src/wire/router/settle-request.ts
@@ -1,4 +1,4 @@
-/** A router says how a claimed request ended. */
+/** Request of a router to record the outcome of a claimed request. */
 import type { SettleRequest } from '../../control/messages.js';
 import type { StoredAnswer } from '../../ledger/types.js';
 import { choice, json, text } from '../fields.js';
--- a/src/wire/router/settle-response.ts
+++ b/src/wire/router/settle-response.ts
@@ -1,4 +1,4 @@
-/** Whether the end of a claim was recorded. */
+/** Whether the outcome of a claim was recorded. */
 import type { SettleResponse } from '../../control/messages.js';
 import type { Address } from '../../model/identifiers.js';
 import { flag, json, text } from '../fields.js';
--- a/src/wire/router/shard-work-field.ts
+++ b/src/wire/router/shard-work-field.ts
@@ -1,6 +1,7 @@
 /**
- * Field type of the shards of a load report: a list of the distinct beginnings of their names, then for each shard its
- * place in that list, its number, its work and its requests. Twelve bytes a shard instead of some sixty: each router sends one a second.
+ * Field type of the shards of a load report: a list of the distinct prefixes of their names, then for each shard the index of
+ * its prefix, its number, its work and its requests. This takes twelve bytes per shard instead of about sixty; each router sends
+ * one report per second.
  */
 import type * as restructure from 'restructure';
 import type { LoadReport } from '../../control/messages.js';
@@ -9,9 +10,9 @@
 
 type ShardWork = LoadReport['shards'][number];
 
-/** A row: place of the beginning (uint16), number (uint32), work (float), requests (uint16). */
+/** A row: index of the prefix (uint16), number (uint32), work (float), requests (uint16). */
 const ROW_BYTES = 2 + 4 + 4 + 2;
-const MOST_REQUESTS = 2 ** 16 - 1;
+const MAX_REQUESTS = 2 ** 16 - 1;
 const COUNT_BYTES = 4;
 const prefixList = list(text);
 
@@ -27,7 +28,7 @@
   readonly rows: readonly WorkRow[];
 }
 
-/** Rows are written and read field by field: a leader reads some 77,000 of them a second. */
+/** Rows are encoded and decoded field by field for speed: a leader decodes about 77,000 of them per second. */
 class ShardWorkField implements restructure.FieldType<readonly ShardWork[]> {
   size(works: readonly ShardWork[]): number {
     return prefixList.size(toTable(works).prefixes) + COUNT_BYTES + works.length * ROW_BYTES;
@@ -51,7 +52,7 @@
       stream.writeUInt16BE(prefix);
       stream.writeUInt32BE(number);
       stream.writeFloatBE(workMillis);
-      stream.writeUInt16BE(Math.min(MOST_REQUESTS, Math.round(requests)));
+      stream.writeUInt16BE(Math.min(MAX_REQUESTS, Math.round(requests)));
     }
   }
 }
@@ -63,21 +64,21 @@
   const requests = stream.readUInt16BE();
   const name = prefixes[prefix];
   if (name === undefined) {
-    throw new MalformedFrameError(`${prefix} is none of ${prefixes.length} beginnings of shards' names`);
+    throw new MalformedFrameError(`${prefix} is not an index of ${prefixes.length} shard name prefixes`);
   }
   return { shard: `${name}${number}`, workMillis, requests };
 }
 
 function toTable(works: readonly ShardWork[]): WorkTable {
-  const places = new Map<string, number>();
+  const indexes = new Map<string, number>();
   const rows = works.map(({ shard, workMillis, requests }) => {
     const end = shard.lastIndexOf('/') + 1;
     const name = shard.slice(0, end);
-    const prefix = places.get(name) ?? places.size;
-    places.set(name, prefix);
+    const prefix = indexes.get(name) ?? indexes.size;
+    indexes.set(name, prefix);
     return { prefix, number: Number(shard.slice(end)), workMillis, requests };
   });
-  return { prefixes: [...places.keys()], rows };
+  return { prefixes: [...indexes.keys()], rows };
 }
 
 export const shardWorkField: restructure.FieldType<readonly ShardWork[]> = new ShardWorkField();
--- a/src/wire/router/sync-news.ts
+++ b/src/wire/router/sync-news.ts
@@ -1,4 +1,4 @@
-/** Changes for a router ahead of the response to its request. */
+/** Configuration changes sent to a router before the response to its request. */
 import type { SyncNews } from '../../control/messages.js';
 import { FRAME_KINDS } from '../frame.js';
 import { defineMessage } from '../message-codec.js';
--- a/src/wire/router/sync-request.ts
+++ b/src/wire/router/sync-request.ts
@@ -1,4 +1,4 @@
-/** A router refreshes its configuration lease. */
+/** Request of a router to refresh its configuration lease. */
 import type { SyncRequest } from '../../control/messages.js';
 import { real, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
--- a/src/wire/router/sync-response.ts
+++ b/src/wire/router/sync-response.ts
@@ -1,4 +1,4 @@
-/** Configuration for a router. */
+/** Response to a sync request: configuration for a router. */
 import type { SyncResponse } from '../../control/messages.js';
 import type { Address } from '../../model/identifiers.js';
 import type { RouterTurn } from '../../model/router-turn.js';
--- a/src/wire/router/upstream-permits.ts
+++ b/src/wire/router/upstream-permits.ts
@@ -1,4 +1,4 @@
-/** The leader's answer to a report of upstreams. */
+/** The leader's response to an upstream report: permits for limited upstreams. */
 import type { UpstreamPermits } from '../../control/messages.js';
 import type { Address } from '../../model/identifiers.js';
 import type { IssuedPermits } from '../../model/upstream-notice.js';
--- a/src/wire/router/upstream-report.ts
+++ b/src/wire/router/upstream-report.ts
@@ -1,4 +1,4 @@
-/** A router tells the leader what upstreams say of themselves, and asks for permits. */
+/** Report of a router to the leader: notices of upstreams, and requests for permits. */
 import type { UpstreamReport } from '../../control/messages.js';
 import type { HeardUpstream } from '../../model/upstream-notice.js';
 import { json, real } from '../fields.js';
--- a/src/wire/session/session-schema.ts
+++ b/src/wire/session/session-schema.ts
@@ -1,4 +1,4 @@
-/** Shapes of the session protocol's JSON, checked where they come in over HTTP. */
+/** Schemas of the session protocol's JSON messages, which are validated on receipt over HTTP. */
 import { z } from 'zod';
 import type { SessionAnswer, SessionRequest } from '../../lease/types.js';
 
@@ -25,7 +25,7 @@
   ),
 });
 
-/** What the control leader sends. */
+/** Request of the control leader. */
 export const sessionRequestSchema: z.ZodType<SessionRequest> = z.object({
   cluster: name,
   leader: name,
@@ -40,7 +40,7 @@
   drain: z.boolean(),
 });
 
-/** What an upstream answers. */
+/** Response of an upstream. */
 export const sessionAnswerSchema: z.ZodType<SessionAnswer> = z.object({
   upstream: name,
   incarnation: name,
--- a/test/embedding/exports.test.ts
+++ b/test/embedding/exports.test.ts
@@ -1,10 +1,10 @@
-/** The packed package in a project of its own: each entry point, its types, the examples and the programs. */
+/** Tests the packed package in a separate project: entry points, types, examples and programs. */
 import { existsSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { expect } from 'chai';
 import { PACKAGE, REPOSITORY, ScratchProject } from './scratch-project.js';
 
-/** Something that each entry point must give. */
+/** One export of each entry point. */
 const EXPECTED: Readonly<Record<string, string>> = {
   consensus: 'createRaft',
   lease: 'createGrantHolder',
@@ -15,7 +15,7 @@
   policy: 'compilePolicy',
 };
 
-/** What the last line of each example's output is. */
+/** Last line of each example's output. */
 const LAST_LINES: Readonly<Record<string, string>> = {
   'consensus.mjs': '{"a":["hello"],"b":["hello"],"c":["hello"]}',
   'lease.mjs': 'granter waits 1507.4999999999998 ms',
@@ -26,7 +26,7 @@
   'policy.mjs': 'fault true 1:7: rule "wrong": when: No such key: fil',
 };
 
-/** Fenced blocks of JavaScript that import the package. */
+/** Returns the fenced JavaScript blocks that import the package. */
 function scriptsOf(file: string): string[] {
   const path = join(REPOSITORY, file);
   const text = existsSync(path) ? readFileSync(path, 'utf8') : '';
@@ -42,7 +42,7 @@
   });
   after(() => project.remove());
 
-  it('names every entry point that is promised', () => {
+  it('exports every documented entry point', () => {
     const names = Object.keys(PACKAGE.exports).map((name) => name.replace('./', ''));
     expect(names).to.include.members(Object.keys(EXPECTED));
   });
@@ -57,7 +57,7 @@
     });
   }
 
-  it('nothing else can be imported', () => {
+  it('exports nothing else', () => {
     project.write('inside.mjs', "import 'ternmount/build/src/registry/index.js';");
     expect(project.run('inside.mjs').output).to.contain('ERR_PACKAGE_PATH_NOT_EXPORTED');
   });
@@ -81,7 +81,7 @@
     expect(project.run(compiler, '-p', 'tsconfig.json')).to.deep.equal({ status: 0, output: '' });
   });
 
-  it('runs each example, and there is one for each entry point', () => {
+  it('runs every example, one for each entry point', () => {
     const names = project.copyExamples();
     expect(names.sort()).to.deep.equal(Object.keys(LAST_LINES).sort());
     for (const name of names) {
@@ -91,7 +91,7 @@
     }
   });
 
-  it('runs each example of the pages, and there is one for each entry point', () => {
+  it('runs every example of the documentation, at least one for each entry point', () => {
     const scripts = ['README.md', 'examples/README.md'].flatMap(scriptsOf);
     for (const name of Object.keys(EXPECTED)) {
       expect(
@@ -107,7 +107,7 @@
   });
 
   for (const [name, file] of Object.entries(PACKAGE.bin)) {
-    it(`${name} starts from it`, () => {
+    it(`provides a working ${name} program`, () => {
       const { status, output } = project.run(join(project.packageFolder, file), '--help');
       expect(status, output).to.equal(0);
       expect(output).to.contain(`$ ${name} `);
--- a/test/embedding/scratch-project.ts
+++ b/test/embedding/scratch-project.ts
@@ -1,4 +1,4 @@
-/** A project outside the repository that uses the packed package, as one that installed it would. */
+/** A project outside the repository that uses the packed package as an installed dependency. */
 import { execFileSync, spawnSync } from 'node:child_process';
 import {
   cpSync,
@@ -26,7 +26,7 @@
 
 export const PACKAGE = JSON.parse(readFileSync(join(REPOSITORY, 'package.json'), 'utf8')) as PackageDocument;
 
-/** What a program did. */
+/** Result of a program. */
 export interface ProgramResult {
   readonly status: number | null;
   readonly output: string;
@@ -42,7 +42,7 @@
   readonly folder = mkdtempSync(join(tmpdir(), 'ternmount-embedding-'));
   readonly packageFolder = join(this.folder, 'node_modules/ternmount');
 
-  /** Packs the package, unpacks it here, and links what it depends on. */
+  /** Packs the package, unpacks it into the project and links its dependencies. */
   constructor() {
     const options = { cwd: REPOSITORY, encoding: 'utf8', timeout: 60_000 } as const;
     const flags = ['--json', '--offline', '--ignore-scripts', '--pack-destination', this.folder];
@@ -61,14 +61,14 @@
     writeFileSync(join(this.folder, name), text);
   }
 
-  /** Copies the examples' programs here and gives their names. */
+  /** Copies the example programs into the project and returns their names. */
   copyExamples(): string[] {
     const source = join(REPOSITORY, 'examples');
     cpSync(source, this.folder, { recursive: true });
     return readdirSync(source).filter((name) => name.endsWith('.mjs'));
   }
 
-  /** Runs `node` with these arguments here. */
+  /** Runs `node` with these arguments in the project. */
   run(...args: readonly string[]): ProgramResult {
     const { status, stdout, stderr } = spawnSync(process.execPath, args, {
       cwd: this.folder,
--- a/test/logging/events.test.ts
+++ b/test/logging/events.test.ts
@@ -1,4 +1,4 @@
-/** Sources, the table of events and its page agree. */
+/** Sources, the table of events and the documentation agree. */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -30,11 +30,11 @@
 }
 
 describe('log events', () => {
-  it('that sources log are in the table, and no others', () => {
+  it('in sources and in the table are the same', () => {
     expect([...loggedEvents()].sort()).to.deep.equal(Object.keys(EVENTS).sort());
   });
 
-  it('stand on their page with all their fields', () => {
+  it('are on the page with all their fields', () => {
     const page = readFileSync(join(ROOT, 'docs/operators/log-events.md'), 'utf8');
     for (const [event, { fields }] of Object.entries(EVENTS)) {
       const row = page.split('\n').find((line) => line.startsWith(`| \`${event}\` |`));
--- a/test/logging/log-writer.test.ts
+++ b/test/logging/log-writer.test.ts
@@ -1,4 +1,4 @@
-/** A reader who stops reading neither blocks the process nor makes it grow; records of one event are bounded. */
+/** A reader that stops reading neither blocks the process nor lets its memory grow; records per event are limited. */
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -6,7 +6,7 @@
 import { RecordBudget } from '../../src/logging/record-budget.js';
 
 const LOGGER = new URL('../../src/logging/logger.js', import.meta.url).href;
-/** Logs some 30 MB and says on standard error how long that took and what was dropped. */
+/** Logs about 30 MB and prints to standard error the longest iteration and the number of dropped lines. */
 const PROGRAM = `
   const { createLogger, droppedLogLines, enableLogs } = await import('${LOGGER}');
   enableLogs('ternmount:*');
@@ -25,24 +25,24 @@
 `;
 
 describe('log writer', () => {
-  it('goes on when nobody reads, and counts what it drops', async () => {
+  it('keeps running without a reader, and counts dropped lines', async () => {
     const child = spawn(process.execPath, ['--input-type=module', '-e', PROGRAM], {
       stdio: ['ignore', 'pipe', 'pipe'],
     });
     child.stdout.pause();
-    let told = '';
+    let output = '';
     child.stderr.on('data', (chunk: Buffer) => {
-      told += chunk;
+      output += chunk;
     });
     const ended = await Promise.race([once(child, 'exit'), sleep(20_000)]);
     child.kill('SIGKILL');
-    expect(ended, told).to.be.an('array');
-    const { dropped, rss } = JSON.parse(told);
+    expect(ended, output).to.be.an('array');
+    const { dropped, rss } = JSON.parse(output);
     expect(dropped).to.be.above(20_000);
     expect(rss).to.be.below(150 * 1024 * 1024);
   });
 
-  it('writes whole lines to one who reads', async () => {
+  it('writes whole lines to an active reader', async () => {
     const program = PROGRAM.replace('turn < 300', 'turn < 1');
     const child = spawn(process.execPath, ['--input-type=module', '-e', program], {
       stdio: ['ignore', 'pipe', 'ignore'],
@@ -61,24 +61,24 @@
 });
 
 describe('budget of records', () => {
-  it('counts what is above the bound by event, second by second', () => {
+  it('counts records above the limit per event and second', () => {
     const budget = new RecordBudget(2);
-    budget.turn(0);
-    const taken = ['a', 'a', 'a', 'b', 'a'].map((event) => budget.take(event));
+    budget.startSecond(0);
+    const taken = ['a', 'a', 'a', 'b', 'a'].map((event) => budget.tryTake(event));
     expect(taken).to.deep.equal([true, true, false, true, false]);
-    expect(budget.turn(999)).to.equal(null);
-    expect(budget.turn(1000)).to.deep.equal({ a: 2 });
-    expect(budget.take('a')).to.equal(true);
-    expect(budget.turn(2000)).to.equal(null);
+    expect(budget.startSecond(999)).to.equal(null);
+    expect(budget.startSecond(1000)).to.deep.equal({ a: 2 });
+    expect(budget.tryTake('a')).to.equal(true);
+    expect(budget.startSecond(2000)).to.equal(null);
   });
 
-  it('counts no sample as dropped, and takes samples within the bound on all', () => {
+  it('does not count samples as dropped, and counts them against the limit of the event', () => {
     const budget = new RecordBudget(3);
-    budget.turn(0);
-    const samples = [1, 2, 3, 4].map(() => budget.takeSample('a', 2));
+    budget.startSecond(0);
+    const samples = [1, 2, 3, 4].map(() => budget.tryTakeSample('a', 2));
     expect(samples).to.deep.equal([true, true, false, false]);
-    expect([budget.take('a'), budget.take('a')]).to.deep.equal([true, false]);
-    expect(budget.turn(1000)).to.deep.equal({ a: 1 });
-    expect(budget.takeSample('a', 2)).to.equal(true);
+    expect([budget.tryTake('a'), budget.tryTake('a')]).to.deep.equal([true, false]);
+    expect(budget.startSecond(1000)).to.deep.equal({ a: 1 });
+    expect(budget.tryTakeSample('a', 2)).to.equal(true);
   });
 });
--- a/test/upstream/fence-drain.test.ts
+++ b/test/upstream/fence-drain.test.ts
@@ -53,7 +53,7 @@
     server.close();
   });
 
-  it('goes on serving its shards while it holds a lease', async () => {
+  it('keeps serving its shards while it holds a lease', async () => {
     const drained = fence.drain({ moveMillis: 500 });
     expect(fence.status()).to.include({ state: 'leaving', held: 1, leased: true });
     now = 500;
@@ -61,7 +61,7 @@
     expect(fence.status().state).to.equal('draining');
   });
 
-  it('asks callers to close their connections once it is drained, so that the server can be closed', async () => {
+  it('sends connection: close once it is drained, so that the server can be closed', async () => {
     now = LEASE_ENDS_AT + 1;
     const { port } = server.address() as AddressInfo;
     const paths = [SESSION_PATH, HEALTH_PATH, '/anything'];
@@ -80,7 +80,7 @@
     }
   });
 
-  it('does not wait for shards to be moved once its lease is over', async () => {
+  it('does not wait for moves of shards once its lease has expired', async () => {
     now = LEASE_ENDS_AT + 1;
     await fence.drain({ moveMillis: Number.POSITIVE_INFINITY });
     expect(fence.status()).to.include({ state: 'draining', held: 1, leased: false });
--- a/test/upstream/gone-caller.test.ts
+++ b/test/upstream/gone-caller.test.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai';
 import { createFence, createNodeHandler, type Fence } from '../../src/upstream/index.js';
 
-describe('a request whose router is gone before the fence sees it', () => {
+describe('a request whose router disconnects before the fence handles it', () => {
   let fence: Fence;
   let server: Server;
   let handled: number;
@@ -17,14 +17,14 @@
       handled += 1;
       response.end();
     });
-    let noteChecked: () => void;
+    let resolveChecked: () => void;
     checked = new Promise((resolve) => {
-      noteChecked = resolve;
+      resolveChecked = resolve;
     });
     server = createServer(async (request, response) => {
       await once(response, 'close');
       guarded(request, response);
-      noteChecked();
+      resolveChecked();
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as AddressInfo;
--- a/test/wire/codecs.test.ts
+++ b/test/wire/codecs.test.ts
@@ -1,4 +1,4 @@
-/** Messages survive their way through codec and frame, however the bytes of the stream are cut. */
+/** Messages survive codecs and frames, independent of how the byte stream is split. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import type { ControlToRouter, RouterToControl } from '../../src/control/messages.js';
@@ -80,19 +80,19 @@
 
 describe('codecs of messages between routers and control', () => {
   for (const message of FROM_ROUTER) {
-    it(`carries ${message.type}`, () => {
+    it(`encodes and decodes ${message.type}`, () => {
       const { kind, payload } = routerToControlCodecs.encode(message);
       expect(routerToControlCodecs.decode(kind, payload)).to.deep.equal(message);
     });
   }
   for (const message of FROM_CONTROL) {
-    it(`carries ${message.type}`, () => {
+    it(`encodes and decodes ${message.type}`, () => {
       const { kind, payload } = controlToRouterCodecs.encode(message);
       expect(controlToRouterCodecs.decode(kind, payload)).to.deep.equal(message);
     });
   }
 
-  it('takes nothing but a whole message', () => {
+  it('accepts only exactly one message', () => {
     for (const message of FROM_ROUTER) {
       expectOnlyWhole(routerToControlCodecs.encode(message), routerToControlCodecs);
     }
@@ -103,7 +103,7 @@
 });
 
 describe('frames', () => {
-  it('are found again however the stream is cut', () => {
+  it('are decoded from any split of the stream', () => {
     const frame = fc.record({
       kind: fc.integer({ min: 0, max: 255 }),
       correlation: fc.integer({ min: 0, max: 2 ** 32 - 1 }),
@@ -112,19 +112,19 @@
     const cuts = fc.array(fc.integer({ min: 1, max: 64 }), { minLength: 1, maxLength: 20 });
     fc.assert(
       fc.property(fc.array(frame, { maxLength: 8 }), cuts, (frames, sizes) => {
-        expect(plain(decodeInPieces(frames, sizes))).to.deep.equal(plain(frames));
+        expect(toComparable(decodeInPieces(frames, sizes))).to.deep.equal(toComparable(frames));
       }),
     );
   });
 
-  it('above the limit are neither sent nor taken', () => {
+  it('above the limit are neither sent nor accepted', () => {
     const frame: Frame = { kind: 1, correlation: 0, payload: new Uint8Array(LIMIT) };
     expect(() => encodeFrame(frame, LIMIT)).to.throw(FrameTooLargeError);
     const sent = encodeFrame(frame, LIMIT * 2);
     expect(() => new FrameDecoder(LIMIT).push(sent.subarray(0, 10))).to.throw(FrameTooLargeError);
   });
 
-  it('of another version end the stream', () => {
+  it('of another version are rejected', () => {
     const sent = encodeFrame({ kind: 1, correlation: 0, payload: new Uint8Array(1) }, LIMIT);
     sent[4] = 99;
     expect(() => new FrameDecoder(LIMIT).push(sent)).to.throw(MalformedFrameError);
@@ -154,6 +154,6 @@
   return decoded;
 }
 
-function plain(frames: readonly Frame[]) {
+function toComparable(frames: readonly Frame[]) {
   return frames.map(({ kind, correlation, payload }) => ({ kind, correlation, payload: [...payload] }));
 }
--- a/test/wire/fields.test.ts
+++ b/test/wire/fields.test.ts
@@ -1,4 +1,4 @@
-/** Whole numbers and texts take as few bytes as they need, and say how many. */
+/** Integers and texts are encoded in the fewest bytes, and `size` returns that number. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { DecodeStream, EncodeStream, type FieldType } from 'restructure';
@@ -7,7 +7,7 @@
 
 const PARAMETERS = { seed: 11, numRuns: 500 };
 
-function written<Value>(field: FieldType<Value>, value: Value): Uint8Array {
+function encoded<Value>(field: FieldType<Value>, value: Value): Uint8Array {
   const bytes = new Uint8Array(field.size(value));
   field.encode(new EncodeStream(bytes), value);
   return bytes;
@@ -25,23 +25,23 @@
   ];
   for (const [value, bytes] of sizes) {
     it(`${value} takes ${bytes} bytes`, () => {
-      expect(written(safeInteger, value).length).to.equal(bytes);
+      expect(encoded(safeInteger, value).length).to.equal(bytes);
     });
   }
 
-  it('whole numbers come back as they were', () => {
+  it('integers survive encoding and decoding', () => {
     fc.assert(
       fc.property(fc.nat(Number.MAX_SAFE_INTEGER), (value) => {
-        expect(safeInteger.decode(new DecodeStream(written(safeInteger, value)))).to.equal(value);
+        expect(safeInteger.decode(new DecodeStream(encoded(safeInteger, value)))).to.equal(value);
       }),
       PARAMETERS,
     );
   });
 
-  it('texts come back as they were', () => {
+  it('texts survive encoding and decoding', () => {
     fc.assert(
       fc.property(fc.string({ unit: 'binary', maxLength: 300 }), (value) => {
-        expect(text.decode(new DecodeStream(written(text, value)))).to.equal(value);
+        expect(text.decode(new DecodeStream(encoded(text, value)))).to.equal(value);
       }),
       PARAMETERS,
     );
--- a/test/wire/fleet-rows.test.ts
+++ b/test/wire/fleet-rows.test.ts
@@ -1,4 +1,4 @@
-/** Reports of upstreams without keys between processes of two versions. */
+/** Compatibility of reports of upstreams without keys between two versions. */
 import { expect } from 'chai';
 import type { FleetNews, LoadReport } from '../../src/control/messages.js';
 import { real } from '../../src/wire/fields.js';
@@ -7,7 +7,7 @@
 import { defineMessage } from '../../src/wire/message-codec.js';
 import { shardWorkField } from '../../src/wire/router/shard-work-field.js';
 
-/** As a process writes and reads it that knows nothing of upstreams without keys. */
+/** Codec of a version without support for upstreams without keys. */
 const olderCodec = defineMessage<LoadReport>(FRAME_KINDS.loadReport, 'load-report', {
   intervalMillis: real,
   shards: shardWorkField,
@@ -31,12 +31,12 @@
 };
 
 describe('reports of upstreams without keys', () => {
-  it('come as they went', () => {
+  it('survive encoding and decoding', () => {
     const { kind, payload } = routerToControlCodecs.encode(REPORT);
     expect(routerToControlCodecs.decode(kind, payload)).to.deep.equal(REPORT);
   });
 
-  it('leave an older member the loads of keys, beside rows of services that there are not', () => {
+  it('give an older member the loads of shards, followed by rows of nonexistent services', () => {
     const { payload } = routerToControlCodecs.encode(REPORT);
     const read = olderCodec.decode(payload);
     expect(read.shards.slice(0, SHARDS.length)).to.deep.equal(SHARDS);
@@ -45,27 +45,27 @@
     }
   });
 
-  it('are absent from what an older router sends', () => {
+  it('are absent from reports of an older router', () => {
     const payload = olderCodec.encode({ type: 'load-report', intervalMillis: 1000, shards: SHARDS });
     const read = routerToControlCodecs.decode(FRAME_KINDS.loadReport, payload);
     expect(read).to.deep.equal({ type: 'load-report', intervalMillis: 1000, shards: SHARDS });
   });
 
-  it('are answered in the fewest bytes where nothing changed', () => {
-    const news: FleetNews = {
+  it('get a minimal response if nothing has changed', () => {
+    const update: FleetNews = {
       type: 'fleet-news',
       version: { term: 7, number: 12 },
       isWhole: false,
       speeds: [],
       zones: [],
     };
-    const { kind, payload } = controlToRouterCodecs.encode(news);
-    expect(controlToRouterCodecs.decode(kind, payload)).to.deep.equal(news);
+    const { kind, payload } = controlToRouterCodecs.encode(update);
+    expect(controlToRouterCodecs.decode(kind, payload)).to.deep.equal(update);
     expect(payload.length).to.be.at.most(32);
   });
 
-  it('are answered with speeds and room', () => {
-    const news: FleetNews = {
+  it('get a response with speeds and zone capacity', () => {
+    const update: FleetNews = {
       type: 'fleet-news',
       version: { term: 7, number: 13 },
       isWhole: true,
@@ -81,7 +81,7 @@
         },
       ],
     };
-    const { kind, payload } = controlToRouterCodecs.encode(news);
-    expect(controlToRouterCodecs.decode(kind, payload)).to.deep.equal(news);
+    const { kind, payload } = controlToRouterCodecs.encode(update);
+    expect(controlToRouterCodecs.decode(kind, payload)).to.deep.equal(update);
   });
 });
--- a/test/wire/routing-fields.test.ts
+++ b/test/wire/routing-fields.test.ts
@@ -14,7 +14,7 @@
     revision: 8,
   });
 
-  it('carry a snapshot and a delta of shards whole', () => {
+  it('encode and decode a snapshot and a delta of shards', () => {
     const shards = [shard(0, 'u1'), shard(1, null), shard(2, 'u1'), shard(10, 'u2')];
     const message: ControlToRouter = {
       type: 'sync-response',
@@ -39,7 +39,7 @@
     expect(controlToRouterCodecs.decode(kind, payload)).to.deep.equal(message);
   });
 
-  it('encode lists again once they are others', () => {
+  it('encode lists again after they have changed', () => {
     const base = {
       type: 'sync-response',
       stamp: 1,
