--- a/src/text/columns.ts
+++ b/src/text/columns.ts
@@ -24,7 +24,7 @@
   );
 }
 
-/** Aligns the first column (names) to the left and the others (numbers) to the right. */
+/** Alignment of the first column (names) to the left and of the others (numbers) to the right. */
 export function namesThenNumbers(column: number): Alignment {
   return column === 0 ? 'left' : 'right';
 }
