--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -90,13 +90,13 @@
 /** Creates the logger of the namespace `ternmount:<namespace>`. Warnings and errors are written even if it is disabled. */
 export function createLogger(namespace: string, options: LoggerOptions = {}): Logger {
   const channel = createDebug(`ternmount:${namespace}`);
-  const isOn = (level: LogLevel): boolean => {
+  const isEnabled = (level: LogLevel): boolean => {
     const optional = options.always !== true && (level === 'debug' || level === 'info');
     return !optional || channel.enabled;
   };
   const log = (level: LogLevel, event: string, fields: LogFields = {}): void => {
     reportDropped();
-    if (isOn(level) && (options.always === true || budget.tryTake(event))) {
+    if (isEnabled(level) && (options.always === true || budget.tryTake(event))) {
       write(level, namespace, event, fields);
     }
   };
@@ -108,7 +108,7 @@
     error: (event, fields) => log('error', event, fields),
     sample: (event, fields) => {
       reportDropped();
-      if (isOn('info') && budget.tryTakeSample(event, MAX_SAMPLES_PER_SECOND)) {
+      if (isEnabled('info') && budget.tryTakeSample(event, MAX_SAMPLES_PER_SECOND)) {
         write('info', namespace, event, fields());
       }
     },
--- a/src/model/outcome.ts
+++ b/src/model/outcome.ts
@@ -6,7 +6,7 @@
  */
 export type Outcome = 'not-run' | 'unknown' | 'ran';
 
-/** Project-specific HTTP headers, lower case. Routers drop all but `SERVICE_HEADER` from callers' requests. */
+/** Project-specific HTTP headers, lower case. Routers drop all but `service` from callers' requests. */
 export const HEADERS = {
   outcome: 'ternmount-outcome',
   reason: 'ternmount-reason',
--- a/src/model/shard-rows.ts
+++ b/src/model/shard-rows.ts
@@ -28,9 +28,9 @@
     if (name === null) {
       return NO_NAME;
     }
-    const known = this.positions.get(name);
-    if (known !== undefined) {
-      return known;
+    const existing = this.positions.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     this.names.push(name);
     this.positions.set(name, this.names.length - 1);
--- a/src/security/operator-tokens.ts
+++ b/src/security/operator-tokens.ts
@@ -45,14 +45,14 @@
   wallMillis: number,
 ): Operator | undefined {
   const hash = Buffer.from(hashToken(token), 'hex');
-  let found: TokenRecord | undefined;
+  let match: TokenRecord | undefined;
   for (const record of records) {
     if (timingSafeEqual(Buffer.from(record.sha256, 'hex'), hash)) {
-      found = record;
+      match = record;
     }
   }
-  if (found === undefined || (found.expires !== null && Date.parse(found.expires) <= wallMillis)) {
+  if (match === undefined || (match.expires !== null && Date.parse(match.expires) <= wallMillis)) {
     return undefined;
   }
-  return { name: found.name, role: found.role };
+  return { name: match.name, role: match.role };
 }
--- a/src/upstream/fence.ts
+++ b/src/upstream/fence.ts
@@ -115,7 +115,7 @@
       this.state = 'leaving';
     }
     const until = this.clock() + (options.moveMillis ?? DEFAULT_MOVE_MILLIS);
-    while (this.isHolding() && this.clock() < until) {
+    while (this.hasHeldShards() && this.clock() < until) {
       await sleep(DRAIN_CHECK_MILLIS);
     }
     this.state = 'draining';
@@ -135,7 +135,7 @@
   }
 
   /** Whether this server may serve shards and the leader still regards it as the owner of at least one. */
-  private isHolding(): boolean {
+  private hasHeldShards(): boolean {
     const { held, unreported, leased } = this.holder.status(this.clock());
     return leased && held + unreported > 0;
   }
@@ -212,7 +212,7 @@
 
   private dispatchEvent(event: HolderEvent): void {
     if (event.type === 'warm') {
-      void this.warm(event.shard);
+      void this.warmShard(event.shard);
     } else if (event.type === 'granted') {
       this.options.onGranted?.(event.shard);
     } else if (event.type === 'released') {
@@ -221,7 +221,7 @@
   }
 
   /** A shard that couldn't be loaded isn't reported as warm, so the leader moves it cold or elsewhere. */
-  private async warm(shard: ShardId): Promise<void> {
+  private async warmShard(shard: ShardId): Promise<void> {
     try {
       await this.options.onWarm?.(shard);
     } catch {
--- a/src/wire/frame-connection.ts
+++ b/src/wire/frame-connection.ts
@@ -153,7 +153,7 @@
     }
   }
 
-  /** Pings the peer, and closes a silent connection. A check that is itself isLate, as after a suspension, closes nothing. */
+  /** Pings the peer, and closes a silent connection. A check that is itself late, as after a suspension, closes nothing. */
   private check(): void {
     const now = performance.now();
     const isLate = now - this.lastCheckedAt > this.limits.pingMillis * 2;
--- a/src/wire/frame.ts
+++ b/src/wire/frame.ts
@@ -116,7 +116,7 @@
   private decodeNext(): Frame | undefined {
     const joined = this.chunks.length === 1 ? (this.chunks[0] as Uint8Array) : Buffer.concat(this.chunks);
     const head = header.decode(new restructure.DecodeStream(joined));
-    this.check(head);
+    this.checkHeader(head);
     const frameBytes = LENGTH_BYTES + head.length;
     if (joined.length < frameBytes) {
       this.chunks = [joined];
@@ -130,7 +130,7 @@
     return { kind: head.kind, correlation: head.correlation, payload };
   }
 
-  private check(head: FrameHeader): void {
+  private checkHeader(head: FrameHeader): void {
     if (head.version !== PROTOCOL_VERSION) {
       throw new MalformedFrameError(
         `frame of version ${head.version}, this process speaks ${PROTOCOL_VERSION}`,
--- a/src/wire/http/request-faults.ts
+++ b/src/wire/http/request-faults.ts
@@ -47,11 +47,11 @@
   }
 
   private track(request: IncomingMessage, response: ServerResponse): void {
-    const known = this.exchanges.get(request.socket);
-    const exchanges = known ?? { open: 0, last: request, fault: null };
+    const existing = this.exchanges.get(request.socket);
+    const exchanges = existing ?? { open: 0, last: request, fault: null };
     exchanges.open += 1;
     exchanges.last = request;
-    if (known === undefined) {
+    if (existing === undefined) {
       this.exchanges.set(request.socket, exchanges);
     }
     response.once('close', () => {
--- a/src/wire/router/routing-fields.ts
+++ b/src/wire/router/routing-fields.ts
@@ -69,7 +69,7 @@
 class SnapshotField implements restructure.FieldType<RoutingSnapshot | null> {
   private readonly encoded = new WeakMap<
     readonly ShardRecord[],
-    { of: RoutingSnapshot; bytes: Uint8Array }
+    { snapshot: RoutingSnapshot; bytes: Uint8Array }
   >();
 
   size(value: RoutingSnapshot | null): number {
@@ -111,13 +111,13 @@
     if (snapshot === null) {
       return NO_BYTES;
     }
-    const known = this.encoded.get(snapshot.shards);
-    if (known !== undefined && isSameContent(known.of, snapshot)) {
-      return known.bytes;
+    const cached = this.encoded.get(snapshot.shards);
+    if (cached !== undefined && isSameContent(cached.snapshot, snapshot)) {
+      return cached.bytes;
     }
     const { revision: _revision, ...parts } = snapshot;
     const encoded = encodeDocument({ ...parts, gone: NOTHING_GONE });
-    this.encoded.set(snapshot.shards, { of: snapshot, bytes: encoded });
+    this.encoded.set(snapshot.shards, { snapshot, bytes: encoded });
     return encoded;
   }
 }
@@ -160,9 +160,9 @@
     if (delta === null) {
       return NO_BYTES;
     }
-    const known = this.encoded.get(delta.changes);
-    if (known !== undefined) {
-      return known;
+    const cached = this.encoded.get(delta.changes);
+    if (cached !== undefined) {
+      return cached;
     }
     const encoded = encodeDocument(groupChanges(delta.changes));
     this.encoded.set(delta.changes, encoded);
--- a/test/wire/codecs.test.ts
+++ b/test/wire/codecs.test.ts
@@ -146,8 +146,8 @@
   const stream = Buffer.concat(frames.map((frame) => encodeFrame(frame, LIMIT)));
   const decoder = new FrameDecoder(LIMIT);
   const decoded: Frame[] = [];
-  for (let at = 0, turn = 0; at < stream.length; turn++) {
-    const size = sizes[turn % sizes.length] as number;
+  for (let at = 0, cut = 0; at < stream.length; cut++) {
+    const size = sizes[cut % sizes.length] as number;
     decoded.push(...decoder.push(stream.subarray(at, at + size)));
     at += size;
   }
