--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -1,4 +1,4 @@
-/** The file operations that storage needs: on the disk by default, in memory for tests that lose unsynced writes. */
+/** File operations of the storage layer: on disk by default; tests use an in-memory disk that drops unsynced writes. */
 import {
   mkdir,
   type FileHandle as NodeFileHandle,
@@ -11,29 +11,29 @@
 import { toError } from '../errors/ternmount-error.js';
 import { StorageFailedError } from './storage-error.js';
 
-/** An open file that is written at its end. */
+/** A file that is open for appending. */
 export interface WritableFile {
   append(bytes: Uint8Array): Promise<void>;
-  /** What was appended survives a loss of power once this resolves. */
+  /** Once this resolves, appended bytes survive a power loss. */
   sync(): Promise<void>;
-  /** Cuts the file; later appends go on from there. */
+  /** Truncates the file; later appends start at its new end. */
   truncate(size: number): Promise<void>;
   close(): Promise<void>;
 }
 
-/** Operations on files; each fails with `StorageFailedError`. */
+/** File operations; each rejects with `StorageFailedError`. */
 export interface FileSystem {
-  /** Names in a folder; `null`: there is no such folder. */
+  /** Returns the names in a folder, or `null` if the folder doesn't exist. */
   list(folder: string): Promise<readonly string[] | null>;
-  /** Makes a folder with those above it. */
+  /** Creates a folder and its missing parents. */
   makeFolder(folder: string): Promise<void>;
   read(path: string): Promise<Uint8Array>;
-  /** Makes a file, or empties the one that is there. */
+  /** Creates a file, or truncates an existing one. */
   create(path: string): Promise<WritableFile>;
   openToAppend(path: string): Promise<WritableFile>;
   rename(from: string, to: string): Promise<void>;
   remove(path: string): Promise<void>;
-  /** Names made, changed and removed in a folder survive a loss of power once this resolves. */
+  /** Once this resolves, names created, renamed and removed in a folder survive a power loss. */
   syncFolder(folder: string): Promise<void>;
 }
 
@@ -91,16 +91,16 @@
   }
 }
 
-/** The machine's own disk. */
+/** The local disk. */
 export const DISK: FileSystem = {
   list: (folder) => attempt(folder, 'list', () => listFolder(folder)),
   makeFolder: (folder) =>
-    attempt(folder, 'make the folder', async () => {
+    attempt(folder, 'create the folder', async () => {
       await mkdir(folder, { recursive: true, mode: FOLDER_MODE });
     }),
   read: (path) => attempt(path, 'read', () => readFile(path)),
   create: (path) =>
-    attempt(path, 'make the file', async () => new DiskFile(path, await open(path, 'w', FILE_MODE))),
+    attempt(path, 'create the file', async () => new DiskFile(path, await open(path, 'w', FILE_MODE))),
   openToAppend: (path) =>
     attempt(path, 'open', async () => new DiskFile(path, await open(path, 'a', FILE_MODE))),
   rename: (from, to) => attempt(from, 'rename', () => rename(from, to)),
--- a/src/storage/folder-lock.ts
+++ b/src/storage/folder-lock.ts
@@ -1,6 +1,6 @@
 /**
- * Lock of a data folder by a living process: a file with its process id and start time. The lock of a process that is
- * gone, or whose id belongs to another one by now, is taken over.
+ * Locks a data folder with a file that holds the process id and start time. A lock is stale, and taken over, when its
+ * process has ended or its id has been reused by another process.
  */
 import { linkSync, readFileSync, renameSync, unlinkSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -8,32 +8,32 @@
 
 export const LOCK_FILE = 'lock';
 const FILE_MODE = 0o600;
-const TRIES = 5;
-/** What a file system without links answers. */
-const NO_LINKS: ReadonlySet<string> = new Set(['ENOSYS', 'ENOTSUP', 'EOPNOTSUPP', 'EPERM']);
-/** Place of the start time among the fields of `/proc/PID/stat` that follow the command's name. */
+const MAX_ATTEMPTS = 5;
+/** Error codes of file systems without hard links. */
+const LINK_UNSUPPORTED_CODES: ReadonlySet<string> = new Set(['ENOSYS', 'ENOTSUP', 'EOPNOTSUPP', 'EPERM']);
+/** Index of the start time among the fields of `/proc/PID/stat` after the command name. */
 const START_TIME_FIELD = 19;
 
-/** Who holds a lock. */
+/** The process that holds a lock. */
 interface LockHolder {
   readonly pid: number;
-  /** Start time as the kernel counts it; `null` where it can't be read. */
+  /** Start time in the kernel's units; `null` where it can't be read. */
   readonly startTime: string | null;
 }
 
-/** Holds a folder until it is released. */
+/** A lock on a folder, held until `release` is called. */
 export interface FolderLock {
   release(): void;
 }
 
-/** Takes the lock. Throws `FolderLockedError` if a living process has it. */
+/** Acquires the lock. Throws `FolderLockedError` if a running process holds it. */
 export function lockFolder(folder: string): FolderLock {
   const path = join(folder, LOCK_FILE);
   const own: LockHolder = { pid: process.pid, startTime: startTimeOf(process.pid) };
   const candidate = `${path}.${process.pid}`;
   writeFileSync(candidate, JSON.stringify(own), { mode: FILE_MODE });
   try {
-    for (let turn = 0; turn < TRIES; turn += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       if (tryLink(candidate, path)) {
         return { release: () => release(path, own) };
       }
@@ -54,15 +54,15 @@
     if (code === 'EEXIST') {
       return false;
     }
-    if (NO_LINKS.has(code)) {
-      return tryCopy(from, to);
+    if (LINK_UNSUPPORTED_CODES.has(code)) {
+      return tryExclusiveCopy(from, to);
     }
     throw thrown;
   }
 }
 
-/** For file systems without links: the file is made only if there is none, and counts once it is whole. */
-function tryCopy(from: string, to: string): boolean {
+/** For file systems without hard links: creates the file only if it doesn't exist. A partly written lock isn't valid. */
+function tryExclusiveCopy(from: string, to: string): boolean {
   try {
     writeFileSync(to, readFileSync(from), { mode: FILE_MODE, flag: 'wx' });
     return true;
@@ -87,7 +87,7 @@
   }
   const moved = readHolder(aside);
   if (moved !== undefined && isAlive(moved)) {
-    // Another process took the stale lock over between the look and the rename: give it back.
+    // Another process took over the stale lock between the check and the rename: restore its lock.
     tryLink(aside, path);
     unlinkSync(aside);
     throw new FolderLockedError(folder, moved.pid);
--- a/src/storage/log-records.ts
+++ b/src/storage/log-records.ts
@@ -2,7 +2,7 @@
 import type { HardState, LogEntry } from '../consensus/types.js';
 import type { ClusterId, ReplicaId } from '../model/identifiers.js';
 
-/** Types of records; a type keeps its number for ever. */
+/** Record types. Their numbers are part of the file format and never change. */
 export const RECORD_TYPES = {
   segmentHeader: 1,
   hardState: 2,
@@ -21,15 +21,15 @@
   readonly cluster: ClusterId;
   readonly replica: ReplicaId;
   readonly sequence: number;
-  /** Bytes of the segment before that were synced; more may follow them, but not less. */
+  /** Synced bytes of the previous segment: it must hold at least that many, and may hold more. */
   readonly previousBytes: number;
-  /** Hard state when the segment was begun, so that older segments can be dropped. */
+  /** Hard state when the segment was created, so that older segments can be removed. */
   readonly hardState: HardState;
-  /** Last index of the newest snapshot that was on disk then; 0: there was none. */
+  /** Last index of the newest snapshot on disk when the segment was created; 0: none. */
   readonly snapshotIndex: number;
 }
 
-/** A record before it is written. */
+/** A record to be written. */
 export interface LogRecord {
   readonly type: number;
   readonly payload: Uint8Array;
@@ -39,7 +39,7 @@
   return { type, payload: Buffer.from(JSON.stringify(value)) };
 }
 
-/** Reads a JSON payload; the checksum of its record vouches for its shape. */
+/** Reads a JSON payload. Its shape isn't validated: the record's checksum guarantees that it is as written. */
 export function readJson<Value>(payload: Buffer): Value {
   return JSON.parse(payload.toString('utf8')) as Value;
 }
@@ -52,12 +52,12 @@
   return jsonRecord(RECORD_TYPES.hardState, hardState);
 }
 
-/** Last record of a segment that another one follows. */
+/** Last record of a segment that is followed by another one. */
 export function segmentEndRecord(): LogRecord {
   return { type: RECORD_TYPES.segmentEnd, payload: new Uint8Array(0) };
 }
 
-/** Entries from `index` on are dropped. */
+/** Removes the entries from `index` on. */
 export function truncateRecord(index: number): LogRecord {
   const payload = Buffer.alloc(INDEX_BYTES);
   payload.writeBigUInt64BE(BigInt(index));
@@ -81,7 +81,7 @@
   return Number(payload.readBigUInt64BE());
 }
 
-/** The entry with a copy of its data, so that the file's bytes can be freed. `undefined`: an unknown kind. */
+/** Returns the entry with a copy of its data, so that the file's buffer can be freed; `undefined` for an unknown kind. */
 export function readEntry(payload: Buffer): LogEntry | undefined {
   const kind = ENTRY_KINDS[payload.readUInt8(KIND_OFFSET)];
   if (kind === undefined) {
--- a/src/storage/log-replay.ts
+++ b/src/storage/log-replay.ts
@@ -1,19 +1,19 @@
-/** Builds the log again from the records of its segments. */
+/** Rebuilds the log from the records of its segments. */
 import type { HardState, LogEntry } from '../consensus/types.js';
 import { RECORD_TYPES, readEntry, readJson, readTruncate, type SegmentHeader } from './log-records.js';
 import type { StoredRecord } from './record.js';
 
 export class LogReplay {
   hardState: HardState = { term: 0, votedFor: null };
-  /** Last index of the newest snapshot that the log speaks of; 0: none. */
+  /** Last index of the newest snapshot recorded in the log; 0: none. */
   snapshotIndex = 0;
   readonly entries: LogEntry[] = [];
 
-  /** Takes the next record. Gives what is wrong with it, if anything is. */
-  take(record: StoredRecord): string | undefined {
+  /** Applies the next record. Returns a description of the problem if the record is invalid. */
+  apply(record: StoredRecord): string | undefined {
     switch (record.type) {
       case RECORD_TYPES.segmentHeader:
-        this.#begin(readJson<SegmentHeader>(record.payload));
+        this.#beginSegment(readJson<SegmentHeader>(record.payload));
         return undefined;
       case RECORD_TYPES.hardState:
         this.hardState = readJson<HardState>(record.payload);
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Entries after a snapshot; `undefined` if some between are missing. */
+  /** Returns the entries after a snapshot; `undefined` if the log doesn't continue directly after it. */
   entriesAfter(lastIndex: number): readonly LogEntry[] | undefined {
     const entries = this.entries.filter((entry) => entry.index > lastIndex);
     const [first] = entries;
@@ -55,8 +55,8 @@
     return undefined;
   }
 
-  /** Drops what the snapshot covers, so that a log which goes on after an installed snapshot has no gap. */
-  #begin({ hardState, snapshotIndex }: SegmentHeader): void {
+  /** Drops the entries that the snapshot covers, so that a log that continues after an installed snapshot has no gap. */
+  #beginSegment({ hardState, snapshotIndex }: SegmentHeader): void {
     this.hardState = hardState;
     this.snapshotIndex = snapshotIndex;
     const kept = this.entries.filter((entry) => entry.index > snapshotIndex);
--- a/src/storage/record.ts
+++ b/src/storage/record.ts
@@ -1,19 +1,20 @@
 /**
- * Records of storage files: a header of 24 bytes and a payload, padded to 8 bytes.
+ * Record format of storage files: a header of 24 bytes and a payload, padded to a multiple of 8 bytes.
  *
- * | bytes | what |
+ * | bytes | content |
  * |---|---|
- * | 0-3 | mark `TMR1` |
- * | 4-7 | length of the payload |
+ * | 0-3 | magic number `TMR1` |
+ * | 4-7 | payload length |
  * | 8-11 | CRC-32 of bytes 4-7, 12-23 and the payload |
  * | 12-15 | type |
- * | 16-23 | bytes of the file that were synced when the record was written |
+ * | 16-23 | synced bytes of the file when the record was written |
  *
- * The synced length tells a torn tail from damage: a bad record that a later good one counts as synced is damage.
+ * The synced length distinguishes a torn tail from damage: an invalid record is damage if a later valid record counts it
+ * as synced.
  */
 import { crc32 } from 'node:zlib';
 
-const MARK = 0x544d5231;
+const MAGIC = 0x544d5231;
 const HEADER_BYTES = 24;
 const ALIGNMENT = 8;
 const LENGTH_OFFSET = 4;
@@ -21,13 +22,13 @@
 const TYPE_OFFSET = 12;
 const SYNCED_OFFSET = 16;
 
-/** A record as it was read. */
+/** A record read from a file. */
 export interface StoredRecord {
   readonly type: number;
   readonly payload: Buffer;
-  /** Bytes of the file that were synced when this was written. */
+  /** Synced bytes of the file when the record was written. */
   readonly syncedBytes: number;
-  /** Where the next record starts. */
+  /** Offset of the next record. */
   readonly end: number;
 }
 
@@ -40,11 +41,11 @@
   return Math.ceil((HEADER_BYTES + payloadBytes) / ALIGNMENT) * ALIGNMENT;
 }
 
-/** Bytes of a record; `syncedBytes`: those of its file that are synced already. */
+/** Encodes a record. `syncedBytes` is the number of bytes of its file that are synced so far. */
 export function encodeRecord(type: number, payload: Uint8Array, syncedBytes: number): Buffer {
   const record = Buffer.alloc(paddedLength(payload.length));
   const header = record.subarray(0, HEADER_BYTES);
-  header.writeUInt32BE(MARK, 0);
+  header.writeUInt32BE(MAGIC, 0);
   header.writeUInt32BE(payload.length, LENGTH_OFFSET);
   header.writeUInt32BE(type, TYPE_OFFSET);
   header.writeBigUInt64BE(BigInt(syncedBytes), SYNCED_OFFSET);
@@ -53,9 +54,9 @@
   return record;
 }
 
-/** The whole record at `offset`; `undefined` if there is none, or a damaged one. */
+/** Returns the record at `offset`; `undefined` if it is missing, incomplete or damaged. */
 export function readRecord(file: Buffer, offset: number): StoredRecord | undefined {
-  if (offset + HEADER_BYTES > file.length || file.readUInt32BE(offset) !== MARK) {
+  if (offset + HEADER_BYTES > file.length || file.readUInt32BE(offset) !== MAGIC) {
     return undefined;
   }
   const header = file.subarray(offset, offset + HEADER_BYTES);
@@ -76,16 +77,16 @@
   };
 }
 
-/** What a file holds up to its first bad record. */
+/** The contents of a file up to its first invalid record. */
 export interface ScannedFile {
   readonly records: readonly StoredRecord[];
-  /** Length of the good part. */
+  /** Length of the valid part. */
   readonly goodBytes: number;
-  /** Whether a later record proves that the bad one had been synced, so that more than a torn tail is gone. */
+  /** Whether a later record proves that the invalid one was synced, so that the loss is more than a torn tail. */
   readonly damaged: boolean;
 }
 
-/** Reads records from the start until one is bad or the file ends. */
+/** Reads records from the start up to the first invalid one or the end of the file. */
 export function scanRecords(file: Buffer): ScannedFile {
   const records: StoredRecord[] = [];
   let offset = 0;
--- a/src/storage/replace-file.ts
+++ b/src/storage/replace-file.ts
@@ -1,18 +1,18 @@
-/** Puts a whole file in place at once: after a crash there is the old one or the new one, never a piece. */
+/** Replaces a file atomically: after a crash, either the old or the new content is complete. */
 import { dirname } from 'node:path';
 import type { FileSystem } from './file-system.js';
 
-/** Ending of files that aren't in place yet; those found when a folder is opened are left over from a crash. */
+/** Suffix of temporary files; any found when a folder is opened were left by a crash. */
 export const UNFINISHED_SUFFIX = '.unfinished';
 
-/** Writes beside the path, syncs, renames, and syncs the folder. */
+/** Writes a temporary file next to the path, syncs it, renames it, and syncs the folder. */
 export async function replaceFile(
   files: FileSystem,
   path: string,
   parts: readonly Uint8Array[],
 ): Promise<void> {
-  const unfinished = path + UNFINISHED_SUFFIX;
-  const file = await files.create(unfinished);
+  const temporaryPath = path + UNFINISHED_SUFFIX;
+  const file = await files.create(temporaryPath);
   try {
     for (const part of parts) {
       await file.append(part);
@@ -21,6 +21,6 @@
   } finally {
     await file.close();
   }
-  await files.rename(unfinished, path);
+  await files.rename(temporaryPath, path);
   await files.syncFolder(dirname(path));
 }
--- a/src/storage/replica-folder.ts
+++ b/src/storage/replica-folder.ts
@@ -1,4 +1,4 @@
-/** Makes and opens the data folder of a replica: its identity, its lock, its log and its snapshots. */
+/** Creates and opens the data folder of a replica: identity, lock, log and snapshots. */
 import { randomUUID } from 'node:crypto';
 import { join } from 'node:path';
 import type { RestoredState, Snapshot } from '../consensus/types.js';
@@ -13,22 +13,22 @@
 import { FolderUnusableError, StorageDamagedError } from './storage-error.js';
 import { DEFAULT_SEGMENT_BYTES, WriteAheadLog } from './write-ahead-log.js';
 
-/** How a folder is opened; tests give their own disk and no lock. */
+/** Options for opening a folder; tests pass an in-memory disk and no lock. */
 export interface ReplicaStoreOptions {
   readonly files?: FileSystem;
   readonly lock?: (folder: string) => FolderLock;
   readonly segmentBytes?: number;
 }
 
-/** What a new folder is made for. */
+/** The replica for which a folder is created. */
 export interface NewReplica {
   readonly cluster: ClusterId;
   readonly address: Address;
-  /** `first`: the only voter of a new cluster. `joining`: it waits until a cluster takes it in. */
+  /** `first`: the only voter of a new cluster. `joining`: waits until a cluster adds it. */
   readonly role: 'first' | 'joining';
 }
 
-/** A folder that was opened. */
+/** An opened folder. */
 export interface OpenedStore {
   readonly identity: ReplicaIdentity;
   readonly restored: RestoredState;
@@ -38,8 +38,8 @@
 const REPLICA_PREFIX = 'r-';
 
 /**
- * Makes a data folder with a replica id that was never used before. The folder must be empty or not there; the identity
- * is written last, so that a folder that isn't whole is no replica's.
+ * Creates a data folder with a new, unique replica id. The folder must be empty or absent. The identity is written last,
+ * so that an incomplete folder doesn't count as a replica.
  */
 export async function createReplica(
   folder: string,
@@ -51,7 +51,7 @@
   return identity;
 }
 
-/** The same for a replica whose identity was decided elsewhere. */
+/** Like `createReplica`, with a given identity. */
 export async function createReplicaAs(
   folder: string,
   identity: ReplicaIdentity,
@@ -71,13 +71,13 @@
 
 function newIdentity({ cluster, address, role }: NewReplica): ReplicaIdentity {
   const replica = REPLICA_PREFIX + randomUUID();
-  const alone = {
+  const singleVoter = {
     voters: [replica],
     outgoingVoters: [],
     learners: [],
     addresses: { [replica]: address },
   };
-  return { cluster, replica, address, initialMembership: role === 'first' ? alone : null };
+  return { cluster, replica, address, initialMembership: role === 'first' ? singleVoter : null };
 }
 
 /** Opens a data folder and locks it. Throws `FolderUnusableError`, `FolderLockedError` or `StorageDamagedError`. */
@@ -86,7 +86,7 @@
   cluster: ClusterId,
   options: ReplicaStoreOptions = {},
 ): Promise<OpenedStore> {
-  const { files = DISK, lock: takeLock = lockFolder, segmentBytes = DEFAULT_SEGMENT_BYTES } = options;
+  const { files = DISK, lock: acquireLock = lockFolder, segmentBytes = DEFAULT_SEGMENT_BYTES } = options;
   const names = await files.list(folder);
   if (names === null || names.length === 0) {
     const advice = 'make one with "control init" (new cluster) or "control join" (one that runs)';
@@ -95,7 +95,7 @@
   if (!names.includes(IDENTITY_FILE)) {
     throw new StorageDamagedError(folder, `there is no ${IDENTITY_FILE}`);
   }
-  const lock = takeLock(folder);
+  const lock = acquireLock(folder);
   try {
     return await openLocked({ files, folder, cluster, segmentBytes, lock });
   } catch (thrown) {
@@ -112,8 +112,8 @@
   readonly lock: FolderLock;
 }
 
-async function openLocked(opening: LockedFolder): Promise<OpenedStore> {
-  const { files, folder, cluster, segmentBytes, lock } = opening;
+async function openLocked(locked: LockedFolder): Promise<OpenedStore> {
+  const { files, folder, cluster, segmentBytes, lock } = locked;
   const identity = await readIdentity(files, folder);
   if (identity.cluster !== cluster) {
     throw new FolderUnusableError(folder, `belongs to cluster ${identity.cluster}, not to ${cluster}`);
@@ -134,7 +134,7 @@
 
 async function removeUnfinished(files: FileSystem, folder: string): Promise<void> {
   const names = (await files.list(folder)) ?? [];
-  for (const name of names.filter((found) => found.endsWith(UNFINISHED_SUFFIX))) {
+  for (const name of names.filter((candidate) => candidate.endsWith(UNFINISHED_SUFFIX))) {
     await files.remove(join(folder, name));
   }
 }
--- a/src/storage/replica-identity.ts
+++ b/src/storage/replica-identity.ts
@@ -1,4 +1,4 @@
-/** What a data folder is: the replica that was made with it, and its cluster. Written once, never changed. */
+/** Identity of a data folder: the replica it was created for, and its cluster. Written once and never changed. */
 import { join } from 'node:path';
 import { z } from 'zod';
 import type { Membership } from '../consensus/types.js';
@@ -12,13 +12,13 @@
 const FORMAT = 1;
 const JSON_INDENT = 2;
 
-/** Facts of a data folder. */
+/** Contents of the identity file. */
 export interface ReplicaIdentity {
   readonly cluster: ClusterId;
   readonly replica: ReplicaId;
-  /** Internal address that others were told when the folder was made. */
+  /** Internal address that was advertised when the folder was created. */
   readonly address: Address;
-  /** Membership that the log starts from; `null`: the replica joins a cluster that runs. */
+  /** Membership at the start of the log; `null`: the replica joins an existing cluster. */
   readonly initialMembership: Membership | null;
 }
 
@@ -37,7 +37,7 @@
   initialMembership: membershipSchema.nullable(),
 });
 
-/** Writes the identity; the folder is a replica's from then on. */
+/** Writes the identity; from then on the folder belongs to that replica. */
 export async function writeIdentity(
   files: FileSystem,
   folder: string,
@@ -55,6 +55,6 @@
     const { format, ...identity } = identitySchema.parse(JSON.parse(Buffer.from(bytes).toString('utf8')));
     return identity;
   } catch (thrown) {
-    throw new StorageDamagedError(path, "isn't an identity", toError(thrown));
+    throw new StorageDamagedError(path, "isn't a valid identity file", toError(thrown));
   }
 }
--- a/src/storage/replica-opening.ts
+++ b/src/storage/replica-opening.ts
@@ -1,10 +1,10 @@
 /**
- * Opens the data folder of a member that starts by itself: makes a replica where there is none, and puts a new one in
- * the place of one that is damaged.
+ * Opens the data folder of a member that starts without an operator's command: creates a replica if there is none, and
+ * replaces a damaged one.
  *
- * The first members of a cluster name themselves after their addresses, so that all of them write the same membership
- * without a word to each other. Such a name is used once: only while the settings say that the cluster is new. A replica
- * that is made later has a name of its own and joins.
+ * The replica ids of a cluster's first members are derived from their addresses, so that all of them write the same
+ * membership without communicating. Such an id is used only once, while the settings declare the cluster as new. A
+ * replica that is created later gets a unique id and joins.
  */
 import { join } from 'node:path';
 import type { Membership } from '../consensus/types.js';
@@ -20,12 +20,12 @@
 import { IDENTITY_FILE } from './replica-identity.js';
 import { StorageDamagedError } from './storage-error.js';
 
-/** How a member that starts by itself comes to be. */
+/** Parameters of a member that starts without an operator's command. */
 export interface SelfStart {
   readonly cluster: ClusterId;
-  /** Own internal address. */
+  /** Internal address of this member. */
   readonly address: Address;
-  /** Whether the cluster is new: its first members are those at `seeds`. */
+  /** Whether the cluster is new; its first members are the ones at `seeds`. */
   readonly bootstrap: boolean;
   /** Internal addresses of the first members. */
   readonly seeds: readonly Address[];
@@ -33,7 +33,7 @@
 
 const FIRST_PREFIX = 'r-first-';
 
-/** Opens the folder of a member, made if need be. */
+/** Opens the data folder of a member, and creates it if needed. */
 export async function openOrCreateReplica(
   folder: string,
   start: SelfStart,
@@ -42,7 +42,7 @@
   const { files = DISK } = options;
   const names = (await files.list(folder)) ?? [];
   if (!names.includes(IDENTITY_FILE)) {
-    await empty(files, folder);
+    await clearFolder(files, folder);
     await create(folder, start, options);
   }
   try {
@@ -51,13 +51,17 @@
     if (!(thrown instanceof StorageDamagedError)) {
       throw thrown;
     }
-    return rejoin(folder, start, options);
+    return replaceReplica(folder, start, options);
   }
 }
 
-/** What is left of a replica can't be trusted: a new one takes its place. */
-async function rejoin(folder: string, start: SelfStart, options: ReplicaStoreOptions): Promise<OpenedStore> {
-  await empty(options.files ?? DISK, folder);
+/** Replaces a damaged replica by a new one, since none of its remaining data can be trusted. */
+async function replaceReplica(
+  folder: string,
+  start: SelfStart,
+  options: ReplicaStoreOptions,
+): Promise<OpenedStore> {
+  await clearFolder(options.files ?? DISK, folder);
   await createReplica(folder, { ...start, role: 'joining' }, options);
   return openReplica(folder, start.cluster, options);
 }
@@ -77,7 +81,7 @@
   await createReplicaAs(folder, identity, options);
 }
 
-/** The replica that begins a cluster at an address. */
+/** Returns the id of the first member at an address. */
 export function firstReplicaAt(address: Address): ReplicaId {
   return FIRST_PREFIX + address.replaceAll(/[^0-9A-Za-z]/g, '-');
 }
@@ -92,7 +96,7 @@
   };
 }
 
-async function empty(files: FileSystem, folder: string): Promise<void> {
+async function clearFolder(files: FileSystem, folder: string): Promise<void> {
   for (const name of (await files.list(folder)) ?? []) {
     await files.remove(join(folder, name));
   }
--- a/src/storage/replica-store.ts
+++ b/src/storage/replica-store.ts
@@ -1,4 +1,4 @@
-/** Makes the changes of a replica durable: its log, and beside it snapshots. */
+/** Persists the changes of a replica in its log and its snapshots. */
 import type { PersistRequest, Snapshot } from '../consensus/types.js';
 import { toError } from '../errors/ternmount-error.js';
 import type { FolderLock } from './folder-lock.js';
@@ -8,9 +8,9 @@
 export class ReplicaStore {
   /** Last index of the log on disk. */
   #lastIndex: number;
-  /** A snapshot of the replica's own that is being saved beside the log. */
+  /** Pending save of a snapshot of the replica's own state, concurrent with log writes. */
   #saving: Promise<void> | null = null;
-  /** Last index of a snapshot that was saved and isn't noted in the log yet; 0: none. */
+  /** Last index of a saved snapshot that isn't recorded in the log yet; 0: none. */
   #savedIndex = 0;
   #failure: Error | null = null;
 
@@ -24,25 +24,25 @@
   }
 
   /**
-   * Writes the requests in order; those up to a snapshot share one write and one sync. A snapshot of the replica's own
-   * state is saved beside, and this doesn't wait for it: until it is there, the log holds all that it stands for.
+   * Writes the requests in order; the requests up to a snapshot share one write and one sync. A snapshot of the replica's
+   * own state is saved in the background without being awaited: until it is saved, the log still holds all it covers.
    */
   async persist(requests: readonly PersistRequest[]): Promise<void> {
     await this.#finishOwnSnapshot();
     let changes: LogChange[] = [];
     for (const { snapshot, ...change } of requests) {
       changes.push(change);
-      this.#follow(change);
+      this.#trackLastIndex(change);
       if (snapshot !== undefined) {
         await this.log.write(changes);
         changes = [];
-        await this.#take(snapshot);
+        await this.#persistSnapshot(snapshot);
       }
     }
     await this.log.write(changes);
   }
 
-  /** Notes a snapshot in the log unless it stands there, and drops what it makes needless. */
+  /** Records a snapshot in the log unless it is recorded already, and removes the files that it replaces. */
   async finishSnapshot(lastIndex: number, markedIndex: number): Promise<void> {
     if (markedIndex < lastIndex) {
       await this.log.markSnapshot(lastIndex);
@@ -50,7 +50,7 @@
     await this.snapshots.dropBefore(lastIndex);
   }
 
-  /** Resolves when no snapshot is being saved and the log knows of the last one. */
+  /** Resolves when no snapshot is being saved and the last one is recorded in the log. */
   async settle(): Promise<void> {
     await this.#saving;
     await this.#finishOwnSnapshot();
@@ -65,17 +65,17 @@
     }
   }
 
-  #follow({ truncateFrom, entries }: LogChange): void {
+  #trackLastIndex({ truncateFrom, entries }: LogChange): void {
     if (truncateFrom !== undefined) {
       this.#lastIndex = Math.min(this.#lastIndex, truncateFrom - 1);
     }
     this.#lastIndex = entries?.at(-1)?.index ?? this.#lastIndex;
   }
 
-  async #take(snapshot: Snapshot): Promise<void> {
+  async #persistSnapshot(snapshot: Snapshot): Promise<void> {
     await this.#saving;
     if (snapshot.lastIndex <= this.#lastIndex) {
-      this.#saving = this.#saveBeside(snapshot);
+      this.#saving = this.#saveInBackground(snapshot);
       return;
     }
     await this.#finishOwnSnapshot();
@@ -84,7 +84,7 @@
     await this.finishSnapshot(snapshot.lastIndex, 0);
   }
 
-  async #saveBeside(snapshot: Snapshot): Promise<void> {
+  async #saveInBackground(snapshot: Snapshot): Promise<void> {
     try {
       await this.snapshots.save(snapshot);
       this.#savedIndex = snapshot.lastIndex;
@@ -94,7 +94,7 @@
     this.#saving = null;
   }
 
-  /** Throws what a snapshot that was saved beside failed with. */
+  /** Records a snapshot that was saved in the background. Throws the error if saving failed. */
   async #finishOwnSnapshot(): Promise<void> {
     if (this.#failure !== null) {
       throw this.#failure;
--- a/src/storage/room-waits.ts
+++ b/src/storage/room-waits.ts
@@ -1,67 +1,67 @@
 /**
- * Files on a disk that may have no room for a while: what can't be written waits until it can, as on a disk that stalls. What
- * stands above needs no other path for it: nothing is acknowledged meanwhile, and the process stays up.
+ * Retries writes while the disk is full, so that a full disk looks like a stalled one to the layers above. These need no
+ * separate error path: nothing is acknowledged meanwhile, and the process keeps running.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { toError } from '../errors/ternmount-error.js';
 import type { FileSystem, WritableFile } from './file-system.js';
 import { isDiskFull } from './storage-error.js';
 
-/** Time between two tries. */
 const DEFAULT_RETRY_MILLIS = 200;
 
 export interface RoomWaitsOptions {
   readonly retryMillis?: number;
-  /** A write begins to wait for room. */
+  /** Called when a write starts waiting because the disk is full. */
   readonly full?: (error: Error) => void;
-  /** There is room again, after this long. */
+  /** Called when the write succeeds, with the time that it waited. */
   readonly hasRoom?: (waitedMillis: number) => void;
 }
 
 export class RoomWaits {
   readonly #options: RoomWaitsOptions;
-  #isOver = false;
+  #isStopped = false;
 
   constructor(options: RoomWaitsOptions = {}) {
     this.#options = options;
   }
 
-  /** The process stops: writes that wait for room fail now. */
+  /** Ends all waiting for the shutdown: writes that wait for disk space fail. */
   stop(): void {
-    this.#isOver = true;
+    this.#isStopped = true;
   }
 
-  /** The same files, whose writes wait for room. */
+  /** Wraps a file system so that its writes wait for disk space. */
   around(files: FileSystem): FileSystem {
     return {
       list: (folder) => files.list(folder),
       read: (path) => files.read(path),
       remove: (path) => files.remove(path),
-      makeFolder: (folder) => this.#retried(() => files.makeFolder(folder)),
-      rename: (from, to) => this.#retried(() => files.rename(from, to)),
-      syncFolder: (folder) => this.#retried(() => files.syncFolder(folder)),
-      create: async (path) => this.#file(await this.#retried(() => files.create(path)), async () => 0),
+      makeFolder: (folder) => this.#retryWhileFull(() => files.makeFolder(folder)),
+      rename: (from, to) => this.#retryWhileFull(() => files.rename(from, to)),
+      syncFolder: (folder) => this.#retryWhileFull(() => files.syncFolder(folder)),
+      create: async (path) =>
+        this.#wrapFile(await this.#retryWhileFull(() => files.create(path)), async () => 0),
       openToAppend: async (path) => {
         const sizeOf = async (): Promise<number> => (await files.read(path)).length;
-        return this.#file(await files.openToAppend(path), sizeOf);
+        return this.#wrapFile(await files.openToAppend(path), sizeOf);
       },
     };
   }
 
   /**
-   * A write without room may leave a part, which is cut off before the next try. `sizeOf`: bytes that stand in the file, asked
-   * for only if nobody says so by cutting it first.
+   * A write that fails on a full disk may leave a partial write, which is truncated before the retry. `sizeOf` returns the
+   * size of the file; it is called only if the file wasn't truncated to a given size first.
    */
-  #file(file: WritableFile, sizeOf: () => Promise<number>): WritableFile {
+  #wrapFile(file: WritableFile, sizeOf: () => Promise<number>): WritableFile {
     let size: number | null = null;
     return {
       append: async (bytes) => {
-        const wholeBytes = size ?? (await sizeOf());
-        await this.#retried(
+        const completeBytes = size ?? (await sizeOf());
+        await this.#retryWhileFull(
           () => file.append(bytes),
-          () => file.truncate(wholeBytes),
+          () => file.truncate(completeBytes),
         );
-        size = wholeBytes + bytes.length;
+        size = completeBytes + bytes.length;
       },
       truncate: async (bytes) => {
         await file.truncate(bytes);
@@ -72,7 +72,7 @@
     };
   }
 
-  async #retried<Result>(run: () => Promise<Result>, takeBack?: () => Promise<void>): Promise<Result> {
+  async #retryWhileFull<Result>(run: () => Promise<Result>, rollBack?: () => Promise<void>): Promise<Result> {
     const { retryMillis = DEFAULT_RETRY_MILLIS, full, hasRoom } = this.#options;
     let fullSince: number | null = null;
     for (;;) {
@@ -83,10 +83,10 @@
         }
         return result;
       } catch (thrown) {
-        if (!isDiskFull(thrown) || this.#isOver) {
+        if (!isDiskFull(thrown) || this.#isStopped) {
           throw thrown;
         }
-        await takeBack?.();
+        await rollBack?.();
         if (fullSince === null) {
           fullSince = performance.now();
           full?.(toError(thrown));
--- a/src/storage/segment.ts
+++ b/src/storage/segment.ts
@@ -8,12 +8,12 @@
 const NAME_PATTERN = /^log-(\d{12})\.wal$/;
 const SEQUENCE_DIGITS = 12;
 
-/** Name of a segment's file. */
+/** Returns the file name of a segment. */
 export function segmentName(sequence: number): string {
   return `log-${String(sequence).padStart(SEQUENCE_DIGITS, '0')}.wal`;
 }
 
-/** Sequence numbers of the segments among a folder's names, in order. */
+/** Returns the sequence numbers of the segments among a folder's names, in ascending order. */
 export function segmentSequences(names: readonly string[]): number[] {
   return names
     .map((name) => NAME_PATTERN.exec(name)?.[1])
@@ -22,7 +22,7 @@
     .sort((left, right) => left - right);
 }
 
-/** A segment that is written to. */
+/** A segment that is open for appending. */
 export class OpenSegment {
   #syncedBytes: number;
   #bytes: number;
@@ -31,14 +31,14 @@
     readonly sequence: number,
     private readonly file: WritableFile,
     bytes: number,
-    /** Highest index of an entry that was ever written to it. */
+    /** Highest index of any entry ever written to the segment. */
     private lastIndex: number,
   ) {
     this.#bytes = bytes;
     this.#syncedBytes = bytes;
   }
 
-  /** Makes a segment; it is in place, with its header, or not there at all. */
+  /** Creates a segment with its header, atomically. */
   static async create(files: FileSystem, folder: string, header: SegmentHeader): Promise<OpenSegment> {
     const path = join(folder, segmentName(header.sequence));
     const { type, payload } = segmentHeaderRecord(header);
@@ -47,7 +47,7 @@
     return new OpenSegment(header.sequence, await files.openToAppend(path), bytes.length, 0);
   }
 
-  /** Goes on with a segment of which `goodBytes` are whole; what follows them is cut off. */
+  /** Reopens a segment whose first `goodBytes` are valid, and truncates the rest. */
   static async reopen(
     files: FileSystem,
     folder: string,
@@ -67,7 +67,7 @@
     return this.lastIndex;
   }
 
-  /** Writes records in one piece; `lastIndex`: highest index among their entries, 0 if there are none. */
+  /** Appends records in one write. `lastIndex` is the highest index among their entries, 0 if there are none. */
   async append(records: readonly LogRecord[], lastIndex: number): Promise<void> {
     const pieces = records.map(({ type, payload }) => encodeRecord(type, payload, this.#syncedBytes));
     const bytes = Buffer.concat(pieces);
--- a/src/storage/snapshot-store.ts
+++ b/src/storage/snapshot-store.ts
@@ -1,4 +1,4 @@
-/** Snapshots of a replica, each a file of its own; the newest counts. */
+/** Snapshots of a replica, one file each; only the newest is used. */
 import { join } from 'node:path';
 import type { Snapshot } from '../consensus/types.js';
 import type { FileSystem } from './file-system.js';
@@ -13,8 +13,8 @@
 const RECORD_TYPES = { facts: 1, data: 2 } as const;
 const CHUNK_BYTES = 1024 * 1024;
 
-/** First record of a snapshot's file. */
-interface SnapshotFacts extends Omit<Snapshot, 'data'> {
+/** First record of a snapshot file. */
+interface SnapshotInfo extends Omit<Snapshot, 'data'> {
   readonly cluster: string;
   readonly replica: string;
   readonly dataBytes: number;
@@ -39,13 +39,13 @@
     private readonly identity: ReplicaIdentity,
   ) {}
 
-  /** The newest snapshot; `null`: there is none. Throws `StorageDamagedError`. */
+  /** Returns the newest snapshot, or `null` if there is none. Throws `StorageDamagedError`. */
   async load(names: readonly string[]): Promise<Snapshot | null> {
     const newest = snapshotIndexes(names).at(-1);
     return newest === undefined ? null : this.#read(newest);
   }
 
-  /** Puts a snapshot on disk; resolves once it is synced. */
+  /** Writes a snapshot to disk; resolves once it is synced. */
   async save(snapshot: Snapshot): Promise<void> {
     const path = join(this.folder, snapshotName(snapshot.lastIndex));
     await replaceFile(this.files, path, this.#encode(snapshot));
@@ -61,7 +61,7 @@
 
   #encode({ data, ...rest }: Snapshot): Buffer[] {
     const { cluster, replica } = this.identity;
-    const facts: SnapshotFacts = { ...rest, cluster, replica, dataBytes: data.length };
+    const facts: SnapshotInfo = { ...rest, cluster, replica, dataBytes: data.length };
     const parts = [encodeRecord(RECORD_TYPES.facts, Buffer.from(JSON.stringify(facts)), 0)];
     for (let offset = 0; offset < data.length; offset += CHUNK_BYTES) {
       parts.push(encodeRecord(RECORD_TYPES.data, data.subarray(offset, offset + CHUNK_BYTES), 0));
@@ -77,13 +77,13 @@
     if (first?.type !== RECORD_TYPES.facts || goodBytes !== file.length) {
       throw new StorageDamagedError(path, `damaged at byte ${goodBytes}`);
     }
-    const { cluster, replica, dataBytes, ...rest } = readJson<SnapshotFacts>(first.payload);
+    const { cluster, replica, dataBytes, ...rest } = readJson<SnapshotInfo>(first.payload);
     if (cluster !== this.identity.cluster || replica !== this.identity.replica) {
-      throw new StorageDamagedError(path, `is of replica ${replica} of cluster ${cluster}`);
+      throw new StorageDamagedError(path, `belongs to replica ${replica} of cluster ${cluster}`);
     }
     const data = new Uint8Array(Buffer.concat(chunks.map((chunk) => chunk.payload)));
     if (data.length !== dataBytes || rest.lastIndex !== lastIndex) {
-      throw new StorageDamagedError(path, 'not all of it is there');
+      throw new StorageDamagedError(path, 'is incomplete');
     }
     return { ...rest, data };
   }
--- a/src/storage/storage-error.ts
+++ b/src/storage/storage-error.ts
@@ -2,10 +2,10 @@
 import VError from 'verror';
 import { TernmountError } from '../errors/ternmount-error.js';
 
-/** What operating systems say of a disk, or of a share of it, that has no room left. */
-const FULL_CODES = new Set(['ENOSPC', 'EDQUOT']);
+/** Operating system error codes for a full disk or an exceeded quota. */
+const DISK_FULL_CODES = new Set(['ENOSPC', 'EDQUOT']);
 
-/** Something on the disk can't be trusted, so that this replica is lost: a new one must take its place. */
+/** Stored data is damaged, so that this replica is lost and must be replaced by a new one. */
 export class StorageDamagedError extends TernmountError {
   constructor(path: string, problem: string, cause?: Error) {
     const advice = 'this replica is lost; make a new one with "control join" in an empty folder';
@@ -16,14 +16,14 @@
   }
 }
 
-/** The folder isn't one that can be used as asked: it holds no replica, or one already, or another cluster's. */
+/** The folder isn't usable for the operation: it holds no replica, already holds one, or belongs to another cluster. */
 export class FolderUnusableError extends TernmountError {
   constructor(folder: string, problem: string) {
     super({ code: 'TERNMOUNT_FOLDER_UNUSABLE', retriable: false, info: { folder } }, `${folder}: ${problem}`);
   }
 }
 
-/** A living process holds the folder. */
+/** A running process holds the lock of the folder. */
 export class FolderLockedError extends TernmountError {
   constructor(folder: string, holder: number) {
     super(
@@ -33,7 +33,7 @@
   }
 }
 
-/** The operating system refused to read or write. */
+/** A file operation failed in the operating system. */
 export class StorageFailedError extends TernmountError {
   constructor(path: string, action: string, cause: Error) {
     super(
@@ -43,9 +43,9 @@
   }
 }
 
-/** Whether a write failed for want of room, so that it may be tried again later. */
+/** Whether a write failed because the disk is full, so that it may be retried later. */
 export function isDiskFull(thrown: unknown): boolean {
   const cause = thrown instanceof StorageFailedError ? VError.cause(thrown) : null;
   const code = (cause as NodeJS.ErrnoException | null)?.code ?? '';
-  return FULL_CODES.has(code);
+  return DISK_FULL_CODES.has(code);
 }
--- a/src/storage/write-ahead-log.ts
+++ b/src/storage/write-ahead-log.ts
@@ -1,4 +1,4 @@
-/** The write-ahead log of a replica: segment files, one after the other, of which old ones are dropped after snapshots. */
+/** The write-ahead log of a replica: a sequence of segment files. Old segments are removed after snapshots. */
 import { join } from 'node:path';
 import type { HardState, LogEntry } from '../consensus/types.js';
 import type { FileSystem } from './file-system.js';
@@ -28,14 +28,14 @@
   snapshotIndex: 0,
 } as const;
 
-/** What is written together. */
+/** Changes that are written together. */
 export interface LogChange {
   readonly hardState?: HardState | undefined;
   readonly truncateFrom?: number | undefined;
   readonly entries?: readonly LogEntry[] | undefined;
 }
 
-/** A segment that takes no more records. */
+/** A segment that is no longer written to. */
 interface ClosedSegment {
   readonly sequence: number;
   readonly highestIndex: number;
@@ -45,11 +45,11 @@
   readonly files: FileSystem;
   readonly folder: string;
   readonly identity: ReplicaIdentity;
-  /** A new segment is begun once one is this long. */
+  /** Size from which on a segment is closed and a new one created. */
   readonly segmentBytes: number;
 }
 
-/** A log as it was found. */
+/** An opened log with its replayed contents. */
 export interface OpenedLog {
   readonly log: WriteAheadLog;
   readonly replay: LogReplay;
@@ -63,20 +63,20 @@
 
   private constructor(
     private readonly options: WriteAheadLogOptions,
-    found: {
+    initial: {
       readonly closed: ClosedSegment[];
       readonly current: OpenSegment;
       readonly hardState: HardState;
       readonly snapshotIndex: number;
     },
   ) {
-    this.#closed = found.closed;
-    this.#current = found.current;
-    this.#hardState = found.hardState;
-    this.#snapshotIndex = found.snapshotIndex;
+    this.#closed = initial.closed;
+    this.#current = initial.current;
+    this.#hardState = initial.hardState;
+    this.#snapshotIndex = initial.snapshotIndex;
   }
 
-  /** Makes the first segment of a new replica. */
+  /** Creates the first segment of a new replica. */
   static async create(options: WriteAheadLogOptions): Promise<void> {
     const { cluster, replica } = options.identity;
     const header: SegmentHeader = { cluster, replica, ...EMPTY_LOG };
@@ -84,7 +84,7 @@
     await segment.close();
   }
 
-  /** Reads all segments, and cuts a torn tail off the last. Throws `StorageDamagedError`. */
+  /** Reads all segments and truncates a torn tail of the last. Throws `StorageDamagedError`. */
   static async open(options: WriteAheadLogOptions, names: readonly string[]): Promise<OpenedLog> {
     const sequences = segmentSequences(names);
     checkSequences(options.folder, sequences);
@@ -100,13 +100,13 @@
     checkLast(options.folder, last);
     const current = await OpenSegment.reopen(options.files, options.folder, last);
     const { hardState, snapshotIndex } = replay;
-    const found = { closed: segments, current, hardState, snapshotIndex };
-    return { log: new WriteAheadLog(options, found), replay };
+    const initial = { closed: segments, current, hardState, snapshotIndex };
+    return { log: new WriteAheadLog(options, initial), replay };
   }
 
   /** Writes changes in order and syncs them together. */
   async write(changes: readonly LogChange[]): Promise<void> {
-    const records = changes.flatMap(recordsOf);
+    const records = changes.flatMap(toRecords);
     if (records.length === 0) {
       return;
     }
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Notes that a snapshot is on disk, and drops the segments that it makes needless. */
+  /** Records that a snapshot is on disk, and removes the segments that it covers. */
   async markSnapshot(lastIndex: number): Promise<void> {
     this.#snapshotIndex = lastIndex;
     await this.#rotate();
@@ -135,7 +135,7 @@
     return this.#current.close();
   }
 
-  /** The old segment says that another one follows, so that a lost last segment is noticed. */
+  /** Starts a new segment. The old one ends with an end record, so that a lost last segment is detected. */
   async #rotate(): Promise<void> {
     const { files, folder, identity } = this.options;
     const old = this.#current;
@@ -155,7 +155,7 @@
   }
 }
 
-function recordsOf({ hardState, truncateFrom, entries = [] }: LogChange): LogRecord[] {
+function toRecords({ hardState, truncateFrom, entries = [] }: LogChange): LogRecord[] {
   return [
     ...(hardState === undefined ? [] : [hardStateRecord(hardState)]),
     ...(truncateFrom === undefined ? [] : [truncateRecord(truncateFrom)]),
@@ -175,7 +175,7 @@
   });
 }
 
-/** A segment as it was found. */
+/** A segment read from disk. */
 interface ReadSegment extends ClosedSegment {
   readonly path: string;
   readonly header: SegmentHeader;
@@ -183,7 +183,7 @@
   readonly goodBytes: number;
 }
 
-/** Throws `StorageDamagedError` if synced records are bad, or if it belongs to another replica. */
+/** Reads a segment. Throws `StorageDamagedError` if synced records are invalid or it belongs to another replica. */
 async function readSegment(
   { files, folder, identity }: WriteAheadLogOptions,
   sequence: number,
@@ -199,7 +199,7 @@
   }
   const header = readJson<SegmentHeader>(first.payload);
   if (header.cluster !== identity.cluster || header.replica !== identity.replica) {
-    throw new StorageDamagedError(path, `is of replica ${header.replica} of cluster ${header.cluster}`);
+    throw new StorageDamagedError(path, `belongs to replica ${header.replica} of cluster ${header.cluster}`);
   }
   const entries = records.filter((record) => record.type === RECORD_TYPES.entry);
   const highestIndex = entries.reduce((high, { payload }) => Math.max(high, readEntryIndex(payload)), 0);
@@ -208,14 +208,14 @@
 
 function replaySegment(segment: ReadSegment, replay: LogReplay): void {
   for (const record of segment.records) {
-    const problem = replay.take(record);
+    const problem = replay.apply(record);
     if (problem !== undefined) {
       throw new StorageDamagedError(segment.path, problem);
     }
   }
 }
 
-/** All that was synced of a segment before the next was begun must be there. */
+/** Checks that the previous segment still holds all bytes that were synced before the next one was created. */
 function checkPrevious(previous: ReadSegment | undefined, { header }: ReadSegment): void {
   if (previous !== undefined && previous.goodBytes < header.previousBytes) {
     throw new StorageDamagedError(previous.path, `damaged at byte ${previous.goodBytes}`);
