--- a/src/settings/addresses.ts
+++ b/src/settings/addresses.ts
@@ -1,8 +1,8 @@
-/** Addresses: an IP number and a port. Names aren't resolved, so that no address depends on a name service. */
+/** Addresses: an IP address and a port. Host names aren't allowed, so that no address depends on DNS. */
 import { isIP } from 'node:net';
 import { z } from 'zod';
 
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 /** Host and port of an address. */
 export interface HostAndPort {
@@ -10,7 +10,7 @@
   readonly port: number;
 }
 
-/** Splits `1.2.3.4:80` or `[::1]:80`; `undefined` if it isn't an IP number with a port. */
+/** Splits `1.2.3.4:80` or `[::1]:80`; returns `undefined` if it isn't an IP address with a port. */
 export function splitAddress(address: string): HostAndPort | undefined {
   const match = /^(?:\[([^\]]+)\]|([^:[\]]+)):(\d{1,5})$/.exec(address);
   if (match === null) {
@@ -20,10 +20,10 @@
   const host = bracketed ?? plain ?? '';
   const family = bracketed === undefined ? 4 : 6;
   const port = Number(digits);
-  return isIP(host) === family && port <= LARGEST_PORT ? { host, port } : undefined;
+  return isIP(host) === family && port <= MAX_PORT ? { host, port } : undefined;
 }
 
-/** An address that others connect to. */
+/** An address that other processes connect to. */
 export const addressSchema = z
   .string({ error: 'expected an IP number with a port, e.g. 10.0.0.5:7400' })
   .superRefine((address, context) => {
--- a/src/settings/control-settings.ts
+++ b/src/settings/control-settings.ts
@@ -9,14 +9,14 @@
 import type { Address, ClusterId, Zone } from '../model/identifiers.js';
 import { addressSchema, splitAddress } from './addresses.js';
 import {
-  checkHalf,
+  checkAtMostHalf,
   checkZone,
   clockRateErrorSchema,
   completeConfigLease,
   hostSchema,
   isAnyHost,
-  isForOthers,
   isLoopback,
+  isRemotelyReachable,
   pathSchema,
   reachableAddressSchema,
   trustedNetworkSchema,
@@ -29,49 +29,49 @@
 import { completeQuarantine, quarantineSchema } from './quarantine-settings.js';
 import { durationSchema, positiveDurationSchema } from './units.js';
 
-/** What a control daemon starts from. */
+/** Settings of a control daemon, checked and completed. */
 export interface ControlSettings {
   readonly cluster: ClusterId;
-  /** Name for people in logs; `null`: the replica id alone. */
+  /** Human-readable name in logs; `null`: only the replica id. */
   readonly replicaName: string | null;
   readonly zone: Zone;
-  /** Zones that there are; empty: not said. */
+  /** All zones; empty: not configured. */
   readonly zones: readonly Zone[];
   readonly dataFolder: string;
-  /** Internal port, for other control members and routers. */
+  /** Address of the internal port for other control members and routers. */
   readonly listen: Address;
-  /** What others are told to connect to; the same as `listen` unless said. */
+  /** Address advertised to other processes; defaults to `listen`. */
   readonly advertise: Address;
-  /** Own IP number from which connections go out; `null`: the system's choice. */
+  /** Local IP address of outgoing connections; `null`: chosen by the system. */
   readonly outgoing: string | null;
-  /** Port of the operators' HTTP API. */
+  /** Address of the operators' HTTP API. */
   readonly admin: Address;
-  /** Internal addresses of the other members, for a replica that joins. */
+  /** Internal addresses of the other members, for a joining replica. */
   readonly peers: readonly Address[];
-  /** File with the secret that the project's own processes share; `null`: none (loopback addresses only). */
+  /** File with the secret shared by the daemons; `null`: none (loopback addresses or a trusted network only). */
   readonly secretFile: string | null;
-  /** File with operators' tokens; `null`: no check (loopback addresses only). */
+  /** File with operators' tokens; `null`: no check (loopback addresses or a trusted network only). */
   readonly tokensFile: string | null;
   readonly raft: RaftTimings;
   readonly lease: LeaseTimings;
   readonly configLease: ConfigLeaseTimings;
-  /** Log entries after which a snapshot is taken. */
+  /** Number of log entries after which a snapshot is taken. */
   readonly snapshotEntries: number;
-  /** 0: voters are never replaced without an operator. */
+  /** Time after which an unreachable voter is replaced; 0: only an operator replaces voters. */
   readonly replaceAfterMillis: number;
-  /** How a member whose data folder is empty comes to be; `null`: `control init` or `control join` makes the folder. */
+  /** Creates the replica of a member with an empty data folder; `null`: `control init` or `control join` creates it. */
   readonly selfStart: { readonly bootstrap: boolean; readonly seeds: readonly Address[] } | null;
   /** Whether the data folder is locked against a second process. */
   readonly lockFolder: boolean;
-  /** Machines whose loss at one time must be survived; spares get votes until it is. 0: only in the place of others. */
+  /** Simultaneous machine losses to tolerate: spares become voters until that holds. 0: spares only replace voters. */
   readonly toleratedLosses: number;
-  /** Grants to upstreams that announce themselves. */
+  /** Timings of grants to upstreams that announce themselves. */
   readonly ranges: RangeTimings;
-  /** When requests under which upstreams end are refused. */
+  /** When requests that crash upstreams are refused. */
   readonly quarantine: QuarantineTerms;
-  /** How such upstreams are called. */
+  /** Protocol for calls to upstreams that announce themselves. */
   readonly holders: HolderProtocol;
-  /** Namespaces that log at debug and info level, as for `debug`. */
+  /** Namespaces that log at debug and info level, in the syntax of the `debug` package. */
   readonly log: string;
 }
 
@@ -143,22 +143,22 @@
   checkZone(fields, context);
   const { raft, lease, configLease } = completeTimings(fields);
   const path = ['timings'];
-  const at = (name: string, millis: number) => ({ name, millis });
-  checkHalf(
-    at('heartbeat', raft.heartbeatMillis),
-    at('electionTimeout', raft.electionTimeoutMillis),
+  const timing = (name: string, millis: number) => ({ name, millis });
+  checkAtMostHalf(
+    timing('heartbeat', raft.heartbeatMillis),
+    timing('electionTimeout', raft.electionTimeoutMillis),
     path,
     context,
   );
-  checkHalf(at('leaseRenew', lease.renewMillis), at('lease', lease.leaseMillis), path, context);
-  checkHalf(
-    at('configSync', configLease.syncMillis),
-    at('configLease', configLease.configLeaseMillis),
+  checkAtMostHalf(timing('leaseRenew', lease.renewMillis), timing('lease', lease.leaseMillis), path, context);
+  checkAtMostHalf(
+    timing('configSync', configLease.syncMillis),
+    timing('configLease', configLease.configLeaseMillis),
     path,
     context,
   );
   if (isAnyHost(fields.listen) && fields.advertise === undefined) {
-    const message = 'is missing: listen takes all addresses, so others must be told which one to use';
+    const message = 'is missing: listen covers all addresses, so the one for other processes must be set';
     context.addIssue({ code: 'custom', path: ['advertise'], message });
   }
   if (fields.bootstrap !== undefined && fields.seeds === undefined) {
@@ -169,7 +169,7 @@
     context.addIssue({ code: 'custom', path: ['admin'], message: 'must differ from listen' });
   }
   const trusted = fields.trustedNetwork === true;
-  if (fields.secretFile === undefined && !trusted && isForOthers(fields.listen)) {
+  if (fields.secretFile === undefined && !trusted && isRemotelyReachable(fields.listen)) {
     const message = 'is missing: the internal port needs a secret unless listen is a loopback address';
     context.addIssue({ code: 'custom', path: ['secretFile'], message });
   }
@@ -179,7 +179,7 @@
   }
 }
 
-/** Members share one internal port, so a seed's host is all that counts. */
+/** Uses only the hosts of the seeds: all members have the same internal port. */
 function selfStartOf(fields: ControlFields): ControlSettings['selfStart'] {
   const { seeds, bootstrap = false } = fields;
   if (seeds === undefined) {
@@ -189,7 +189,7 @@
   return { bootstrap, seeds: seeds.map((seed) => withPort(seed, port)) };
 }
 
-/** Settings of the control daemon, checked and completed. */
+/** Schema of a control daemon's settings, with checks and defaults. */
 export const controlSettingsSchema = controlObject.superRefine(checkControl).transform(
   (fields): ControlSettings => ({
     cluster: fields.cluster,
@@ -217,7 +217,7 @@
   }),
 );
 
-/** Each setting of the control daemon, as the environment and flags can give it. */
+/** Names of the control daemon's settings in the environment and flags. */
 export const CONTROL_SETTING_NAMES: readonly SettingName[] = settingNamesOf(controlObject);
 
 /** Reads the settings of a control daemon. Throws `SettingsError`. */
--- a/src/settings/definition-documents.ts
+++ b/src/settings/definition-documents.ts
@@ -1,5 +1,5 @@
 /**
- * Files with what operators declare: one or more YAML documents, each a map with `kind: service` or `kind: upstream`,
+ * Files with operators' declarations: one or more YAML documents, each a map with `kind: service` or `kind: upstream`,
  * or a list of such maps.
  */
 import type { ServiceDefinition, UpstreamDefinition } from '../model/service.js';
@@ -7,11 +7,11 @@
 import { SettingsError, type SettingsProblem } from './settings-error.js';
 import { checkSource, parseYaml, readYaml, type ValuePath, type YamlSource } from './yaml-source.js';
 
-/** Names places within one declaration. */
+/** Locates values within one declaration. */
 export interface DeclarationPlaces {
-  /** The problem at a path within the declaration. */
+  /** Returns a problem located at a path within the declaration. */
   readonly problemAt: (path: ValuePath, message: string) => SettingsProblem;
-  /** Line and column of a character of a text value. */
+  /** Returns the line and column of a character of a text value. */
   readonly placeInText: YamlSource['placeInText'];
 }
 
@@ -55,7 +55,7 @@
   }
 }
 
-/** The entries of one document with their paths; an empty document has none. */
+/** Returns the entries of one document with their paths; an empty document has none. */
 function entriesOf(source: YamlSource): { readonly value: unknown; readonly path: ValuePath }[] {
   if (Array.isArray(source.value)) {
     return source.value.map((value: unknown, index) => ({ value, path: [index] }));
@@ -72,16 +72,16 @@
 function checkAll(name: string, sources: readonly YamlSource[]): DefinitionDocument[] {
   const documents: DefinitionDocument[] = [];
   const problems: SettingsProblem[] = [];
-  const seen = new Set<string>();
+  const identities = new Set<string>();
   for (const source of sources) {
     for (const { value, path } of entriesOf(source)) {
       try {
         const document = checkEntry(source, value, path);
         const identity = identityOf(document);
-        if (seen.has(identity)) {
+        if (identities.has(identity)) {
           problems.push(source.problemAt(path, `${identity} stands twice`));
         }
-        seen.add(identity);
+        identities.add(identity);
         documents.push(document);
       } catch (thrown) {
         if (!(thrown instanceof SettingsError)) {
@@ -95,17 +95,17 @@
     throw new SettingsError(problems);
   }
   if (documents.length === 0) {
-    throw new SettingsError([{ source: name, path: '', message: 'declares nothing' }]);
+    throw new SettingsError([{ source: name, path: '', message: 'contains no declarations' }]);
   }
   return documents;
 }
 
-/** Reads declarations from a file. Throws `SettingsError`; then nothing of the file is used. */
+/** Reads declarations from a file. Throws `SettingsError` if any of them is invalid. */
 export function loadDefinitions(path: string): DefinitionDocument[] {
   return checkAll(path, readYaml(path));
 }
 
-/** Reads declarations from text that came from `name`. Throws `SettingsError`. */
+/** Reads declarations from text; `name` is its source in error messages. Throws `SettingsError`. */
 export function parseDefinitions(name: string, text: string): DefinitionDocument[] {
   return checkAll(name, parseYaml(name, text));
 }
--- a/src/settings/definition-schemas.ts
+++ b/src/settings/definition-schemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of what operators declare: services, their keyspaces and policies, and upstreams. */
+/** Schemas of operators' declarations: services with their keyspaces and policies, and upstreams. */
 import { z } from 'zod';
 import {
   type KeyspaceDefinition,
@@ -23,7 +23,7 @@
   shards: 64,
 } as const;
 
-const MAXIMUM_SHARDS = 65_536;
+const MAX_SHARDS = 65_536;
 const NAME_PATTERN = /^[a-z0-9]([a-z0-9-]{0,62})$/;
 
 /** Name of a service, keyspace, upstream or zone. */
@@ -47,7 +47,7 @@
     name: nameSchema,
     exact: z.string().optional(),
     prefix: z.string().optional(),
-    shards: countSchema.max(MAXIMUM_SHARDS, `must be ${MAXIMUM_SHARDS} or less`).optional(),
+    shards: countSchema.max(MAX_SHARDS, `must be ${MAX_SHARDS} or less`).optional(),
   })
   .transform((keyspace, context): KeyspaceDefinition => {
     const { name, exact, prefix, shards } = keyspace;
@@ -64,7 +64,7 @@
       : { name, kind: 'exact', match: exact, shards: 1 };
   });
 
-/** One rule of a policy program. The expressions themselves are checked by the policy compiler. */
+/** One rule of a policy. The policy compiler checks the expressions. */
 export const policyRuleSchema = z
   .strictObject({
     name: nameSchema,
@@ -75,9 +75,9 @@
     holdMillis: expressionSchema.optional(),
   })
   .superRefine((rule, context) => {
-    const owners = { weight: 'weigh', retryAfterSeconds: 'refuse', holdMillis: 'hold' } as const;
-    for (const [field, action] of Object.entries(owners)) {
-      if (rule[field as keyof typeof owners] !== undefined && rule.action !== action) {
+    const actionOfField = { weight: 'weigh', retryAfterSeconds: 'refuse', holdMillis: 'hold' } as const;
+    for (const [field, action] of Object.entries(actionOfField)) {
+      if (rule[field as keyof typeof actionOfField] !== undefined && rule.action !== action) {
         context.addIssue({ code: 'custom', path: [field], message: `belongs to action ${action} only` });
       }
     }
@@ -87,7 +87,7 @@
   })
   .transform((rule): PolicyRule => rule);
 
-/** The rules of one service as files and the operators' API give them: a map with the list `policy`. */
+/** The policy of one service in files and the operators' API: a map with the list `policy`. */
 export const policyDocumentSchema = z
   .strictObject({ policy: z.array(policyRuleSchema, { error: 'expected a list of rules' }) })
   .superRefine(({ policy }, context) =>
@@ -108,7 +108,7 @@
 export const serviceFields = {
   name: nameSchema,
   keyed: z.boolean({ error: 'expected true or false' }).optional(),
-  repeatable: z.boolean({ error: 'must be said: true if a request may run twice without harm, else false' }),
+  repeatable: z.boolean({ error: 'is required: true if running a request twice is harmless, else false' }),
   priority: z.enum(PRIORITY_CLASSES, { error: `expected one of ${PRIORITY_CLASSES.join(', ')}` }).optional(),
   deadline: positiveDurationSchema.optional(),
   slotsPerUpstream: countSchema.optional(),
@@ -142,7 +142,7 @@
   return fields.keyspaces ?? [WHOLE_KEYSPACE];
 }
 
-/** Fills in what the operator left out. A service with keyspaces is keyed unless it says otherwise. */
+/** Fills in defaults. A service with keyspaces is keyed unless `keyed` is set. */
 export function completeService(fields: ServiceFields): ServiceDefinition {
   const keyed = fields.keyed ?? (fields.keyspaces?.length ?? 0) > 0;
   return {
@@ -165,7 +165,7 @@
   };
 }
 
-/** Rules that join two fields of a service. */
+/** Checks rules that involve more than one field of a service. */
 export function checkServiceFields(fields: ServiceFields, context: z.RefinementCtx): void {
   const keyspaces = fields.keyspaces ?? [];
   if (fields.keyed === false && keyspaces.length > 0) {
@@ -194,7 +194,7 @@
   );
 }
 
-/** Reports each name that stands twice in a list. */
+/** Reports each duplicate name in a list. */
 export function checkUnique(
   names: readonly string[],
   path: readonly string[],
@@ -223,7 +223,7 @@
 
 const upstreamObject = z.strictObject(upstreamFields);
 
-/** Fills in what the operator left out. */
+/** Fills in defaults. */
 export function completeUpstream(fields: z.output<typeof upstreamObject>): UpstreamDefinition {
   return { ...fields, mayHold: fields.mayHold ?? [], leaving: fields.leaving ?? false };
 }
--- a/src/settings/definition-writer.ts
+++ b/src/settings/definition-writer.ts
@@ -1,4 +1,4 @@
-/** Writes declarations as the YAML files that `definition-documents.ts` reads. */
+/** Converts declarations to documents in the format that `definition-documents.ts` reads. */
 import type {
   KeyspaceDefinition,
   PolicyRule,
@@ -6,7 +6,7 @@
   UpstreamDefinition,
 } from '../model/service.js';
 
-/** A plain value for YAML. */
+/** A plain value of a YAML document. */
 export type DocumentValue =
   | string
   | number
@@ -36,12 +36,12 @@
   return unit === undefined ? `${value}${smallest}` : `${value / unit[1]}${unit[0]}`;
 }
 
-/** `2000` becomes `2s`. */
+/** Formats a duration: `2000` becomes `2s`. */
 export function formatDuration(millis: number): string {
   return formatQuantity(millis, DURATION_UNITS, 'ms');
 }
 
-/** `65536` becomes `64KiB`. */
+/** Formats a size: `65536` becomes `64KiB`. */
 export function formatSize(bytes: number): string {
   return formatQuantity(bytes, SIZE_UNITS, 'B');
 }
@@ -63,7 +63,7 @@
   };
 }
 
-/** A service as a document with all its fields. */
+/** Returns a service as a document with all its fields. */
 export function serviceDocument(service: ServiceDefinition): DocumentMap {
   return {
     kind: 'service',
@@ -86,7 +86,7 @@
   };
 }
 
-/** An upstream as a document with all its fields. */
+/** Returns an upstream as a document with all its fields. */
 export function upstreamDocument(upstream: UpstreamDefinition): DocumentMap {
   const { id, service, address, zone, mayHold, leaving } = upstream;
   return { kind: 'upstream', id, service, address, zone, mayHold: [...mayHold], leaving };
--- a/src/settings/grant-settings.ts
+++ b/src/settings/grant-settings.ts
@@ -1,8 +1,8 @@
-/** The settings `grants` of a control member: plain grants to upstreams that announce themselves, and how these are called. */
+/** The `grants` settings of a control member: timings of grants to self-announced upstreams, and the protocol for calls to these. */
 import { z } from 'zod';
 import { DEFAULT_RANGE_TIMINGS, type RangeTimings } from '../lease/range-timings.js';
 import { DEFAULT_HOLDER_PROTOCOL, type HolderProtocol } from '../model/holder-protocol.js';
-import { checkHalf, clockRateErrorSchema, headerNameSchema, urlPathSchema } from './common-schemas.js';
+import { checkAtMostHalf, clockRateErrorSchema, headerNameSchema, urlPathSchema } from './common-schemas.js';
 import { durationSchema, positiveDurationSchema } from './units.js';
 
 export const grantsSchema = z.strictObject({
@@ -42,9 +42,9 @@
   };
 }
 
-/** Grants are renewed twice before they run out. */
+/** Checks that a grant can be renewed twice before it expires. */
 export function checkGrants(fields: GrantFields = {}, context: z.RefinementCtx): void {
   const { renewMillis, holdMillis } = completeRangeTimings(fields);
   const renew = { name: 'renew', millis: renewMillis };
-  checkHalf(renew, { name: 'hold', millis: holdMillis }, ['grants'], context);
+  checkAtMostHalf(renew, { name: 'hold', millis: holdMillis }, ['grants'], context);
 }
--- a/src/settings/layers.ts
+++ b/src/settings/layers.ts
@@ -1,37 +1,37 @@
 /**
- * Settings come from three layers: a YAML file, then the environment, then flags; later ones win value by value.
- * Each value remembers where it came from, so that a problem names the right place.
+ * Merges settings from three layers: a YAML file, the environment and flags. Later layers override single values of
+ * earlier ones. The source of each value is kept, so that a problem is reported at its location.
  */
 import { parseDocument } from 'yaml';
 import { z } from 'zod';
 import { SettingsError } from './settings-error.js';
 import {
   formatPath,
-  type PlaceProblem,
-  placeIssues,
+  type LocateProblem,
+  locateIssues,
   readYaml,
   type ValuePath,
   type YamlSource,
 } from './yaml-source.js';
 
-/** How one setting is named in each layer. */
+/** Name of one setting, from which its name in each layer is derived. */
 export interface SettingName {
   /** Path in the file, e.g. `['timings', 'lease']`. */
   readonly path: readonly string[];
-  /** A list may be given with commas in the environment or a flag. */
+  /** Whether the value is a list, separated by commas in the environment or a flag. */
   readonly list?: boolean;
 }
 
-/** The layers of one run. */
+/** The sources of the settings. */
 export interface SettingsLayers {
-  /** Path of the YAML file; left out: none. */
+  /** Path of the YAML file, if any. */
   readonly file?: string;
   readonly environment: Readonly<Record<string, string | undefined>>;
-  /** Flag name (`data-folder`) to its text. */
+  /** Text of each flag by its name (`data-folder`). */
   readonly flags: Readonly<Record<string, string | undefined>>;
 }
 
-/** Names of all settings that a schema takes, groups of settings gone into. */
+/** Returns the names of all settings of a schema, including those of nested groups. */
 export function settingNamesOf(schema: z.ZodObject, group: readonly string[] = []): SettingName[] {
   return Object.entries(schema.shape).flatMap(([key, field]) => {
     const path = [...group, key];
@@ -45,30 +45,30 @@
 
 const ENVIRONMENT_PREFIX = 'TERNMOUNT_';
 
-/** `dataFolder` becomes `data-folder`. */
+/** Converts `dataFolder` to `data-folder`. */
 function toKebab(word: string): string {
   return word.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 }
 
-/** Flag of a setting, e.g. `timings-lease`. */
+/** Returns the flag of a setting, e.g. `timings-lease`. */
 export function flagName(path: readonly string[]): string {
   return path.map(toKebab).join('-');
 }
 
-/** Environment variable of a setting, e.g. `TERNMOUNT_TIMINGS_LEASE`. */
+/** Returns the environment variable of a setting, e.g. `TERNMOUNT_TIMINGS_LEASE`. */
 export function environmentName(path: readonly string[]): string {
   return ENVIRONMENT_PREFIX + flagName(path).replaceAll('-', '_').toUpperCase();
 }
 
-/** A value from the environment or a flag, over the file's. */
+/** A value from the environment or a flag, which overrides the file. */
 interface Override {
   readonly path: readonly string[];
   readonly source: string;
   readonly value: unknown;
 }
 
-/** Text becomes what YAML would make of it, so that `0.1` and `true` work in each layer. */
-function readText(text: string, name: SettingName): unknown {
+/** Parses text as YAML, so that `0.1` and `true` have the same meaning in each layer. */
+function parseText(text: string, name: SettingName): unknown {
   if (name.list) {
     const items = text.split(',').map((item) => item.trim());
     return items.filter((item) => item !== '');
@@ -83,12 +83,12 @@
     const variable = environmentName(name.path);
     const fromEnvironment = layers.environment[variable];
     if (fromEnvironment !== undefined && fromEnvironment !== '') {
-      overrides.push({ path: name.path, source: variable, value: readText(fromEnvironment, name) });
+      overrides.push({ path: name.path, source: variable, value: parseText(fromEnvironment, name) });
     }
     const flag = flagName(name.path);
     const fromFlag = layers.flags[flag];
     if (fromFlag !== undefined) {
-      overrides.push({ path: name.path, source: `--${flag}`, value: readText(fromFlag, name) });
+      overrides.push({ path: name.path, source: `--${flag}`, value: parseText(fromFlag, name) });
     }
   }
   return overrides;
@@ -98,7 +98,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** A copy of `root` with `value` at `path`. */
+/** Returns a copy of `root` with `value` at `path`. */
 function withValue(root: unknown, path: readonly string[], value: unknown): unknown {
   const [step, ...rest] = path;
   if (step === undefined) {
@@ -113,7 +113,7 @@
   return prefix.every((step, index) => path[index] === step);
 }
 
-/** What the file gives; an empty map without one. */
+/** Contents of the file; an empty map if there is no file. */
 interface FileLayer {
   readonly source: YamlSource | undefined;
   readonly value: unknown;
@@ -134,7 +134,7 @@
   return { source, value };
 }
 
-/** Reads the layers and checks what results. Throws `SettingsError`; nothing is touched before. */
+/** Merges and checks the layers. Throws `SettingsError`. */
 export function loadLayers<Output>(
   schema: z.ZodType<Output>,
   names: readonly SettingName[],
@@ -150,7 +150,7 @@
   if (result.success) {
     return result.data;
   }
-  const place: PlaceProblem = (path, message, key) => {
+  const locate: LocateProblem = (path, message, key) => {
     const override = overrides.findLast((candidate) => startsWith(path, candidate.path));
     if (override !== undefined) {
       return { source: override.source, path: '', message };
@@ -160,5 +160,5 @@
     }
     return { source: 'settings', path: formatPath(key === undefined ? path : [...path, key]), message };
   };
-  throw new SettingsError(placeIssues(result.error.issues, merged, place));
+  throw new SettingsError(locateIssues(result.error.issues, merged, locate));
 }
--- a/src/settings/policy-file.ts
+++ b/src/settings/policy-file.ts
@@ -5,7 +5,7 @@
 import { SettingsError } from './settings-error.js';
 import { checkSource, readYaml } from './yaml-source.js';
 
-/** Reads and compiles the rules of a file. Throws `SettingsError` with the place of each fault. */
+/** Reads a file and checks that its rules compile. Throws `SettingsError` with the location of each problem. */
 export function loadPolicy(path: string): readonly PolicyRule[] {
   const [source, second] = readYaml(path);
   if (source === undefined || second !== undefined) {
--- a/src/settings/policy-places.ts
+++ b/src/settings/policy-places.ts
@@ -1,4 +1,4 @@
-/** Compiles policies of files, so that each fault is reported with its line and column in the file. */
+/** Compiles policies from files and reports each problem with its line and column in the file. */
 
 import type { PolicyRule } from '../model/service.js';
 import { compilePolicy, type PolicyDiagnostic, PolicyError, type PolicySource } from '../policy/index.js';
@@ -6,7 +6,7 @@
 import type { SettingsProblem } from './settings-error.js';
 import type { ValuePath } from './yaml-source.js';
 
-/** Places of the rules that stand at `base` of a declaration. */
+/** Locates the rules at the path `base` of a declaration. */
 function policySource(places: DeclarationPlaces, base: ValuePath): PolicySource {
   return {
     locate: (ruleIndex, field, offset) => {
@@ -22,7 +22,7 @@
   return { source, path, line, column, message };
 }
 
-/** What is wrong with rules that stand at `base` of a declaration; empty: nothing. */
+/** Returns the problems of the rules at the path `base` of a declaration; empty if they compile. */
 export function findPolicyProblems(
   rules: readonly PolicyRule[],
   places: DeclarationPlaces,
--- a/src/settings/quarantine-settings.ts
+++ b/src/settings/quarantine-settings.ts
@@ -1,10 +1,10 @@
-/** The settings `quarantine` of a control member: when a request under which upstreams ended is refused, and for how long. */
+/** The `quarantine` settings of a control member: when a request that crashed upstreams is refused, and for how long. */
 import { z } from 'zod';
 import { DEFAULT_QUARANTINE_TERMS, type QuarantineTerms } from '../model/crash-suspect.js';
 import { positiveDurationSchema } from './units.js';
 
-/** Suspects that a snapshot for routers has room for. */
-const MOST_REQUESTS = 10_000;
+/** Maximum number of suspects that fits into a snapshot for routers. */
+const MAX_REQUESTS = 10_000;
 
 const countSchema = z.int({ error: 'expected a whole number' }).min(1, 'must be 1 or more');
 
@@ -12,7 +12,7 @@
   crashes: countSchema.optional(),
   keep: positiveDurationSchema.optional(),
   trial: positiveDurationSchema.optional(),
-  requests: countSchema.max(MOST_REQUESTS, `must be ${MOST_REQUESTS} or less`).optional(),
+  requests: countSchema.max(MAX_REQUESTS, `must be ${MAX_REQUESTS} or less`).optional(),
 });
 
 export function completeQuarantine(fields: z.output<typeof quarantineSchema> = {}): QuarantineTerms {
--- a/src/settings/router-settings.ts
+++ b/src/settings/router-settings.ts
@@ -5,13 +5,13 @@
 import { DEFAULT_WARMUP_BOUNDS, type WarmupBounds } from '../model/warmup-bounds.js';
 import { addressSchema } from './addresses.js';
 import {
-  checkHalf,
+  checkAtMostHalf,
   checkZone,
   clockRateErrorSchema,
   completeConfigLease,
   headerNameSchema,
   hostSchema,
-  isForOthers,
+  isRemotelyReachable,
   pathSchema,
   reachableAddressSchema,
   trustedNetworkSchema,
@@ -22,62 +22,62 @@
 import { loadLayers, type SettingName, type SettingsLayers, settingNamesOf } from './layers.js';
 import { durationSchema, positiveDurationSchema, sizeSchema } from './units.js';
 
-/** What a router daemon starts from. */
+/** Settings of a router daemon, checked and completed. */
 export interface RouterSettings {
   readonly cluster: ClusterId;
   readonly router: RouterId;
   readonly zone: Zone;
-  /** Port for callers' HTTP. */
+  /** Address of the HTTP port for callers. */
   readonly listen: Address;
-  /** Own IP number from which connections go out; `null`: the system's choice. */
+  /** Local IP address of outgoing connections; `null`: chosen by the system. */
   readonly outgoing: string | null;
-  /** Port for health, metrics and status. */
+  /** Address of the port for health, metrics and status. */
   readonly admin: Address;
   /** Internal addresses of the control members. */
   readonly control: readonly Address[];
-  /** `null`: none (control on loopback addresses only). */
+  /** File with the secret shared by the daemons; `null`: none (control on loopback addresses or a trusted network only). */
   readonly secretFile: string | null;
   readonly configLease: ConfigLeaseTimings;
   readonly claimTimeoutMillis: number;
   /** Health and load endpoint of upstreams. */
   readonly probePath: string;
-  /** Time between two probes of an upstream; 0: no probes. */
+  /** Interval between probes of an upstream; 0: no probes. */
   readonly probeIntervalMillis: number;
   /** URL of the platform's list of machines; `null`: none. */
   readonly platformUrl: string | null;
   readonly platformIntervalMillis: number;
-  /** Connections to one upstream. */
+  /** Maximum number of connections to one upstream. */
   readonly connectionsPerUpstream: number;
-  /** Longest body of a request. */
+  /** Maximum size of a request body. */
   readonly requestBodyBytes: number;
-  /** Requests of one caller's connection that are under way at once. */
+  /** Maximum number of concurrent requests on one caller's connection. */
   readonly requestsPerConnection: number;
-  /** Bytes held for one caller's connection. */
+  /** Maximum number of bytes buffered for one caller's connection. */
   readonly heldBytesPerConnection: number;
-  /** Bytes of answers held at once for all callers. */
+  /** Maximum number of response bytes buffered for all callers together. */
   readonly heldAnswerBytes: number;
-  /** Whether declared routes say where requests go, by host and path. */
+  /** Whether requests are routed by declared routes, that is by host and path. */
   readonly byRoutes: boolean;
-  /** Names of shared headers that differ from the project's own, lower case. */
+  /** Lower-case names of shared headers that differ from the default ones. */
   readonly headers: RouterHeaders;
   readonly retryAfterUnit: 'whole-seconds' | 'fractions';
   readonly whenOutOfTouch: 'refuse' | 'serve';
-  /** How far all routers together may go beyond what cold upstreams bear, in any second. */
+  /** How far all routers together may exceed the capacity of upstreams that warm up, in any second. */
   readonly warmup: WarmupBounds;
-  /** Whether less important requests, and those of a hot key, leave room for the others. */
+  /** Whether less important requests, and those of a hot key, leave headroom for the others. */
   readonly roomByRank: boolean;
-  /** What callers are told who are refused for want of room: a time of their own, or one spread around that at which there is room. */
+  /** Retry time for callers refused for lack of capacity: reserved for each, or spread around the time of free capacity. */
   readonly returnTimes: 'spread' | 'reserved';
-  /** Width of the machine's link, each way, in megabits a second; `undefined`: not known. */
+  /** Bandwidth of the machine's network link in each direction, in megabits per second; `undefined`: unknown. */
   readonly linkMegabits: number | undefined;
-  /** How long a router that stops still takes connections while it calls itself not ready. */
+  /** How long a router that shuts down still accepts connections while it reports itself as not ready. */
   readonly lameDuckMillis: number;
-  /** Longest wait for a configuration before callers can connect; 0: none, and their requests wait for it a short while. */
+  /** Maximum wait for a configuration before callers can connect; 0: no wait, and their requests wait briefly for it instead. */
   readonly firstConfigurationMillis: number;
   readonly log: string;
 }
 
-/** Names of headers that routers share with callers and upstreams. */
+/** Names of headers that routers exchange with callers and upstreams. */
 export type RouterHeaders = z.output<typeof headersSchema>;
 
 /** Defaults of the router daemon. */
@@ -173,14 +173,14 @@
 function checkRouter(fields: RouterFields, context: z.RefinementCtx): void {
   checkZone(fields, context);
   const { syncMillis, configLeaseMillis } = completeConfigLease(fields.timings ?? {});
-  checkHalf(
+  checkAtMostHalf(
     { name: 'configSync', millis: syncMillis },
     { name: 'configLease', millis: configLeaseMillis },
     ['timings'],
     context,
   );
   const trusted = fields.trustedNetwork === true;
-  if (fields.secretFile === undefined && !trusted && fields.control.some(isForOthers)) {
+  if (fields.secretFile === undefined && !trusted && fields.control.some(isRemotelyReachable)) {
     const message = 'is missing: control needs a secret unless all its addresses are loopback ones';
     context.addIssue({ code: 'custom', path: ['secretFile'], message });
   }
@@ -189,12 +189,12 @@
   }
 }
 
-/** Where the members' internal listeners are, if `control` names their other ports. */
+/** Returns the members' internal addresses; `controlPort` replaces the ports given in `control`. */
 function controlAddresses({ control, controlPort }: RouterFields): readonly Address[] {
   return controlPort === undefined ? control : control.map((address) => withPort(address, controlPort));
 }
 
-/** Settings of the router daemon, checked and completed. */
+/** Schema of a router daemon's settings, with checks and defaults. */
 export const routerSettingsSchema = routerObject.superRefine(checkRouter).transform(
   (fields): RouterSettings => ({
     cluster: fields.cluster,
@@ -230,7 +230,7 @@
   }),
 );
 
-/** Each setting of the router daemon, as the environment and flags can give it. */
+/** Names of the router daemon's settings in the environment and flags. */
 export const ROUTER_SETTING_NAMES: readonly SettingName[] = settingNamesOf(routerObject);
 
 /** Reads the settings of a router daemon. Throws `SettingsError`. */
--- a/src/settings/units.ts
+++ b/src/settings/units.ts
@@ -1,4 +1,4 @@
-/** Durations and sizes as people write them: a number with its unit, never without. */
+/** Durations and sizes: a number with a mandatory unit. */
 import { z } from 'zod';
 
 const MILLIS_PER_UNIT: Readonly<Record<string, number>> = {
@@ -20,7 +20,7 @@
 };
 const QUANTITY_PATTERN = /^(\d+(?:\.\d+)?)\s*([A-Za-z]*)$/;
 
-/** What was read, or why it couldn't be. */
+/** The parsed value, or why the text is invalid. */
 type QuantityResult = { readonly value: number } | { readonly problem: string };
 
 function parseQuantity(
@@ -45,12 +45,12 @@
   return { value: Number(number) * factor };
 }
 
-/** Reads a duration such as `1500ms`, `2s` or `5m`. */
+/** Parses a duration such as `1500ms`, `2s` or `5m`. */
 export function parseDuration(text: unknown): QuantityResult {
   return parseQuantity(text, MILLIS_PER_UNIT, 'duration', '1500ms, 2s or 5m');
 }
 
-/** Reads a size such as `64KiB` or `1MB`. */
+/** Parses a size such as `64KiB` or `1MB`. */
 export function parseSize(text: unknown): QuantityResult {
   const result = parseQuantity(text, BYTES_PER_UNIT, 'size', '64KiB or 1MB');
   if ('value' in result && !Number.isInteger(result.value)) {
@@ -72,11 +72,11 @@
     });
 }
 
-/** A duration with its unit; gives milliseconds. */
+/** A duration with its unit, converted to milliseconds. */
 export const durationSchema = quantitySchema(parseDuration);
 
-/** A size with its unit; gives bytes. */
+/** A size with its unit, converted to bytes. */
 export const sizeSchema = quantitySchema(parseSize);
 
-/** A duration above nothing; gives milliseconds. */
+/** A duration above 0, converted to milliseconds. */
 export const positiveDurationSchema = durationSchema.refine((millis) => millis > 0, 'must be longer than 0');
--- a/src/settings/yaml-source.ts
+++ b/src/settings/yaml-source.ts
@@ -1,4 +1,4 @@
-/** Reads YAML and checks it against a schema; each problem is reported with the place of the value in the file. */
+/** Reads YAML and checks it against a schema; each problem is reported with the location of the value in the file. */
 import { readFileSync } from 'node:fs';
 import {
   type Document,
@@ -14,10 +14,10 @@
 import { toError } from '../errors/ternmount-error.js';
 import { SettingsError, type SettingsProblem } from './settings-error.js';
 
-/** Steps from the root of a document to a value. */
+/** Keys and indexes from the root of a document to a value. */
 export type ValuePath = readonly PropertyKey[];
 
-/** One document of a YAML file, with what is needed to name places in it. */
+/** One document of a YAML file, with the locations of its values. */
 export class YamlSource {
   readonly name: string;
   readonly value: unknown;
@@ -33,7 +33,7 @@
     this.value = document?.toJS() ?? null;
   }
 
-  /** The problem at a path, or at the nearest value above it. `key` places it on that key of the map at `path`. */
+  /** Returns a problem located at a path, or at its nearest existing ancestor; with `key`, at that key of the map at `path`. */
   problemAt(path: ValuePath, message: string, key?: string): SettingsProblem {
     const node = this.#keyNode(path, key) ?? this.#nearestNode(path);
     const offset = node?.range?.[0] ?? 0;
@@ -49,8 +49,8 @@
   }
 
   /**
-   * The place of a character of a text value, both numbers from 1. In folded and escaped texts, whose lines and
-   * columns differ from the file's, it is the start of the text.
+   * Returns the location of a character of a text value; line and column start at 1. For folded and escaped texts, whose
+   * lines and columns differ from the file's, it is the start of the text.
    */
   placeInText(path: ValuePath, offset: number): { readonly line: number; readonly column: number } {
     const node = this.#nearestNode(path);
@@ -73,7 +73,7 @@
       : place;
   }
 
-  /** Spaces at the start of a line of the file. */
+  /** Returns the number of spaces at the start of a line of the file. */
   #indentOf(line: number): number {
     const start = this.#lines.lineStarts[line - 1] ?? this.#text.length;
     return /^ */.exec(this.#text.slice(start))?.[0].length ?? 0;
@@ -104,7 +104,7 @@
   }
 }
 
-/** Writes `services[2].deadline`. */
+/** Formats a path, e.g. as `services[2].deadline`. */
 export function formatPath(path: ValuePath): string {
   return path
     .map((step, index) => {
@@ -147,7 +147,7 @@
   return parseYaml(path, text);
 }
 
-/** Says what a schema found wrong, in one clause. */
+/** Describes a schema violation in one clause. */
 export function describeIssue(issue: z.core.$ZodIssue, input: unknown): string {
   if (issue.code === 'invalid_type' && input === undefined) {
     return `is missing (expected ${issue.expected})`;
@@ -155,7 +155,7 @@
   return input === undefined && issue.code === 'invalid_union' ? 'is missing' : issue.message;
 }
 
-/** The value at a path, or `undefined`. */
+/** Returns the value at a path, or `undefined`. */
 export function valueAt(root: unknown, path: ValuePath): unknown {
   return path.reduce<unknown>(
     (value, step) =>
@@ -164,24 +164,24 @@
   );
 }
 
-/** Places a problem: the path of a value, and the key of the map there if the key itself is wrong. */
-export type PlaceProblem = (path: ValuePath, message: string, key?: string) => SettingsProblem;
+/** Locates a problem by the path of a value, and the key of the map there if the key itself is invalid. */
+export type LocateProblem = (path: ValuePath, message: string, key?: string) => SettingsProblem;
 
-/** Turns what a schema found wrong with `input` into problems with their places. */
-export function placeIssues(
+/** Converts schema violations of `input` to problems with their locations. */
+export function locateIssues(
   issues: readonly z.core.$ZodIssue[],
   input: unknown,
-  place: PlaceProblem,
+  locate: LocateProblem,
 ): SettingsProblem[] {
   return issues.flatMap((issue): SettingsProblem[] => {
     if (issue.code === 'unrecognized_keys') {
-      return issue.keys.map((key) => place(issue.path, 'unknown key', key));
+      return issue.keys.map((key) => locate(issue.path, 'unknown key', key));
     }
-    return [place(issue.path, describeIssue(issue, valueAt(input, issue.path)))];
+    return [locate(issue.path, describeIssue(issue, valueAt(input, issue.path)))];
   });
 }
 
-/** Checks a value of `source` against a schema. Throws `SettingsError` with the place of each problem. */
+/** Checks a value of `source` against a schema. Throws `SettingsError` with the location of each problem. */
 export function checkSource<Output>(
   source: YamlSource,
   schema: z.ZodType<Output>,
@@ -192,6 +192,6 @@
   if (result.success) {
     return result.data;
   }
-  const place: PlaceProblem = (path, message, key) => source.problemAt([...base, ...path], message, key);
-  throw new SettingsError(placeIssues(result.error.issues, value, place));
+  const locate: LocateProblem = (path, message, key) => source.problemAt([...base, ...path], message, key);
+  throw new SettingsError(locateIssues(result.error.issues, value, locate));
 }
