--- a/test/platform/announced-upstream.ts
+++ b/test/platform/announced-upstream.ts
@@ -1,7 +1,6 @@
 /**
- * A server that knows nothing of ternmount's library, as the users' platform has them: announces itself by heartbeat,
- * takes plain grants of key ranges by calls or by the answers to its heartbeats, and says of an answer if its request did not
- * run.
+ * A server without ternmount's library, like those of the users' platform: announces itself by heartbeat, receives plain
+ * grants of key ranges by calls or in heartbeat responses, and marks the responses to requests that it didn't run.
  */
 import { createServer, type IncomingMessage, request, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -9,8 +8,8 @@
 
 const KEYS = 65_536;
 const HEARTBEAT_MILLIS = 200;
-const MOST_REDIRECTS = 2;
-/** Where a declaration that says nothing of it has the health of upstreams. */
+const MAX_REDIRECTS = 2;
+/** Default health path of upstreams in declarations. */
 const HEALTH_PATH = '/health';
 
 /** A request that ran. */
@@ -24,7 +23,7 @@
   readonly headers: IncomingMessage['headers'];
 }
 
-/** A request that came for this server, whatever it made of it. */
+/** A request that arrived at this server, whether or not it ran. */
 export interface Arrival {
   readonly at: number;
   /** Host of the router. */
@@ -36,24 +35,24 @@
   readonly host: string;
   readonly service: string;
   readonly keyed?: boolean;
-  /** Its ranges come with the answers to its heartbeats, and it takes no calls. */
+  /** Whether it receives its ranges in heartbeat responses and accepts no calls. */
   readonly byHeartbeat?: boolean;
   readonly zone?: string;
-  /** Addresses of control members' HTTP API, asked in turn. */
+  /** Addresses of the control members' HTTP API, tried in order. */
   readonly control: readonly string[];
-  /** What becomes of a request that may run; answers by itself or gives the body of an ordinary answer. */
+  /** Runs a request; sends the response itself, or returns the body of an ordinary one. */
   readonly work?: (run: Run, response: ServerResponse, request: IncomingMessage) => Promise<string | null>;
 }
 
 export class AnnouncedUpstream {
   readonly runs: Run[] = [];
   readonly arrivals: Arrival[] = [];
-  /** What the head of each answer says besides. */
+  /** Additional headers of each response. */
   words: Readonly<Record<string, string>> = {};
-  /** Seconds of rest that it asks for with each request, which it turns away; `null`: it serves. */
-  turnsAwaySeconds: number | null = null;
-  /** Requests turned away because the key isn't held, or meant for another run. */
-  turnedAway = 0;
+  /** Back-off in seconds with which it rejects each request; `null`: it serves requests. */
+  backoffSeconds: number | null = null;
+  /** Number of requests rejected because their key isn't held or they are for another instance. */
+  rejectedRequests = 0;
   readonly grants: {
     readonly from: number;
     readonly to: number;
@@ -61,24 +60,24 @@
     readonly handover?: string;
   }[] = [];
   state: 'ready' | 'draining' = 'ready';
-  /** Ranges that the latest answer gave, as rows of first key, last key and fence. */
+  /** Ranges of the latest response, as rows of first key, last key and fence. */
   rows: readonly (readonly [number, number, number])[] = [];
   #released: (readonly [number, number, string])[] = [];
   readonly #fences = new Float64Array(KEYS);
   readonly #heldUntil = new Float64Array(KEYS);
   readonly #server: Server;
   #sequence = 0;
-  #beating = true;
+  #isAnnouncing = true;
   #running = 0;
 
   private constructor(private readonly options: AnnouncedOptions) {
-    this.#server = createServer((incoming, response) => void this.#take(incoming, response));
+    this.#server = createServer((incoming, response) => void this.#handle(incoming, response));
   }
 
   static async start(options: AnnouncedOptions, port = 0): Promise<AnnouncedUpstream> {
     const upstream = new AnnouncedUpstream(options);
     await new Promise<void>((resolve) => upstream.#server.listen(port, options.host, resolve));
-    void upstream.#beat();
+    void upstream.#sendHeartbeats();
     return upstream;
   }
 
@@ -91,7 +90,7 @@
     return (this.#server.address() as AddressInfo).port;
   }
 
-  /** Says something of itself once; gives the status of the answer. */
+  /** Sends one heartbeat and returns the status of the response. */
   async announce(): Promise<number> {
     this.#sequence += 1;
     const { id, service, zone = 'zone-1', byHeartbeat = false } = this.options;
@@ -110,7 +109,7 @@
     });
     if (byHeartbeat && answer.status === 200) {
       this.#released = this.#released.filter((row) => !released.includes(row));
-      this.#takeAnswer(answer.body as HeartbeatAnswer, sentAt);
+      this.#applyHeartbeatAnswer(answer.body as HeartbeatAnswer, sentAt);
     }
     return answer.status;
   }
@@ -124,20 +123,20 @@
   }
 
   async stop(): Promise<void> {
-    this.#beating = false;
+    this.#isAnnouncing = false;
     this.#server.closeAllConnections();
     await new Promise<void>((resolve) => this.#server.close(() => resolve()));
   }
 
-  /** Its process ends at once: connections break, nothing listens any more, and it says nothing. */
+  /** Simulates a crash of the process: closes connections and listener, and sends no more heartbeats. */
   crash(): void {
-    this.#beating = false;
+    this.#isAnnouncing = false;
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  async #beat(): Promise<void> {
-    while (this.#beating) {
+  async #sendHeartbeats(): Promise<void> {
+    while (this.#isAnnouncing) {
       await this.announce().catch(() => 0);
       await sleep(HEARTBEAT_MILLIS);
     }
@@ -153,15 +152,15 @@
     return NO_ANSWER;
   }
 
-  /** What it is to hold from now on; an answer without that renews nothing. What is left out is let go of at once. */
-  #takeAnswer({ holds, holdMillis = 0 }: HeartbeatAnswer, sentAt: number): void {
+  /** Takes over the ranges of a heartbeat response and releases omitted ones at once; without ranges, renews nothing. */
+  #applyHeartbeatAnswer({ holds, holdMillis = 0 }: HeartbeatAnswer, sentAt: number): void {
     if (holds === undefined) {
       return;
     }
-    const isLeftOut = ([from, to]: readonly [number, number, number]): boolean =>
+    const isOmitted = ([from, to]: readonly [number, number, number]): boolean =>
       !holds.some(([first, last]) => first <= from && to <= last);
-    const gone = this.rows.filter(isLeftOut);
-    for (const [from, to] of gone) {
+    const omitted = this.rows.filter(isOmitted);
+    for (const [from, to] of omitted) {
       this.#heldUntil.fill(0, from, to + 1);
       this.#released.push([from, to, `${this.options.id}:${from}-${to}`]);
     }
@@ -173,13 +172,13 @@
     this.rows = holds.map(([from, to, fence]) => [from, to, fence] as const);
   }
 
-  async #take(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handle(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await bodyOf(incoming);
     const { url = '' } = incoming;
     if (this.options.byHeartbeat === true && url.startsWith('/ternmount/')) {
       response.writeHead(404).end();
     } else if (url === HEALTH_PATH && incoming.headers['ternmount-instance'] !== undefined) {
-      this.#sayWho(incoming, response);
+      this.#identify(incoming, response);
     } else if (url === '/ternmount/grant') {
       this.#grant(JSON.parse(body), response);
     } else if (url === '/ternmount/release') {
@@ -189,7 +188,7 @@
     }
   }
 
-  #sayWho({ headers }: IncomingMessage, response: ServerResponse): void {
+  #identify({ headers }: IncomingMessage, response: ServerResponse): void {
     const { id } = this.options;
     response.writeHead(headers['ternmount-instance'] === id ? 200 : 421, { 'ternmount-instance': id }).end();
   }
@@ -227,23 +226,21 @@
     response.setHeader('ternmount-request-id', id);
     const key = headers['ternmount-key'] === undefined ? null : String(headers['ternmount-key']);
     if (headers['ternmount-instance'] !== this.options.id) {
-      this.turnedAway += 1;
+      this.rejectedRequests += 1;
       response.writeHead(421).end();
       return;
     }
     if (this.options.keyed === true && !this.holds(Number(key))) {
-      this.turnedAway += 1;
+      this.rejectedRequests += 1;
       response.writeHead(421, { 'ternmount-not-run': '1' }).end();
       return;
     }
     this.arrivals.push({ at: performance.now(), router: String(incoming.socket.remoteAddress) });
-    for (const [name, word] of Object.entries(this.words)) {
-      response.setHeader(name, word);
+    for (const [name, value] of Object.entries(this.words)) {
+      response.setHeader(name, value);
     }
-    if (this.turnsAwaySeconds !== null) {
-      response
-        .writeHead(503, { 'ternmount-not-run': '1', 'retry-after': String(this.turnsAwaySeconds) })
-        .end();
+    if (this.backoffSeconds !== null) {
+      response.writeHead(503, { 'ternmount-not-run': '1', 'retry-after': String(this.backoffSeconds) }).end();
       return;
     }
     const run = {
@@ -275,7 +272,7 @@
   readonly body: unknown;
 }
 
-/** What the answer to a heartbeat may say of keys: rows of first key, last key, fence and handover or ''. */
+/** Grants in a heartbeat response: rows of first key, last key, fence, and handover or ''. */
 interface HeartbeatAnswer {
   readonly holds?: readonly (readonly [number, number, number, string])[];
   readonly holdMillis?: number;
@@ -293,7 +290,7 @@
   });
   const text = await response.text();
   const location = response.headers.get('location');
-  if (response.status === 307 && location !== null && redirects < MOST_REDIRECTS) {
+  if (response.status === 307 && location !== null && redirects < MAX_REDIRECTS) {
     return follow(location, body, redirects + 1);
   }
   return { status: response.status, body: text === '' ? null : JSON.parse(text) };
@@ -307,7 +304,7 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** What a caller got. */
+/** The response that a caller received. */
 export interface CallerAnswer {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
--- a/test/platform/crashing-request.test.ts
+++ b/test/platform/crashing-request.test.ts
@@ -1,4 +1,4 @@
-/** A request that crashes whoever runs it, with real processes: three servers end, then every router refuses it, also new ones. */
+/** A request that crashes each server, with real processes: after three crashes all routers refuse it, including new ones. */
 import { expect } from 'chai';
 import { HEADERS } from '../../src/model/outcome.js';
 import { runLine } from '../contract/command-line-run.js';
@@ -8,7 +8,7 @@
 const NETWORK = 84;
 const KEY = 7;
 const CRASHES = 3;
-const MOST_SENDS = 40;
+const MAX_SENDS = 40;
 const RESTART_MILLIS = 300;
 const CRASHING = '/sheets/crash';
 
@@ -24,7 +24,7 @@
   let crashes = 0;
   let runs = 0;
 
-  /** Starts a run; one that the request ends is followed by another at the same address. */
+  /** Starts a run. After the request crashes it, another run starts at the same address. */
   async function startRun(port = 0, host?: string): Promise<void> {
     runs += 1;
     let upstream: AnnouncedUpstream | undefined;
@@ -33,9 +33,9 @@
         return null;
       }
       crashes += 1;
-      const { address, port: freed } = upstream;
+      const { address, port: freedPort } = upstream;
       upstream.crash();
-      timers.push(setTimeout(() => void startRun(freed, address.split(':')[0]), RESTART_MILLIS));
+      timers.push(setTimeout(() => void startRun(freedPort, address.split(':')[0]), RESTART_MILLIS));
       return new Promise(() => {});
     };
     const options = { id: `menu-${runs}`, service: 'menu', keyed: true, work };
@@ -80,9 +80,9 @@
     await cluster.close();
   });
 
-  it('is refused by each router once it has ended three runs', async () => {
+  it('is refused by each router after it crashed three runs', async () => {
     let refused: CallerAnswer | undefined;
-    for (let number = 0; number < MOST_SENDS && refused === undefined; number += 1) {
+    for (let number = 0; number < MAX_SENDS && refused === undefined; number += 1) {
       const answer = await ask(routers[number % 2], CRASHING, number);
       refused = isQuarantined(answer) ? answer : undefined;
     }
@@ -90,20 +90,20 @@
     expect(refused?.headers[HEADERS.outcome]).to.equal('not-run');
     expect(Number(refused?.headers['retry-after'])).to.be.above(60);
     expect(crashes).to.equal(CRASHES);
-    await cluster.processes.until('a refusal by both', async () => {
-      const answers = await Promise.all(routers.map((router) => ask(router, CRASHING, MOST_SENDS)));
+    await cluster.processes.until('refusals by both routers', async () => {
+      const answers = await Promise.all(routers.map((router) => ask(router, CRASHING, MAX_SENDS)));
       return answers.every(isQuarantined) ? true : undefined;
     });
     expect(crashes).to.equal(CRASHES);
   });
 
-  it('is the only one: others for its key are served', async () => {
-    await cluster.processes.until('an owner again', async () =>
+  it('doesn’t affect other requests for its key', async () => {
+    await cluster.processes.until('a new owner', async () =>
       (await ask(routers[0], '/sheets/other', 1)).status === 200 ? true : undefined,
     );
   });
 
-  it('is refused by a router that starts later, after control has started anew', async () => {
+  it('is refused by a new router after a restart of control', async () => {
     await cluster.processes.end('control-1', 'SIGKILL');
     cluster.startMember(1, false);
     const late = await cluster.startRouter();
@@ -111,7 +111,7 @@
     expect(crashes).to.equal(CRASHES);
   });
 
-  it('passes again once an operator releases it', async () => {
+  it('is routed again after an operator releases it', async () => {
     const [suspect] = await suspects();
     const { fingerprint = '' } = suspect ?? {};
     const listed = await operate('quarantine', 'list');
--- a/test/platform/declared-cluster.ts
+++ b/test/platform/declared-cluster.ts
@@ -1,4 +1,4 @@
-/** A small cluster as the users' platform runs it: members that begin by themselves, routers that go by declared routes. */
+/** A small cluster as on the users' platform: self-starting members and routers that use declared routes. */
 import { expect } from 'chai';
 import { ProcessCluster } from '../contract/process-cluster.js';
 import { type AnnouncedOptions, AnnouncedUpstream } from './announced-upstream.js';
@@ -9,7 +9,7 @@
 const FIRST_ROUTER = 10;
 const FIRST_UPSTREAM = 50;
 
-/** The document that most tests declare. */
+/** The document declared by most tests. */
 export const DOCUMENT = {
   version: 1,
   routes: [
@@ -77,7 +77,7 @@
     this.processes.start(`control-${number}`, 'control', 'run', '--settings', file);
   }
 
-  /** Starts a router and waits until it is ready; gives the callers' address. */
+  /** Starts a router, waits until it is ready, and returns its address for callers. */
   async startRouter(settings: object = {}): Promise<string> {
     this.#routers += 1;
     const host = this.processes.host(FIRST_ROUTER + this.#routers);
@@ -116,7 +116,7 @@
     return upstream;
   }
 
-  /** Declares a document, or changes items of it; gives the status of the last answer. */
+  /** Declares a document or changes items of it, and returns the status of the last response. */
   async declare(document: object, match: number, method: 'PUT' | 'PATCH' = 'PUT'): Promise<number> {
     let status = 0;
     await this.processes.until('an answer to a declaration', async () => {
--- a/test/platform/evacuation.test.ts
+++ b/test/platform/evacuation.test.ts
@@ -1,4 +1,4 @@
-/** An operator takes a zone out of use and gives it back, at any member, over HTTP and with the command line. */
+/** An operator evacuates a zone and ends the evacuation over HTTP at any member. */
 import { expect } from 'chai';
 import { type AnnouncedUpstream, callRouter } from './announced-upstream.js';
 import { DeclaredCluster, DOCUMENT } from './declared-cluster.js';
@@ -23,7 +23,7 @@
 
   after(() => cluster.close());
 
-  /** Sends an order to a member and follows its redirect; gives status and body. */
+  /** Sends a command to a member, follows its redirect, and returns status and body. */
   async function order(member: string, method: string, zone: string): Promise<[number, unknown]> {
     const response = await fetch(`http://${member}/v1/evacuations/${zone}`, { method });
     return [response.status, await response.json()];
@@ -34,7 +34,7 @@
     return status;
   }
 
-  it('is acknowledged by every member, as often as it is sent', async () => {
+  it('is acknowledged by every member, also when it is repeated', async () => {
     for (const member of [...cluster.control, ...cluster.control]) {
       const [status, body] = await order(member, 'PUT', 'zone-1');
       expect(status).to.equal(200);
@@ -42,8 +42,8 @@
     }
   });
 
-  it('keeps requests off the upstreams of the zone', async () => {
-    await cluster.processes.until('news at the router', async () => {
+  it('stops requests to the upstreams of the zone', async () => {
+    await cluster.processes.until('the update at the router', async () => {
       const before = near.runs.length;
       await send(`probe-${Math.random()}`);
       return near.runs.length === before ? true : undefined;
@@ -56,7 +56,7 @@
     expect(far.runs.length).to.be.at.least(20);
   });
 
-  it('refuses at once what no zone may serve', async () => {
+  it('refuses requests at once if all zones are evacuated', async () => {
     await order(cluster.control[0] as string, 'PUT', 'zone-2');
     await cluster.processes.until('a refusal', async () => ((await send('none')) === 503 ? true : undefined));
     const startedAt = performance.now();
@@ -65,7 +65,7 @@
     await order(cluster.control[0] as string, 'DELETE', 'zone-2');
   });
 
-  it('is taken back by any member, and the upstreams are used again', async () => {
+  it('can be ended at any member, after which the upstreams get requests again', async () => {
     for (const member of cluster.control) {
       expect((await order(member, 'DELETE', 'zone-1'))[0]).to.equal(200);
     }
@@ -76,7 +76,7 @@
     });
   });
 
-  it('of a zone that there is not is refused with the place', async () => {
+  it('of an unknown zone is refused with its name', async () => {
     const [status, body] = await order(cluster.control[0] as string, 'PUT', 'zone-9');
     expect(status).to.equal(404);
     expect(JSON.stringify(body)).to.contain('zone-9');
--- a/test/platform/explain.test.ts
+++ b/test/platform/explain.test.ts
@@ -1,4 +1,4 @@
-/** The steps of docs/OPERATIONS.md, followed by program: from the ids of three kinds of failed requests to their causes. */
+/** Runs the steps of docs/OPERATIONS.md that lead from the ids of three kinds of failed requests to their causes. */
 import { readFileSync } from 'node:fs';
 import { expect } from 'chai';
 import { runLine } from '../contract/command-line-run.js';
@@ -78,7 +78,7 @@
     expect(first(output).waitMillis).to.be.a('number');
   });
 
-  it('a keyed request with no owner', async () => {
+  it('a keyed request without an owner', async () => {
     menu.state = 'draining';
     expect(await menu.announce()).to.equal(200);
     await cluster.processes.until('a range without owner', async () =>
@@ -94,7 +94,7 @@
     expect(output).to.match(/\n {2}.*"event":"range-changed"/);
   });
 
-  it('of which nothing was logged', async () => {
+  it('a request without a log record', async () => {
     const { exitCode, errors } = await runLine([
       'request',
       'explain',
--- a/test/platform/heartbeat-grants.test.ts
+++ b/test/platform/heartbeat-grants.test.ts
@@ -1,4 +1,4 @@
-/** Ranges granted by the answers to heartbeats, on real processes: from the declaration to a request's answer. */
+/** Ranges granted in heartbeat responses, on real processes: from the declaration to the response to a request. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { expect } from 'chai';
 import { type AnnouncedUpstream, callRouter } from './announced-upstream.js';
@@ -40,7 +40,7 @@
     expect(menus.every((menu) => menu.rows.length > 0)).to.equal(true);
   });
 
-  it('refuses an unknown way of granting, and names the place', async () => {
+  it('refuses an unknown value of grantedBy with its path', async () => {
     const [member = ''] = cluster.control;
     const document = { ...BY_HEARTBEAT, version: 9, services: [{ name: 'menu', grantedBy: 'pigeon' }] };
     const response = await fetch(`http://${member}/v1/declaration`, {
@@ -61,11 +61,11 @@
     sequence: 1,
   };
   const malformed: readonly (readonly [string, object, string])[] = [
-    ['a key outside', { holds: [[0, 65_536, 1]] }, 'holds[0][1]'],
+    ['a key out of range', { holds: [[0, 65_536, 1]] }, 'holds[0][1]'],
     ['a negative key', { holds: [[-1, 5, 1]] }, 'holds[0][0]'],
-    ['a fence that is no whole number', { holds: [[0, 5, 1.5]] }, 'holds[0][2]'],
+    ['a fence that isn’t a whole number', { holds: [[0, 5, 1.5]] }, 'holds[0][2]'],
     [
-      'rows of one fence that share keys',
+      'overlapping rows of one fence',
       {
         holds: [
           [0, 9, 4],
@@ -74,9 +74,9 @@
       },
       'holds[1]',
     ],
-    ['a row that ends before it begins', { released: [[9, 3, '']] }, 'released[0]'],
+    ['a row whose last key is before its first', { released: [[9, 3, '']] }, 'released[0]'],
     ['10,000 rows', { holds: Array.from({ length: 10_000 }, (_, key) => [key, key, 1]) }, 'holds'],
-    ['a sequence that is no number', { sequence: 'x' }, 'sequence'],
+    ['a sequence that isn’t a number', { sequence: 'x' }, 'sequence'],
   ];
   for (const [name, fields, place] of malformed) {
     it(`refuses a heartbeat with ${name}, and changes nothing`, async () => {
@@ -93,20 +93,20 @@
     });
   }
 
-  it('moves the keys of a leaving upstream, and loses no request', async () => {
-    const leaver = menus[0] as AnnouncedUpstream;
-    leaver.state = 'draining';
-    expect(await leaver.announce()).to.equal(200);
+  it('moves the keys of a draining upstream without losing a request', async () => {
+    const draining = menus[0] as AnnouncedUpstream;
+    draining.state = 'draining';
+    expect(await draining.announce()).to.equal(200);
     await expectAllServed();
     await sleep(1000);
-    expect(leaver.rows).to.deep.equal([]);
+    expect(draining.rows).to.deep.equal([]);
     const handovers = menus
       .slice(1)
       .flatMap(({ grants }) => grants.flatMap(({ handover }) => handover ?? []));
     expect(handovers.some((handover) => handover.startsWith('menu-1:'))).to.equal(true);
   });
 
-  it('moves the keys of an upstream that ends without a word', async () => {
+  it('moves the keys of an upstream that stops without notice', async () => {
     const lost = menus[1] as AnnouncedUpstream;
     await lost.stop();
     await sleep(2500);
--- a/test/platform/leader-lost.test.ts
+++ b/test/platform/leader-lost.test.ts
@@ -1,4 +1,4 @@
-/** Control loses its leader, then everything: keys stay with their owners, nothing acknowledged is lost. */
+/** Control loses its leader, then all members: keys stay with their owners and no acknowledged change is lost. */
 import { expect } from 'chai';
 import { type AnnouncedUpstream, callRouter } from './announced-upstream.js';
 import { DeclaredCluster, DOCUMENT } from './declared-cluster.js';
@@ -6,7 +6,7 @@
 const NETWORK = 80;
 const MEMBERS = 3;
 
-describe('control lost and back', function suite() {
+describe('loss and restart of control', function suite() {
   this.timeout(90_000);
   const cluster = new DeclaredCluster(NETWORK, MEMBERS);
   let router = '';
@@ -49,17 +49,17 @@
     });
   }
 
-  it('keeps serving while the leader is killed, and comes back', async () => {
+  it('keeps serving requests while the leader is killed and restarted', async () => {
     const number = await leader();
     await cluster.processes.end(`control-${number}`, 'SIGKILL');
     await expectServed();
     cluster.startMember(number, false);
     await leader();
     await expectServed();
-    expect(menus.every(({ turnedAway }) => turnedAway === 0)).to.equal(true);
+    expect(menus.every(({ rejectedRequests }) => rejectedRequests === 0)).to.equal(true);
   });
 
-  it('has everything acknowledged after all members were killed at once', async () => {
+  it('keeps all acknowledged changes after all members are killed at once', async () => {
     const route = { ...DOCUMENT.routes[0], name: 'late', prefix: '/late/' };
     expect(await cluster.declare({ version: 9, set: { routes: [route] } }, 1, 'PATCH')).to.equal(200);
     const numbers = Array.from({ length: MEMBERS }, (_, index) => index + 1);
@@ -69,7 +69,7 @@
     }
     await leader();
     for (const member of cluster.control) {
-      const document = await cluster.processes.until('a member that is up again', () =>
+      const document = await cluster.processes.until('a restarted member', () =>
         cluster.readDocument(member).catch(() => undefined),
       );
       expect(document).to.have.property('version', 9);
--- a/test/platform/names.test.ts
+++ b/test/platform/names.test.ts
@@ -1,4 +1,4 @@
-/** `platform/` holds names and formats alone, and the sources don't know them. */
+/** `platform/` holds only names and formats of the users' platform, and the sources contain none of them. */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -9,12 +9,15 @@
 import { routerSettingsSchema } from '../../src/settings/router-settings.js';
 
 const ROOT = resolve(fileURLToPath(new URL('../../..', import.meta.url)));
-/** Names that only the users' platform uses. */
+/** Names used only by the users' platform. */
 const PLATFORM_NAMES =
   /Request-Deadline-Ms|Target-Instance|Server-Load|Not-Executed|Response-Seal|Shard-Key|Instance-Id|seed_nodes|machine_class|TERNMOUNT_NODE_FILE|path_prefix|traffic_split|heartbeat_url|from_rev|config_version|from '(?:\.\.\/)+platform\//i;
-/** A gap of a template: `{{name}}`, `{{name|json}}`, and within a section its entry's name `{{@}}` and the comma after all but the last. */
-const GAP = /\{\{([^}|#^/]+)(\|json)?\}\}/g;
-/** A section: once for each entry of a table, or once if the field is there. */
+/**
+ * A placeholder of a template: `{{name}}` or `{{name|json}}`; in sections also the entry's name `{{@}}` and `{{,}}`, a
+ * comma except after the last entry.
+ */
+const PLACEHOLDER = /\{\{([^}|#^/]+)(\|json)?\}\}/g;
+/** A section, rendered once for each entry of a table, or once if the field is present. */
 const SECTION = /\{\{#([\w.]+)\}\}(.*?)\{\{\/\1\}\}/gs;
 
 type Fields = Readonly<Record<string, unknown>>;
@@ -33,8 +36,8 @@
   fault_tolerance: { machines: 1 },
   bounds: { max_hold_ms: 10_000 },
 };
-/** Where upstreams may be cold. */
-const COLD_EXAMPLE: Fields = {
+/** With bounds for upstreams that warm up. */
+const WARMUP_EXAMPLE: Fields = {
   ...EXAMPLE,
   bounds: { max_hold_ms: 10_000, warmup_overrun: 1.5, warmup_margin: 8 },
 };
@@ -51,8 +54,8 @@
     }
     const names = Object.keys(value);
     return names
-      .map((name, place) =>
-        inner.replaceAll('{{@}}', name).replaceAll('{{,}}', place < names.length - 1 ? ',' : ''),
+      .map((name, index) =>
+        inner.replaceAll('{{@}}', name).replaceAll('{{,}}', index < names.length - 1 ? ',' : ''),
       )
       .join('');
   });
@@ -61,7 +64,7 @@
 function rendered(name: string, fields = EXAMPLE): unknown {
   const text = readFileSync(join(ROOT, 'platform', name), 'utf8');
   return parse(
-    withSections(text, fields).replace(GAP, (_gap, path: string, isJson?: string) => {
+    withSections(text, fields).replace(PLACEHOLDER, (_placeholder, path: string, isJson?: string) => {
       const value = fieldAt(fields, path);
       expect(value, `${name}: ${path}`).to.not.equal(undefined);
       return isJson === undefined ? String(value) : JSON.stringify(value);
@@ -78,12 +81,12 @@
     expect(found).to.deep.equal([]);
   });
 
-  it('has a folder of templates and nothing that runs', () => {
+  it('has a folder with only templates and no programs', () => {
     const files = readdirSync(join(ROOT, 'platform'));
     expect(files.filter((file) => !file.endsWith('.yaml'))).to.deep.equal([]);
   });
 
-  it('gets settings that both daemons take', () => {
+  it('gets settings that both daemons accept', () => {
     const router = routerSettingsSchema.parse(rendered('router.yaml'));
     expect(router.control).to.deep.equal(['10.1.0.4:7540', '10.2.0.4:7540']);
     expect(router.headers.deadline).to.equal('request-deadline-ms');
@@ -93,13 +96,13 @@
     expect(control.zones).to.deep.equal(['zone-a', 'zone-b']);
   });
 
-  it('tells routers how far they may go at cold upstreams, where it says so', () => {
-    const told = routerSettingsSchema.parse(rendered('router.yaml', COLD_EXAMPLE));
-    expect(told.warmup).to.deep.equal({ overrunFactor: 1.5, marginRequests: 8 });
+  it('passes the warm-up bounds to routers if it has any', () => {
+    const settings = routerSettingsSchema.parse(rendered('router.yaml', WARMUP_EXAMPLE));
+    expect(settings.warmup).to.deep.equal({ overrunFactor: 1.5, marginRequests: 8 });
     expect(routerSettingsSchema.parse(rendered('router.yaml')).warmup).to.deep.equal(DEFAULT_WARMUP_BOUNDS);
   });
 
-  it('names files in its deploy file that there are', () => {
+  it('refers only to existing files in its deploy file', () => {
     const deploy = readFileSync(join(ROOT, 'deploy/system.toml'), 'utf8');
     for (const [, path = ''] of deploy.matchAll(/(?:template = "|node )((?:platform|scripts)\/[^" ]+)/g)) {
       expect(existsSync(join(ROOT, path)), path).to.equal(true);
--- a/test/platform/needy-upstreams.test.ts
+++ b/test/platform/needy-upstreams.test.ts
@@ -1,4 +1,7 @@
-/** Real control members and routers beside servers that say that they are in need: what arrives at these is counted, by router. */
+/**
+ * Real control members and routers with servers that send notices (rate limit, back-off, draining). Counts the arriving
+ * requests by router.
+ */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { expect } from 'chai';
 import type { AnnouncedUpstream, Arrival } from './announced-upstream.js';
@@ -11,19 +14,19 @@
 const WINDOW_MILLIS = 4000;
 const SHARING_MILLIS = 3000;
 const LIMIT_PER_SECOND = 3;
-const REST_SECONDS = 1.5;
+const BACKOFF_SECONDS = 1.5;
 const GRACE_MILLIS = 500;
-const MOST_IN_REST = 2;
+const MAX_DURING_BACKOFF = 2;
 const DRAIN_MILLIS = 2000;
 
-describe('servers in need', function suite() {
+describe('servers that send notices', function suite() {
   this.timeout(90_000);
   const cluster = new DeclaredCluster(NETWORK, 3);
   const routers: string[] = [];
   let first: AnnouncedUpstream;
   let requests = 0;
 
-  /** Callers of all routers for the key, so many a second; gives the statuses. */
+  /** Sends requests for the key through all routers at a rate of `perSecond`, and returns the statuses. */
   async function load(perSecond: number, millis: number): Promise<number[]> {
     const answers: Promise<number>[] = [];
     const end = performance.now() + millis;
@@ -54,7 +57,7 @@
 
   after(() => cluster.close());
 
-  it('that name a limit get little more than that from all routers together, and most of it', async () => {
+  it('with a rate limit get most of it, and little more, from all routers together', async () => {
     first.words = { 'ternmount-limit': String(LIMIT_PER_SECOND) };
     const from = performance.now();
     const statuses = await load(40, SHARING_MILLIS + WINDOW_MILLIS + 2000);
@@ -70,22 +73,22 @@
     expect(servedOf(await load(20, 1000))).to.be.above(15);
   });
 
-  it('that ask for rest are left alone by each router that was asked', async () => {
-    first.turnsAwaySeconds = REST_SECONDS;
+  it('with a back-off get almost no requests from each router that received it', async () => {
+    first.backoffSeconds = BACKOFF_SECONDS;
     const begin = first.arrivals.length;
     await load(60, 5000);
-    first.turnsAwaySeconds = null;
+    first.backoffSeconds = null;
     const since = first.arrivals.slice(begin);
     for (const { at, router } of since) {
-      const inRest = since.filter((one) => one.router === router && isInRest(one, at));
-      expect(inRest.length).to.be.at.most(MOST_IN_REST);
+      const duringBackoff = since.filter((one) => one.router === router && isDuringBackoff(one, at));
+      expect(duringBackoff.length).to.be.at.most(MAX_DURING_BACKOFF);
     }
     expect(since.length).to.be.at.least(ROUTERS);
     await load(20, 2500);
     expect(servedOf(await load(20, 1000))).to.be.above(15);
   });
 
-  it('that say that they leave get nothing new, and their keys go to others', async () => {
+  it('that are draining get no new requests, and their keys move to others', async () => {
     const second = await cluster.addUpstream({ id: 'menu-2', service: 'menu', keyed: true });
     first.words = { 'ternmount-leaving': '1' };
     const from = performance.now();
@@ -96,7 +99,7 @@
   });
 });
 
-/** Whether a request came in the rest that an answer at that time asked for. */
-function isInRest({ at }: Arrival, answeredAt: number): boolean {
-  return at >= answeredAt + GRACE_MILLIS && at < answeredAt + REST_SECONDS * 1000;
+/** Whether a request arrived during the back-off requested by a response at `answeredAt`. */
+function isDuringBackoff({ at }: Arrival, answeredAt: number): boolean {
+  return at >= answeredAt + GRACE_MILLIS && at < answeredAt + BACKOFF_SECONDS * 1000;
 }
--- a/test/platform/planned-stop.test.ts
+++ b/test/platform/planned-stop.test.ts
@@ -1,4 +1,4 @@
-/** A router that is told to stop: not ready at once, still taking connections for a while, and cutting off nothing. */
+/** Planned stop of a router: it reports not ready at once, accepts connections for a while, and completes all requests. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { expect } from 'chai';
 import { callRouter } from './announced-upstream.js';
@@ -28,7 +28,7 @@
 
   after(() => cluster.close());
 
-  it('answers what it has and what still comes, then ends', async () => {
+  it('answers pending and new requests, then exits', async () => {
     const before = callRouter(router, '/orders/1', { id: 'before', method: 'POST', body: 'fish' });
     await sleep(100);
     const ended = cluster.processes.end('router-1', 'SIGTERM');
--- a/test/platform/whole-route.test.ts
+++ b/test/platform/whole-route.test.ts
@@ -1,4 +1,4 @@
-/** The whole route on real processes: members that begin by themselves, a declared document, announced upstreams, callers. */
+/** End-to-end test on real processes: self-starting members, a declared document, announced upstreams and callers. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { expect } from 'chai';
 import { type AnnouncedUpstream, callRouter } from './announced-upstream.js';
@@ -27,7 +27,7 @@
 
   after(() => cluster.close());
 
-  it('serves a request from the owner of its key, unchanged but for what the router sets', async () => {
+  it('routes a request to the owner of its key, unchanged except for the headers that the router sets', async () => {
     const answer = await callRouter(router, '/sheets/a?b=1', { id: 'q1', key: 1000, deadline: 700 });
     expect(answer, answer.body).to.include({ status: 200 });
     const owner = menus.find((menu) => menu.holds(1000)) as AnnouncedUpstream;
@@ -38,25 +38,25 @@
     expect(run?.headers.host).to.equal('menu.example');
   });
 
-  it('sends bodies whole, with a length or in chunks', async () => {
+  it('transfers complete bodies', async () => {
     const answer = await callRouter(router, '/orders/1', { id: 'q2', method: 'POST', body: 'fish x 2' });
     expect(answer.status).to.equal(200);
     expect(pantry.runs.at(-1)).to.include({ id: 'q2', body: 'fish x 2' });
   });
 
-  it('refuses what no route takes', async () => {
+  it('refuses requests that match no route', async () => {
     expect((await callRouter(router, '/none/')).status).to.equal(404);
     expect((await callRouter(router, '/sheets/a', { host: 'other.example' })).status).to.equal(404);
   });
 
-  it('gives the document back from any member, and takes the same change again', async () => {
+  it('returns the document from any member, and accepts a repeated change', async () => {
     for (const member of cluster.control) {
       expect(await cluster.readDocument(member)).to.deep.equal(DOCUMENT);
       expect(await cluster.declareAt(member, DOCUMENT, 0)).to.equal(200);
     }
   });
 
-  it('refuses invalid documents and lost races, and changes nothing', async () => {
+  it('refuses invalid documents and stale versions, and changes nothing', async () => {
     const [member = ''] = cluster.control;
     const cases: readonly (readonly [string, object | string, number, number])[] = [
       ['cut short', '{"version": 3, "routes": [', 1, 400],
@@ -70,29 +70,29 @@
     expect(await cluster.readDocument(member)).to.deep.equal(DOCUMENT);
   });
 
-  it('has a change in force on routers soon after it was accepted', async () => {
+  it('applies a change on routers soon after it is accepted', async () => {
     const route = { ...DOCUMENT.routes[0], name: 'more', prefix: '/more/' };
     expect(await cluster.declare({ version: 2, set: { routes: [route] } }, 1, 'PATCH')).to.equal(200);
     await sleep(300);
     expect((await callRouter(router, '/more/1', { key: 5 })).status).to.equal(200);
   });
 
-  it('sends a leaving upstream nothing new, and loses no request', async () => {
-    const leaver = menus[0] as AnnouncedUpstream;
-    leaver.state = 'draining';
-    expect(await leaver.announce()).to.equal(200);
+  it('sends a draining upstream no new requests and loses none', async () => {
+    const draining = menus[0] as AnnouncedUpstream;
+    draining.state = 'draining';
+    expect(await draining.announce()).to.equal(200);
     await sleep(400);
-    const before = leaver.runs.length;
+    const before = draining.runs.length;
     for (let key = 0; key < 65_536; key += 4096) {
       expect((await callRouter(router, '/sheets/a', { key })).status).to.equal(200);
     }
-    expect(leaver.runs.length).to.equal(before);
-    expect(leaver.turnedAway).to.equal(0);
-    const heir = menus[1] as AnnouncedUpstream;
-    expect(heir.grants.some(({ handover }) => handover?.startsWith('menu-1:'))).to.equal(true);
+    expect(draining.runs.length).to.equal(before);
+    expect(draining.rejectedRequests).to.equal(0);
+    const successor = menus[1] as AnnouncedUpstream;
+    expect(successor.grants.some(({ handover }) => handover?.startsWith('menu-1:'))).to.equal(true);
   });
 
-  it('goes on when a member is killed, and when it comes back with an empty disk', async () => {
+  it('keeps working when a member is killed and when it restarts with an empty disk', async () => {
     await cluster.processes.end('control-1', 'SIGKILL');
     const route = { ...DOCUMENT.routes[0], name: 'third', prefix: '/third/' };
     expect(await cluster.declare({ version: 3, set: { routes: [route] } }, 2, 'PATCH')).to.equal(200);
--- a/test/settings/settings-security.test.ts
+++ b/test/settings/settings-security.test.ts
@@ -1,4 +1,4 @@
-/** Settings that would leave a port open to strangers are refused, with the place of the fault. */
+/** Settings that would leave a port unprotected are refused with the name of the setting. */
 import { expect } from 'chai';
 import { loadControlSettings } from '../../src/settings/control-settings.js';
 import { loadRouterSettings } from '../../src/settings/router-settings.js';
@@ -28,23 +28,31 @@
 const router = (flags: Flags) => loadRouterSettings({ environment: {}, flags: { ...ROUTER, ...flags } });
 
 const CASES: readonly (readonly [string, () => unknown, string | null])[] = [
-  ['control on loopback with nothing', () => control({}), null],
+  ['control on loopback without secret and tokens', () => control({}), null],
   [
     'control with secret and tokens',
     () => control({ listen: '10.0.0.1:1', admin: '10.0.0.1:2', ...SECRET, ...TOKENS }),
     null,
   ],
-  ['an admin port for others without tokens', () => control({ admin: '10.0.0.1:7401' }), 'tokensFile'],
-  ['an internal port for others without a secret', () => control({ listen: '10.0.0.1:7400' }), 'secretFile'],
+  [
+    'an admin port reachable from other hosts without tokens',
+    () => control({ admin: '10.0.0.1:7401' }),
+    'tokensFile',
+  ],
+  [
+    'an internal port reachable from other hosts without a secret',
+    () => control({ listen: '10.0.0.1:7400' }),
+    'secretFile',
+  ],
   [
     'an internal port on all addresses without a secret',
     () => control({ listen: '0.0.0.0:7400', advertise: '10.0.0.1:7400' }),
     'secretFile',
   ],
-  ['a router on loopback with nothing', () => router({}), null],
+  ['a router on loopback without a secret', () => router({}), null],
   ['a router with a secret', () => router({ control: '10.0.0.1:7400', ...SECRET }), null],
   [
-    'a router of control elsewhere without a secret',
+    'a router of control on another host without a secret',
     () => router({ control: '127.0.0.1:7400,10.0.0.1:7400' }),
     'secretFile',
   ],
--- a/test/storage/replica-store-runs.test.ts
+++ b/test/storage/replica-store-runs.test.ts
@@ -1,4 +1,4 @@
-/** The data folder in random runs, with a loss of power at any operation. */
+/** Random runs of the data folder with a power loss at any operation. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import type { PersistRequest } from '../../src/consensus/types.js';
@@ -8,7 +8,7 @@
 const stepArbitrary = fc.constantFrom<Step>('append', 'truncate', 'vote', 'snapshot', 'install', 'batch');
 
 describe('data folder in random runs', () => {
-  it('holds what was acknowledged, and of the rest a part from its start, after a loss of power', async () => {
+  it('holds everything acknowledged and a prefix of the remaining writes after a power loss', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(stepArbitrary, { minLength: 1, maxLength: 25 }),
@@ -33,8 +33,8 @@
           }
           files.restart(() => shares.next().value as number);
           const { restored } = await open(files);
-          const isPossible = [...mapStates(acknowledged, last, restored)].includes(true);
-          expect(isPossible, JSON.stringify(plain(restored))).to.equal(true);
+          const isAllowed = [...mapStates(acknowledged, last, restored)].includes(true);
+          expect(isAllowed, JSON.stringify(plain(restored))).to.equal(true);
         },
       ),
       { seed: 71, numRuns: 400 },
--- a/test/storage/replica-store.test.ts
+++ b/test/storage/replica-store.test.ts
@@ -1,4 +1,4 @@
-/** The data folder under faults: a table of damage. */
+/** The data folder under power loss and damage of its files. */
 import { expect } from 'chai';
 import { MemoryDisk } from '../../src/dev/disk/memory-disk.js';
 import { createReplica } from '../../src/storage/index.js';
@@ -13,7 +13,7 @@
   );
 }
 
-/** A disk with `batches` batches of two entries each, closed. */
+/** Returns a disk whose closed log holds `batches` batches of two entries each. */
 async function diskWith(batches: number): Promise<MemoryDisk> {
   const files = await newDisk();
   const { store } = await open(files);
@@ -26,7 +26,7 @@
 }
 
 describe('data folder', () => {
-  it('gives back what was written, over several segments and openings', async () => {
+  it('restores what was written, across several segments and openings', async () => {
     const files = await diskWith(12);
     expect((await files.list(FOLDER))?.filter((name) => name.endsWith('.wal')).length).to.be.above(2);
     const { restored, store } = await open(files);
@@ -40,7 +40,7 @@
     expect(again.restored.entries.length).to.equal(20);
   });
 
-  it('drops log files that a snapshot covers and keeps the hard state', async () => {
+  it('removes log files covered by a snapshot and keeps the hard state', async () => {
     const files = await diskWith(12);
     const { store } = await open(files);
     await store.persist([{ persistId: 1, snapshot: snapshot(24) }]);
@@ -54,7 +54,7 @@
     expect(restored.entries.map(({ index }) => index)).to.deep.equal([25]);
   });
 
-  it('goes on after a snapshot that is ahead of the log', async () => {
+  it('continues after a snapshot that is ahead of the log', async () => {
     const files = await diskWith(1);
     const { store } = await open(files);
     await store.persist([{ persistId: 1, snapshot: snapshot(50) }]);
@@ -63,7 +63,7 @@
     expect(restored.entries.map(({ index }) => index)).to.deep.equal([51]);
   });
 
-  it('makes an id that differs each time, and never over a folder that is in use', async () => {
+  it('creates a unique id each time and never overwrites a folder in use', async () => {
     const first = await newDisk();
     const second = await newDisk();
     const ids = [(await open(first)).identity.replica, (await open(second)).identity.replica];
@@ -73,7 +73,7 @@
     expect(error.code).to.equal('TERNMOUNT_FOLDER_UNUSABLE');
   });
 
-  it('refuses a folder of another cluster, and one without a replica', async () => {
+  it('refuses a folder of another cluster and one without a replica', async () => {
     const foreign = await errorOf(open(await newDisk(), 'other'));
     expect(foreign.code).to.equal('TERNMOUNT_FOLDER_UNUSABLE');
     expect(foreign.message).to.contain('belongs to cluster demo');
@@ -81,7 +81,7 @@
     expect(empty.code).to.equal('TERNMOUNT_FOLDER_UNUSABLE');
   });
 
-  describe('cuts a torn tail and keeps all that was synced', () => {
+  describe('truncates a torn tail and keeps all synced data', () => {
     for (const share of [0, 0.1, 0.4, 0.6, 0.9]) {
       it(`with ${share} of the last write on disk`, async () => {
         const files = await diskWith(2);
@@ -99,7 +99,7 @@
       });
     }
 
-    it('a hole in a write that was never synced', async () => {
+    it('with a hole in a write that was never synced', async () => {
       const files = await diskWith(1);
       const { store } = await open(files);
       files.losePowerAfter(1);
@@ -114,24 +114,24 @@
     });
   });
 
-  describe('says that the replica is lost', () => {
+  describe('reports the replica as lost after', () => {
     const damages: Record<string, (files: MemoryDisk) => void> = {
       'a flipped bit before the tail': (files) =>
         files.edit(FIRST_SEGMENT, (bytes) => {
           bytes[bytes.indexOf('entry 2 ')] = 0;
           return bytes;
         }),
-      'a zeroed stretch before the tail': (files) =>
+      'a zeroed range before the tail': (files) =>
         files.edit(FIRST_SEGMENT, (bytes) => bytes.fill(0, 200, 300)),
-      'the end of a segment before the last cut off': (files) =>
+      'truncation of a segment before the last': (files) =>
         files.edit(FIRST_SEGMENT, (bytes) => bytes.subarray(0, bytes.length - 40)),
-      'the first segment gone': (files) => files.lose(FIRST_SEGMENT),
-      'a segment in the middle gone': (files) => files.lose(`${FOLDER}/log-000000000002.wal`),
-      'the last segment gone': (files) => files.lose(`${FOLDER}/log-000000000005.wal`),
-      'the header of the log damaged': (files) => files.edit(FIRST_SEGMENT, (bytes) => bytes.fill(0, 0, 8)),
-      'a damaged identity': (files) =>
+      'loss of the first segment': (files) => files.lose(FIRST_SEGMENT),
+      'loss of a middle segment': (files) => files.lose(`${FOLDER}/log-000000000002.wal`),
+      'loss of the last segment': (files) => files.lose(`${FOLDER}/log-000000000005.wal`),
+      'damage to the header of the log': (files) => files.edit(FIRST_SEGMENT, (bytes) => bytes.fill(0, 0, 8)),
+      'damage to the identity': (files) =>
         files.edit(`${FOLDER}/identity.json`, (bytes) => bytes.subarray(0, 20)),
-      'no identity': (files) => files.lose(`${FOLDER}/identity.json`),
+      'loss of the identity': (files) => files.lose(`${FOLDER}/identity.json`),
     };
     for (const [name, damage] of Object.entries(damages)) {
       it(name, async () => {
@@ -147,14 +147,14 @@
 
     const snapshotPath = `${FOLDER}/snapshot-0000000000000024.snap`;
     const snapshotDamages: Record<string, (files: MemoryDisk) => void> = {
-      'a damaged snapshot': (files) =>
+      'damage to a snapshot': (files) =>
         files.edit(snapshotPath, (bytes) => {
           bytes[bytes.indexOf('state after')] = 0;
           return bytes;
         }),
-      'a snapshot without its end': (files) =>
+      'truncation of a snapshot': (files) =>
         files.edit(snapshotPath, (bytes) => bytes.subarray(0, bytes.length - 48)),
-      'a lost snapshot': (files) => files.lose(snapshotPath),
+      'loss of a snapshot': (files) => files.lose(snapshotPath),
     };
     for (const [name, damage] of Object.entries(snapshotDamages)) {
       it(name, async () => {
@@ -168,7 +168,7 @@
     }
   });
 
-  it('keeps the old state when the power goes while a snapshot is written', async () => {
+  it('keeps the old state after a power loss during the write of a snapshot', async () => {
     for (let operation = 0; operation < 14; operation += 1) {
       const files = await diskWith(4);
       const { store } = await open(files);
--- a/test/storage/room-waits.test.ts
+++ b/test/storage/room-waits.test.ts
@@ -1,4 +1,4 @@
-/** A full disk: the log waits for room, stays whole, and holds everything once there is some. */
+/** A full disk: log writes wait for disk space, the log stays intact, and it holds everything once there is space. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { expect } from 'chai';
 import type { PersistRequest } from '../../src/consensus/types.js';
@@ -20,14 +20,14 @@
   return disk;
 }
 
-describe('a disk without room', () => {
-  it('lets writes wait; nothing is said to be on disk before it is, and nothing is lost', async () => {
+describe('a full disk', () => {
+  it('delays writes: nothing is reported as persisted before it is, and nothing is lost', async () => {
     const disk = await newDisk();
-    const told: string[] = [];
+    const events: string[] = [];
     const waits = new RoomWaits({
       retryMillis: RETRY_MILLIS,
-      full: () => told.push('full'),
-      hasRoom: () => told.push('room'),
+      full: () => events.push('full'),
+      hasRoom: () => events.push('room'),
     });
     const lock = () => ({ release: () => {} });
     const opened = await openReplica(FOLDER, 'demo', { files: waits.around(disk), lock });
@@ -48,13 +48,13 @@
     await sleep(10 * RETRY_MILLIS);
     expect(persisted.at(-1)).to.equal(3);
     expect(failures).to.deep.equal([]);
-    expect(told).to.deep.equal(['full', 'room']);
+    expect(events).to.deep.equal(['full', 'room']);
     await task.stop();
     const { restored } = await openReplica(FOLDER, 'demo', { files: disk, lock });
     expect(restored.entries.map(({ index }) => index)).to.deep.equal([1, 2, 3]);
   });
 
-  it('doesn’t hold up a stop', async () => {
+  it('doesn’t delay a shutdown', async () => {
     const disk = await newDisk();
     const waits = new RoomWaits({ retryMillis: RETRY_MILLIS });
     const lock = () => ({ release: () => {} });
--- a/test/storage/self-start.test.ts
+++ b/test/storage/self-start.test.ts
@@ -1,4 +1,4 @@
-/** Members that make their data folders themselves: the first ones agree without a word, later ones are new replicas. */
+/** Members that create their data folders themselves: the first ones agree without communicating, later ones are new replicas. */
 import { expect } from 'chai';
 import { MemoryDisk } from '../../src/dev/disk/memory-disk.js';
 import { openOrCreateReplica, type SelfStart } from '../../src/storage/index.js';
@@ -18,8 +18,8 @@
   return { identity, store };
 }
 
-describe('members that start by themselves', () => {
-  it('write the same membership, each with its own name, in whatever order the seeds stand', async () => {
+describe('members that start without an operator’s command', () => {
+  it('write the same membership, each with its own id, for any order of the seeds', async () => {
     const first = await open(new MemoryDisk());
     const second = await open(new MemoryDisk(), { address: SEEDS[1] as string, seeds: [...SEEDS].reverse() });
     expect(first.identity.initialMembership).to.deep.equal(second.identity.initialMembership);
@@ -28,26 +28,26 @@
     expect(first.identity.initialMembership?.voters).to.have.length(3);
   });
 
-  it('are the same replica when they start again, whatever the settings say by then', async () => {
+  it('are the same replica after a restart, even with other settings', async () => {
     const disk = new MemoryDisk();
     const { identity } = await open(disk);
     const again = await open(disk, { bootstrap: false, seeds: ['10.9.0.1:7400'] });
     expect(again.identity).to.deep.equal(identity);
   });
 
-  it('join as a new replica after their disk was lost', async () => {
+  it('join as a new replica after the loss of their disk', async () => {
     const { identity } = await open(new MemoryDisk());
     const wiped = await open(new MemoryDisk(), { bootstrap: false });
     expect(wiped.identity.replica).to.not.equal(identity.replica);
     expect(wiped.identity.initialMembership).to.equal(null);
   });
 
-  it('join if they are none of the first', async () => {
+  it('join if they aren’t among the first members', async () => {
     const { identity } = await open(new MemoryDisk(), { address: '10.4.0.1:7400' });
     expect(identity.initialMembership).to.equal(null);
   });
 
-  it('join anew with what is left of a replica that was never whole', async () => {
+  it('join as a new replica if the folder holds an incomplete one', async () => {
     const disk = new MemoryDisk();
     await disk.makeFolder(FOLDER);
     const file = await disk.create(`${FOLDER}/log-000000000001.wal`);
@@ -58,7 +58,7 @@
     expect(identity.initialMembership).to.equal(null);
   });
 
-  it('join anew when the log is damaged, and never under the old name', async () => {
+  it('join under a new id if the log is damaged', async () => {
     const disk = new MemoryDisk();
     const { identity, store } = await open(disk);
     await store.close();
--- a/test/storage/store-fixture.ts
+++ b/test/storage/store-fixture.ts
@@ -1,4 +1,4 @@
-/** A data folder on a disk in memory, and what is written into it. */
+/** A data folder on an in-memory disk, and entries and snapshots to write into it. */
 import type { LogEntry, RestoredState, Snapshot } from '../../src/consensus/types.js';
 import { MemoryDisk } from '../../src/dev/disk/memory-disk.js';
 import { createReplica, type OpenedStore, openReplica } from '../../src/storage/index.js';
@@ -28,7 +28,7 @@
   return { lastIndex, lastTerm, membership: MEMBERSHIP, data };
 }
 
-/** States with their bytes as text, so that kinds of byte arrays don't matter. */
+/** Returns a state with its bytes as text, so that comparisons ignore the type of the byte arrays. */
 export function plain({ hardState, snapshot: found, entries }: RestoredState): unknown {
   const text = (data: Uint8Array): string => Buffer.from(data).toString('utf8');
   return {
--- a/test/storage/written-state.ts
+++ b/test/storage/written-state.ts
@@ -1,4 +1,4 @@
-/** What a data folder may hold after requests, the last of which was cut off anywhere. */
+/** The states that a data folder may hold after requests of which the last ones were interrupted at any point. */
 import type { LogEntry, PersistRequest, RestoredState, Snapshot } from '../../src/consensus/types.js';
 import { SimulatedDisk } from '../consensus/simulated-disk.js';
 import { entry, plain, snapshot } from './store-fixture.js';
@@ -6,7 +6,7 @@
 /** A step of a random run. */
 export type Step = 'append' | 'truncate' | 'vote' | 'snapshot' | 'install' | 'batch';
 
-/** Gives requests that a Raft core may ask for, following what is on disk. */
+/** Generates requests that a Raft core may issue, consistent with the state on disk. */
 export class RequestMaker {
   #persistId = 0;
   #term = 1;
@@ -51,10 +51,10 @@
   }
 }
 
-/** What was written, with all snapshots that were taken: which of the replica's own is on disk is up to the store. */
+/** The written state with all snapshots taken: the store may choose which of the replica's own ones is on disk. */
 class WrittenState {
   readonly #disk = new SimulatedDisk(null);
-  /** The log since the last installed snapshot, entries that own snapshots stand for included. */
+  /** The log since the last installed snapshot, including entries covered by the replica's own snapshots. */
   #entries: LogEntry[] = [];
   #snapshots: (Snapshot | null)[] = [null];
 
@@ -86,7 +86,7 @@
   }
 }
 
-/** Every state that a cut in the middle of the last requests may leave. */
+/** Yields every state that an interruption within the last requests may leave. */
 function* possibleStates(
   acknowledged: readonly PersistRequest[],
   last: readonly PersistRequest[],
@@ -110,6 +110,7 @@
   }
 }
 
+/** Yields for each possible state whether `restored` is a valid reading of it. */
 export function* mapStates(
   acknowledged: readonly PersistRequest[],
   last: readonly PersistRequest[],
