--- a/test/storage/room-waits.test.ts
+++ b/test/storage/room-waits.test.ts
@@ -24,13 +24,13 @@
   it('delays writes: nothing is reported as persisted before it is, and nothing is lost', async () => {
     const disk = await newDisk();
     const events: string[] = [];
-    const waits = new RoomWaits({
+    const diskFullRetry = new RoomWaits({
       retryMillis: RETRY_MILLIS,
       full: () => events.push('full'),
       hasRoom: () => events.push('room'),
     });
     const lock = () => ({ release: () => {} });
-    const opened = await openReplica(FOLDER, 'demo', { files: waits.around(disk), lock });
+    const opened = await openReplica(FOLDER, 'demo', { files: diskFullRetry.around(disk), lock });
     const persisted: number[] = [];
     const failures: Error[] = [];
     const task = new PersistTask(opened.store, {
@@ -56,9 +56,9 @@
 
   it('doesn’t delay a shutdown', async () => {
     const disk = await newDisk();
-    const waits = new RoomWaits({ retryMillis: RETRY_MILLIS });
+    const diskFullRetry = new RoomWaits({ retryMillis: RETRY_MILLIS });
     const lock = () => ({ release: () => {} });
-    const opened = await openReplica(FOLDER, 'demo', { files: waits.around(disk), lock });
+    const opened = await openReplica(FOLDER, 'demo', { files: diskFullRetry.around(disk), lock });
     const failures: Error[] = [];
     const task = new PersistTask(opened.store, {
       persisted: () => {},
@@ -67,7 +67,7 @@
     disk.isFull = true;
     task.enqueue(request(1));
     await sleep(3 * RETRY_MILLIS);
-    waits.stop();
+    diskFullRetry.stop();
     await task.stop();
     expect(failures.map(({ name }) => name)).to.deep.equal(['StorageFailedError']);
   });
