--- a/src/cli/cli-error.ts
+++ b/src/cli/cli-error.ts
@@ -19,28 +19,28 @@
   }
 }
 
-/** A wrong command line. */
+/** An invalid command line. */
 export class UsageError extends CliError {
   constructor(message: string) {
     super(EXIT_CODES.usage, 'USAGE', message);
   }
 }
 
-/** What was asked for isn't there. */
+/** The requested object doesn't exist. */
 export class NotFoundError extends CliError {
   constructor(message: string) {
     super(EXIT_CODES.failed, 'NOT_FOUND', message);
   }
 }
 
-/** No control member gave an answer, and nothing was changed. */
+/** No control member answered, and nothing was changed. */
 export class UnreachableError extends CliError {
   constructor(message: string) {
     super(EXIT_CODES.unreachable, 'UNREACHABLE', message, { retriable: true });
   }
 }
 
-/** A change was sent and no answer tells whether it was made. */
+/** A change was sent, and its outcome is unknown. */
 export class UnknownOutcomeError extends CliError {
   constructor(requestId: string, reason: string) {
     const advice = `repeat the command with --request-id ${requestId}: it isn't made twice`;
@@ -64,7 +64,7 @@
   'outcome-unknown': EXIT_CODES.unreachable,
 };
 
-/** Control answered that it can't or won't. */
+/** Control answered with an error. */
 export class ControlAnswerError extends CliError {
   readonly adminCode: AdminErrorCode;
   readonly status: number;
@@ -82,7 +82,7 @@
   }
 }
 
-/** Codes of errors from the daemons' start that mean wrong settings or surroundings. */
+/** Codes of start-up errors caused by invalid settings or an unusable environment. */
 const USAGE_CODES = new Set([
   'TERNMOUNT_SETTINGS_INVALID',
   'TERNMOUNT_LISTEN_FAILED',
@@ -94,7 +94,7 @@
 
 const REPLICA_LOST_CODE = 'TERNMOUNT_STORAGE_DAMAGED';
 
-/** Exit code for whatever ended a command. */
+/** Returns the exit code for an error that ended a command. */
 export function exitCodeOf(thrown: unknown): ExitCode {
   if (thrown instanceof CliError) {
     return thrown.exitCode;
@@ -108,7 +108,7 @@
   return EXIT_CODES.failed;
 }
 
-/** Runs `check`; wrong settings become an error that names each fault on a line of its own. */
+/** Runs `check`; turns a `SettingsError` into a `UsageError` with one line per problem. */
 export function namingEachFault<Value>(check: () => Value): Value {
   try {
     return check();
--- a/src/cli/cli-io.ts
+++ b/src/cli/cli-io.ts
@@ -1,22 +1,22 @@
-/** What commands use of the process that runs them; tests give their own. */
+/** Input and output of commands; tests supply their own. */
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** What a command line run reads from and writes to; replaced in tests. */
+/** The process interface of a command: output, environment, signals and sleep. */
 export interface CliIo {
   /** Writes to standard output. */
   write(text: string): void;
   /** Writes to standard error. */
   writeError(text: string): void;
   readonly environment: Readonly<Record<string, string | undefined>>;
-  /** Aborted when the user or a supervisor wants the command to end. */
+  /** Aborted when the user or a supervisor stops the command. */
   readonly stopSignal: AbortSignal;
-  /** Has `listener` called whenever the process is told to read its settings again. Left out: it never is. */
+  /** Registers a listener for requests to reload the settings; omitted if reloading isn't supported. */
   readonly onReload?: (listener: () => void) => void;
   /** Resolves early, without an error, when `stopSignal` is aborted. */
   sleep(millis: number): Promise<void>;
 }
 
-/** Waits, and returns early when `signal` is aborted. */
+/** Sleeps; returns early, without an error, when `signal` is aborted. */
 export async function interruptibleSleep(millis: number, signal: AbortSignal): Promise<void> {
   await sleep(millis, undefined, { signal }).catch((error: Error) => {
     if (error.name !== 'AbortError') {
@@ -25,7 +25,7 @@
   });
 }
 
-/** The io of this process: SIGINT and SIGTERM abort the stop signal. */
+/** Creates the io of this process: SIGINT and SIGTERM abort the stop signal, SIGHUP reloads the settings. */
 export function processIo(): CliIo {
   const controller = new AbortController();
   for (const signal of ['SIGINT', 'SIGTERM'] as const) {
--- a/src/cli/client-options.ts
+++ b/src/cli/client-options.ts
@@ -1,4 +1,4 @@
-/** Options of commands that talk to control, and the client they give. */
+/** Options of commands that send requests to control, and the client built from them. */
 import { readFileSync } from 'node:fs';
 import { toError } from '../errors/ternmount-error.js';
 import { splitAddress } from '../settings/addresses.js';
@@ -8,7 +8,7 @@
 import { ControlClient } from './control-client.js';
 import type { ParsedOptions } from './parsed-options.js';
 
-/** Environment variables that stand for options. */
+/** Environment variables that can replace options. */
 export const CLIENT_ENVIRONMENT = {
   control: 'TERNMOUNT_CONTROL_ADMIN',
   token: 'TERNMOUNT_TOKEN',
@@ -17,7 +17,7 @@
 
 const DEFAULT_TIMEOUT_MILLIS = 15_000;
 
-/** Options of every command that talks to a control member. */
+/** Options of every command that sends requests to a control member. */
 export const CLIENT_OPTIONS: readonly OptionSpec[] = [
   {
     name: 'control',
@@ -32,14 +32,14 @@
   { name: 'timeout', value: 'duration', summary: 'Give up after this; default 15s' },
 ];
 
-/** The option for resending. */
+/** The option for resending an earlier change. */
 export const REQUEST_ID_OPTION: OptionSpec = {
   name: 'request-id',
   value: 'id',
   summary: 'Repeat an earlier change whose outcome is not known; it is not made twice',
 };
 
-/** Options of commands that change something. */
+/** Options of commands that make a change. */
 export const CHANGE_OPTIONS: readonly OptionSpec[] = [
   ...CLIENT_OPTIONS,
   REQUEST_ID_OPTION,
@@ -50,7 +50,7 @@
   },
 ];
 
-/** The option for compare-and-set. */
+/** The option for a conditional change. */
 export const REVISION_OPTION: OptionSpec = {
   name: 'revision',
   value: 'number',
@@ -87,7 +87,7 @@
   return token === undefined || token === '' ? null : token;
 }
 
-/** The client that options and environment describe. Throws `UsageError`. */
+/** Creates the client from options and environment. Throws `UsageError`. */
 export function createClient(options: ParsedOptions, io: CliIo): ControlClient {
   const addresses = readAddresses(options, io);
   const token = readToken(options, io);
@@ -95,7 +95,7 @@
   return new ControlClient({ addresses, token, timeoutMillis }, io);
 }
 
-/** Query string for `--wait` or `--no-wait`. */
+/** Returns the query string for `--wait` or `--no-wait`. */
 export function waitQuery(options: ParsedOptions): string {
   return `?wait=${options.on('wait')}`;
 }
--- a/src/cli/command-list.ts
+++ b/src/cli/command-list.ts
@@ -37,7 +37,7 @@
 import { upstreamList } from './queries/upstream-list.js';
 import { zoneList } from './queries/zone-list.js';
 
-/** Every command, in the order in which help lists them. */
+/** All commands, in the order of the help text. */
 export const COMMANDS: readonly CommandSpec[] = [
   status,
   controlInit,
--- a/src/cli/command-spec.ts
+++ b/src/cli/command-spec.ts
@@ -1,22 +1,22 @@
-/** What a subcommand is: its words, arguments and options, and what it does. */
+/** The specification of a subcommand: name, arguments, options and implementation. */
 import type { CliIo } from './cli-io.js';
 import type { ExitCode } from './exit-codes.js';
 import type { ParsedOptions } from './parsed-options.js';
 
 /** An option such as `--zone <name>`. */
 export interface OptionSpec {
-  /** Without the dashes. */
+  /** The name without dashes. */
   readonly name: string;
-  /** What the value is called in help; left out for a switch. */
+  /** Placeholder of the value in help; omitted for a switch. */
   readonly value?: string;
   readonly summary: string;
   /** A switch that is on unless `--no-<name>` is given. */
   readonly onByDefault?: boolean;
 }
 
-/** One run of a subcommand. */
+/** One invocation of a subcommand. */
 export interface Invocation {
-  /** Positional arguments in order; optional ones may be missing. */
+  /** Positional arguments in order; optional ones may be absent. */
   readonly positionals: readonly string[];
   readonly options: ParsedOptions;
   readonly io: CliIo;
@@ -24,13 +24,13 @@
 
 /** A subcommand. */
 export interface CommandSpec {
-  /** E.g. `service apply`. */
+  /** All words of the command, e.g. `service apply`. */
   readonly name: string;
-  /** As in help: `<file>` needed, `[name]` optional, `<...files>` one or more. */
+  /** In help notation: `<file>` is required, `[name]` optional, `<...files>` one or more. */
   readonly arguments?: string;
   readonly summary: string;
   readonly options: readonly OptionSpec[];
-  /** Each without the program's name. */
+  /** Example command lines, without the program's name. */
   readonly examples?: readonly string[];
   readonly run: (invocation: Invocation) => Promise<ExitCode>;
 }
--- a/src/cli/commands/control-folder.ts
+++ b/src/cli/commands/control-folder.ts
@@ -1,4 +1,4 @@
-/** `control init` and `control join`: make the data folder of a new replica. */
+/** `control init` and `control join`: create the data folder of a new replica. */
 import { CONTROL_SETTING_NAMES, loadControlSettings } from '../../settings/control-settings.js';
 import { createReplica, type NewReplica } from '../../storage/index.js';
 import type { CommandSpec, Invocation } from '../command-spec.js';
--- a/src/cli/commands/control-replace.ts
+++ b/src/cli/commands/control-replace.ts
@@ -11,7 +11,7 @@
 
 const REPLACE_PATH = '/v1/control/replace';
 
-/** A replacement as asked for. */
+/** The requested replacement. */
 interface Replacement {
   readonly oldReplica: string;
   readonly newReplica: string;
@@ -23,7 +23,7 @@
   return voters.includes(newReplica) && !voters.includes(oldReplica) && outgoingVoters.length === 0;
 }
 
-/** Returns once the new replica votes and the old one doesn't. */
+/** Replaces the replica; returns once the new one votes and the old one doesn't. */
 async function repair(
   invocation: Invocation,
   client: ControlClient,
--- a/src/cli/commands/control-run.ts
+++ b/src/cli/commands/control-run.ts
@@ -1,4 +1,4 @@
-/** `control run`. The daemon is loaded when it is asked for: it is most of the program, and other commands are short. */
+/** `control run`. The daemon is imported lazily: it is most of the program, and other commands are short-lived. */
 import { CONTROL_SETTING_NAMES } from '../../settings/control-settings.js';
 import type { CommandSpec } from '../command-spec.js';
 import { settingsOptions } from '../settings-options.js';
--- a/src/cli/commands/policy-apply.ts
+++ b/src/cli/commands/policy-apply.ts
@@ -1,4 +1,4 @@
-/** `policy apply`: changes the policy of a service and nothing else of it. */
+/** `policy apply`: changes only the policy of a service. */
 
 import type { PolicyRule } from '../../model/service.js';
 import { serviceDocument } from '../../settings/definition-writer.js';
--- a/src/cli/commands/router-run.ts
+++ b/src/cli/commands/router-run.ts
@@ -1,4 +1,4 @@
-/** `router run`. The daemon is loaded when it is asked for: it is most of the program, and other commands are short. */
+/** `router run`. The daemon is imported lazily: it is most of the program, and other commands are short-lived. */
 import { ROUTER_SETTING_NAMES } from '../../settings/router-settings.js';
 import type { CommandSpec } from '../command-spec.js';
 import { settingsOptions } from '../settings-options.js';
--- a/src/cli/commands/service-apply.ts
+++ b/src/cli/commands/service-apply.ts
@@ -1,4 +1,4 @@
-/** `service apply`: makes the declarations of files the ones in force. */
+/** `service apply`: applies the declarations of files. */
 import { randomUUID } from 'node:crypto';
 import { loadDefinitions } from '../../settings/definition-documents.js';
 import type { ChangeBody } from '../api-types.js';
@@ -11,13 +11,13 @@
 import { DRY_RUN_OPTION, writePreview } from '../preview.js';
 import { reportChange } from '../report-change.js';
 
-/** A change that was accepted. */
+/** A change that control has accepted. */
 interface AcceptedChange {
   readonly identity: string;
   readonly body: ChangeBody;
 }
 
-/** Waits for the last change only: what is in force at its revision was in force at those before. */
+/** Waits for the last change only: once its revision is in force, so are all earlier ones. */
 function queryOf(invocation: Invocation, isLast: boolean): string {
   return isLast ? waitQuery(invocation.options) : '?wait=false';
 }
@@ -56,7 +56,7 @@
   return codes.at(-1) ?? EXIT_CODES.ok;
 }
 
-/** Changes that are left out, since nothing would change. A resend leaves out none: its first outcome is asked for. */
+/** Sends the changes that have a difference. A resend sends all of them, to get the outcome of the first run. */
 async function apply(
   invocation: Invocation,
   client: ControlClient,
--- a/src/cli/commands/simple-change.ts
+++ b/src/cli/commands/simple-change.ts
@@ -7,12 +7,12 @@
 import { type Preview, writePreview } from '../preview.js';
 import { reportChange } from '../report-change.js';
 
-/** One change of a command. */
+/** A change that a command sends. */
 export interface SimpleChange {
   /** E.g. `service/menu`. */
   readonly what: string;
   readonly request: ChangeRequest;
-  /** Reads what the change would do, for `--dry-run`. */
+  /** Computes the effect of the change, for `--dry-run`. */
   readonly preview: (client: ControlClient) => Promise<Preview>;
 }
 
--- a/src/cli/commands/token-create.ts
+++ b/src/cli/commands/token-create.ts
@@ -1,4 +1,4 @@
-/** `token create`: makes an operator's token and adds its hash to a tokens file. */
+/** `token create`: creates an operator's token and adds its hash to a tokens file. */
 import { createToken, hashToken, OPERATOR_ROLES } from '../../security/operator-tokens.js';
 import { addToken } from '../../security/token-file.js';
 import { nameSchema } from '../../settings/definition-schemas.js';
--- a/src/cli/commands/upstream-drain.ts
+++ b/src/cli/commands/upstream-drain.ts
@@ -13,7 +13,7 @@
 const DRAIN_POLL_MILLIS = 500;
 const DEFAULT_DRAIN_MILLIS = 300_000;
 
-/** Waits until an upstream owns no shard. */
+/** Waits until an upstream owns no shards. */
 async function waitUntilEmpty(invocation: Invocation, id: string): Promise<ExitCode> {
   const { options, io } = invocation;
   const client = createClient(options, io);
--- a/src/cli/commands/zone-evacuation.ts
+++ b/src/cli/commands/zone-evacuation.ts
@@ -1,4 +1,4 @@
-/** `zone evacuate` and `zone restore`. Either may be sent again, so they need no request id. */
+/** `zone evacuate` and `zone restore`. Both are idempotent, so they need no request id. */
 import type { EvacuationBody, EvacuationsBody } from '../api-types.js';
 import { CLIENT_OPTIONS, createClient } from '../client-options.js';
 import type { CommandSpec, Invocation } from '../command-spec.js';
--- a/src/cli/completion/completion-scripts.ts
+++ b/src/cli/completion/completion-scripts.ts
@@ -1,4 +1,4 @@
-/** Completion scripts for shells. They hold every word themselves, so that completing starts no process. */
+/** Completion scripts for shells. They contain every word, so that completion starts no process. */
 import type { CommandSpec } from '../command-spec.js';
 import { PROGRAM_NAME } from '../dispatcher.js';
 import { type CompletionEntry, completionEntries } from './completion-words.js';
@@ -8,14 +8,14 @@
 
 const FUNCTION_NAME = '_ternmount';
 
-/** One `case` branch of bash and zsh. */
+/** Returns one `case` branch for bash and zsh. */
 function caseBranch({ path, words, isCommand }: CompletionEntry): string {
   const pattern = path === '' ? '""' : `"${path}"`;
   const files = isCommand ? 1 : 0;
   return `    ${pattern}) words="${words.join(' ')}"; files=${files} ;;`;
 }
 
-/** Finds the longest known path at the start of the command line, then the words that may follow. */
+/** Returns the bash script, which finds the longest known path of the line and completes the words after it. */
 function bashScript(entries: readonly CompletionEntry[]): string {
   return `# bash completion of ${PROGRAM_NAME}
 ${FUNCTION_NAME}_words() {
@@ -79,7 +79,7 @@
   return `'${text.replaceAll('\\', '\\\\').replaceAll("'", "\\'")}'`;
 }
 
-/** In fish each word is a rule of its own with a condition on the words before. */
+/** Returns the fish script. Each word is a separate rule with a condition on the preceding words. */
 function fishScript(commands: readonly CommandSpec[], entries: readonly CompletionEntry[]): string {
   const rules = entries
     .filter(({ isCommand }) => !isCommand)
@@ -112,7 +112,7 @@
 `;
 }
 
-/** The script that completes `commands` in a shell. */
+/** Returns the script that completes `commands` in a shell. */
 export function completionScript(shell: CompletionShell, commands: readonly CommandSpec[]): string {
   const entries = completionEntries(commands);
   switch (shell) {
--- a/src/cli/completion/completion-words.ts
+++ b/src/cli/completion/completion-words.ts
@@ -1,13 +1,13 @@
-/** What a shell may complete, read off the commands. */
+/** Derives completion words from the command specs. */
 import type { CommandSpec } from '../command-spec.js';
 
-/** Words that may follow the words of a command line so far. */
+/** The words that may follow a partial command line. */
 export interface CompletionEntry {
-  /** Words before, e.g. `service apply`; empty for the first word. */
+  /** Preceding words, e.g. `service apply`; empty for the first word. */
   readonly path: string;
-  /** Next words, or options of a whole command. */
+  /** Next words, or the options of a complete command. */
   readonly words: readonly string[];
-  /** Whether `path` is a whole command, whose arguments may be files. */
+  /** Whether `path` is a complete command, whose arguments may be files. */
   readonly isCommand: boolean;
 }
 
@@ -20,7 +20,7 @@
   return [...new Set([...words, HELP_OPTION])];
 }
 
-/** Every place at which something can be completed. */
+/** Returns an entry for every path that can be completed. */
 export function completionEntries(commands: readonly CommandSpec[]): CompletionEntry[] {
   const next = new Map<string, Set<string>>([['', new Set()]]);
   for (const { name } of commands) {
--- a/src/cli/control-client.ts
+++ b/src/cli/control-client.ts
@@ -12,18 +12,18 @@
 const STATUS_PATH = '/v1/status';
 const CONNECT_TIMEOUT_MILLIS = 2000;
 const ROUND_PAUSE_MILLIS = 250;
-/** A member that hasn't answered by then is given up for this try; it bounds a read from a member that hangs. */
+/** Timeout of one read attempt, so that a member that hangs doesn't block the others. */
 const READ_TIMEOUT_MILLIS = 5000;
 const CHANGE_TIMEOUT_MILLIS = 20_000;
-/** Answers that say: ask another member, or again. */
+/** Error codes after which the request is retried, at another member or later. */
 const RETRIED_CODES = new Set(['not-leader', 'unavailable', 'overloaded', 'outcome-unknown']);
-/** Errors of connections that were never made, so that nothing was sent. */
+/** Error codes of failed connections, where nothing was sent. */
 const UNSENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
 
 export interface ControlClientOptions {
   readonly addresses: readonly Address[];
   readonly token: string | null;
-  /** Longest time for one request, tries at all members included. */
+  /** Maximum time for one request, including attempts at all members. */
   readonly timeoutMillis: number;
 }
 
@@ -32,23 +32,23 @@
   readonly method: 'PUT' | 'POST' | 'DELETE';
   readonly path: string;
   readonly body?: unknown;
-  /** Made here if left out. */
+  /** Generated if omitted. */
   readonly requestId?: string | undefined;
-  /** What `--request-id` of the whole command must be to resend it; the request id itself if left out. */
+  /** The `--request-id` value that resends the whole command; defaults to the request id. */
   readonly commandId?: string;
-  /** Revision expected: 0 must not exist, `null` any. */
+  /** Expected revision; 0 if the object must not exist, `null` for any. */
   readonly expected?: Revision | null;
 }
 
-/** What one try gave. */
+/** The result of one attempt. */
 type TryResult<Body> =
   | { readonly type: 'answered'; readonly body: Body; readonly status: number }
-  /** Control answered with an error that another try won't change. */
+  /** Control answered with an error that a retry wouldn't change. */
   | { readonly type: 'refused'; readonly error: ControlAnswerError }
-  /** `mayHaveRun`: the request may have reached a member that acts on it. */
+  /** `mayHaveRun`: a member may have received and executed the request. */
   | { readonly type: 'no-answer'; readonly reason: string; readonly mayHaveRun: boolean };
 
-/** Answer to a change or a read, with the member that gave it. */
+/** Response to a change or a read. */
 export interface ControlAnswer<Body> {
   readonly body: Body;
   readonly status: number;
@@ -77,7 +77,7 @@
   readonly #options: ControlClientOptions;
   readonly #io: CliIo;
   readonly #http: Got;
-  /** Index of the member that answered last. */
+  /** Index of the member that last answered. */
   #preferred = 0;
 
   constructor(options: ControlClientOptions, io: CliIo) {
@@ -106,7 +106,7 @@
     return answer.body;
   }
 
-  /** Reads the leader's status; other members know no sessions. Throws `CliError`. */
+  /** Reads the status from the leader, since only the leader has sessions. Throws `CliError`. */
   async readLeaderStatus(): Promise<StatusBody> {
     const answer = await this.#tryAll<StatusBody>(async (address) => {
       const result = await this.#try<StatusBody>(address, 'GET', STATUS_PATH, READ_TIMEOUT_MILLIS, {});
@@ -126,7 +126,7 @@
     throw result.type === 'refused' ? result.error : new UnreachableError(result.reason);
   }
 
-  /** Makes a change, resent with one request id until an answer tells its outcome. Throws `CliError`. */
+  /** Sends a change, retried with the same request id until its outcome is known. Throws `CliError`. */
   async change<Body>(request: ChangeRequest): Promise<ControlAnswer<Body>> {
     const requestId = request.requestId ?? randomUUID();
     const headers = { [HEADERS.requestId]: requestId, ...preconditionHeaders(request.expected) };
--- a/src/cli/current.ts
+++ b/src/cli/current.ts
@@ -1,4 +1,4 @@
-/** Reads one declaration as it is now. */
+/** Reads current declarations and shard records. */
 
 import type { AdminErrorCode } from '../control/admin/index.js';
 import type { ServiceRecord, ShardRecord, UpstreamRecord } from '../registry/types.js';
@@ -19,33 +19,33 @@
   }
 }
 
-/** Path of a service in the operators' API. */
+/** Returns the path of a service in the operators' API. */
 export function servicePath(name: string): string {
   return `/v1/services/${encodeURIComponent(name)}`;
 }
 
-/** Path of an upstream in the operators' API. */
+/** Returns the path of an upstream in the operators' API. */
 export function upstreamPath(id: string): string {
   return `/v1/upstreams/${encodeURIComponent(id)}`;
 }
 
-/** A service; `null` if there is none. */
+/** Reads a service; `null` if it doesn't exist. */
 export function readService(client: ControlClient, name: string): Promise<ServiceRecord | null> {
   return readOrNull(client, servicePath(name));
 }
 
-/** An upstream; `null` if there is none. */
+/** Reads an upstream; `null` if it doesn't exist. */
 export function readUpstream(client: ControlClient, id: string): Promise<UpstreamRecord | null> {
   return readOrNull(client, upstreamPath(id));
 }
 
-/** Shards that an upstream owns, as a quorum has it; the whole list isn't read. */
+/** Reads the shards that an upstream owns, as committed by a quorum, without reading the whole list. */
 export async function readOwned(client: ControlClient, upstream: string): Promise<readonly ShardRecord[]> {
   const body = await client.read<ShardsBody>(`/v1/shards?owner=${encodeURIComponent(upstream)}`);
   return body.shards;
 }
 
-/** One shard; `null` if it never had an owner. */
+/** Reads one shard; `null` if it never had an owner. */
 export async function readShard(client: ControlClient, shard: string): Promise<ShardRecord | null> {
   const body = await client.read<ShardsBody>(`/v1/shards?shard=${encodeURIComponent(shard)}`);
   return body.shards[0] ?? null;
--- a/src/cli/daemons/control-main.ts
+++ b/src/cli/daemons/control-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `control run` alone, as its bundle starts it: what only other commands need is not loaded, since start-up is dear. */
+/** Entry point of the control bundle: runs `control run` without loading the other commands, for a fast start. */
 import { controlRun } from '../commands/control-run.js';
 import { runDaemonProgram } from './daemon-program.js';
 
--- a/src/cli/daemons/daemon-program.ts
+++ b/src/cli/daemons/daemon-program.ts
@@ -1,13 +1,13 @@
-/** The program around one daemon's command, with the words and settings of `ternmount`. */
+/** Runs one daemon command as a program, with the arguments and settings of `ternmount`. */
 import { finishLogs } from '../../logging/logger.js';
 import { processIo } from '../cli-io.js';
 import type { CommandSpec } from '../command-spec.js';
 import { runCommandLine } from '../run-command-line.js';
 
-/** Runs the command that the process was started for, and ends the process. */
+/** Runs `command` with the process's arguments, then exits. */
 export async function runDaemonProgram(command: CommandSpec): Promise<void> {
   process.exitCode = await runCommandLine(process.argv.slice(2), processIo(), [command]);
   await finishLogs();
-  // Idle connections of libraries must not keep the process.
+  // Idle connections of libraries must not keep the process alive.
   process.exit();
 }
--- a/src/cli/daemons/router-main.ts
+++ b/src/cli/daemons/router-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `router run` alone, as its bundle starts it: what only other commands need is not loaded, since start-up is dear. */
+/** Entry point of the router bundle: runs `router run` without loading the other commands, for a fast start. */
 import { routerRun } from '../commands/router-run.js';
 import { runDaemonProgram } from './daemon-program.js';
 
--- a/src/cli/daemons/run-control.ts
+++ b/src/cli/daemons/run-control.ts
@@ -1,4 +1,4 @@
-/** The control daemon as `control run` starts it. */
+/** Implements `control run`. */
 import { createAdminApp } from '../../control/admin/index.js';
 import { createControlNode } from '../../control/control-node.js';
 import { ControlDaemon } from '../../control/daemon/control-daemon.js';
@@ -54,10 +54,10 @@
   };
 }
 
-/** For a folder that only one process can reach. */
+/** A no-op lock, for a folder that only one process can access. */
 const NO_LOCK = { release: (): void => {} };
 
-/** Members that a replica which is none yet asks to be taken in. */
+/** Returns the members that a replica which isn't in the cluster yet contacts in order to join. */
 function peersOf({ peers, selfStart, advertise }: ControlSettings): Address[] {
   return [...peers, ...(selfStart?.seeds ?? [])].filter((peer) => peer !== advertise);
 }
@@ -70,7 +70,7 @@
     : openOrCreateReplica(dataFolder, { cluster, address: advertise, ...selfStart }, options);
 }
 
-/** Checks everything before the data folder is touched; returns when the daemon has stopped. */
+/** Validates settings and ports before touching the data folder; returns when the daemon has stopped. */
 export async function runControl(invocation: Invocation): Promise<ExitCode> {
   const settings = loadControlSettings(settingsLayers(invocation));
   const daemon = daemonSettings(settings);
--- a/src/cli/daemons/run-router.ts
+++ b/src/cli/daemons/run-router.ts
@@ -1,4 +1,4 @@
-/** The router daemon as `router run` starts it. */
+/** Implements `router run`. */
 import { enableLogs, identifyProcess } from '../../logging/logger.js';
 import type { HeaderNames } from '../../model/header-names.js';
 import { RouterDaemon } from '../../router/router-daemon.js';
@@ -55,13 +55,13 @@
   };
 }
 
-/** Settings that were left out keep their defaults. */
+/** Returns the configured header names; omitted ones keep their defaults. */
 function definedOnly(headers: RouterSettings['headers']): Partial<HeaderNames> {
   const defined = Object.entries(headers).filter(([, name]) => name !== undefined);
   return Object.fromEntries(defined);
 }
 
-/** Checks everything before a port is opened; returns when the daemon has stopped. */
+/** Validates the settings before opening a port; returns when the daemon has stopped. */
 export async function runRouter(invocation: Invocation): Promise<ExitCode> {
   const settings = loadRouterSettings(settingsLayers(invocation));
   const daemon = daemonSettings(settings);
--- a/src/cli/daemons/settings-watch.ts
+++ b/src/cli/daemons/settings-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a daemon's settings again when it is told to (SIGHUP) or when their file changed, which is looked at from time to
- * time. Settings that can't be used are logged and change nothing.
+ * Reloads a daemon's settings on SIGHUP or when the settings file has changed, which is polled. Invalid settings are
+ * logged and change nothing.
  */
 import { stat } from 'node:fs/promises';
 import { toError } from '../../errors/ternmount-error.js';
@@ -11,9 +11,9 @@
 
 export interface SettingsWatchOptions {
   readonly io: CliIo;
-  /** Path of the settings file; left out: there is none to look at. */
+  /** Path of the settings file to poll; omitted if there is none. */
   readonly file?: string | undefined;
-  /** Reads the settings and applies what can be changed in a running daemon; throws if they can't be used. */
+  /** Reads the settings and applies those that can change in a running daemon; throws if they are invalid. */
   readonly reload: () => void;
 }
 
--- a/src/cli/declaration-plan.ts
+++ b/src/cli/declaration-plan.ts
@@ -1,4 +1,4 @@
-/** Declarations of files beside those in force, checked as a whole before anything is sent. */
+/** Compares the declarations of files with those in force and validates them as a whole before anything is sent. */
 import type { Revision } from '../model/identifiers.js';
 import { createRegistry, type OperatorCommand } from '../registry/index.js';
 import type { DefinitionDocument } from '../settings/definition-documents.js';
@@ -9,22 +9,22 @@
 import type { ControlClient } from './control-client.js';
 import { differenceLines } from './difference.js';
 
-/** What is in force now. */
+/** The declarations in force. */
 export interface CurrentDeclarations {
   readonly services: ServicesBody['services'];
   readonly upstreams: UpstreamsBody['upstreams'];
 }
 
-/** One declaration of a file, beside what stands now. */
+/** One declaration of a file, with the one in force. */
 export interface PlannedChange {
   /** `service/name` or `upstream/id`. */
   readonly identity: string;
   /** Path in the operators' API. */
   readonly path: string;
   readonly definition: DefinitionDocument['definition'];
-  /** `null`: it doesn't exist. */
+  /** The declaration in force; `null` if there is none. */
   readonly before: DocumentMap | null;
-  /** Revision now; 0: it doesn't exist. */
+  /** Current revision; 0 if it doesn't exist. */
   readonly revision: Revision;
   readonly after: DocumentMap;
   readonly difference: readonly string[];
@@ -33,14 +33,14 @@
 const TRIAL_ACTOR = 'trial';
 const PLACE_PATTERN = /^([A-Za-z]\w*(?:\[\d+\]|\.\w+)*): (.*)$/s;
 
-/** Reads all that is in force. */
+/** Reads all declarations in force. */
 export async function readCurrent(client: ControlClient): Promise<CurrentDeclarations> {
   const { services } = await client.read<ServicesBody>('/v1/services');
   const { upstreams } = await client.read<UpstreamsBody>('/v1/upstreams');
   return { services, upstreams };
 }
 
-/** Services first, so that upstreams find theirs. */
+/** Sorts services first, since upstreams refer to them. */
 function inOrder(documents: readonly DefinitionDocument[]): DefinitionDocument[] {
   return [
     ...documents.filter((document) => document.kind === 'service'),
@@ -78,7 +78,7 @@
     : { before: upstreamDocument(record.definition), revision: record.revision };
 }
 
-/** What each declaration would change, in the order in which they are sent. */
+/** Returns the change for each declaration, in sending order. */
 export function planChanges(
   documents: readonly DefinitionDocument[],
   current: CurrentDeclarations,
@@ -104,7 +104,7 @@
   return steps.map((step) => (/^\d+$/.test(step) ? Number(step) : step));
 }
 
-/** The registry's messages start with the place of the wrong value. */
+/** Locates a problem in the file: the registry's messages start with the path of the invalid value. */
 function problemOf(document: DefinitionDocument, message: string): SettingsProblem {
   const [, place, rest] = PLACE_PATTERN.exec(message) ?? [];
   return place === undefined || rest === undefined
@@ -112,7 +112,7 @@
     : document.places.problemAt(toPath(place), rest);
 }
 
-/** Policies that don't compile, with line and column. */
+/** Returns the problems of policies that don't compile, with line and column. */
 export function findDocumentProblems(documents: readonly DefinitionDocument[]): SettingsProblem[] {
   return documents.flatMap((document) =>
     document.kind === 'service'
@@ -122,8 +122,8 @@
 }
 
 /**
- * Makes the changes in a registry of its own, which holds what is in force, so that a declaration that would be refused
- * is found before the first one is sent. Throws `SettingsError`.
+ * Applies the changes to a local registry filled with the declarations in force, so that a declaration that would be
+ * refused is found before the first one is sent. Throws `SettingsError`.
  */
 export function checkDeclarations(
   documents: readonly DefinitionDocument[],
--- a/src/cli/difference.ts
+++ b/src/cli/difference.ts
@@ -1,4 +1,4 @@
-/** Differences between two declarations, one line a value. */
+/** Formats the differences between two declarations, one line per value. */
 import type { DocumentMap, DocumentValue } from '../settings/definition-writer.js';
 
 function stepOf(item: DocumentValue, index: number): string {
@@ -6,7 +6,7 @@
   return `[${String(name)}]`;
 }
 
-/** Each scalar by its path; items of lists go by their name if they have one. */
+/** Collects each scalar by its path. List items are identified by name if they have one, else by index. */
 function flatten(value: DocumentValue, path: string, into: Map<string, string>): Map<string, string> {
   if (Array.isArray(value)) {
     value.forEach((item: DocumentValue, index) => {
@@ -32,7 +32,7 @@
   return after === undefined ? `- ${path}: ${before}` : `~ ${path}: ${before} -> ${after}`;
 }
 
-/** Lines with `+` for what is added, `-` for what goes, `~` for what changes. `null`: doesn't exist. */
+/** Returns lines marked `+` (added), `-` (removed) or `~` (changed). `null` stands for an object that doesn't exist. */
 export function differenceLines(before: DocumentMap | null, after: DocumentMap | null): string[] {
   const old = flatten(before ?? {}, '', new Map());
   const fresh = flatten(after ?? {}, '', new Map());
--- a/src/cli/dispatcher.ts
+++ b/src/cli/dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the subcommand of a command line and checks it with cac. cac knows commands of one word only, so the words of
- * `service apply` are joined into one before it sees them.
+ * Finds the subcommand of a command line and parses it with cac. cac supports only one-word commands, so the words of
+ * `service apply` are passed to it as one.
  */
 import { type CAC, cac } from 'cac';
 import { toError } from '../errors/ternmount-error.js';
@@ -10,7 +10,7 @@
 
 export const PROGRAM_NAME = 'ternmount';
 
-/** What a command line asks for. */
+/** The parsed command line. */
 export type Dispatch =
   | {
       readonly type: 'run';
@@ -18,11 +18,11 @@
       readonly positionals: readonly string[];
       readonly options: ParsedOptions;
     }
-  /** Help was printed by cac. */
+  /** cac has printed the help. */
   | { readonly type: 'help' }
   | { readonly type: 'version' };
 
-/** How an option stands in help. */
+/** Formats an option for help. */
 function optionUsage(option: OptionSpec): string {
   return option.value === undefined ? `--${option.name}` : `--${option.name} <${option.value}>`;
 }
@@ -42,7 +42,7 @@
   command.action((...values: unknown[]) => matched(values.slice(0, -1)));
 }
 
-/** The words of the longest command that `words` start with. */
+/** Returns the longest command whose words `words` start with. */
 function findCommand(commands: readonly CommandSpec[], words: readonly string[]): CommandSpec | undefined {
   const starts = (spec: CommandSpec) => {
     const parts = spec.name.split(' ');
@@ -51,7 +51,7 @@
   return commands.filter(starts).sort((left, right) => right.name.length - left.name.length)[0];
 }
 
-/** Says what may stand where a wrong word stood. */
+/** Returns the message for an unknown command, with the known alternatives. */
 function describeUnknown(commands: readonly CommandSpec[], words: readonly string[]): string {
   const [noun = '', verb] = words;
   const ofNoun = commands.filter((spec) => spec.name.split(' ')[0] === noun);
@@ -69,7 +69,7 @@
   return words.includes('--help') || words.includes('-h');
 }
 
-/** Leaves a noun's commands only, for its help. */
+/** Returns the commands of the noun in `words`, or all commands if there is none. */
 function commandsForHelp(commands: readonly CommandSpec[], words: readonly string[]): readonly CommandSpec[] {
   const ofNoun = commands.filter((spec) => spec.name.split(' ')[0] === words[0]);
   return ofNoun.length > 0 ? ofNoun : commands;
@@ -91,12 +91,12 @@
     .map(String);
 }
 
-/** cac names options in camel case; people type them with hyphens. */
+/** Replaces the camel-case option names in cac's messages by hyphenated ones, as the user types them. */
 function withTypedNames(message: string): string {
   return message.replace(/--\w+/g, (name) => name.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`));
 }
 
-/** Reads a command line without the program's own name. Throws `UsageError`. */
+/** Parses a command line without the program's name. Throws `UsageError`. */
 export function dispatch(commands: readonly CommandSpec[], words: readonly string[]): Dispatch {
   if (words[0] === '--version' || words[0] === '-v') {
     return { type: 'version' };
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,21 +1,21 @@
 /** Exit codes of `ternmount`; docs/operators/exit-codes.md explains them. */
 
-/** Exit statuses by their names. */
+/** Exit codes by name. */
 export const EXIT_CODES = {
   ok: 0,
-  /** Something failed which none of the others names, or the thing asked for isn't there. */
+  /** A failure without a more specific code, or the requested object doesn't exist. */
   failed: 1,
-  /** Wrong command line, settings or declarations. Nothing was touched. */
+  /** Invalid command line, settings or declarations. Nothing was changed. */
   usage: 2,
-  /** Someone else changed it first. Nothing was changed. */
+  /** The revision didn't match, because of a concurrent change. Nothing was changed. */
   conflict: 3,
-  /** No control member could be reached, or the outcome of a change isn't known. */
+  /** No control member could be reached, or the outcome of a change is unknown. */
   unreachable: 4,
-  /** The token isn't known or may not do this, or control refused. Nothing was changed. */
+  /** The token is unknown or lacks permission, or control refused. Nothing was changed. */
   refused: 5,
-  /** Files of the data folder are damaged or missing: the replica is lost, a new one must take its place. */
+  /** Files of the data folder are damaged or missing: the replica is lost and must be replaced. */
   replicaLost: 6,
 } as const;
 
-/** One of the exit statuses. */
+/** One of the exit codes. */
 export type ExitCode = (typeof EXIT_CODES)[keyof typeof EXIT_CODES];
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `ternmount`: runs one subcommand and ends with its exit code. */
+/** `ternmount`: runs one subcommand and exits with its exit code. */
 import { finishLogs } from '../logging/logger.js';
 import { processIo } from './cli-io.js';
 import { COMMANDS } from './command-list.js';
@@ -7,5 +7,5 @@
 
 process.exitCode = await runCommandLine(process.argv.slice(2), processIo(), COMMANDS);
 await finishLogs();
-// Idle connections of libraries must not keep the process.
+// Idle connections of libraries must not keep the process alive.
 process.exit();
--- a/src/cli/member-change.ts
+++ b/src/cli/member-change.ts
@@ -1,4 +1,4 @@
-/** Changes of the control cluster's members, which may take longer than one answer is waited for. */
+/** Membership changes of the control cluster, which may take longer than the timeout of one request. */
 import { randomUUID } from 'node:crypto';
 import type { MembershipBody } from './api-types.js';
 import { UnknownOutcomeError, UnreachableError } from './cli-error.js';
@@ -14,13 +14,13 @@
   summary: 'Longest wait; default 10m',
 };
 
-/** One change as it is sent. */
+/** A membership change to send. */
 export interface MemberChange {
   readonly path: string;
   readonly body: unknown;
 }
 
-/** Asks once. `undefined`: no answer told how it went, which a replica that catches up slowly gives too. */
+/** Sends the change once. Returns `undefined` if the outcome is unknown, e.g. while a replica catches up slowly. */
 export async function askOnce(
   client: ControlClient,
   change: MemberChange,
@@ -37,8 +37,8 @@
 }
 
 /**
- * Asks until the change is made: a leader that is lost meanwhile forgets it, and asking again joins one under way.
- * `undefined`: not by the end of `--repair-timeout`.
+ * Sends the change until it is complete: a new leader doesn't continue it, and a repeated request joins one in progress.
+ * Returns `undefined` if it isn't complete within `--repair-timeout`.
  */
 export async function askUntilMade(
   { options, io }: Invocation,
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,14 +1,14 @@
-/** Writes what queries found, as a table for people or as JSON or YAML for programs. */
+/** Writes query results as a table for people, or as JSON or YAML for programs. */
 import { stringify } from 'yaml';
 import { alignColumns, COLUMN_GAP } from '../text/columns.js';
 import type { CliIo } from './cli-io.js';
 import type { OptionSpec } from './command-spec.js';
 import type { ParsedOptions } from './parsed-options.js';
 
-/** What `--output` takes. */
+/** The values of `--output`. */
 export const OUTPUT_FORMATS = ['table', 'json', 'yaml'] as const;
 
-/** One of the formats. */
+/** One of the output formats. */
 export type OutputFormat = (typeof OUTPUT_FORMATS)[number];
 
 /** The option `--output`. */
@@ -26,12 +26,12 @@
   readonly value: (row: Row) => string | number | null;
 }
 
-/** Which format was asked for. Throws `UsageError`. */
+/** Returns the requested format. Throws `UsageError`. */
 export function outputFormat(options: ParsedOptions): OutputFormat {
   return options.choice('output', OUTPUT_FORMATS, 'table');
 }
 
-/** Lays rows out in columns. */
+/** Formats rows in columns. */
 export function formatTable<Row>(columns: readonly Column<Row>[], rows: readonly Row[]): string {
   const cells = rows.map((row) => columns.map((column) => String(column.value(row) ?? '-')));
   const table = [columns.map((column) => column.title), ...cells];
@@ -39,23 +39,23 @@
   return `${lines.join('\n')}\n`;
 }
 
-/** Lays facts out, one a line: what it is, and its value. */
+/** Formats facts, one per line, as label and value. */
 export function formatFacts(facts: readonly (readonly [label: string, value: string])[]): string {
   const width = Math.max(...facts.map(([label]) => label.length));
   return facts.map(([label, value]) => `${label.padEnd(width)}${COLUMN_GAP}${value}\n`).join('');
 }
 
-/** Writes a value as JSON or YAML. */
+/** Formats a value as JSON or YAML. */
 export function formatValue(format: 'json' | 'yaml', value: unknown): string {
   return format === 'json' ? `${JSON.stringify(value, null, JSON_INDENT)}\n` : stringify(value);
 }
 
-/** Writes a value in the format asked for; `table` makes the text for people. */
+/** Writes a value in the requested format; `table` returns the text of the table format. */
 export function writeOutput(io: CliIo, format: OutputFormat, value: unknown, table: () => string): void {
   io.write(format === 'table' ? table() : formatValue(format, value));
 }
 
-/** Writes milliseconds for people: `850 ms`, `12 s`, `3 min`, `5 h`. */
+/** Formats a duration for people: `850 ms`, `12 s`, `3 min`, `5 h`. */
 export function formatMillis(millis: number): string {
   const steps = [
     { limit: 1000, size: 1, unit: 'ms' },
--- a/src/cli/parsed-options.ts
+++ b/src/cli/parsed-options.ts
@@ -1,6 +1,6 @@
 /**
- * Options of one command line, as their text. cac has checked their names; its values aren't used, since it makes numbers of texts
- * that look like one (`007` becomes 7).
+ * Option values of one command line, read from its text. cac has checked the names, but its values aren't used, since it
+ * converts texts that look like numbers (`007` becomes 7).
  */
 import { parseDuration } from '../settings/units.js';
 import { UsageError } from './cli-error.js';
@@ -10,14 +10,14 @@
   readonly #specs: ReadonlyMap<string, OptionSpec>;
   readonly #tokens: readonly string[];
 
-  /** `tokens`: the command line after the command's words. */
+  /** `tokens` is the command line after the command's words. */
   constructor(specs: readonly OptionSpec[], tokens: readonly string[]) {
     this.#specs = new Map(specs.map((spec) => [spec.name, spec]));
     const end = tokens.indexOf('--');
     this.#tokens = end < 0 ? tokens : tokens.slice(0, end);
   }
 
-  /** Each value given for an option, in order. */
+  /** Returns all values given for an option, in order. */
   all(name: string): string[] {
     const flag = `--${name}`;
     const values: string[] = [];
@@ -31,12 +31,12 @@
     return values;
   }
 
-  /** The last value given. */
+  /** Returns the last value given. */
   text(name: string): string | undefined {
     return this.all(name).at(-1);
   }
 
-  /** The value, which must be given. Throws `UsageError`. */
+  /** Returns a mandatory value. Throws `UsageError` if it is missing or empty. */
   required(name: string): string {
     const value = this.text(name);
     if (value === undefined || value === '') {
@@ -45,13 +45,13 @@
     return value;
   }
 
-  /** Values given as a repeated option, with commas, or both. */
+  /** Returns values given as a repeated option, separated by commas, or both. */
   list(name: string): string[] {
     const items = this.all(name).flatMap((value) => value.split(','));
     return items.map((item) => item.trim()).filter((item) => item !== '');
   }
 
-  /** Whether a switch is on. */
+  /** Returns whether a switch is on. */
   on(name: string): boolean {
     let value = this.#specs.get(name)?.onByDefault ?? false;
     for (const token of this.#tokens) {
@@ -64,7 +64,7 @@
     return value;
   }
 
-  /** A duration in milliseconds. Throws `UsageError`. */
+  /** Returns a duration in milliseconds. Throws `UsageError`. */
   duration(name: string): number | undefined {
     const text = this.text(name);
     if (text === undefined) {
@@ -77,7 +77,7 @@
     return result.value;
   }
 
-  /** A whole number of 0 or more. Throws `UsageError`. */
+  /** Returns a whole number of 0 or more. Throws `UsageError`. */
   count(name: string): number | undefined {
     const text = this.text(name);
     if (text === undefined) {
@@ -89,7 +89,7 @@
     return Number(text);
   }
 
-  /** One of some words. Throws `UsageError`. */
+  /** Returns one of `words`. Throws `UsageError`. */
   choice<Word extends string>(name: string, words: readonly Word[], otherwise: Word): Word {
     const text = this.text(name) ?? otherwise;
     const word = words.find((candidate) => candidate === text);
@@ -99,7 +99,7 @@
     return word;
   }
 
-  /** Values by option name, for options that take one. */
+  /** Returns the values by option name, for options that take one. */
   texts(): Readonly<Record<string, string | undefined>> {
     const names = [...this.#specs.values()].filter((spec) => spec.value !== undefined);
     return Object.fromEntries(names.map(({ name }) => [name, this.text(name)]));
--- a/src/cli/preview.ts
+++ b/src/cli/preview.ts
@@ -1,4 +1,4 @@
-/** What a change would do, for `--dry-run`. */
+/** Shows the effect of a change, for `--dry-run`. */
 import type { DocumentMap } from '../settings/definition-writer.js';
 import type { CliIo } from './cli-io.js';
 import type { OptionSpec } from './command-spec.js';
@@ -9,15 +9,15 @@
   summary: 'Show the difference and change nothing',
 };
 
-/** A thing before and after a change; `null`: it doesn't exist. */
+/** An object before and after a change; `null` if it doesn't exist. */
 export interface Preview {
   readonly before: DocumentMap | null;
   readonly after: DocumentMap | null;
-  /** Revision of the thing as it is; `null`: it has none. */
+  /** Current revision of the object; `null` if it has none. */
   readonly revision: number | null;
 }
 
-/** Writes the difference, one line a value. */
+/** Writes the difference, one line per value. */
 export function writePreview(io: CliIo, what: string, preview: Preview): void {
   const { before, after, revision } = preview;
   const place = revision === null ? '' : ` (revision ${revision})`;
--- a/src/cli/queries/completion.ts
+++ b/src/cli/queries/completion.ts
@@ -4,7 +4,7 @@
 import { COMPLETION_SHELLS, completionScript } from '../completion/completion-scripts.js';
 import { EXIT_CODES } from '../exit-codes.js';
 
-/** Makes the command; `commands` gives all of them, this one included. */
+/** Creates the command; `commands` returns all commands, including this one. */
 export function createCompletion(commands: () => readonly CommandSpec[]): CommandSpec {
   return {
     name: 'completion',
--- a/src/cli/queries/config-show.ts
+++ b/src/cli/queries/config-show.ts
@@ -1,4 +1,4 @@
-/** `config show`: the settings that a daemon would start from. */
+/** `config show`: prints the settings with which a daemon would start. */
 import { stringify } from 'yaml';
 import {
   CONTROL_SETTING_NAMES,
--- a/src/cli/queries/config-validate.ts
+++ b/src/cli/queries/config-validate.ts
@@ -11,13 +11,13 @@
 import { findDocumentProblems } from '../declaration-plan.js';
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 
-/** Kinds of files. */
+/** Kinds of files that can be validated. */
 const FILE_KINDS = ['declarations', 'policy', 'control', 'router', 'tokens', 'deployment'] as const;
 type FileKind = (typeof FILE_KINDS)[number];
 
 const AUTOMATIC = 'auto';
 
-/** Keys that only one kind of file has, in the order in which they are looked for. */
+/** Top-level keys that identify a kind of file, in order of precedence. */
 const TELLING_KEYS: readonly (readonly [string, FileKind])[] = [
   ['kind', 'declarations'],
   ['tokens', 'tokens'],
@@ -52,7 +52,7 @@
   return TELLING_KEYS.find(([key]) => key in value)?.[1] ?? 'declarations';
 }
 
-/** Problems of one file, one line each. */
+/** Returns the problems of one file, one line each. */
 function problemsOf(file: string, given: FileKind | typeof AUTOMATIC): string[] {
   try {
     const kind = given === AUTOMATIC ? guessKind(file) : given;
--- a/src/cli/queries/control-status.ts
+++ b/src/cli/queries/control-status.ts
@@ -1,4 +1,4 @@
-/** `control status`: each replica of the control cluster, as the members themselves see it. */
+/** `control status`: lists each replica of the control cluster as its members report it. */
 import type { RaftStatus } from '../../consensus/types.js';
 import { toError } from '../../errors/ternmount-error.js';
 import type { Address, ReplicaId } from '../../model/identifiers.js';
@@ -11,10 +11,10 @@
 
 const HEALTH_PATH = '/healthz';
 
-/** What one admin address answered. */
+/** The result of querying one admin address. */
 interface MemberAnswer {
   readonly address: Address;
-  /** `null`: it didn't answer. */
+  /** `null` if it didn't answer. */
   readonly status: RaftStatus | null;
   readonly problem: string | null;
 }
@@ -25,17 +25,17 @@
   readonly role: string;
   /** `voter`, `learner`, `leaving` (an outgoing voter), or `none`. */
   readonly vote: string;
-  /** Internal address, as the membership names it. */
+  /** Internal address in the membership. */
   readonly internal: Address | null;
-  /** Admin address that answered; `null`: none of those given did. */
+  /** Admin address that answered; `null` if none of the given ones did. */
   readonly admin: Address | null;
   readonly term: number | null;
   readonly commitIndex: number | null;
-  /** Entries that the leader committed and this replica hasn't synced; `null`: not known. */
+  /** Entries that the leader has committed and this replica hasn't synced; `null` if not known. */
   readonly behind: number | null;
 }
 
-/** The whole answer. */
+/** The report that the command prints. */
 export interface ControlStatusReport {
   readonly leader: ReplicaId | null;
   readonly replicas: readonly ReplicaRow[];
@@ -52,7 +52,7 @@
   }
 }
 
-/** The leader with the highest term, else whoever has committed most. */
+/** Returns the leader with the highest term; without a leader, the status with the highest term, then commit index. */
 function bestView(statuses: readonly RaftStatus[]): RaftStatus | undefined {
   const rank = (status: RaftStatus): number => (status.role === 'leader' ? 1 : 0);
   return [...statuses].sort(
@@ -112,7 +112,7 @@
   return `${answering.length} of ${voters.length} voters answer; ${Math.max(spare, 0)} more may be lost`;
 }
 
-/** Puts the answers of members together. */
+/** Merges the members' answers into a report. */
 export function reportOf(answers: readonly MemberAnswer[]): ControlStatusReport {
   const statuses = answers.flatMap(({ status }) => (status === null ? [] : [status]));
   const view = bestView(statuses);
--- a/src/cli/queries/policy-check.ts
+++ b/src/cli/queries/policy-check.ts
@@ -5,11 +5,11 @@
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 import { OUTPUT_OPTION, outputFormat, writeOutput } from '../output.js';
 
-/** What was found in one file. */
+/** The result of checking one file. */
 interface CheckedFile {
   readonly file: string;
   readonly rules: number;
-  /** What stands in the way of using it. */
+  /** Problems that make the file unusable; empty if it is valid. */
   readonly problems: readonly SettingsProblem[];
 }
 
@@ -28,7 +28,7 @@
   return `${file}: valid, ${rules} ${rules === 1 ? 'rule' : 'rules'}\n`;
 }
 
-/** Faults go to standard error; as JSON or YAML they stand in the one document on standard output. */
+/** Prints problems on standard error; in JSON and YAML they are part of the document on standard output. */
 async function run({ options, io, positionals }: Invocation): Promise<ExitCode> {
   const format = outputFormat(options);
   const checked = positionals.map(check);
--- a/src/cli/queries/policy-try.ts
+++ b/src/cli/queries/policy-try.ts
@@ -1,4 +1,4 @@
-/** `policy try`: what a policy would have decided on a recorded trace, without a running cluster. */
+/** `policy try`: evaluates a policy on a recorded trace, without a running cluster. */
 import { readFileSync } from 'node:fs';
 import { toError } from '../../errors/ternmount-error.js';
 import {
@@ -28,7 +28,7 @@
   return parsePolicyTrace(file, text);
 }
 
-/** The records of the service asked for; a trace of one service needs no choice. */
+/** Returns the records of `service`, which may be omitted if the trace has a single service. */
 function recordsOf(records: readonly PolicyTraceRecord[], service: string | undefined): PolicyTraceRecord[] {
   const services = [...new Set(records.map(({ context }) => context.request.service))].sort();
   if (service === undefined && services.length > 1) {
--- a/src/cli/queries/request-explain.ts
+++ b/src/cli/queries/request-explain.ts
@@ -1,6 +1,6 @@
 /**
- * `request explain`: from a request's id to its cause, by the logs. Prints what routers logged of the request and, for
- * each upstream and range that it touched, the last thing that control logged of it before.
+ * `request explain`: finds the cause of a request's outcome in log files. Prints the routers' records of the request
+ * and, for each upstream and range involved, the last record that control logged before it.
  */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
@@ -8,7 +8,7 @@
 import type { CommandSpec, Invocation } from '../command-spec.js';
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 
-/** A log record as far as it is read here. */
+/** The fields of a log record that this command uses. */
 interface LogLine {
   readonly time: string;
   readonly process: string;
@@ -23,7 +23,7 @@
   }
 }
 
-/** Reads records; what is no JSON, such as a line cut off, is passed over. */
+/** Reads log records; skips lines that aren't valid JSON, such as truncated ones. */
 async function* readLog(file: string): AsyncIterable<LogLine> {
   const lines = createInterface({ input: createReadStream(file), crlfDelay: Number.POSITIVE_INFINITY });
   try {
@@ -53,7 +53,7 @@
   }
 }
 
-/** Names of upstreams that a request touched, or that own its key. */
+/** Returns the upstreams that a request was sent to, and the owner of its key. */
 function upstreamsOf({ fields }: LogLine): string[] {
   const attempts = (fields.attempts ?? []) as readonly { readonly upstream: string }[];
   const owner = typeof fields.owner === 'string' ? [fields.owner] : [];
@@ -65,7 +65,7 @@
   return [fields.upstream, fields.owner, fields.former].includes(upstream);
 }
 
-/** A range whose keys include that of the request. */
+/** Whether `line` records a change of the range that contains the request's key. */
 function isRangeOf(line: LogLine, request: LogLine): boolean {
   const key = Number(request.fields.key ?? Number.NaN);
   const { service, from, to } = line.fields;
@@ -73,7 +73,7 @@
   return line.event === 'range-changed' && isSame && Number(from) <= key && key <= Number(to);
 }
 
-/** The last record before a request that fits. */
+/** Returns the last record up to `time` that matches. */
 function lastBefore(
   lines: readonly LogLine[],
   time: string,
@@ -106,14 +106,14 @@
   return EXIT_CODES.ok;
 }
 
-/** All that was logged of the upstreams of a request before it. */
+/** Returns all records up to the request that concern its upstreams or its range. */
 function historyOf(request: LogLine, lines: readonly LogLine[]): LogLine[] {
   const upstreams = upstreamsOf(request);
   const isOfThem = (line: LogLine): boolean => upstreams.some((upstream) => concerns(line, upstream));
   return lines.filter((line) => line.time <= request.time && (isOfThem(line) || isRangeOf(line, request)));
 }
 
-/** What control decided last about the key and the upstreams of a request, and what its router knew of control. */
+/** Returns control's last decisions on the request's key and upstreams, and its router's last configuration. */
 function causesOf(request: LogLine, lines: readonly LogLine[]): LogLine[] {
   const { time, process } = request;
   const found = [
--- a/src/cli/queries/request-lookup.ts
+++ b/src/cli/queries/request-lookup.ts
@@ -1,4 +1,4 @@
-/** `request lookup`: what the ledger holds of a request that must not run twice. */
+/** `request lookup`: shows the ledger record of a request that must not run twice. */
 import type { LedgerBody, ServicesBody } from '../api-types.js';
 import { ControlAnswerError, NotFoundError } from '../cli-error.js';
 import { CLIENT_OPTIONS, createClient } from '../client-options.js';
--- a/src/cli/queries/shard-explain.ts
+++ b/src/cli/queries/shard-explain.ts
@@ -1,4 +1,4 @@
-/** `shard explain`: where the requests of a key go, and why. */
+/** `shard explain`: shows where the requests of a key go, and why. */
 import { parseShardId, type ShardId } from '../../model/identifiers.js';
 import { keyspaceOfKey, shardOfKey } from '../../model/key-map.js';
 import type { ServiceRecord, ShardRecord, UpstreamRecord } from '../../registry/types.js';
@@ -12,26 +12,26 @@
 
 type Health = StatusBody['upstreams'][number];
 
-/** What is known of one key. */
+/** The placement of one key, with its explanation. */
 export interface KeyExplanation {
   readonly service: string;
   readonly key: string;
   readonly keyspace: string;
   readonly shard: ShardId;
-  /** `null`: the shard never had an owner. */
+  /** `null` if the shard never had an owner. */
   readonly record: ShardRecord | null;
-  /** Whether the leader hears from the owner; `null`: there is no owner. */
+  /** State of the owner's session with the leader; `null` if there is no owner. */
   readonly ownerState: Health['state'] | 'unknown' | null;
-  /** Upstreams that may hold the shard and aren't leaving. */
+  /** Upstreams that may hold the shard and aren't draining. */
   readonly candidates: readonly string[];
   readonly conclusion: string;
 }
 
-/** The facts that an explanation follows from. */
+/** Input of `explainKey`. */
 export interface ExplanationFacts {
   readonly service: ServiceRecord;
   readonly key: string;
-  /** `null`: the shard never had an owner. */
+  /** `null` if the shard never had an owner. */
   readonly record: ShardRecord | null;
   readonly upstreams: readonly UpstreamRecord[];
   readonly healths: readonly Health[];
@@ -90,7 +90,7 @@
   return `${record.owner} has no lease${since}; the shard moves once its last lease is over`;
 }
 
-/** Keyspace and shard of a key. Throws `NotFoundError` if no keyspace takes it. */
+/** Returns the keyspace and shard of a key. Throws `NotFoundError` if no keyspace contains it. */
 function placeOf(
   { definition, generation }: ServiceRecord,
   key: string,
@@ -104,7 +104,7 @@
   return { keyspace: keyspace.name, shard };
 }
 
-/** Explains one key. Throws `NotFoundError` if no keyspace takes it. */
+/** Explains the placement of one key. Throws `NotFoundError` if no keyspace contains it. */
 export function explainKey(facts: ExplanationFacts): KeyExplanation {
   const { service, key, record, upstreams, healths } = facts;
   const { keyspace, shard } = placeOf(service, key);
--- a/src/cli/queries/status.ts
+++ b/src/cli/queries/status.ts
@@ -1,4 +1,4 @@
-/** `status`: what is wrong, since when, and what to do. */
+/** `status`: lists problems, how long each has lasted, and what to do. */
 import type { ServiceMeasures } from '../../control/service-measures.js';
 import { toError } from '../../errors/ternmount-error.js';
 import type { Address } from '../../model/identifiers.js';
@@ -17,13 +17,13 @@
 import { type MemberReport, type StatusView, statusView } from '../status/status-view.js';
 import { runWatched, WATCH_OPTIONS } from '../watch.js';
 
-/** Answers that the reader must mend before there is a page. */
+/** Errors that abort the command, since the user must supply a valid token first. */
 const NEEDS_TOKEN = new Set(['unauthenticated', 'forbidden']);
 
-/** The whole page, as programs get it. */
+/** The status page as printed in JSON or YAML. */
 interface StatusPage {
   readonly summary: string;
-  /** What the leader measures of each keyed service; empty without a leader. */
+  /** The leader's measures of each keyed service; empty without a leader. */
   readonly services: readonly ServiceMeasures[];
   readonly findings: readonly Finding[];
 }
@@ -40,7 +40,7 @@
   }
 }
 
-/** Declarations, from the leader: without one there is nobody to ask. */
+/** Reads the declared upstreams from the leader; returns none without a leader. */
 async function askUpstreams(
   client: ControlClient,
   members: readonly MemberReport[],
@@ -55,7 +55,7 @@
   return body.upstreams;
 }
 
-/** One line of what there is. */
+/** Returns a one-line summary of the deployment. */
 function summaryOf({ best, leader, upstreams, routers }: StatusView): string {
   if (best === null) {
     return 'control doesn’t answer';
--- a/src/cli/queries/upstream-list.ts
+++ b/src/cli/queries/upstream-list.ts
@@ -16,10 +16,10 @@
 
 type Health = StatusBody['upstreams'][number];
 
-/** An upstream as declared, beside what the leader knows of it. */
+/** A declared upstream with its state as reported by the leader. */
 interface UpstreamRow {
   readonly record: UpstreamRecord;
-  /** `undefined`: the leader has not looked at it yet, or its service isn't keyed. */
+  /** `undefined` if the leader has no state of it yet, or its service isn't keyed. */
   readonly health: Health | undefined;
 }
 
@@ -35,7 +35,7 @@
   { title: 'REVISION', value: ({ record }) => record.revision },
 ];
 
-/** Upstreams of services that aren't keyed have no session. */
+/** Returns the session state, marked if draining; `null` for services that aren't keyed, as these have no sessions. */
 function stateOf({ record, health }: UpstreamRow): string | null {
   const session = health?.state ?? null;
   if (!record.definition.leaving) {
--- a/src/cli/report-change.ts
+++ b/src/cli/report-change.ts
@@ -1,9 +1,9 @@
-/** Says how a change went. */
+/** Reports the outcome of a change. */
 import type { ChangeBody } from './api-types.js';
 import type { Invocation } from './command-spec.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 
-/** Writes one line and gives the exit code: a change that should be in force but isn't known to be has code 4. */
+/** Prints the outcome and returns the exit code, which is 4 with `--wait` if the change isn't confirmed to be in force. */
 export function reportChange(invocation: Invocation, what: string, change: ChangeBody): ExitCode {
   const { options, io } = invocation;
   if (change.inForce) {
--- a/src/cli/run-command-line.ts
+++ b/src/cli/run-command-line.ts
@@ -1,4 +1,4 @@
-/** Runs one command line. A failure is one line on standard error and an exit code, never a thrown error. */
+/** Runs one command line. A failure is printed on standard error and returned as an exit code, never thrown. */
 import { readFileSync } from 'node:fs';
 import { TernmountError, toError } from '../errors/ternmount-error.js';
 import { exitCodeOf } from './cli-error.js';
@@ -9,7 +9,7 @@
 
 const PACKAGE_FILE = new URL('../../../package.json', import.meta.url);
 
-/** Runs `words`, which follow the program's name. */
+/** Runs the command in `words`, the arguments after the program's name. */
 export async function runCommandLine(
   words: readonly string[],
   io: CliIo,
@@ -46,7 +46,7 @@
   return (JSON.parse(readFileSync(PACKAGE_FILE, 'utf8')) as { version: string }).version;
 }
 
-/** An error of the project is for its reader; any other is a fault of the program, so its stack is shown. */
+/** Returns the message of a `TernmountError`. Any other error is a bug, so its stack is returned. */
 function describe(thrown: unknown): string {
   const error = toError(thrown);
   return error instanceof TernmountError ? error.message : (error.stack ?? error.message);
--- a/src/cli/run-daemon.ts
+++ b/src/cli/run-daemon.ts
@@ -1,15 +1,15 @@
-/** Runs a daemon until it is told to stop or can't go on. */
+/** Runs a daemon until it is stopped or fails. */
 import type { CliIo } from './cli-io.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 
-/** What the daemons have in common. */
+/** The interface common to all daemons. */
 export interface Daemon {
   readonly failed: Promise<Error>;
   start(): Promise<void>;
   stop(): Promise<void>;
 }
 
-/** Resolves when the daemon has stopped as planned; throws what it failed with. */
+/** Resolves when the daemon has stopped on request; throws its error if it fails. */
 export async function runDaemon(daemon: Daemon, io: CliIo): Promise<ExitCode> {
   await daemon.start();
   const stopped = new Promise<null>((resolve) => {
--- a/src/cli/settings-options.ts
+++ b/src/cli/settings-options.ts
@@ -1,4 +1,4 @@
-/** Options of the commands that start a daemon or make its folder: one for each setting, and the settings file. */
+/** Options of commands that start a daemon or create its folder: one for each setting, and the settings file. */
 import { flagName, type SettingName, type SettingsLayers } from '../settings/layers.js';
 import type { CommandSpec, Invocation } from './command-spec.js';
 
@@ -8,7 +8,7 @@
   summary: 'YAML file with settings; the environment and flags stand above it',
 } as const;
 
-/** An option for each setting. */
+/** Returns an option for each setting, and the one for the settings file. */
 export function settingsOptions(names: readonly SettingName[]): CommandSpec['options'] {
   const options = names.map(({ path, list }) => ({
     name: flagName(path),
@@ -18,7 +18,7 @@
   return [SETTINGS_FILE_OPTION, ...options];
 }
 
-/** The layers that a command line stands for. */
+/** Returns the settings layers: file, environment and flags. */
 export function settingsLayers({ options, io }: Invocation): SettingsLayers {
   const file = options.text(SETTINGS_FILE_OPTION.name);
   const { [SETTINGS_FILE_OPTION.name]: _file, ...flags } = options.texts();
--- a/src/cli/status/control-findings.ts
+++ b/src/cli/status/control-findings.ts
@@ -1,12 +1,12 @@
-/** What is wrong with the control cluster itself. */
+/** Findings about the control cluster, and about zones and upstreams that the leader reports. */
 import type { Address, ReplicaId } from '../../model/identifiers.js';
 import type { StatusBody } from '../api-types.js';
 import type { Finding } from './finding.js';
 import { heardVoters, type StatusView } from './status-view.js';
 
-/** A member that the leader hasn't heard of for this long is silent; it hears each one many times a second. */
+/** A member without contact to the leader for this long counts as silent; normal contact is many times a second. */
 export const SILENT_MEMBER_MILLIS = 2000;
-/** Entries by which a follower may lag. */
+/** Number of log entries by which a follower may lag without a finding. */
 const LAG_ENTRIES = 1000;
 
 function quorumOf(voters: readonly ReplicaId[]): number {
@@ -17,7 +17,7 @@
   return address.slice(0, address.lastIndexOf(':'));
 }
 
-/** Hosts of replicas that another finding names. */
+/** Returns the hosts of silent replicas (without a leader, of all), which another finding covers. */
 function silentHosts({ leader, best }: StatusView): Set<string> {
   const addresses: Readonly<Record<ReplicaId, Address>> = best?.raft.membership.addresses ?? {};
   const silent = Object.entries(addresses).filter(
@@ -65,7 +65,7 @@
   ];
 }
 
-/** Operators forget what they took out of use in a bad hour. */
+/** Lists evacuated zones, since operators tend to forget an evacuation made during an incident. */
 function evacuatedZones({ evacuations = [] }: StatusBody): Finding[] {
   return evacuations.map((zone) => ({
     severity: 'note',
@@ -76,7 +76,7 @@
   }));
 }
 
-/** What routers refuse for it shows at callers, so it is told why. */
+/** Lists upstreams with constraints, since callers see the requests that routers refuse because of them. */
 function needyUpstreams({ needs = [] }: StatusBody): Finding[] {
   return needs.map(({ upstream, perSecond, heardAgoMillis, restingRouters }) => ({
     severity: 'note',
@@ -92,7 +92,7 @@
 
 const PERCENT = 100;
 
-/** What leaves a zone costs its users money, so it is told why it does. */
+/** Lists zones that send requests to other zones, with the reason, since traffic between zones costs money. */
 function spillingZones({ fleet }: StatusBody): Finding[] {
   const spilling = fleet?.zones.filter(({ spill }) => spill.length > 0) ?? [];
   return spilling.map(({ service, zone, use, spill, sinceMillis }) => {
@@ -107,7 +107,7 @@
   });
 }
 
-/** Only those far from the mean are worth a line: the others are in the status itself. */
+/** Speed relative to the mean below which an upstream gets a finding; the status body holds the speeds of all. */
 const SLOW_SPEED = 0.5;
 
 function slowUpstreams({ fleet }: StatusBody): Finding[] {
@@ -180,7 +180,7 @@
   return [...(outgoingVoters.length > 0 ? [joint] : []), ...waiting];
 }
 
-/** Processes that answer and aren't members, apart from those that ask to be taken in. */
+/** Finds processes that answer but are neither members nor waiting to join. */
 function strangers(view: StatusView, leader: StatusBody): Finding[] {
   const known = new Set([
     ...Object.keys(leader.raft.membership.addresses),
@@ -203,7 +203,7 @@
   });
 }
 
-/** Findings about the control cluster. */
+/** Returns all findings about the control cluster and those that its leader reports. */
 export function controlFindings(view: StatusView): Finding[] {
   const { leader, best } = view;
   if (leader === null) {
--- a/src/cli/status/finding.ts
+++ b/src/cli/status/finding.ts
@@ -1,26 +1,26 @@
-/** What the status page says of one thing that is wrong. */
+/** One finding of the status page. */
 
-/** `critical`: requests or changes fail, or one more loss makes them. `warning`: to be mended. `note`: good to know. */
+/** `critical`: requests or changes fail, or would after one more loss. `warning`: needs repair. `note`: information only. */
 export const SEVERITIES = ['critical', 'warning', 'note'] as const;
 
-/** How soon somebody must look at it. */
+/** How urgent a finding is. */
 export type Severity = (typeof SEVERITIES)[number];
 
-/** One thing that `status` points out. */
+/** A condition that `status` reports, with its severity and the advised action. */
 export interface Finding {
   readonly severity: Severity;
   /** E.g. `control/r-1f3a` or `upstream/menu-7`. */
   readonly subject: string;
   readonly problem: string;
-  /** At least this long; `null`: not known. */
+  /** How long the condition has lasted at least; `null` if not known. */
   readonly sinceMillis: number | null;
-  /** What to do. */
+  /** The advised action. */
   readonly advice: string;
 }
 
 const CONTROL_SUBJECT = 'control';
 
-/** Puts the worst first; among equals control, on which all else depends, then the oldest. */
+/** Sorts by severity, worst first; then control, since everything depends on it, then by age, oldest first. */
 export function sortFindings(findings: readonly Finding[]): Finding[] {
   const rank = ({ severity }: Finding): number => SEVERITIES.indexOf(severity);
   const depth = ({ subject }: Finding): number => (subject === CONTROL_SUBJECT ? 0 : 1);
--- a/src/cli/status/service-findings.ts
+++ b/src/cli/status/service-findings.ts
@@ -1,15 +1,15 @@
-/** What is wrong with services, upstreams and routers. */
+/** Findings about services, upstreams and routers. */
 import type { StatusBody } from '../api-types.js';
 import type { Finding } from './finding.js';
 import type { StatusView } from './status-view.js';
 
-/** An upstream that is new or was lost may take this long to be greeted. */
+/** A new upstream, or one that was lost, may take this long until its session begins. */
 const GREETING_MILLIS = 3000;
-/** A router that asked for nothing for this long has lost its configuration lease. */
+/** A router that has made no request to control for this long has lost its configuration lease. */
 const SILENT_ROUTER_MILLIS = 3000;
-/** Shards of a lost upstream have a new owner within this time. */
+/** Shards of a lost upstream normally get a new owner within this time. */
 const UNOWNED_MILLIS = 3000;
-/** Placement evens a load out within this time, unless something keeps it from that. */
+/** Placement normally balances a load within this time, unless something prevents it. */
 const IMBALANCED_MILLIS = 60_000;
 
 function unownedShards(view: StatusView, best: StatusBody): Finding[] {
@@ -91,7 +91,7 @@
     }));
 }
 
-/** Findings about all that control looks after. */
+/** Returns findings about all services, upstreams and routers. */
 export function serviceFindings(view: StatusView): Finding[] {
   const { leader, best } = view;
   return [
--- a/src/cli/status/service-lines.ts
+++ b/src/cli/status/service-lines.ts
@@ -1,4 +1,4 @@
-/** One line of each keyed service: who owns its shards, how evenly its load is spread, and how often owners change. */
+/** Status lines of keyed services: shard ownership, load balance and rate of owner changes. */
 import type { ServiceMeasures } from '../../control/service-measures.js';
 import type { StatusView } from './status-view.js';
 
@@ -6,7 +6,7 @@
   return value === null ? '-' : value.toFixed(2);
 }
 
-/** Fields are named as in the glossary; a dash stands for what isn't known. */
+/** Uses the field names of the glossary; prints a dash for an unknown value. */
 function lineOf(measures: ServiceMeasures): string {
   const { service, ownedShards, unownedShards, ownerChangesLastMinute, imbalance, imbalanceOverBound } =
     measures;
@@ -18,12 +18,12 @@
   return `service/${service}: ${parts.join('; ')}`;
 }
 
-/** Lines in the order of names; none without a leader, which alone measures. */
+/** Returns one line per service, sorted by name; none without a leader, since only the leader measures. */
 export function serviceLines({ leader }: StatusView): string[] {
   return servicesOf(leader).map(lineOf);
 }
 
-/** Measures in the order of names. */
+/** Returns the leader's measures, sorted by service name. */
 export function servicesOf(leader: StatusView['leader']): readonly ServiceMeasures[] {
   return [...(leader?.services ?? [])].sort((left, right) => (left.service < right.service ? -1 : 1));
 }
--- a/src/cli/status/status-view.ts
+++ b/src/cli/status/status-view.ts
@@ -1,28 +1,28 @@
-/** What the members of control answered, put together for the status page. */
+/** Merges the answers of the control members for the status page. */
 import type { Address, ReplicaId } from '../../model/identifiers.js';
 import type { UpstreamRecord } from '../../registry/types.js';
 import type { StatusBody } from '../api-types.js';
 
-/** One admin address that was asked. */
+/** The result of querying one admin address. */
 export interface MemberReport {
   readonly address: Address;
-  /** `null`: it didn't answer. */
+  /** `null` if it didn't answer. */
   readonly status: StatusBody | null;
   readonly problem: string | null;
 }
 
 export type RouterView = StatusBody['routers'][number];
 
-/** The whole. */
+/** The merged view of all members. */
 export interface StatusView {
   readonly members: readonly MemberReport[];
-  /** The leader's answer, if one that leads answered. */
+  /** The leader's answer; `null` if no leader answered. */
   readonly leader: StatusBody | null;
-  /** The best answer there is. */
+  /** The leader's answer, else the one with the highest commit index; `null` if no member answered. */
   readonly best: StatusBody | null;
-  /** Declarations by id; empty if they couldn't be read. */
+  /** Declared upstreams by id; empty if they couldn't be read. */
   readonly upstreams: ReadonlyMap<string, UpstreamRecord>;
-  /** Each router as the member that heard it last saw it. */
+  /** Each router as reported by the member with the most recent contact. */
   readonly routers: readonly RouterView[];
 }
 
@@ -30,7 +30,7 @@
   return members.flatMap(({ status }) => (status === null ? [] : [status]));
 }
 
-/** The leader with the highest term. */
+/** Returns the leader with the highest term. */
 function leaderOf(statuses: readonly StatusBody[]): StatusBody | null {
   const leaders = statuses.filter(({ raft }) => raft.role === 'leader');
   return leaders.sort((left, right) => right.raft.term - left.raft.term)[0] ?? null;
@@ -51,7 +51,7 @@
   return [...merged.values()].sort((left, right) => left.router.localeCompare(right.router));
 }
 
-/** Puts answers together. */
+/** Merges the members' answers. */
 export function statusView(
   members: readonly MemberReport[],
   upstreams: readonly UpstreamRecord[],
@@ -67,7 +67,7 @@
   };
 }
 
-/** Voters that are heard: by the leader, or because they answered themselves. */
+/** Returns the voters in contact with the leader; without a leader, those that answered the query. */
 export function heardVoters({ best, leader, members }: StatusView, silentMillis: number): ReplicaId[] {
   const voters = best?.raft.membership.voters ?? [];
   const answered = new Set(statusesOf(members).map(({ raft }) => raft.self));
--- a/src/cli/watch.ts
+++ b/src/cli/watch.ts
@@ -1,4 +1,4 @@
-/** Repeats a query until the user stops it. */
+/** Repeats a query until it is interrupted. */
 import type { CliIo } from './cli-io.js';
 import type { Invocation, OptionSpec } from './command-spec.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
@@ -17,7 +17,7 @@
   }
 }
 
-/** Runs `query` once, or with `--watch` again and again. A failed repeat is shown and doesn't end the watch. */
+/** Runs `query` once, or repeatedly with `--watch`. A failed repeat is printed and doesn't end the watch. */
 export async function runWatched(
   invocation: Invocation,
   format: string,
--- a/test/cli/bundle.test.ts
+++ b/test/cli/bundle.test.ts
@@ -1,4 +1,4 @@
-/** The daemons' bundles: they start with and without the compiled code beside them, and V8 takes that code. */
+/** The daemons' bundles start with and without their compiled code, and V8 accepts that code. */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
@@ -7,7 +7,7 @@
 import { expect } from 'chai';
 
 const ROOT = resolve(fileURLToPath(new URL('../../..', import.meta.url)));
-/** As the deploy file has them; compiled code is good for the same flags only. */
+/** The flags of the deploy file; V8 accepts compiled code only with the same flags. */
 const COMMON_FLAGS = [
   '--v8-pool-size=1',
   '--max-old-space-size=160',
@@ -59,11 +59,11 @@
   }
 
   for (const daemon of DAEMONS) {
-    it(`start ${daemon}, and say which setting is wrong`, () => {
+    it(`start ${daemon}, and name the invalid setting`, () => {
       expectUnusableSettings(daemon);
     });
 
-    it(`have compiled code of ${daemon} that is taken with the flags of the deploy file`, () => {
+    it(`have compiled code of ${daemon} that V8 accepts with the flags of the deploy file`, () => {
       const check = `
         const { readFileSync } = require('node:fs');
         const { Script } = require('node:vm');
@@ -77,7 +77,7 @@
     });
   }
 
-  it('start without compiled code, or with code that V8 refuses', () => {
+  it('start without compiled code, or with code that V8 rejects', () => {
     rmSync(join(folder, 'control.compiled'));
     expectUnusableSettings('control');
     writeFileSync(join(folder, 'router.compiled'), 'not compiled code');
--- a/test/cli/changes.test.ts
+++ b/test/cli/changes.test.ts
@@ -1,4 +1,4 @@
-/** Commands that change something, against the operators' API. */
+/** Tests commands that make changes, against the operators' API. */
 import { expect } from 'chai';
 import { AdminHarness, READ_TOKEN, WRITE_TOKEN } from '../contract/admin-harness.js';
 import { type CliResult, runCli, ScratchFolder } from './cli-harness.js';
@@ -16,7 +16,7 @@
 zone: zone-a
 `;
 
-describe('commands that change something', () => {
+describe('commands that make changes', () => {
   const folder = new ScratchFolder();
   let harness: AdminHarness;
   beforeEach(async () => {
@@ -31,7 +31,7 @@
     return runCli(line.split(' '), environment);
   }
 
-  it('a file is applied, shown as it is in force, and unchanged the second time', async () => {
+  it('applies a file, shows it as in force, and reports it unchanged the second time', async () => {
     const file = folder.write('menu.yaml', MENU);
     const first = await run(`service apply ${file}`);
     expect(first.exitCode, first.errors).to.equal(0);
@@ -88,7 +88,7 @@
     ],
   ];
   for (const [name, text, says] of bad) {
-    it(`a file with ${name}: names file, line and column, and changes nothing`, async () => {
+    it(`a file with ${name} is rejected with file, line and column, and changes nothing`, async () => {
       const file = folder.write('bad.yaml', text);
       const { exitCode, errors } = await run(`service apply ${file}`);
       expect(exitCode).to.equal(2);
@@ -97,7 +97,7 @@
     });
   }
 
-  it('a policy is applied and got again', async () => {
+  it('applies a policy and reads it back', async () => {
     await run(`service apply ${folder.write('menu.yaml', MENU)}`);
     const file = folder.write(
       'policy.yaml',
@@ -110,7 +110,7 @@
     expect((await run(`policy apply menu ${again} --dry-run`)).output).to.contain('unchanged');
   });
 
-  it('a lost race has exit code 3, a refused token 5, a missing thing 1', async () => {
+  it('exits with 3 after a concurrent change, 5 with a refused token, 1 for a missing object', async () => {
     await run(`service apply ${folder.write('menu.yaml', MENU)}`);
     const add = 'upstream add menu-1 --service menu --address 10.0.0.9:80 --zone z';
     expect((await run(add)).exitCode).to.equal(3);
@@ -121,7 +121,7 @@
     expect((await run('request lookup nothing')).exitCode).to.equal(1);
   });
 
-  it('the same --request-id gives the first outcome after a change by someone else', async () => {
+  it('returns the first outcome for the same --request-id after a concurrent change', async () => {
     const file = folder.write('menu.yaml', MENU.split('---')[0] ?? '');
     const first = await run(`service apply ${file} --request-id one`);
     await run(`service apply ${folder.write('other.yaml', `${MENU.split('---')[0]}deadline: 9s\n`)}`);
--- a/test/cli/cli-harness.ts
+++ b/test/cli/cli-harness.ts
@@ -1,4 +1,4 @@
-/** Runs command lines of `ternmount` in this process and keeps what they write. */
+/** Runs command lines of `ternmount` in this process and captures their output. */
 
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -7,18 +7,18 @@
 import { COMMANDS } from '../../src/cli/command-list.js';
 import { runCommandLine } from '../../src/cli/run-command-line.js';
 
-/** How a command line went. */
+/** The result of a command line. */
 export interface CliResult {
   readonly exitCode: number;
   readonly output: string;
   readonly errors: string;
 }
 
-/** A folder for files of one test. */
+/** A temporary folder for the files of one test. */
 export class ScratchFolder {
   readonly path = mkdtempSync(join(tmpdir(), 'ternmount-cli-'));
 
-  /** Writes a file and gives its path. */
+  /** Writes a file and returns its path. */
   write(name: string, text: string): string {
     const path = join(this.path, name);
     writeFileSync(path, text);
@@ -30,7 +30,7 @@
   }
 }
 
-/** Runs one command line; `environment` stands for that of the process. */
+/** Runs one command line; `environment` replaces that of the process. */
 export async function runCli(
   words: readonly string[],
   environment: CliIo['environment'] = {},
--- a/test/cli/completion.test.ts
+++ b/test/cli/completion.test.ts
@@ -1,10 +1,10 @@
-/** Shell completion. The bash script is run by bash; the others are checked for every word. */
+/** Tests shell completion. The bash script runs in bash; the others are searched for every word. */
 import { spawnSync } from 'node:child_process';
 import { expect } from 'chai';
 import { COMMANDS } from '../../src/cli/command-list.js';
 import { COMPLETION_SHELLS, completionScript } from '../../src/cli/completion/completion-scripts.js';
 
-/** What bash offers after a line; the last word may be empty. */
+/** Returns the completions of bash for a line; the last word may be empty. */
 function completeInBash(line: string): string[] {
   const words = line.split(' ');
   const quoted = words.map((word) => `'${word}'`).join(' ');
@@ -36,7 +36,7 @@
   }
 
   for (const shell of COMPLETION_SHELLS) {
-    it(`${shell}: every command and option stands in the script`, () => {
+    it(`${shell}: the script contains every command and option`, () => {
       const script = completionScript(shell, COMMANDS);
       for (const { name, options } of COMMANDS) {
         expect(script).to.contain(name);
--- a/test/cli/help.test.ts
+++ b/test/cli/help.test.ts
@@ -1,10 +1,10 @@
-/** Help is complete, and everything that it names is accepted. */
+/** Help is complete, and every command line in it is accepted. */
 import { expect } from 'chai';
 import { COMMANDS } from '../../src/cli/command-list.js';
 import { dispatch, PROGRAM_NAME } from '../../src/cli/dispatcher.js';
 import { runCli } from './cli-harness.js';
 
-/** Catches what cac prints. */
+/** Captures what cac prints. */
 function printed(words: readonly string[]): string {
   const lines: unknown[] = [];
   const info = console.info;
@@ -20,7 +20,7 @@
   return lines.join('\n');
 }
 
-/** Splits an example as a shell would, without its redirection. */
+/** Splits an example into words, without its redirection. */
 function wordsOf(example: string): string[] {
   return (example.split(/ [>|] /, 1)[0] ?? '').split(' ');
 }
@@ -34,7 +34,7 @@
     }
   });
 
-  it('no two commands have the same name', () => {
+  it('gives each command a different name', () => {
     const names = COMMANDS.map(({ name }) => name);
     expect(new Set(names).size).to.equal(names.length);
   });
@@ -60,7 +60,7 @@
       });
     }
 
-    it(`${spec.name}: no option stands twice`, () => {
+    it(`${spec.name}: lists each option once`, () => {
       const names = spec.options.map(({ name }) => name);
       expect(new Set(names).size, names.join()).to.equal(names.length);
     });
@@ -81,7 +81,7 @@
     ['service list --control host:80', 'host:80'],
   ];
   for (const [line, says] of wrong) {
-    it(`"${line}": exit code 2, and says what may stand there`, async () => {
+    it(`"${line}": exits with 2 and lists the alternatives`, async () => {
       const { exitCode, errors } = await runCli(line.split(' '));
       expect(exitCode, errors).to.equal(2);
       expect(errors).to.contain(says);
--- a/test/cli/policy.test.ts
+++ b/test/cli/policy.test.ts
@@ -1,4 +1,4 @@
-/** `policy check` and `policy try`, which need no cluster. */
+/** Tests `policy check` and `policy try`, which need no cluster. */
 import { expect } from 'chai';
 import { runCli, ScratchFolder } from './cli-harness.js';
 
@@ -50,7 +50,7 @@
   const folder = new ScratchFolder();
   after(() => folder.remove());
 
-  it('names file, line and column of each fault', async () => {
+  it('prints file, line and column of each problem', async () => {
     const file = folder.write('wrong.yaml', WRONG);
     const { exitCode, errors, output } = await runCli(['policy', 'check', file]);
     expect({ exitCode, output }).to.deep.equal({ exitCode: 2, output: '' });
@@ -58,14 +58,14 @@
     expect(errors).to.match(/wrong\.yaml:8:11: policy\.two\.when: must give a bool/);
   });
 
-  it('says what is valid, file by file', async () => {
+  it('lists the valid files', async () => {
     const files = [folder.write('good.yaml', GOOD), folder.write('none.yaml', 'policy: []\n')];
     const { exitCode, output } = await runCli(['policy', 'check', ...files]);
     expect(exitCode).to.equal(0);
     expect(output).to.match(/good\.yaml: valid, 3 rules\n.*none\.yaml: valid, 0 rules\n/);
   });
 
-  it('gives the faults as JSON', async () => {
+  it('prints the problems as JSON', async () => {
     const file = folder.write('wrong.yaml', WRONG);
     const { exitCode, errors, output } = await runCli(['policy', 'check', file, '--output', 'json']);
     expect({ exitCode, errors }).to.deep.equal({ exitCode: 2, errors: '' });
@@ -73,7 +73,7 @@
     expect(checked.problems[0]).to.include({ line: 5, column: 9, path: 'policy.one.when' });
   });
 
-  it('goes on after a wrong file', async () => {
+  it('continues after an invalid file', async () => {
     const files = [folder.write('wrong.yaml', WRONG), folder.write('good.yaml', GOOD)];
     const { exitCode, output } = await runCli(['policy', 'check', ...files]);
     expect(exitCode).to.equal(2);
@@ -89,7 +89,7 @@
   const trial = (trace: readonly string[], ...words: readonly string[]) =>
     runCli(['policy', 'try', policy, '--trace', folder.write('trace.jsonl', trace.join('\n')), ...words]);
 
-  it('counts what would have been decided, by rule', async () => {
+  it('counts the decisions by rule', async () => {
     const trace = [
       record({}),
       record({ length: 6 }),
@@ -105,7 +105,7 @@
     expect(output).to.match(/overload +refuse +2\n/);
   });
 
-  it('gives each decision as JSON', async () => {
+  it('prints each decision as JSON', async () => {
     const { output } = await trial([record({ load: 2 })], '--output', 'json');
     const { records } = JSON.parse(output);
     expect(records).to.deep.equal([
@@ -118,7 +118,7 @@
     ]);
   });
 
-  it('asks for the service if the trace has several', async () => {
+  it('requires --service if the trace has several services', async () => {
     const trace = [record({}), record({ service: 'other' })];
     const { exitCode, errors } = await trial(trace);
     expect(exitCode).to.equal(2);
--- a/test/cli/request-explain.test.ts
+++ b/test/cli/request-explain.test.ts
@@ -1,4 +1,4 @@
-/** What `request explain` finds in log files. */
+/** Tests what `request explain` finds in log files. */
 import { expect } from 'chai';
 import { runCli, ScratchFolder } from './cli-harness.js';
 
@@ -29,20 +29,20 @@
     return output;
   }
 
-  it('names the last change of the range that the key is in', async () => {
+  it('prints the last change of the range that contains the key', async () => {
     const output = await explain({ service: 'seats', key: '7' });
     expect(output).to.include('"fence":4').and.not.include('"fence":3').and.not.include('"fence":5');
   });
 
-  it('names no range for a service without keys, though its callers send one', async () => {
+  it('prints no range for a service without keys, even if clients send a key', async () => {
     expect(await explain({ service: 'orders', key: '7' })).not.to.include('range-changed');
   });
 
-  it('names no range where the request came to no service', async () => {
+  it('prints no range for a request without a service', async () => {
     expect(await explain({ key: '7' })).not.to.include('range-changed');
   });
 
-  it('says that there is no record', async () => {
+  it('reports that there is no record', async () => {
     const log = folder.write('router.log', RANGES);
     const { exitCode, errors } = await runCli(['request', 'explain', 'q2', log]);
     expect(exitCode).not.to.equal(0);
--- a/test/cli/settings-watch.test.ts
+++ b/test/cli/settings-watch.test.ts
@@ -1,4 +1,4 @@
-/** Settings are read again on a signal and when the file changes; what can't be used changes nothing. */
+/** Settings are reloaded on a signal and when the file changes; invalid settings change nothing. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -10,7 +10,7 @@
 
 const WAIT_MILLIS = 10_000;
 
-describe('watch over settings', () => {
+describe('settings watch', () => {
   let folder = '';
   const listeners: (() => void)[] = [];
   const io: CliIo = { ...processIoFor(WAIT_MILLIS), onReload: (listener) => void listeners.push(listener) };
@@ -21,7 +21,7 @@
   });
   afterEach(() => rmSync(folder, { recursive: true, force: true }));
 
-  it('reads them again on a signal', () => {
+  it('reloads on a signal', () => {
     let reloads = 0;
     const count = (): void => {
       reloads += 1;
@@ -32,7 +32,7 @@
     expect(reloads).to.equal(1);
   });
 
-  it('goes on after settings that can’t be used', () => {
+  it('continues after invalid settings', () => {
     let reloads = 0;
     const watch = new SettingsWatch({
       io,
@@ -47,7 +47,7 @@
     expect(reloads).to.equal(2);
   });
 
-  it('reads them again when the file changed, and not before', async function () {
+  it('reloads when the file has changed, and not before', async function () {
     this.timeout(WAIT_MILLIS + 5000);
     const file = join(folder, 'router.yaml');
     writeFileSync(file, 'zone: a\n');
--- a/test/cli/several-members.test.ts
+++ b/test/cli/several-members.test.ts
@@ -1,4 +1,4 @@
-/** Several control addresses: the command line finds the leader, and resends what had no answer with the same id. */
+/** With several control addresses, the command line finds the leader and resends unanswered changes with the same id. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
@@ -53,7 +53,7 @@
     return runCli(['service', 'apply', file, ...extra], environment);
   }
 
-  /** Passes requests on to the harness, then lets `interferes` take over the answers to changes. */
+  /** Forwards requests to the harness; `interferes` may replace the answers to changes. */
   function passOn(interferes: (response: ServerResponse, count: number) => boolean) {
     let changes = 0;
     return (request: IncomingMessage, response: ServerResponse): void => {
@@ -77,14 +77,14 @@
     };
   }
 
-  it('goes on from members that are down or do not lead', async () => {
+  it('skips members that are down or do not lead', async () => {
     const follower = await stub((_request, response) => answer(response, 503, NOT_LEADER));
     const { exitCode, errors } = await apply([CLOSED, follower, harness.address]);
     expect(exitCode, errors).to.equal(0);
     expect(harness.registry.services().size).to.equal(1);
   });
 
-  it('a change whose answer was lost is sent again with its id, and made once', async () => {
+  it('resends a change whose answer was lost with its id; the change is made once', async () => {
     const losesFirst = await stub(
       passOn((response, count) => {
         if (count === 1) {
@@ -102,7 +102,7 @@
     expect(ids.size).to.equal(1);
   });
 
-  it('without any answer: exit code 4, and how to ask again', async () => {
+  it('exits with 4 without any answer, and prints how to resend', async () => {
     const mute = await stub(
       passOn((response) => {
         response.destroy();
@@ -122,7 +122,7 @@
     ['control add r-2 --address 10.0.0.2:7400', 'r-2 votes'],
     ['control replace r-1 r-2 --address 10.0.0.2:7400', 'repaired: r-2 votes in place of r-1'],
   ] as const) {
-    it(`"${line}" is asked again, with one id, until it is made`, async () => {
+    it(`"${line}" is resent with one id until it is complete`, async () => {
       const ids: unknown[] = [];
       const slow = await stub((request, response) => {
         ids.push(request.headers['ternmount-request-id']);
@@ -139,13 +139,13 @@
     });
   }
 
-  it('nobody reachable: exit code 4, and nothing is said to be unknown', async () => {
+  it('exits with 4 if no member is reachable, and reports no unknown outcome', async () => {
     const { exitCode, errors } = await apply([CLOSED], '--timeout', '50ms');
     expect(exitCode).to.equal(4);
     expect(errors).to.contain('no control member gave an answer');
   });
 
-  it('a member that answers something else is not taken for control', async () => {
+  it('rejects a member that answers something else', async () => {
     const other = await stub((_request, response) => response.writeHead(200).end('<html>'));
     const { exitCode } = await apply([other], '--timeout', '50ms');
     expect(exitCode).to.equal(4);
--- a/test/cli/status.test.ts
+++ b/test/cli/status.test.ts
@@ -1,4 +1,4 @@
-/** What the status page says, as a table of states. */
+/** Tests the findings of the status page for a table of states. */
 import { expect } from 'chai';
 import type { StatusBody } from '../../src/cli/api-types.js';
 import { controlFindings } from '../../src/cli/status/control-findings.js';
@@ -50,7 +50,7 @@
   };
 }
 
-/** Reports of the three members; `null`: it doesn't answer. */
+/** Returns the reports of the three members; `null` for one that doesn't answer. */
 function reports(statuses: readonly (StatusBody | null)[]): MemberReport[] {
   return statuses.map((status, index) => ({
     address: `10.0.0.${index + 1}:7401`,
@@ -75,7 +75,7 @@
 interface Case {
   readonly statuses: readonly (StatusBody | null)[];
   readonly upstreams?: readonly UpstreamRecord[];
-  /** Severity, subject, length, and parts of problem and advice of each finding. */
+  /** Severity, subject, duration, and parts of problem and advice of each finding. */
   readonly expected: readonly (readonly [Finding['severity'], string, number | null, string, string])[];
 }
 
@@ -231,7 +231,7 @@
 };
 
 describe('status page', () => {
-  it('has a line of each keyed service, in the order of names', () => {
+  it('has a line for each keyed service, sorted by name', () => {
     const idle = {
       ...evenMenu,
       service: 'beds',
@@ -248,7 +248,7 @@
   });
 
   for (const [name, { statuses, upstreams, expected }] of Object.entries(CASES)) {
-    it(`says: ${name}`, () => {
+    it(`reports: ${name}`, () => {
       const found = findings(statuses, upstreams);
       const heads = found.map(({ severity, subject, sinceMillis }) => [severity, subject, sinceMillis]);
       expect(heads).to.deep.equal(expected.map(([severity, subject, since]) => [severity, subject, since]));
--- a/test/cli/uneven-status.test.ts
+++ b/test/cli/uneven-status.test.ts
@@ -1,4 +1,4 @@
-/** What the status page says of zones that send work elsewhere and of slow upstreams. */
+/** Tests the findings on zones that spill requests to others, and on slow upstreams. */
 import { expect } from 'chai';
 import type { StatusBody } from '../../src/cli/api-types.js';
 import { controlFindings } from '../../src/cli/status/control-findings.js';
@@ -40,14 +40,14 @@
 const ZONE = { service: 'menu', zone: 'a', meanMillis: 63, isUneven: true, use: 0.97, sinceMillis: 4000 };
 
 describe('status of uneven demand', () => {
-  it('names each zone that sends work elsewhere, how much, and since when', () => {
+  it('reports each zone that spills, how much, and since when', () => {
     const spill = [{ zone: 'b', share: 0.214 }];
     const [finding] = findingsOf({ speeds: [], zones: [{ ...ZONE, spill }] });
     expect(finding).to.include({ severity: 'note', subject: 'zone/a', sinceMillis: 4000 });
     expect(finding?.problem).to.contain('97% busy').and.to.contain('21% to b');
   });
 
-  it('names upstreams that are far slower than the others', () => {
+  it('reports upstreams that are far slower than the others', () => {
     const speeds = [
       { upstream: 'u1', speed: 0.3, sinceMillis: 9000 },
       { upstream: 'u2', speed: 0.7, sinceMillis: 9000 },
@@ -58,7 +58,7 @@
     ]);
   });
 
-  it('says nothing while no zone is short, or the member doesn’t lead', () => {
+  it('reports nothing while no zone is short of capacity, or the member doesn’t lead', () => {
     expect(findingsOf({ speeds: [], zones: [{ ...ZONE, spill: [] }] })).to.deep.equal([]);
     expect(findingsOf(null)).to.deep.equal([]);
   });
