--- a/src/cli/cli-error.ts
+++ b/src/cli/cli-error.ts
@@ -109,7 +109,7 @@
 }
 
 /** Runs `check`; turns a `SettingsError` into a `UsageError` with one line per problem. */
-export function namingEachFault<Value>(check: () => Value): Value {
+export function rethrowAsUsageError<Value>(check: () => Value): Value {
   try {
     return check();
   } catch (thrown) {
--- a/src/cli/client-options.ts
+++ b/src/cli/client-options.ts
@@ -58,17 +58,17 @@
 };
 
 function readAddresses(options: ParsedOptions, io: CliIo): string[] {
-  const given = options.list('control');
+  const fromOption = options.list('control');
   const variable = CLIENT_ENVIRONMENT.control;
   const fromEnvironment = (io.environment[variable] ?? '').split(',').map((item) => item.trim());
-  const addresses = given.length > 0 ? given : fromEnvironment.filter((item) => item !== '');
+  const addresses = fromOption.length > 0 ? fromOption : fromEnvironment.filter((item) => item !== '');
   if (addresses.length === 0) {
     throw new UsageError(`say where control is: --control 10.0.0.1:7401,10.0.0.2:7401 or ${variable}`);
   }
   for (const address of addresses) {
     if (splitAddress(address) === undefined) {
       const message = `${JSON.stringify(address)} isn't an IP number with a port, e.g. 10.0.0.5:7401`;
-      throw new UsageError(`${given.length > 0 ? '--control' : variable}: ${message}`);
+      throw new UsageError(`${fromOption.length > 0 ? '--control' : variable}: ${message}`);
     }
   }
   return addresses;
--- a/src/cli/commands/control-folder.ts
+++ b/src/cli/commands/control-folder.ts
@@ -5,7 +5,7 @@
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 import { settingsLayers, settingsOptions } from '../settings-options.js';
 
-async function makeFolder(invocation: Invocation, role: NewReplica['role']): Promise<ExitCode> {
+async function createFolder(invocation: Invocation, role: NewReplica['role']): Promise<ExitCode> {
   const { cluster, dataFolder, advertise } = loadControlSettings(settingsLayers(invocation));
   const { replica } = await createReplica(dataFolder, { cluster, address: advertise, role });
   invocation.io.write(`${replica}\n`);
@@ -17,7 +17,7 @@
   summary: 'Begin a new cluster: make the data folder of its first replica, and print the replica',
   options: settingsOptions(CONTROL_SETTING_NAMES),
   examples: ['control init --settings control-1.yaml'],
-  run: (invocation) => makeFolder(invocation, 'first'),
+  run: (invocation) => createFolder(invocation, 'first'),
 };
 
 export const controlJoin: CommandSpec = {
@@ -25,5 +25,5 @@
   summary: 'Make the data folder of a replica for a cluster that runs, and print the replica',
   options: settingsOptions(CONTROL_SETTING_NAMES),
   examples: ['control join --settings control-2.yaml'],
-  run: (invocation) => makeFolder(invocation, 'joining'),
+  run: (invocation) => createFolder(invocation, 'joining'),
 };
--- a/src/cli/commands/control-members.ts
+++ b/src/cli/commands/control-members.ts
@@ -3,7 +3,7 @@
 import { CLIENT_OPTIONS, createClient, REQUEST_ID_OPTION } from '../client-options.js';
 import type { CommandSpec, Invocation, OptionSpec } from '../command-spec.js';
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
-import { askUntilMade, REPAIR_TIMEOUT_OPTION } from '../member-change.js';
+import { REPAIR_TIMEOUT_OPTION, sendUntilComplete } from '../member-change.js';
 
 const MEMBER_OPTIONS: readonly OptionSpec[] = [REQUEST_ID_OPTION, ...CLIENT_OPTIONS];
 
@@ -30,8 +30,8 @@
   const [replica = ''] = positionals;
   const body = { replica, address: options.required('address') };
   const client = createClient(options, io);
-  const made = await askUntilMade(invocation, client, { path: '/v1/control/add', body });
-  if (made === undefined) {
+  const completed = await sendUntilComplete(invocation, client, { path: '/v1/control/add', body });
+  if (completed === undefined) {
     const message = `${replica} does not vote yet; repeat the command`;
     throw new CliError(EXIT_CODES.failed, 'NOT_ADDED', message);
   }
@@ -42,7 +42,7 @@
 export const controlAdd: CommandSpec = {
   name: 'control add',
   arguments: '<replica>',
-  summary: 'Take a new replica in; returns once it holds everything and votes',
+  summary: 'Add a new replica; returns once it has caught up and votes',
   options: [ADDRESS_OPTION, REPAIR_TIMEOUT_OPTION, ...MEMBER_OPTIONS],
   examples: ['control add r-77c0 --address 10.0.0.4:7400'],
   run: add,
--- a/src/cli/commands/control-replace.ts
+++ b/src/cli/commands/control-replace.ts
@@ -5,7 +5,7 @@
 import type { CommandSpec, Invocation } from '../command-spec.js';
 import type { ControlClient } from '../control-client.js';
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
-import { askOnce, askUntilMade, REPAIR_TIMEOUT_OPTION } from '../member-change.js';
+import { REPAIR_TIMEOUT_OPTION, sendOnce, sendUntilComplete } from '../member-change.js';
 import { DRY_RUN_OPTION, writePreview } from '../preview.js';
 import { ADDRESS_OPTION } from './control-members.js';
 
@@ -24,16 +24,16 @@
 }
 
 /** Replaces the replica; returns once the new one votes and the old one doesn't. */
-async function repair(
+async function replaceAndWait(
   invocation: Invocation,
   client: ControlClient,
   replacement: Replacement,
 ): Promise<ExitCode> {
   const { io } = invocation;
   const { oldReplica, newReplica } = replacement;
-  io.write(`${newReplica} catches up; this returns once it votes in place of ${oldReplica}\n`);
-  const made = await askUntilMade(invocation, client, { path: REPLACE_PATH, body: replacement });
-  if (made === undefined) {
+  io.write(`${newReplica} is catching up; the command returns once it votes in place of ${oldReplica}\n`);
+  const completed = await sendUntilComplete(invocation, client, { path: REPLACE_PATH, body: replacement });
+  if (completed === undefined) {
     const message = `not repaired yet: ${newReplica} does not vote; don't take another member down`;
     throw new CliError(EXIT_CODES.failed, 'NOT_REPAIRED', message);
   }
@@ -49,8 +49,8 @@
   const status = await client.readLeaderStatus();
   const { voters } = status.raft.membership;
   const { oldReplica, newReplica } = replacement;
-  const kept = voters.filter((voter) => voter !== oldReplica && voter !== newReplica);
-  const after = isRepaired(status, replacement) ? voters : [...kept, newReplica];
+  const remaining = voters.filter((voter) => voter !== oldReplica && voter !== newReplica);
+  const after = isRepaired(status, replacement) ? voters : [...remaining, newReplica];
   writePreview(invocation.io, 'control', {
     before: Object.fromEntries(voters.map((voter) => [voter, 'votes'])),
     after: Object.fromEntries(after.map((voter) => [voter, 'votes'])),
@@ -68,10 +68,10 @@
     return preview(invocation, client, replacement);
   }
   if (options.on('wait')) {
-    return repair(invocation, client, replacement);
+    return replaceAndWait(invocation, client, replacement);
   }
   const change = { path: REPLACE_PATH, body: replacement };
-  const answer = await askOnce(client, change, options.text('request-id'));
+  const answer = await sendOnce(client, change, options.text('request-id'));
   io.write(
     answer?.repaired
       ? `repaired: ${newReplica} votes in place of ${oldReplica}\n`
@@ -83,7 +83,7 @@
 export const controlReplace: CommandSpec = {
   name: 'control replace',
   arguments: '<old-replica> <new-replica>',
-  summary: 'Put a new replica in the place of a lost one, once it holds everything',
+  summary: 'Replace a lost replica by a new one, once that has caught up',
   options: [
     ADDRESS_OPTION,
     { name: 'wait', summary: 'Return once the cluster is repaired (default)', onByDefault: true },
--- a/src/cli/commands/policy-apply.ts
+++ b/src/cli/commands/policy-apply.ts
@@ -3,7 +3,7 @@
 import type { PolicyRule } from '../../model/service.js';
 import { serviceDocument } from '../../settings/definition-writer.js';
 import { loadPolicy } from '../../settings/policy-file.js';
-import { NotFoundError, namingEachFault } from '../cli-error.js';
+import { NotFoundError, rethrowAsUsageError } from '../cli-error.js';
 import { CHANGE_OPTIONS, REVISION_OPTION } from '../client-options.js';
 import type { CommandSpec } from '../command-spec.js';
 import type { ControlClient } from '../control-client.js';
@@ -36,7 +36,7 @@
   examples: ['policy apply menu menu-policy.yaml --dry-run', 'policy apply menu menu-policy.yaml'],
   run: async (invocation) => {
     const [name = '', file = ''] = invocation.positionals;
-    const policy = namingEachFault(() => loadPolicy(file));
+    const policy = rethrowAsUsageError(() => loadPolicy(file));
     return sendChange(invocation, {
       what: `policy/${name}`,
       request: { method: 'PUT', path: `${servicePath(name)}/policy`, body: { policy } },
--- a/src/cli/commands/quarantine-release.ts
+++ b/src/cli/commands/quarantine-release.ts
@@ -19,7 +19,7 @@
 export const quarantineRelease: CommandSpec = {
   name: 'quarantine release',
   arguments: '<request>',
-  summary: 'Let a request pass again; it is refused anew only after as many crashes as the first time',
+  summary: 'Allow a request again; it is refused anew only after as many crashes as the first time',
   options: [...CHANGE_OPTIONS, REVISION_OPTION, DRY_RUN_OPTION],
   examples: ['quarantine release 0b8f6a1c2d3e4f50617283940a1b2c3d'],
   run: async (invocation) => {
--- a/src/cli/commands/service-apply.ts
+++ b/src/cli/commands/service-apply.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from 'node:crypto';
 import { loadDefinitions } from '../../settings/definition-documents.js';
 import type { ChangeBody } from '../api-types.js';
-import { namingEachFault, UsageError } from '../cli-error.js';
+import { rethrowAsUsageError, UsageError } from '../cli-error.js';
 import { CHANGE_OPTIONS, createClient, REVISION_OPTION, waitQuery } from '../client-options.js';
 import type { CommandSpec, Invocation } from '../command-spec.js';
 import type { ControlClient } from '../control-client.js';
@@ -62,23 +62,23 @@
   client: ControlClient,
   changes: readonly PlannedChange[],
 ): Promise<ExitCode> {
-  const resent = invocation.options.text('request-id');
-  const isNeeded = ({ difference }: PlannedChange) => difference.length > 0 || resent !== undefined;
+  const resendId = invocation.options.text('request-id');
+  const isNeeded = ({ difference }: PlannedChange) => difference.length > 0 || resendId !== undefined;
   for (const { identity } of changes.filter((change) => !isNeeded(change))) {
     invocation.io.write(`${identity}: unchanged\n`);
   }
-  return sendAll(invocation, client, changes.filter(isNeeded), resent ?? randomUUID());
+  return sendAll(invocation, client, changes.filter(isNeeded), resendId ?? randomUUID());
 }
 
 async function run(invocation: Invocation): Promise<ExitCode> {
   const { options, io, positionals } = invocation;
-  const documents = namingEachFault(() => positionals.flatMap((file) => loadDefinitions(file)));
+  const documents = rethrowAsUsageError(() => positionals.flatMap((file) => loadDefinitions(file)));
   if (options.text('revision') !== undefined && documents.length > 1) {
     throw new UsageError('--revision is for a file with one declaration');
   }
   const client = createClient(options, io);
   const current = await readCurrent(client);
-  namingEachFault(() => checkDeclarations(documents, current));
+  rethrowAsUsageError(() => checkDeclarations(documents, current));
   const changes = planChanges(documents, current);
   if (options.on('dry-run')) {
     for (const { identity, before, after, revision } of changes) {
--- a/src/cli/commands/shard-move.ts
+++ b/src/cli/commands/shard-move.ts
@@ -6,11 +6,11 @@
 import { DRY_RUN_OPTION, type Preview } from '../preview.js';
 import { sendChange } from './simple-change.js';
 
-const NOBODY = 'nobody';
+const NO_OWNER = 'nobody';
 
 async function previewMove(client: ControlClient, shard: string, to: string): Promise<Preview> {
   const record = await readShard(client, shard);
-  const before = { owner: record?.owner ?? NOBODY };
+  const before = { owner: record?.owner ?? NO_OWNER };
   return { before, after: { owner: to }, revision: record?.revision ?? null };
 }
 
--- a/src/cli/commands/token-create.ts
+++ b/src/cli/commands/token-create.ts
@@ -28,7 +28,9 @@
     const token = createToken();
     addToken(options.required('file'), { name, role, sha256: hashToken(token), expires });
     io.write(`${token}\n`);
-    io.writeError(`Keep it: it is not stored anywhere. Copy the tokens file to each control member.\n`);
+    io.writeError(
+      `Save the token: it is not stored anywhere. Copy the tokens file to each control member.\n`,
+    );
     return EXIT_CODES.ok;
   },
 };
--- a/src/cli/commands/upstream-add.ts
+++ b/src/cli/commands/upstream-add.ts
@@ -26,7 +26,7 @@
   }
   const [issue] = result.error.issues;
   if (issue === undefined) {
-    throw new UsageError('wrong upstream');
+    throw new UsageError('invalid upstream');
   }
   throw new UsageError(`${formatPath(issue.path)}: ${describeIssue(issue, valueAt(fields, issue.path))}`);
 }
--- a/src/cli/commands/upstream-drain.ts
+++ b/src/cli/commands/upstream-drain.ts
@@ -18,19 +18,19 @@
   const { options, io } = invocation;
   const client = createClient(options, io);
   await existingUpstream(client, id);
-  const until = performance.now() + (options.duration('drain-timeout') ?? DEFAULT_DRAIN_MILLIS);
-  let last: number | undefined;
+  const deadline = performance.now() + (options.duration('drain-timeout') ?? DEFAULT_DRAIN_MILLIS);
+  let lastOwned: number | undefined;
   while (!io.stopSignal.aborted) {
     const owned = (await readOwned(client, id)).length;
     if (owned === 0) {
       io.write(`upstream/${id}: owns nothing\n`);
       return EXIT_CODES.ok;
     }
-    if (owned !== last) {
+    if (owned !== lastOwned) {
       io.write(`upstream/${id}: owns ${owned} shards\n`);
-      last = owned;
+      lastOwned = owned;
     }
-    if (performance.now() >= until) {
+    if (performance.now() >= deadline) {
       break;
     }
     await io.sleep(DRAIN_POLL_MILLIS);
@@ -38,7 +38,7 @@
   throw new CliError(
     EXIT_CODES.failed,
     'STILL_DRAINING',
-    `upstream/${id} still owns shards; the drain goes on`,
+    `upstream/${id} still owns shards; the drain continues`,
   );
 }
 
@@ -77,7 +77,7 @@
   arguments: '<id>',
   summary: 'Give an upstream no new work and move its shards away; requests in flight finish',
   options: [
-    { name: 'undo', summary: 'Take an earlier drain back' },
+    { name: 'undo', summary: 'Undo an earlier drain' },
     { name: 'until-empty', summary: 'Wait until it owns no shard any more' },
     { name: 'drain-timeout', value: 'duration', summary: 'Longest wait with --until-empty; default 5m' },
     ...CHANGE_OPTIONS,
--- a/src/cli/commands/upstream-remove.ts
+++ b/src/cli/commands/upstream-remove.ts
@@ -16,7 +16,7 @@
 export const upstreamRemove: CommandSpec = {
   name: 'upstream remove',
   arguments: '<id>',
-  summary: 'Forget an upstream; drain it first',
+  summary: 'Remove an upstream; drain it first',
   options: [...CHANGE_OPTIONS, REVISION_OPTION, DRY_RUN_OPTION],
   examples: ['upstream remove menu-7'],
   run: async (invocation) => {
--- a/src/cli/commands/zone-evacuation.ts
+++ b/src/cli/commands/zone-evacuation.ts
@@ -8,7 +8,7 @@
 
 const OPTIONS = [...CLIENT_OPTIONS, DRY_RUN_OPTION];
 
-async function order(invocation: Invocation, method: ChangeRequest['method']): Promise<ExitCode> {
+async function setEvacuation(invocation: Invocation, method: ChangeRequest['method']): Promise<ExitCode> {
   const { options, io, positionals } = invocation;
   const [zone = ''] = positionals;
   const client = createClient(options, io);
@@ -31,7 +31,7 @@
   summary: 'Send nothing new to the upstreams of a zone and move their keys away; requests in flight finish',
   options: OPTIONS,
   examples: ['zone evacuate zone-b'],
-  run: (invocation) => order(invocation, 'PUT'),
+  run: (invocation) => setEvacuation(invocation, 'PUT'),
 };
 
 export const zoneRestore: CommandSpec = {
@@ -40,5 +40,5 @@
   summary: 'Use the upstreams of an evacuated zone again',
   options: OPTIONS,
   examples: ['zone restore zone-b'],
-  run: (invocation) => order(invocation, 'DELETE'),
+  run: (invocation) => setEvacuation(invocation, 'DELETE'),
 };
--- a/src/cli/control-client.ts
+++ b/src/cli/control-client.ts
@@ -41,7 +41,7 @@
 }
 
 /** The result of one attempt. */
-type TryResult<Body> =
+type AttemptResult<Body> =
   | { readonly type: 'answered'; readonly body: Body; readonly status: number }
   /** Control answered with an error that a retry wouldn't change. */
   | { readonly type: 'refused'; readonly error: ControlAnswerError }
@@ -110,9 +110,9 @@
   async readLeaderStatus(): Promise<StatusBody> {
     const answer = await this.#tryAll<StatusBody>(async (address) => {
       const result = await this.#try<StatusBody>(address, 'GET', STATUS_PATH, READ_TIMEOUT_MILLIS, {});
-      const leads = result.type !== 'answered' || result.body.raft.role === 'leader';
+      const isUsable = result.type !== 'answered' || result.body.raft.role === 'leader';
       const reason = `${address}: isn't the leader`;
-      return leads ? result : { type: 'no-answer', reason, mayHaveRun: false };
+      return isUsable ? result : { type: 'no-answer', reason, mayHaveRun: false };
     });
     return answer.body;
   }
@@ -138,17 +138,17 @@
   }
 
   async #tryAll<Body>(
-    tryAt: (address: Address) => Promise<TryResult<Body>>,
+    attempt: (address: Address) => Promise<AttemptResult<Body>>,
     commandId?: string,
   ): Promise<ControlAnswer<Body>> {
     const { addresses, timeoutMillis } = this.#options;
-    const until = performance.now() + timeoutMillis;
+    const deadline = performance.now() + timeoutMillis;
     let reason = 'no member was tried';
     let mayHaveRun = false;
     while (!this.#io.stopSignal.aborted) {
-      for (let turn = 0; turn < addresses.length; turn += 1) {
-        const index = (this.#preferred + turn) % addresses.length;
-        const result = await tryAt(addresses[index] as Address);
+      for (let offset = 0; offset < addresses.length; offset += 1) {
+        const index = (this.#preferred + offset) % addresses.length;
+        const result = await attempt(addresses[index] as Address);
         if (result.type === 'answered') {
           this.#preferred = index;
           return result;
@@ -159,7 +159,7 @@
         reason = result.reason;
         mayHaveRun ||= result.mayHaveRun;
       }
-      if (performance.now() >= until) {
+      if (performance.now() >= deadline) {
         break;
       }
       await this.#io.sleep(ROUND_PAUSE_MILLIS);
@@ -176,7 +176,7 @@
     path: string,
     requestMillis: number,
     extras: { readonly headers?: Record<string, string>; readonly json?: unknown },
-  ): Promise<TryResult<Body>> {
+  ): Promise<AttemptResult<Body>> {
     const timeout = {
       connect: CONNECT_TIMEOUT_MILLIS,
       request: Math.min(requestMillis, this.#options.timeoutMillis),
@@ -196,7 +196,7 @@
     }
   }
 
-  #readAnswer<Body>(address: Address, response: Response<string>): TryResult<Body> {
+  #readAnswer<Body>(address: Address, response: Response<string>): AttemptResult<Body> {
     const { statusCode: status } = response;
     const body = parseBody(response);
     if (status < 300 && body !== undefined) {
--- a/src/cli/daemons/settings-watch.ts
+++ b/src/cli/daemons/settings-watch.ts
@@ -7,7 +7,7 @@
 import { createLogger } from '../../logging/logger.js';
 import type { CliIo } from '../cli-io.js';
 
-const LOOK_MILLIS = 2000;
+const POLL_MILLIS = 2000;
 
 export interface SettingsWatchOptions {
   readonly io: CliIo;
@@ -20,12 +20,12 @@
 export class SettingsWatch {
   private readonly log = createLogger('settings');
   private readonly timer: NodeJS.Timeout | undefined;
-  private seen: string | null = null;
+  private lastVersion: string | null = null;
 
   constructor(private readonly options: SettingsWatchOptions) {
     options.io.onReload?.(() => this.reload('signal'));
     if (options.file !== undefined) {
-      this.timer = setInterval(() => void this.look(options.file ?? ''), LOOK_MILLIS);
+      this.timer = setInterval(() => void this.look(options.file ?? ''), POLL_MILLIS);
       void this.look(options.file);
     }
   }
@@ -35,13 +35,13 @@
   }
 
   private async look(file: string): Promise<void> {
-    const found = await stat(file).catch(() => null);
-    if (found === null) {
+    const stats = await stat(file).catch(() => null);
+    if (stats === null) {
       return;
     }
-    const mark = `${found.mtimeMs} ${found.size} ${found.ino}`;
-    const isChanged = this.seen !== null && this.seen !== mark;
-    this.seen = mark;
+    const version = `${stats.mtimeMs} ${stats.size} ${stats.ino}`;
+    const isChanged = this.lastVersion !== null && this.lastVersion !== version;
+    this.lastVersion = version;
     if (isChanged) {
       this.reload('file');
     }
--- a/src/cli/declaration-plan.ts
+++ b/src/cli/declaration-plan.ts
@@ -31,7 +31,7 @@
 }
 
 const TRIAL_ACTOR = 'trial';
-const PLACE_PATTERN = /^([A-Za-z]\w*(?:\[\d+\]|\.\w+)*): (.*)$/s;
+const PATH_PATTERN = /^([A-Za-z]\w*(?:\[\d+\]|\.\w+)*): (.*)$/s;
 
 /** Reads all declarations in force. */
 export async function readCurrent(client: ControlClient): Promise<CurrentDeclarations> {
@@ -41,7 +41,7 @@
 }
 
 /** Sorts services first, since upstreams refer to them. */
-function inOrder(documents: readonly DefinitionDocument[]): DefinitionDocument[] {
+function servicesFirst(documents: readonly DefinitionDocument[]): DefinitionDocument[] {
   return [
     ...documents.filter((document) => document.kind === 'service'),
     ...documents.filter((document) => document.kind === 'upstream'),
@@ -60,7 +60,7 @@
     : upstreamDocument(document.definition);
 }
 
-function beforeOf(
+function currentStateOf(
   document: DefinitionDocument,
   current: CurrentDeclarations,
 ): Pick<PlannedChange, 'before' | 'revision'> {
@@ -83,9 +83,9 @@
   documents: readonly DefinitionDocument[],
   current: CurrentDeclarations,
 ): PlannedChange[] {
-  return inOrder(documents).map((document) => {
+  return servicesFirst(documents).map((document) => {
     const identity = identityOf(document);
-    const { before, revision } = beforeOf(document, current);
+    const { before, revision } = currentStateOf(document, current);
     const path = `/v1/${identity.replace('/', 's/')}`;
     const after = documentOf(document);
     const difference = differenceLines(before, after);
@@ -99,17 +99,17 @@
     : { type: 'upstream-apply', definition: document.definition, expected: null };
 }
 
-function toPath(place: string): (string | number)[] {
+function parsePath(place: string): (string | number)[] {
   const steps = place.match(/\w+/g) ?? [];
   return steps.map((step) => (/^\d+$/.test(step) ? Number(step) : step));
 }
 
 /** Locates a problem in the file: the registry's messages start with the path of the invalid value. */
 function problemOf(document: DefinitionDocument, message: string): SettingsProblem {
-  const [, place, rest] = PLACE_PATTERN.exec(message) ?? [];
+  const [, place, rest] = PATH_PATTERN.exec(message) ?? [];
   return place === undefined || rest === undefined
     ? document.places.problemAt([], message)
-    : document.places.problemAt(toPath(place), rest);
+    : document.places.problemAt(parsePath(place), rest);
 }
 
 /** Returns the problems of policies that don't compile, with line and column. */
@@ -139,7 +139,7 @@
     apply({ type: 'upstream-apply', definition, expected: null });
   }
   const problems = findDocumentProblems(documents);
-  for (const document of inOrder(documents)) {
+  for (const document of servicesFirst(documents)) {
     const result = apply(commandOf(document));
     if (result.type === 'invalid') {
       problems.push(problemOf(document, result.message));
--- a/src/cli/difference.ts
+++ b/src/cli/difference.ts
@@ -1,25 +1,25 @@
 /** Formats the differences between two declarations, one line per value. */
 import type { DocumentMap, DocumentValue } from '../settings/definition-writer.js';
 
-function stepOf(item: DocumentValue, index: number): string {
+function pathSegmentOf(item: DocumentValue, index: number): string {
   const name = typeof item === 'object' && 'name' in item ? item.name : index;
   return `[${String(name)}]`;
 }
 
 /** Collects each scalar by its path. List items are identified by name if they have one, else by index. */
-function flatten(value: DocumentValue, path: string, into: Map<string, string>): Map<string, string> {
+function flatten(value: DocumentValue, path: string, result: Map<string, string>): Map<string, string> {
   if (Array.isArray(value)) {
     value.forEach((item: DocumentValue, index) => {
-      flatten(item, path + stepOf(item, index), into);
+      flatten(item, path + pathSegmentOf(item, index), result);
     });
   } else if (typeof value === 'object') {
     for (const [key, child] of Object.entries(value)) {
-      flatten(child as DocumentValue, path === '' ? key : `${path}.${key}`, into);
+      flatten(child as DocumentValue, path === '' ? key : `${path}.${key}`, result);
     }
   } else {
-    into.set(path, JSON.stringify(value));
+    result.set(path, JSON.stringify(value));
   }
-  return into;
+  return result;
 }
 
 function lineOf(path: string, before: string | undefined, after: string | undefined): string | undefined {
@@ -34,10 +34,10 @@
 
 /** Returns lines marked `+` (added), `-` (removed) or `~` (changed). `null` stands for an object that doesn't exist. */
 export function differenceLines(before: DocumentMap | null, after: DocumentMap | null): string[] {
-  const old = flatten(before ?? {}, '', new Map());
-  const fresh = flatten(after ?? {}, '', new Map());
-  const paths = [...new Set([...old.keys(), ...fresh.keys()])];
+  const oldValues = flatten(before ?? {}, '', new Map());
+  const newValues = flatten(after ?? {}, '', new Map());
+  const paths = [...new Set([...oldValues.keys(), ...newValues.keys()])];
   return paths
-    .map((path) => lineOf(path, old.get(path), fresh.get(path)))
+    .map((path) => lineOf(path, oldValues.get(path), newValues.get(path)))
     .filter((line) => line !== undefined);
 }
--- a/src/cli/dispatcher.ts
+++ b/src/cli/dispatcher.ts
@@ -27,7 +27,7 @@
   return option.value === undefined ? `--${option.name}` : `--${option.name} <${option.value}>`;
 }
 
-function registerCommand(cli: CAC, spec: CommandSpec, matched: (values: readonly unknown[]) => void): void {
+function registerCommand(cli: CAC, spec: CommandSpec, onMatch: (values: readonly unknown[]) => void): void {
   const usage = spec.arguments === undefined ? spec.name : `${spec.name} ${spec.arguments}`;
   const command = cli.command(usage, spec.summary, { ignoreOptionDefaultValue: true });
   for (const option of spec.options) {
@@ -39,27 +39,27 @@
   for (const example of spec.examples ?? []) {
     command.example(`  $ ${PROGRAM_NAME} ${example}`);
   }
-  command.action((...values: unknown[]) => matched(values.slice(0, -1)));
+  command.action((...values: unknown[]) => onMatch(values.slice(0, -1)));
 }
 
 /** Returns the longest command whose words `words` start with. */
 function findCommand(commands: readonly CommandSpec[], words: readonly string[]): CommandSpec | undefined {
-  const starts = (spec: CommandSpec) => {
+  const isPrefix = (spec: CommandSpec) => {
     const parts = spec.name.split(' ');
     return parts.every((part, index) => words[index] === part);
   };
-  return commands.filter(starts).sort((left, right) => right.name.length - left.name.length)[0];
+  return commands.filter(isPrefix).sort((left, right) => right.name.length - left.name.length)[0];
 }
 
 /** Returns the message for an unknown command, with the known alternatives. */
 function describeUnknown(commands: readonly CommandSpec[], words: readonly string[]): string {
   const [noun = '', verb] = words;
-  const ofNoun = commands.filter((spec) => spec.name.split(' ')[0] === noun);
-  if (ofNoun.length === 0) {
+  const commandsOfNoun = commands.filter((spec) => spec.name.split(' ')[0] === noun);
+  if (commandsOfNoun.length === 0) {
     const nouns = [...new Set(commands.map((spec) => spec.name.split(' ')[0]))];
     return `unknown command ${JSON.stringify(noun)}; known: ${nouns.join(', ')}`;
   }
-  const verbs = ofNoun.map((spec) => spec.name.split(' ')[1]).join(', ');
+  const verbs = commandsOfNoun.map((spec) => spec.name.split(' ')[1]).join(', ');
   return verb === undefined || verb.startsWith('-')
     ? `${noun} needs one of: ${verbs}`
     : `unknown command "${noun} ${verb}"; ${noun} has: ${verbs}`;
@@ -71,8 +71,8 @@
 
 /** Returns the commands of the noun in `words`, or all commands if there is none. */
 function commandsForHelp(commands: readonly CommandSpec[], words: readonly string[]): readonly CommandSpec[] {
-  const ofNoun = commands.filter((spec) => spec.name.split(' ')[0] === words[0]);
-  return ofNoun.length > 0 ? ofNoun : commands;
+  const commandsOfNoun = commands.filter((spec) => spec.name.split(' ')[0] === words[0]);
+  return commandsOfNoun.length > 0 ? commandsOfNoun : commands;
 }
 
 function createCli(commands: readonly CommandSpec[], matched: (values: readonly unknown[]) => void): CAC {
@@ -92,7 +92,7 @@
 }
 
 /** Replaces the camel-case option names in cac's messages by hyphenated ones, as the user types them. */
-function withTypedNames(message: string): string {
+function withHyphenatedNames(message: string): string {
   return message.replace(/--\w+/g, (name) => name.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`));
 }
 
@@ -117,7 +117,7 @@
   try {
     cli.parse(['node', PROGRAM_NAME, command.name, ...rest]);
   } catch (thrown) {
-    const message = withTypedNames(toError(thrown).message);
+    const message = withHyphenatedNames(toError(thrown).message);
     throw new UsageError(`${message}; see ${PROGRAM_NAME} ${command.name} --help`);
   }
   if (positionals === undefined) {
--- a/src/cli/member-change.ts
+++ b/src/cli/member-change.ts
@@ -21,7 +21,7 @@
 }
 
 /** Sends the change once. Returns `undefined` if the outcome is unknown, e.g. while a replica catches up slowly. */
-export async function askOnce(
+export async function sendOnce(
   client: ControlClient,
   change: MemberChange,
   requestId: string = randomUUID(),
@@ -40,19 +40,19 @@
  * Sends the change until it is complete: a new leader doesn't continue it, and a repeated request joins one in progress.
  * Returns `undefined` if it isn't complete within `--repair-timeout`.
  */
-export async function askUntilMade(
+export async function sendUntilComplete(
   { options, io }: Invocation,
   client: ControlClient,
   change: MemberChange,
 ): Promise<MembershipBody | undefined> {
   const requestId = options.text('request-id') ?? randomUUID();
-  const until = performance.now() + (options.duration('repair-timeout') ?? DEFAULT_REPAIR_MILLIS);
+  const deadline = performance.now() + (options.duration('repair-timeout') ?? DEFAULT_REPAIR_MILLIS);
   while (!io.stopSignal.aborted) {
-    const answer = await askOnce(client, change, requestId);
+    const answer = await sendOnce(client, change, requestId);
     if (answer?.repaired) {
       return answer;
     }
-    if (performance.now() >= until) {
+    if (performance.now() >= deadline) {
       break;
     }
     await io.sleep(POLL_MILLIS);
--- a/src/cli/parsed-options.ts
+++ b/src/cli/parsed-options.ts
@@ -90,8 +90,8 @@
   }
 
   /** Returns one of `words`. Throws `UsageError`. */
-  choice<Word extends string>(name: string, words: readonly Word[], otherwise: Word): Word {
-    const text = this.text(name) ?? otherwise;
+  choice<Word extends string>(name: string, words: readonly Word[], defaultWord: Word): Word {
+    const text = this.text(name) ?? defaultWord;
     const word = words.find((candidate) => candidate === text);
     if (word === undefined) {
       throw new UsageError(`--${name}: ${JSON.stringify(text)} isn't one of ${words.join(', ')}`);
--- a/src/cli/preview.ts
+++ b/src/cli/preview.ts
@@ -18,11 +18,11 @@
 }
 
 /** Writes the difference, one line per value. */
-export function writePreview(io: CliIo, what: string, preview: Preview): void {
+export function writePreview(io: CliIo, subject: string, preview: Preview): void {
   const { before, after, revision } = preview;
   const place = revision === null ? '' : ` (revision ${revision})`;
   const state = before === null ? ' (new)' : place;
   const difference = differenceLines(before, after);
   const lines = difference.length === 0 ? ['unchanged'] : difference;
-  io.write(`${what}${state}\n${lines.map((line) => `  ${line}\n`).join('')}`);
+  io.write(`${subject}${state}\n${lines.map((line) => `  ${line}\n`).join('')}`);
 }
--- a/src/cli/queries/config-validate.ts
+++ b/src/cli/queries/config-validate.ts
@@ -18,7 +18,7 @@
 const AUTOMATIC = 'auto';
 
 /** Top-level keys that identify a kind of file, in order of precedence. */
-const TELLING_KEYS: readonly (readonly [string, FileKind])[] = [
+const IDENTIFYING_KEYS: readonly (readonly [string, FileKind])[] = [
   ['kind', 'declarations'],
   ['tokens', 'tokens'],
   ['workload', 'deployment'],
@@ -49,13 +49,13 @@
   if (typeof value !== 'object' || value === null || Array.isArray(value)) {
     return 'declarations';
   }
-  return TELLING_KEYS.find(([key]) => key in value)?.[1] ?? 'declarations';
+  return IDENTIFYING_KEYS.find(([key]) => key in value)?.[1] ?? 'declarations';
 }
 
 /** Returns the problems of one file, one line each. */
-function problemsOf(file: string, given: FileKind | typeof AUTOMATIC): string[] {
+function problemsOf(file: string, requestedKind: FileKind | typeof AUTOMATIC): string[] {
   try {
-    const kind = given === AUTOMATIC ? guessKind(file) : given;
+    const kind = requestedKind === AUTOMATIC ? guessKind(file) : requestedKind;
     CHECKS[kind](file);
     return [];
   } catch (thrown) {
--- a/src/cli/queries/control-status.ts
+++ b/src/cli/queries/control-status.ts
@@ -43,7 +43,7 @@
   readonly verdict: string;
 }
 
-async function askMember(client: ControlClient, address: Address): Promise<MemberAnswer> {
+async function queryMember(client: ControlClient, address: Address): Promise<MemberAnswer> {
   try {
     const status = await client.readFrom<RaftStatus>(address, HEALTH_PATH);
     return { address, status, problem: null };
@@ -76,8 +76,8 @@
   if (view.role !== 'leader') {
     return null;
   }
-  const held = replica === view.self ? view.commitIndex : view.matchIndexes[replica];
-  return held === undefined ? null : Math.max(0, view.commitIndex - held);
+  const syncedIndex = replica === view.self ? view.commitIndex : view.matchIndexes[replica];
+  return syncedIndex === undefined ? null : Math.max(0, view.commitIndex - syncedIndex);
 }
 
 function rowOf(view: RaftStatus, replica: ReplicaId, answers: readonly MemberAnswer[]): ReplicaRow {
@@ -116,8 +116,8 @@
 export function reportOf(answers: readonly MemberAnswer[]): ControlStatusReport {
   const statuses = answers.flatMap(({ status }) => (status === null ? [] : [status]));
   const view = bestView(statuses);
-  const named = view === undefined ? [] : Object.keys(view.membership.addresses);
-  const replicas = [...new Set([...named, ...statuses.map(({ self }) => self)])];
+  const membershipReplicas = view === undefined ? [] : Object.keys(view.membership.addresses);
+  const replicas = [...new Set([...membershipReplicas, ...statuses.map(({ self }) => self)])];
   const rows = view === undefined ? [] : replicas.map((replica) => rowOf(view, replica, answers));
   const unanswered = answers
     .filter(({ status }) => status === null)
@@ -147,7 +147,7 @@
   const format = outputFormat(options);
   const client = createClient(options, io);
   return runWatched(invocation, format, async () => {
-    const answers = await Promise.all(client.addresses.map((address) => askMember(client, address)));
+    const answers = await Promise.all(client.addresses.map((address) => queryMember(client, address)));
     const report = reportOf(answers);
     writeOutput(io, format, report, () => reportText(report));
     return report.leader === null ? EXIT_CODES.unreachable : EXIT_CODES.ok;
--- a/src/cli/queries/policy-try.ts
+++ b/src/cli/queries/policy-try.ts
@@ -11,7 +11,7 @@
   tryPolicy,
 } from '../../policy/index.js';
 import { loadPolicy } from '../../settings/policy-file.js';
-import { namingEachFault, UsageError } from '../cli-error.js';
+import { rethrowAsUsageError, UsageError } from '../cli-error.js';
 import type { CommandSpec, Invocation } from '../command-spec.js';
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 import { type Column, formatTable, OUTPUT_OPTION, outputFormat, writeOutput } from '../output.js';
@@ -32,7 +32,9 @@
 function recordsOf(records: readonly PolicyTraceRecord[], service: string | undefined): PolicyTraceRecord[] {
   const services = [...new Set(records.map(({ context }) => context.request.service))].sort();
   if (service === undefined && services.length > 1) {
-    throw new UsageError(`the trace is of ${services.join(', ')}: choose one with --service`);
+    throw new UsageError(
+      `the trace contains several services, ${services.join(', ')}: choose one with --service`,
+    );
   }
   const chosen = service ?? services[0];
   return records.filter(({ context }) => context.request.service === chosen);
@@ -50,11 +52,11 @@
 
 function summaryOf(trial: PolicyTrial): string {
   const { length } = trial.tried;
-  const weighs = trial.tried.some(({ preferred }) => preferred !== null);
+  const hasPreferences = trial.tried.some(({ preferred }) => preferred !== null);
   const lines = [
     `records: ${length}, passed: ${share(trial.passed, length)}`,
     `decided otherwise than recorded: ${share(trial.changed, length)}`,
-    ...(weighs ? [`another upstream preferred: ${share(trial.preferredChanged, length)}`] : []),
+    ...(hasPreferences ? [`another upstream preferred: ${share(trial.preferredChanged, length)}`] : []),
     ...[...trial.errors].map(([rule, count]) => `errors of rule ${rule}, taken as no match: ${count}`),
   ];
   const table = trial.byRule.length === 0 ? '' : formatTable(RULE_COLUMNS, trial.byRule);
@@ -69,7 +71,7 @@
 async function run({ options, io, positionals }: Invocation): Promise<ExitCode> {
   const [file = ''] = positionals;
   const format = outputFormat(options);
-  const program = compilePolicy(namingEachFault(() => loadPolicy(file)));
+  const program = compilePolicy(rethrowAsUsageError(() => loadPolicy(file)));
   const records = recordsOf(readTrace(options.required('trace')), options.text('service'));
   const trial = tryPolicy(program, records);
   const document = {
--- a/src/cli/queries/request-explain.ts
+++ b/src/cli/queries/request-explain.ts
@@ -77,9 +77,9 @@
 function lastBefore(
   lines: readonly LogLine[],
   time: string,
-  fits: (line: LogLine) => boolean,
+  matches: (line: LogLine) => boolean,
 ): LogLine | undefined {
-  return lines.filter((line) => line.time <= time && fits(line)).at(-1);
+  return lines.filter((line) => line.time <= time && matches(line)).at(-1);
 }
 
 async function explain({ positionals, options, io }: Invocation): Promise<ExitCode> {
@@ -100,7 +100,9 @@
     }
   }
   if (requests.length === 0) {
-    io.writeError(`no record of request ${JSON.stringify(id)}: ordinary answers are sampled\n`);
+    io.writeError(
+      `no record of request ${JSON.stringify(id)}: ordinary responses are logged only as a sample\n`,
+    );
     return EXIT_CODES.failed;
   }
   return EXIT_CODES.ok;
@@ -109,14 +111,14 @@
 /** Returns all records up to the request that concern its upstreams or its range. */
 function historyOf(request: LogLine, lines: readonly LogLine[]): LogLine[] {
   const upstreams = upstreamsOf(request);
-  const isOfThem = (line: LogLine): boolean => upstreams.some((upstream) => concerns(line, upstream));
-  return lines.filter((line) => line.time <= request.time && (isOfThem(line) || isRangeOf(line, request)));
+  const concernsAny = (line: LogLine): boolean => upstreams.some((upstream) => concerns(line, upstream));
+  return lines.filter((line) => line.time <= request.time && (concernsAny(line) || isRangeOf(line, request)));
 }
 
 /** Returns control's last decisions on the request's key and upstreams, and its router's last configuration. */
 function causesOf(request: LogLine, lines: readonly LogLine[]): LogLine[] {
   const { time, process } = request;
-  const found = [
+  const causes = [
     lastBefore(lines, time, (line) => isRangeOf(line, request)),
     ...upstreamsOf(request).flatMap((upstream) => [
       lastBefore(lines, time, (line) => line.event === 'upstream-changed' && concerns(line, upstream)),
@@ -126,17 +128,17 @@
     lastBefore(lines, time, (line) => line.event === 'declaration-changed'),
     lastBefore(lines, time, (line) => line.event === 'configuration-applied' && line.process === process),
   ];
-  return found.filter((line) => line !== undefined);
+  return causes.filter((line) => line !== undefined);
 }
 
 export const requestExplain: CommandSpec = {
   name: 'request explain',
-  summary: 'Find the cause of what became of a request in log files, by its id',
+  summary: 'Find the cause of the outcome of a request in log files, by its id',
   arguments: '<id> <...files>',
   options: [
     {
       name: 'all',
-      summary: 'Print everything that control logged of its upstreams before, not the last only',
+      summary: 'Print all earlier records of control on its upstreams, not only the last',
     },
   ],
   examples: ['request explain 9c41d07be2a35f68 router-1.log control-1.log'],
--- a/src/cli/queries/request-lookup.ts
+++ b/src/cli/queries/request-lookup.ts
@@ -8,9 +8,9 @@
 import { formatFacts, OUTPUT_OPTION, outputFormat, writeOutput } from '../output.js';
 
 const ADVICE: Readonly<Record<LedgerBody['state'], string>> = {
-  running: 'an attempt has the key and has not settled it; it runs nowhere else',
-  ran: 'it ran once; a resend gets the answer that is kept',
-  unknown: 'it may have run: look in the upstream itself before anyone repeats it under another key',
+  running: 'an attempt has claimed the key and is not finished; no other attempt runs',
+  ran: 'it ran once; a resend gets the stored answer',
+  unknown: 'it may have run: check the upstream itself before repeating it under another key',
 };
 
 async function readRecord(
@@ -30,9 +30,12 @@
   }
 }
 
-async function servicesToSearch(client: ControlClient, given: string | undefined): Promise<string[]> {
-  if (given !== undefined) {
-    return [given];
+async function servicesToSearch(
+  client: ControlClient,
+  requestedService: string | undefined,
+): Promise<string[]> {
+  if (requestedService !== undefined) {
+    return [requestedService];
   }
   const { services } = await client.read<ServicesBody>('/v1/services');
   return services.filter(({ definition }) => !definition.repeatable).map(({ definition }) => definition.name);
@@ -68,7 +71,7 @@
     const searched = services.join(', ') || 'none: no service is declared with repeatable: false';
     throw new NotFoundError(
       `the ledger has no request ${JSON.stringify(key)} (services searched: ${searched}); ` +
-        'it never ran, was proved not to have run, or is older than the retention of its service',
+        'it never ran, is proven not to have run, or is older than the retention of its service',
     );
   }
   writeOutput(io, format, records, () => records.map(recordText).join('\n'));
@@ -78,7 +81,7 @@
 export const requestLookup: CommandSpec = {
   name: 'request lookup',
   arguments: '<idempotency-key>',
-  summary: 'Say whether a request that must not run twice ran',
+  summary: 'Show whether a request that must not run twice has run',
   options: [
     {
       name: 'service',
--- a/src/cli/queries/shard-explain.ts
+++ b/src/cli/queries/shard-explain.ts
@@ -37,7 +37,7 @@
   readonly healths: readonly Health[];
 }
 
-function keyedService(services: readonly ServiceRecord[], name: string | undefined): ServiceRecord {
+function selectKeyedService(services: readonly ServiceRecord[], name: string | undefined): ServiceRecord {
   const keyed = services.filter(({ definition }) => definition.keyed);
   if (name !== undefined) {
     const found = services.find(({ definition }) => definition.name === name);
@@ -55,7 +55,7 @@
   }
   if (second !== undefined) {
     const names = keyed.map(({ definition }) => definition.name).join(', ');
-    throw new UsageError(`say which service with --service: ${names}`);
+    throw new UsageError(`there are several keyed services; choose one with --service: ${names}`);
   }
   return only;
 }
@@ -76,22 +76,22 @@
 ): string {
   if (record === null || record.owner === null) {
     return candidates.length === 0
-      ? 'nobody owns it, and no upstream may: declare one, or name its keyspace in mayHold'
-      : 'nobody owns it; requests are answered not-run until one of the candidates is granted it';
+      ? 'it has no owner, and no upstream may hold it: declare one, or add its keyspace to mayHold'
+      : 'it has no owner; requests are answered not-run until it is granted to one of the candidates';
   }
   if (record.movingTo !== null) {
-    return `${record.owner} serves what runs; then ${record.movingTo} takes over, requests wait meanwhile`;
+    return `${record.owner} finishes requests in flight, then ${record.movingTo} takes over; new requests wait`;
   }
   if (owner?.state === 'leased') {
     return `requests go to ${record.owner}`;
   }
   const silence = owner?.silentMillis ?? null;
   const since = silence === null ? '' : `, silent for ${formatMillis(silence)}`;
-  return `${record.owner} has no lease${since}; the shard moves once its last lease is over`;
+  return `${record.owner} has no lease${since}; the shard moves once its last lease has expired`;
 }
 
 /** Returns the keyspace and shard of a key. Throws `NotFoundError` if no keyspace contains it. */
-function placeOf(
+function locateKey(
   { definition, generation }: ServiceRecord,
   key: string,
 ): { keyspace: string; shard: ShardId } {
@@ -99,7 +99,7 @@
   const keyspace = keyspaceOfKey(keyspaces, key);
   const shard = shardOfKey({ service: name, generation, keyspaces }, key);
   if (keyspace === undefined || shard === undefined) {
-    throw new NotFoundError(`no keyspace of ${name} takes the key ${JSON.stringify(key)}`);
+    throw new NotFoundError(`no keyspace of ${name} contains the key ${JSON.stringify(key)}`);
   }
   return { keyspace: keyspace.name, shard };
 }
@@ -107,7 +107,7 @@
 /** Explains the placement of one key. Throws `NotFoundError` if no keyspace contains it. */
 export function explainKey(facts: ExplanationFacts): KeyExplanation {
   const { service, key, record, upstreams, healths } = facts;
-  const { keyspace, shard } = placeOf(service, key);
+  const { keyspace, shard } = locateKey(service, key);
   const owner = healths.find(({ upstream }) => upstream === record?.owner);
   const candidates = candidatesFor(shard, upstreams);
   return {
@@ -145,8 +145,8 @@
   const format = outputFormat(options);
   const client = createClient(options, io);
   const { services } = await client.read<ServicesBody>('/v1/services');
-  const service = keyedService(services, options.text('service'));
-  const record = await readShard(client, placeOf(service, key).shard);
+  const service = selectKeyedService(services, options.text('service'));
+  const record = await readShard(client, locateKey(service, key).shard);
   const { upstreams } = await client.read<UpstreamsBody>('/v1/upstreams');
   const { upstreams: healths } = await client.readLeaderStatus();
   const explanation = explainKey({ service, key, record, upstreams, healths });
@@ -157,7 +157,7 @@
 export const shardExplain: CommandSpec = {
   name: 'shard explain',
   arguments: '<key>',
-  summary: 'Say which upstream serves a key, and why',
+  summary: 'Show which upstream serves a key, and why',
   options: [
     { name: 'service', value: 'name', summary: 'Keyed service of the key; needed if there are several' },
     OUTPUT_OPTION,
--- a/src/cli/queries/status.ts
+++ b/src/cli/queries/status.ts
@@ -13,12 +13,12 @@
 import { controlFindings } from '../status/control-findings.js';
 import { type Finding, sortFindings } from '../status/finding.js';
 import { serviceFindings } from '../status/service-findings.js';
-import { serviceLines, servicesOf } from '../status/service-lines.js';
+import { serviceLines, sortedServices } from '../status/service-lines.js';
 import { type MemberReport, type StatusView, statusView } from '../status/status-view.js';
 import { runWatched, WATCH_OPTIONS } from '../watch.js';
 
 /** Errors that abort the command, since the user must supply a valid token first. */
-const NEEDS_TOKEN = new Set(['unauthenticated', 'forbidden']);
+const TOKEN_ERROR_CODES = new Set(['unauthenticated', 'forbidden']);
 
 /** The status page as printed in JSON or YAML. */
 interface StatusPage {
@@ -28,12 +28,12 @@
   readonly findings: readonly Finding[];
 }
 
-async function askMember(client: ControlClient, address: Address): Promise<MemberReport> {
+async function queryMember(client: ControlClient, address: Address): Promise<MemberReport> {
   try {
     const status = await client.readFrom<StatusBody>(address, '/v1/status');
     return { address, status, problem: null };
   } catch (thrown) {
-    if (thrown instanceof ControlAnswerError && NEEDS_TOKEN.has(thrown.adminCode)) {
+    if (thrown instanceof ControlAnswerError && TOKEN_ERROR_CODES.has(thrown.adminCode)) {
       throw thrown;
     }
     return { address, status: null, problem: toError(thrown).message };
@@ -41,7 +41,7 @@
 }
 
 /** Reads the declared upstreams from the leader; returns none without a leader. */
-async function askUpstreams(
+async function readUpstreams(
   client: ControlClient,
   members: readonly MemberReport[],
 ): Promise<readonly UpstreamRecord[]> {
@@ -63,9 +63,9 @@
   const { voters } = best.raft.membership;
   const leased = best.upstreams.filter(({ state }) => state === 'leased').length;
   const connected = routers.filter((router) => router.connected).length;
-  const led = leader === null ? 'without a leader' : `led by ${leader.raft.self}`;
+  const leadership = leader === null ? 'without a leader' : `led by ${leader.raft.self}`;
   const parts = [
-    `control: ${voters.length} voters, ${led}, revision ${best.revision}`,
+    `control: ${voters.length} voters, ${leadership}, revision ${best.revision}`,
     leader === null ? '' : `upstreams: ${leased} of ${upstreams.size} leased`,
     `routers: ${connected}`,
     best.movingShards > 0 ? `${best.movingShards} shards move` : '',
@@ -95,10 +95,10 @@
   const format = outputFormat(options);
   const client = createClient(options, io);
   return runWatched(invocation, format, async () => {
-    const members = await Promise.all(client.addresses.map((address) => askMember(client, address)));
-    const view = statusView(members, await askUpstreams(client, members));
+    const members = await Promise.all(client.addresses.map((address) => queryMember(client, address)));
+    const view = statusView(members, await readUpstreams(client, members));
     const findings = sortFindings([...controlFindings(view), ...serviceFindings(view)]);
-    const page = { summary: summaryOf(view), services: servicesOf(view.leader), findings };
+    const page = { summary: summaryOf(view), services: sortedServices(view.leader), findings };
     writeOutput(io, format, page, () => pageText(page, serviceLines(view)));
     return exitCodeFor(view, findings);
   });
@@ -106,7 +106,7 @@
 
 export const status: CommandSpec = {
   name: 'status',
-  summary: 'Say what is wrong, since when, and what to do; exit code 1 if something is, 4 without a leader',
+  summary: 'Show what is wrong, since when, and what to do; exit code 1 if anything is, 4 without a leader',
   options: [OUTPUT_OPTION, ...WATCH_OPTIONS, ...CLIENT_OPTIONS],
   examples: ['status --control 10.0.0.1:7401,10.0.0.2:7401,10.0.0.3:7401', 'status --watch'],
   run: show,
--- a/src/cli/settings-options.ts
+++ b/src/cli/settings-options.ts
@@ -5,7 +5,7 @@
 const SETTINGS_FILE_OPTION = {
   name: 'settings',
   value: 'file',
-  summary: 'YAML file with settings; the environment and flags stand above it',
+  summary: 'YAML file with settings; the environment and flags override it',
 } as const;
 
 /** Returns an option for each setting, and the one for the settings file. */
--- a/src/cli/status/control-findings.ts
+++ b/src/cli/status/control-findings.ts
@@ -2,12 +2,12 @@
 import type { Address, ReplicaId } from '../../model/identifiers.js';
 import type { StatusBody } from '../api-types.js';
 import type { Finding } from './finding.js';
-import { heardVoters, type StatusView } from './status-view.js';
+import { reachableVoters, type StatusView } from './status-view.js';
 
 /** A member without contact to the leader for this long counts as silent; normal contact is many times a second. */
 export const SILENT_MEMBER_MILLIS = 2000;
 /** Number of log entries by which a follower may lag without a finding. */
-const LAG_ENTRIES = 1000;
+const MAX_LAG_ENTRIES = 1000;
 
 function quorumOf(voters: readonly ReplicaId[]): number {
   return Math.floor(voters.length / 2) + 1;
@@ -18,7 +18,7 @@
 }
 
 /** Returns the hosts of silent replicas (without a leader, of all), which another finding covers. */
-function silentHosts({ leader, best }: StatusView): Set<string> {
+function hostsOfSilentReplicas({ leader, best }: StatusView): Set<string> {
   const addresses: Readonly<Record<ReplicaId, Address>> = best?.raft.membership.addresses ?? {};
   const silent = Object.entries(addresses).filter(
     ([replica]) => leader === null || (leader.memberSilentMillis[replica] ?? 0) >= SILENT_MEMBER_MILLIS,
@@ -26,29 +26,29 @@
   return new Set(silent.map(([, address]) => hostOf(address)));
 }
 
-function unreachable(view: StatusView): Finding[] {
-  const named = silentHosts(view);
+function unreachableMembers(view: StatusView): Finding[] {
+  const silentHosts = hostsOfSilentReplicas(view);
   return view.members
-    .filter(({ status, address }) => status === null && !named.has(hostOf(address)))
+    .filter(({ status, address }) => status === null && !silentHosts.has(hostOf(address)))
     .map(({ address, problem }) => ({
       severity: 'note',
       subject: `control/${address}`,
       problem: `its admin address doesn't answer (${problem})`,
       sinceMillis: null,
-      advice: 'check the address, and the network between here and there',
+      advice: 'check the address, and the network between this host and the member',
     }));
 }
 
-function withoutLeader(view: StatusView, best: StatusBody | null): Finding[] {
+function noLeaderFindings(view: StatusView, best: StatusBody | null): Finding[] {
   if (best === null) {
     const advice = 'check the addresses after --control, then start the members: ternmount control run';
     const problem = 'no member answers';
     return [{ severity: 'critical', subject: 'control', problem, sinceMillis: null, advice }];
   }
   const { voters, addresses } = best.raft.membership;
-  const heard = heardVoters(view, SILENT_MEMBER_MILLIS);
-  const silent = voters.filter((voter) => !heard.includes(voter));
-  const missing = quorumOf(voters) - heard.length;
+  const reachable = reachableVoters(view, SILENT_MEMBER_MILLIS);
+  const silent = voters.filter((voter) => !reachable.includes(voter));
+  const missing = quorumOf(voters) - reachable.length;
   const names = silent.map((voter) => `${voter} at ${addresses[voter] ?? '?'}`).join(', ');
   const advice =
     missing > 0
@@ -58,7 +58,7 @@
     {
       severity: 'critical',
       subject: 'control',
-      problem: `no leader: ${heard.length} of ${voters.length} voters answer, ${quorumOf(voters)} are needed. Nothing can be changed, and routers refuse requests once their configuration lease is over`,
+      problem: `no leader: ${reachable.length} of ${voters.length} voters answer, ${quorumOf(voters)} are needed. Nothing can be changed, and routers refuse requests once their configuration lease is over`,
       sinceMillis: best.leaderSinceMillis,
       advice,
     },
@@ -77,16 +77,16 @@
 }
 
 /** Lists upstreams with constraints, since callers see the requests that routers refuse because of them. */
-function needyUpstreams({ needs = [] }: StatusBody): Finding[] {
+function constrainedUpstreams({ needs = [] }: StatusBody): Finding[] {
   return needs.map(({ upstream, perSecond, heardAgoMillis, restingRouters }) => ({
     severity: 'note',
     subject: `upstream/${upstream}`,
     problem:
       perSecond === null
-        ? `turned ${restingRouters} routers away and asked them for rest`
-        : `takes ${perSecond} requests a second from all routers together, as it says in its answers`,
+        ? `rejected requests of ${restingRouters} routers and asked them to back off`
+        : `accepts ${perSecond} requests per second from all routers together, according to its responses`,
     sinceMillis: heardAgoMillis,
-    advice: 'routers keep to it and its keys move to others; see docs/operators/upstreams-in-need.md',
+    advice: 'routers comply, and its keys move to other upstreams; see docs/operators/upstreams-in-need.md',
   }));
 }
 
@@ -100,7 +100,7 @@
     return {
       severity: 'note',
       subject: `zone/${zone}`,
-      problem: `asks more of ${service} than its upstreams there can do, which are ${Math.round(use * PERCENT)}% busy: sends ${parts}`,
+      problem: `demands more of ${service} than its upstreams there can serve, which are ${Math.round(use * PERCENT)}% busy: sends ${parts}`,
       sinceMillis,
       advice: 'nothing is lost by it but bytes between zones; see docs/operators/uneven-demand.md',
     };
@@ -108,22 +108,22 @@
 }
 
 /** Speed relative to the mean below which an upstream gets a finding; the status body holds the speeds of all. */
-const SLOW_SPEED = 0.5;
+const SLOW_SPEED_RATIO = 0.5;
 
 function slowUpstreams({ fleet }: StatusBody): Finding[] {
-  const slow = fleet?.speeds.filter(({ speed }) => speed < SLOW_SPEED) ?? [];
+  const slow = fleet?.speeds.filter(({ speed }) => speed < SLOW_SPEED_RATIO) ?? [];
   return slow.map(({ upstream, speed, sinceMillis }) => ({
     severity: 'note',
     subject: `upstream/${upstream}`,
     problem: `works at ${speed} of the mean speed of its service`,
     sinceMillis,
-    advice: 'routers give it less; look at its machine; see docs/operators/uneven-demand.md',
+    advice: 'routers send it fewer requests; look at its machine; see docs/operators/uneven-demand.md',
   }));
 }
 
 function silentMembers(view: StatusView, leader: StatusBody): Finding[] {
   const { voters, addresses } = leader.raft.membership;
-  const spare = heardVoters(view, SILENT_MEMBER_MILLIS).length - quorumOf(voters);
+  const spare = reachableVoters(view, SILENT_MEMBER_MILLIS).length - quorumOf(voters);
   const silent = Object.entries(leader.memberSilentMillis).filter(
     ([, millis]) => millis >= SILENT_MEMBER_MILLIS,
   );
@@ -148,7 +148,8 @@
   const { commitIndex, matchIndexes, membership } = leader.raft;
   const lagging = Object.entries(matchIndexes).filter(
     ([replica, match]) =>
-      commitIndex - match > LAG_ENTRIES && (leader.memberSilentMillis[replica] ?? 0) < SILENT_MEMBER_MILLIS,
+      commitIndex - match > MAX_LAG_ENTRIES &&
+      (leader.memberSilentMillis[replica] ?? 0) < SILENT_MEMBER_MILLIS,
   );
   return lagging.map(([replica, match]) => ({
     severity: membership.voters.includes(replica) ? 'warning' : 'note',
@@ -181,7 +182,7 @@
 }
 
 /** Finds processes that answer but are neither members nor waiting to join. */
-function strangers(view: StatusView, leader: StatusBody): Finding[] {
+function unknownReplicas(view: StatusView, leader: StatusBody): Finding[] {
   const known = new Set([
     ...Object.keys(leader.raft.membership.addresses),
     ...leader.waitingReplicas.map(({ replica }) => replica),
@@ -195,7 +196,7 @@
       {
         severity: 'warning',
         subject: `control/${replica}`,
-        problem: `the replica that answers at ${address} is no member: it is new, or it was replaced`,
+        problem: `the replica that answers at ${address} is no member: it is new or was replaced`,
         sinceMillis: null,
         advice: `if it is new: ternmount control add ${replica} --address IP:PORT. If it was replaced: stop it and move its folder away`,
       },
@@ -207,17 +208,17 @@
 export function controlFindings(view: StatusView): Finding[] {
   const { leader, best } = view;
   if (leader === null) {
-    return [...withoutLeader(view, best), ...unreachable(view)];
+    return [...noLeaderFindings(view, best), ...unreachableMembers(view)];
   }
   return [
     ...silentMembers(view, leader),
     ...evacuatedZones(leader),
-    ...needyUpstreams(leader),
+    ...constrainedUpstreams(leader),
     ...spillingZones(leader),
     ...slowUpstreams(leader),
     ...laggingMembers(leader),
     ...changingMembers(leader),
-    ...strangers(view, leader),
-    ...unreachable(view),
+    ...unknownReplicas(view, leader),
+    ...unreachableMembers(view),
   ];
 }
--- a/src/cli/status/finding.ts
+++ b/src/cli/status/finding.ts
@@ -23,11 +23,11 @@
 /** Sorts by severity, worst first; then control, since everything depends on it, then by age, oldest first. */
 export function sortFindings(findings: readonly Finding[]): Finding[] {
   const rank = ({ severity }: Finding): number => SEVERITIES.indexOf(severity);
-  const depth = ({ subject }: Finding): number => (subject === CONTROL_SUBJECT ? 0 : 1);
+  const controlFirst = ({ subject }: Finding): number => (subject === CONTROL_SUBJECT ? 0 : 1);
   return [...findings].sort(
     (left, right) =>
       rank(left) - rank(right) ||
-      depth(left) - depth(right) ||
+      controlFirst(left) - controlFirst(right) ||
       (right.sinceMillis ?? 0) - (left.sinceMillis ?? 0),
   );
 }
--- a/src/cli/status/service-findings.ts
+++ b/src/cli/status/service-findings.ts
@@ -4,26 +4,26 @@
 import type { StatusView } from './status-view.js';
 
 /** A new upstream, or one that was lost, may take this long until its session begins. */
-const GREETING_MILLIS = 3000;
+const MAX_GREETING_MILLIS = 3000;
 /** A router that has made no request to control for this long has lost its configuration lease. */
 const SILENT_ROUTER_MILLIS = 3000;
 /** Shards of a lost upstream normally get a new owner within this time. */
-const UNOWNED_MILLIS = 3000;
+const MAX_UNOWNED_MILLIS = 3000;
 /** Placement normally balances a load within this time, unless something prevents it. */
-const IMBALANCED_MILLIS = 60_000;
+const MAX_IMBALANCED_MILLIS = 60_000;
 
 function unownedShards(view: StatusView, best: StatusBody): Finding[] {
   return best.unowned.map(({ service, shards, sinceMillis }) => {
     const declared = [...view.upstreams.values()].filter(({ definition }) => definition.service === service);
-    const live = declared.filter(({ definition }) =>
+    const leased = declared.filter(({ definition }) =>
       best.upstreams.some(({ upstream, state }) => upstream === definition.id && state === 'leased'),
     );
     const advice =
-      live.length === 0
+      leased.length === 0
         ? `no upstream of ${service} is leased: start one, or declare one with ternmount upstream add`
-        : 'each gets a new owner within 3 s; if not, ternmount shard explain KEY says what it waits for';
+        : 'each gets a new owner within 3 s; if not, ternmount shard explain KEY shows why not';
     return {
-      severity: sinceMillis >= UNOWNED_MILLIS ? 'critical' : 'note',
+      severity: sinceMillis >= MAX_UNOWNED_MILLIS ? 'critical' : 'note',
       subject: `service/${service}`,
       problem: `${shards} shards have no owner; requests for their keys are refused`,
       sinceMillis,
@@ -32,9 +32,13 @@
   });
 }
 
-function imbalance(leader: StatusBody): Finding[] {
+function imbalanceFindings(leader: StatusBody): Finding[] {
   return leader.services.flatMap(({ service, imbalance, imbalancedSinceMillis }): Finding[] => {
-    if (imbalance === null || imbalancedSinceMillis === null || imbalancedSinceMillis < IMBALANCED_MILLIS) {
+    if (
+      imbalance === null ||
+      imbalancedSinceMillis === null ||
+      imbalancedSinceMillis < MAX_IMBALANCED_MILLIS
+    ) {
       return [];
     }
     return [
@@ -55,11 +59,11 @@
     const record = view.upstreams.get(upstream)?.definition;
     const place = record === undefined ? '' : ` at ${record.address}`;
     const waitedMillis = silentMillis ?? leader.leaderSinceMillis;
-    if (state === 'unreachable' || (state === 'greeting' && waitedMillis >= GREETING_MILLIS)) {
+    if (state === 'unreachable' || (state === 'greeting' && waitedMillis >= MAX_GREETING_MILLIS)) {
       const owned = shards > 0 ? `; it still owns ${shards} shards until its lease is over` : '';
       const advice = `start it, or if it is gone for good: ternmount upstream remove ${upstream}`;
-      const never = silentMillis === null ? ' and never did since this leader began' : '';
-      const problem = `the upstream${place} doesn't answer control${never}${owned}`;
+      const neverAnswered = silentMillis === null ? ' and never did since this leader began' : '';
+      const problem = `the upstream${place} doesn't answer control${neverAnswered}${owned}`;
       return [{ severity: 'warning', subject, problem, sinceMillis: silentMillis, advice }];
     }
     if (record?.leaving) {
@@ -96,7 +100,7 @@
   const { leader, best } = view;
   return [
     ...(best === null ? [] : unownedShards(view, best)),
-    ...(leader === null ? [] : imbalance(leader)),
+    ...(leader === null ? [] : imbalanceFindings(leader)),
     ...(leader === null ? [] : upstreamFindings(view, leader)),
     ...routerFindings(view),
   ];
--- a/src/cli/status/service-lines.ts
+++ b/src/cli/status/service-lines.ts
@@ -20,10 +20,10 @@
 
 /** Returns one line per service, sorted by name; none without a leader, since only the leader measures. */
 export function serviceLines({ leader }: StatusView): string[] {
-  return servicesOf(leader).map(lineOf);
+  return sortedServices(leader).map(lineOf);
 }
 
 /** Returns the leader's measures, sorted by service name. */
-export function servicesOf(leader: StatusView['leader']): readonly ServiceMeasures[] {
+export function sortedServices(leader: StatusView['leader']): readonly ServiceMeasures[] {
   return [...(leader?.services ?? [])].sort((left, right) => (left.service < right.service ? -1 : 1));
 }
--- a/src/cli/status/status-view.ts
+++ b/src/cli/status/status-view.ts
@@ -36,15 +36,15 @@
   return leaders.sort((left, right) => right.raft.term - left.raft.term)[0] ?? null;
 }
 
-function furthest(statuses: readonly StatusBody[]): StatusBody | null {
+function mostAdvanced(statuses: readonly StatusBody[]): StatusBody | null {
   return [...statuses].sort((left, right) => right.raft.commitIndex - left.raft.commitIndex)[0] ?? null;
 }
 
 function mergeRouters(statuses: readonly StatusBody[]): RouterView[] {
   const merged = new Map<string, RouterView>();
   for (const router of statuses.flatMap(({ routers }) => routers)) {
-    const known = merged.get(router.router);
-    if (known === undefined || router.silentMillis < known.silentMillis) {
+    const existing = merged.get(router.router);
+    if (existing === undefined || router.silentMillis < existing.silentMillis) {
       merged.set(router.router, router);
     }
   }
@@ -61,19 +61,19 @@
   return {
     members,
     leader,
-    best: leader ?? furthest(statuses),
+    best: leader ?? mostAdvanced(statuses),
     upstreams: new Map(upstreams.map((record) => [record.definition.id, record])),
     routers: mergeRouters(statuses),
   };
 }
 
 /** Returns the voters in contact with the leader; without a leader, those that answered the query. */
-export function heardVoters({ best, leader, members }: StatusView, silentMillis: number): ReplicaId[] {
+export function reachableVoters({ best, leader, members }: StatusView, silentMillis: number): ReplicaId[] {
   const voters = best?.raft.membership.voters ?? [];
   const answered = new Set(statusesOf(members).map(({ raft }) => raft.self));
-  const isHeard = (voter: ReplicaId): boolean =>
+  const isReachable = (voter: ReplicaId): boolean =>
     leader === null
       ? answered.has(voter)
       : voter === leader.raft.self || (leader.memberSilentMillis[voter] ?? 0) < silentMillis;
-  return voters.filter(isHeard);
+  return voters.filter(isReachable);
 }
--- a/test/cli/bundle.test.ts
+++ b/test/cli/bundle.test.ts
@@ -28,7 +28,7 @@
 const DAEMONS = ['router', 'control'] as const;
 type Daemon = (typeof DAEMONS)[number];
 
-interface Ended {
+interface ProcessResult {
   readonly status: number | null;
   readonly stderr: string;
 }
@@ -44,7 +44,7 @@
 
   after(() => rmSync(folder, { recursive: true, force: true }));
 
-  function start(daemon: Daemon, ...words: string[]): Ended {
+  function start(daemon: Daemon, ...words: string[]): ProcessResult {
     const program = [...FLAGS[daemon], join(folder, 'ternmount.cjs'), ...words];
     const { status, stderr } = spawnSync(process.execPath, program, { encoding: 'utf8' });
     return { status, stderr };
--- a/test/cli/changes.test.ts
+++ b/test/cli/changes.test.ts
@@ -54,7 +54,7 @@
     const { output } = await run(`service apply ${changed} --dry-run`);
     expect(output).to.contain('~ deadline: "2s" -> "5s"');
     expect(output).to.contain('upstream/menu-1 (revision 2)\n  unchanged');
-    for (const [line, says] of [
+    for (const [line, expectedText] of [
       ['upstream drain menu-1 --dry-run', '~ leaving: false -> true'],
       ['upstream remove menu-1 --dry-run', '- address: "10.0.0.1:8080"'],
       [
@@ -70,12 +70,12 @@
     ] as const) {
       const preview = await run(line);
       expect(preview.exitCode, preview.errors).to.equal(0);
-      expect(preview.output).to.contain(says);
+      expect(preview.output).to.contain(expectedText);
     }
     expect(harness.state()).to.equal(before);
   });
 
-  const bad: readonly (readonly [string, string, string])[] = [
+  const invalidFiles: readonly (readonly [string, string, string])[] = [
     ['an unknown key', MENU.replace('zone: zone-a', 'zoom: zone-a'), '11:1: zoom: unknown key'],
     ['a number without unit', MENU.replace('name: menu\n', 'name: menu\ndeadline: 5\n'), '3:11: deadline'],
     ['no YAML', 'kind: [service', '1:'],
@@ -87,12 +87,12 @@
       '8:17: policy.full.when',
     ],
   ];
-  for (const [name, text, says] of bad) {
+  for (const [name, text, expectedProblem] of invalidFiles) {
     it(`a file with ${name} is rejected with file, line and column, and changes nothing`, async () => {
       const file = folder.write('bad.yaml', text);
       const { exitCode, errors } = await run(`service apply ${file}`);
       expect(exitCode).to.equal(2);
-      expect(errors).to.contain(`${file}:${says}`);
+      expect(errors).to.contain(`${file}:${expectedProblem}`);
       expect(harness.registry.revision).to.equal(0);
     });
   }
--- a/test/cli/settings-watch.test.ts
+++ b/test/cli/settings-watch.test.ts
@@ -59,8 +59,8 @@
     await sleep(300);
     expect(reloads).to.equal(0);
     writeFileSync(file, 'zone: bb\n');
-    const until = Date.now() + WAIT_MILLIS;
-    while (reloads === 0 && Date.now() < until) {
+    const deadline = Date.now() + WAIT_MILLIS;
+    while (reloads === 0 && Date.now() < deadline) {
       await sleep(50);
     }
     watch.stop();
--- a/test/cli/several-members.test.ts
+++ b/test/cli/several-members.test.ts
@@ -54,7 +54,7 @@
   }
 
   /** Forwards requests to the harness; `interferes` may replace the answers to changes. */
-  function passOn(interferes: (response: ServerResponse, count: number) => boolean) {
+  function forward(intercept: (response: ServerResponse, count: number) => boolean) {
     let changes = 0;
     return (request: IncomingMessage, response: ServerResponse): void => {
       const chunks: Buffer[] = [];
@@ -62,15 +62,15 @@
       request.on('end', async () => {
         const body = Buffer.concat(chunks).toString('utf8');
         const { method = 'GET', url = '/' } = request;
-        const kept = ['ternmount-request-id', 'if-match', 'if-none-match'];
+        const forwardedHeaders = ['ternmount-request-id', 'if-match', 'if-none-match'];
         const headers = Object.fromEntries(
-          kept.flatMap((name) =>
+          forwardedHeaders.flatMap((name) =>
             request.headers[name] === undefined ? [] : [[name, String(request.headers[name])]],
           ),
         );
         const result = await harness.write(method, url, body, headers);
         changes += method === 'GET' ? 0 : 1;
-        if (method === 'GET' || !interferes(response, changes)) {
+        if (method === 'GET' || !intercept(response, changes)) {
           answer(response, result.status, result.body);
         }
       });
@@ -85,15 +85,15 @@
   });
 
   it('resends a change whose answer was lost with its id; the change is made once', async () => {
-    const losesFirst = await stub(
-      passOn((response, count) => {
+    const dropsFirstAnswer = await stub(
+      forward((response, count) => {
         if (count === 1) {
           response.destroy();
         }
         return count === 1;
       }),
     );
-    const { exitCode, output } = await apply([losesFirst]);
+    const { exitCode, output } = await apply([dropsFirstAnswer]);
     expect(exitCode).to.equal(0);
     expect(output).to.contain('revision 1');
     expect(harness.registry.services().get('menu')?.revision).to.equal(1);
@@ -103,18 +103,18 @@
   });
 
   it('exits with 4 without any answer, and prints how to resend', async () => {
-    const mute = await stub(
-      passOn((response) => {
+    const silentMember = await stub(
+      forward((response) => {
         response.destroy();
         return true;
       }),
     );
-    const lost = await apply([mute], '--timeout', '100ms');
+    const lost = await apply([silentMember], '--timeout', '100ms');
     expect(lost.exitCode).to.equal(4);
     const id = /--request-id (\S+):/.exec(lost.errors)?.[1] ?? '';
     expect(id).not.to.equal('');
-    const again = await apply([harness.address], '--request-id', id);
-    expect(again.output).to.contain('revision 1');
+    const resent = await apply([harness.address], '--request-id', id);
+    expect(resent.output).to.contain('revision 1');
     expect(harness.registry.services().get('menu')?.revision).to.equal(1);
   });
 
@@ -128,8 +128,8 @@
         ids.push(request.headers['ternmount-request-id']);
         const error = { code: 'outcome-unknown', message: 'not yet' };
         const membership = { voters: ['r-2'], outgoingVoters: [], learners: [], addresses: {} };
-        const made = ids.length > 5;
-        answer(response, made ? 200 : 504, made ? { membership, repaired: true } : { error });
+        const isComplete = ids.length > 5;
+        answer(response, isComplete ? 200 : 504, isComplete ? { membership, repaired: true } : { error });
       });
       const words = [...line.split(' '), '--control', slow, '--timeout', '1ms'];
       const { exitCode, output, errors } = await runCli(words);
--- a/test/cli/status.test.ts
+++ b/test/cli/status.test.ts
@@ -105,11 +105,11 @@
       ['critical', 'control/r-3', MINUTE, 'one more loss stops control', 'control replace r-3 NEW --address'],
     ],
   },
-  'a voter that the leader hears, whose admin address does not answer': {
+  'a voter in contact with the leader, whose admin address does not answer': {
     statuses: [body('r-1'), body('r-2'), null],
     expected: [['note', 'control/10.0.0.3:7401', null, 'ECONNREFUSED', 'network between']],
   },
-  'no leader for want of voters': {
+  'no leader because too few voters answer': {
     statuses: [null, body('r-2', { leaderSinceMillis: 9000 }, { role: 'pre-candidate', leader: null }), null],
     expected: [
       [
@@ -170,7 +170,7 @@
       ['warning', 'upstream/menu-1', 8000, "at 10.0.1.1:8000 doesn't answer", 'upstream remove menu-1'],
     ],
   },
-  'shards on the way to a new owner': {
+  'shards that are moving to a new owner': {
     statuses: [
       body('r-1', { upstreams: [leased], unowned: [{ service: 'menu', shards: 2, sinceMillis: 900 }] }),
       ...followers,
@@ -178,13 +178,13 @@
     upstreams: [upstream('menu-1')],
     expected: [['note', 'service/menu', 900, '2 shards', 'within 3 s']],
   },
-  'a service whose load stays uneven': {
+  'a service with a lasting imbalance': {
     statuses: [body('r-1', { services: [unevenMenu] }), ...followers],
     expected: [
       ['warning', 'service/menu', MINUTE, 'carries 2.51 times the mean load', 'raise movesPerMinute'],
     ],
   },
-  'nothing of a load that is even, or has been uneven for less than a minute': {
+  'nothing for a balanced load, or an imbalance of less than a minute': {
     statuses: [
       body('r-1', {
         services: [evenMenu, { ...unevenMenu, service: 'seats', imbalancedSinceMillis: MINUTE - 1 }],
@@ -201,7 +201,7 @@
     upstreams: [upstream('menu-1')],
     expected: [['warning', 'upstream/menu-1', null, 'never did since this leader began', 'start it']],
   },
-  'upstreams that leave': {
+  'draining upstreams': {
     statuses: [
       body('r-1', { upstreams: [leased, { ...leased, upstream: 'menu-2', shards: 0 }] }),
       ...followers,
@@ -212,7 +212,7 @@
       ['note', 'upstream/menu-2', null, 'owns nothing', 'stop it'],
     ],
   },
-  'routers that hang or are gone, as the member that heard them last says': {
+  'routers that hang or are gone, as reported by the member with the latest contact': {
     statuses: [
       body('r-1', {
         routers: [
@@ -250,8 +250,10 @@
   for (const [name, { statuses, upstreams, expected }] of Object.entries(CASES)) {
     it(`reports: ${name}`, () => {
       const found = findings(statuses, upstreams);
-      const heads = found.map(({ severity, subject, sinceMillis }) => [severity, subject, sinceMillis]);
-      expect(heads).to.deep.equal(expected.map(([severity, subject, since]) => [severity, subject, since]));
+      const headings = found.map(({ severity, subject, sinceMillis }) => [severity, subject, sinceMillis]);
+      expect(headings).to.deep.equal(
+        expected.map(([severity, subject, since]) => [severity, subject, since]),
+      );
       expected.forEach(([, , , problem, advice], index) => {
         expect(found[index]?.problem).to.contain(problem);
         expect(found[index]?.advice).to.contain(advice);
