--- a/src/cli/cli-error.ts
+++ b/src/cli/cli-error.ts
@@ -49,7 +49,7 @@
   }
 }
 
-const EXIT_OF_ADMIN_CODE: Readonly<Partial<Record<AdminErrorCode, ExitCode>>> = {
+const EXIT_CODE_BY_ADMIN_CODE: Readonly<Partial<Record<AdminErrorCode, ExitCode>>> = {
   'invalid-request': EXIT_CODES.usage,
   'invalid-definition': EXIT_CODES.usage,
   'invalid-policy': EXIT_CODES.usage,
@@ -73,7 +73,7 @@
     const { code, message, problems } = body.error;
     const lines = problems !== undefined && problems.length > 1 ? problems.join('\n') : message;
     super(
-      EXIT_OF_ADMIN_CODE[code] ?? EXIT_CODES.failed,
+      EXIT_CODE_BY_ADMIN_CODE[code] ?? EXIT_CODES.failed,
       `CONTROL_${code.replaceAll('-', '_').toUpperCase()}`,
       lines,
     );
--- a/src/cli/commands/control-members.ts
+++ b/src/cli/commands/control-members.ts
@@ -13,15 +13,15 @@
   summary: 'Internal address of the new replica',
 };
 
-async function post(
+async function sendMemberChange(
   { options, io }: Invocation,
   path: string,
   body: unknown,
-  done: string,
+  successText: string,
 ): Promise<ExitCode> {
   const requestId = options.text('request-id');
   await createClient(options, io).change({ method: 'POST', path, body, requestId });
-  io.write(`${done}\n`);
+  io.write(`${successText}\n`);
   return EXIT_CODES.ok;
 }
 
@@ -57,7 +57,7 @@
   run: (invocation) => {
     const [replica = ''] = invocation.positionals;
     const body = { replica, address: invocation.options.required('address') };
-    return post(invocation, '/v1/control/add-learner', body, `${replica} follows the log`);
+    return sendMemberChange(invocation, '/v1/control/add-learner', body, `${replica} follows the log`);
   },
 };
 
@@ -70,7 +70,7 @@
   run: (invocation) => {
     const to = invocation.positionals[0] ?? null;
     const done = `leadership goes to ${to ?? 'the best replica'}`;
-    return post(invocation, '/v1/control/transfer', { to }, done);
+    return sendMemberChange(invocation, '/v1/control/transfer', { to }, done);
   },
 };
 
@@ -79,5 +79,5 @@
   summary: 'Take a snapshot now and drop the log before it',
   options: MEMBER_OPTIONS,
   examples: ['control snapshot'],
-  run: (invocation) => post(invocation, '/v1/control/snapshot', {}, 'snapshot taken'),
+  run: (invocation) => sendMemberChange(invocation, '/v1/control/snapshot', {}, 'snapshot taken'),
 };
--- a/src/cli/commands/upstream-drain.ts
+++ b/src/cli/commands/upstream-drain.ts
@@ -5,7 +5,7 @@
 import { CHANGE_OPTIONS, createClient } from '../client-options.js';
 import type { CommandSpec, Invocation } from '../command-spec.js';
 import type { ControlClient } from '../control-client.js';
-import { readOwned, readUpstream, upstreamPath } from '../current.js';
+import { readOwnedShards, readUpstream, upstreamPath } from '../current.js';
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 import { DRY_RUN_OPTION, type Preview } from '../preview.js';
 import { sendChange } from './simple-change.js';
@@ -21,7 +21,7 @@
   const deadline = performance.now() + (options.duration('drain-timeout') ?? DEFAULT_DRAIN_MILLIS);
   let lastOwned: number | undefined;
   while (!io.stopSignal.aborted) {
-    const owned = (await readOwned(client, id)).length;
+    const owned = (await readOwnedShards(client, id)).length;
     if (owned === 0) {
       io.write(`upstream/${id}: owns nothing\n`);
       return EXIT_CODES.ok;
--- a/src/cli/current.ts
+++ b/src/cli/current.ts
@@ -40,7 +40,10 @@
 }
 
 /** Reads the shards that an upstream owns, as committed by a quorum, without reading the whole list. */
-export async function readOwned(client: ControlClient, upstream: string): Promise<readonly ShardRecord[]> {
+export async function readOwnedShards(
+  client: ControlClient,
+  upstream: string,
+): Promise<readonly ShardRecord[]> {
   const body = await client.read<ShardsBody>(`/v1/shards?owner=${encodeURIComponent(upstream)}`);
   return body.shards;
 }
--- a/src/cli/queries/control-status.ts
+++ b/src/cli/queries/control-status.ts
@@ -113,7 +113,7 @@
 }
 
 /** Merges the members' answers into a report. */
-export function reportOf(answers: readonly MemberAnswer[]): ControlStatusReport {
+export function buildReport(answers: readonly MemberAnswer[]): ControlStatusReport {
   const statuses = answers.flatMap(({ status }) => (status === null ? [] : [status]));
   const view = bestView(statuses);
   const membershipReplicas = view === undefined ? [] : Object.keys(view.membership.addresses);
@@ -148,7 +148,7 @@
   const client = createClient(options, io);
   return runWatched(invocation, format, async () => {
     const answers = await Promise.all(client.addresses.map((address) => queryMember(client, address)));
-    const report = reportOf(answers);
+    const report = buildReport(answers);
     writeOutput(io, format, report, () => reportText(report));
     return report.leader === null ? EXIT_CODES.unreachable : EXIT_CODES.ok;
   });
--- a/src/cli/queries/request-explain.ts
+++ b/src/cli/queries/request-explain.ts
@@ -9,7 +9,7 @@
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 
 /** The fields of a log record that this command uses. */
-interface LogLine {
+interface LogRecord {
   readonly time: string;
   readonly process: string;
   readonly event: string;
@@ -24,7 +24,7 @@
 }
 
 /** Reads log records; skips lines that aren't valid JSON, such as truncated ones. */
-async function* readLog(file: string): AsyncIterable<LogLine> {
+async function* readLog(file: string): AsyncIterable<LogRecord> {
   const lines = createInterface({ input: createReadStream(file), crlfDelay: Number.POSITIVE_INFINITY });
   try {
     for await (const line of lines) {
@@ -38,7 +38,7 @@
   }
 }
 
-function parseLine(line: string): LogLine | null {
+function parseLine(line: string): LogRecord | null {
   const start = line.indexOf('{');
   if (start === -1) {
     return null;
@@ -54,19 +54,19 @@
 }
 
 /** Returns the upstreams that a request was sent to, and the owner of its key. */
-function upstreamsOf({ fields }: LogLine): string[] {
+function upstreamsOf({ fields }: LogRecord): string[] {
   const attempts = (fields.attempts ?? []) as readonly { readonly upstream: string }[];
   const owner = typeof fields.owner === 'string' ? [fields.owner] : [];
   return [...new Set([...attempts.map(({ upstream }) => upstream), ...owner])];
 }
 
-function concerns(line: LogLine, upstream: string): boolean {
+function concerns(line: LogRecord, upstream: string): boolean {
   const { fields } = line;
   return [fields.upstream, fields.owner, fields.former].includes(upstream);
 }
 
 /** Whether `line` records a change of the range that contains the request's key. */
-function isRangeOf(line: LogLine, request: LogLine): boolean {
+function isRangeOf(line: LogRecord, request: LogRecord): boolean {
   const key = Number(request.fields.key ?? Number.NaN);
   const { service, from, to } = line.fields;
   const isSame = service === request.fields.service;
@@ -75,16 +75,16 @@
 
 /** Returns the last record up to `time` that matches. */
 function lastBefore(
-  lines: readonly LogLine[],
+  lines: readonly LogRecord[],
   time: string,
-  matches: (line: LogLine) => boolean,
-): LogLine | undefined {
+  matches: (line: LogRecord) => boolean,
+): LogRecord | undefined {
   return lines.filter((line) => line.time <= time && matches(line)).at(-1);
 }
 
 async function explain({ positionals, options, io }: Invocation): Promise<ExitCode> {
   const [id = '', ...files] = positionals;
-  const lines: LogLine[] = [];
+  const lines: LogRecord[] = [];
   for (const file of files) {
     for await (const line of readLog(file)) {
       lines.push(line);
@@ -109,14 +109,14 @@
 }
 
 /** Returns all records up to the request that concern its upstreams or its range. */
-function historyOf(request: LogLine, lines: readonly LogLine[]): LogLine[] {
+function historyOf(request: LogRecord, lines: readonly LogRecord[]): LogRecord[] {
   const upstreams = upstreamsOf(request);
-  const concernsAny = (line: LogLine): boolean => upstreams.some((upstream) => concerns(line, upstream));
+  const concernsAny = (line: LogRecord): boolean => upstreams.some((upstream) => concerns(line, upstream));
   return lines.filter((line) => line.time <= request.time && (concernsAny(line) || isRangeOf(line, request)));
 }
 
 /** Returns control's last decisions on the request's key and upstreams, and its router's last configuration. */
-function causesOf(request: LogLine, lines: readonly LogLine[]): LogLine[] {
+function causesOf(request: LogRecord, lines: readonly LogRecord[]): LogRecord[] {
   const { time, process } = request;
   const causes = [
     lastBefore(lines, time, (line) => isRangeOf(line, request)),
--- a/src/cli/queries/status.ts
+++ b/src/cli/queries/status.ts
@@ -14,7 +14,7 @@
 import { type Finding, sortFindings } from '../status/finding.js';
 import { serviceFindings } from '../status/service-findings.js';
 import { serviceLines, sortedServices } from '../status/service-lines.js';
-import { type MemberReport, type StatusView, statusView } from '../status/status-view.js';
+import { type MemberReport, type StatusView, toStatusView } from '../status/status-view.js';
 import { runWatched, WATCH_OPTIONS } from '../watch.js';
 
 /** Errors that abort the command, since the user must supply a valid token first. */
@@ -96,7 +96,7 @@
   const client = createClient(options, io);
   return runWatched(invocation, format, async () => {
     const members = await Promise.all(client.addresses.map((address) => queryMember(client, address)));
-    const view = statusView(members, await readUpstreams(client, members));
+    const view = toStatusView(members, await readUpstreams(client, members));
     const findings = sortFindings([...controlFindings(view), ...serviceFindings(view)]);
     const page = { summary: summaryOf(view), services: sortedServices(view.leader), findings };
     writeOutput(io, format, page, () => pageText(page, serviceLines(view)));
--- a/src/cli/queries/upstream-list.ts
+++ b/src/cli/queries/upstream-list.ts
@@ -31,7 +31,7 @@
   { title: 'MAY HOLD', value: ({ record }) => record.definition.mayHold.join(',') || 'all' },
   { title: 'STATE', value: stateOf },
   { title: 'SHARDS', value: ({ health }) => health?.shards ?? null },
-  { title: 'HEARD', value: ({ health }) => heardOf(health) },
+  { title: 'HEARD', value: ({ health }) => lastContactOf(health) },
   { title: 'REVISION', value: ({ record }) => record.revision },
 ];
 
@@ -44,7 +44,7 @@
   return session === null ? 'leaving' : `leaving (${session})`;
 }
 
-function heardOf(health: Health | undefined): string | null {
+function lastContactOf(health: Health | undefined): string | null {
   const silentMillis = health?.silentMillis ?? null;
   return silentMillis === null ? null : `${formatMillis(silentMillis)} ago`;
 }
--- a/src/cli/run-command-line.ts
+++ b/src/cli/run-command-line.ts
@@ -18,7 +18,7 @@
   try {
     return await runCommand(words, io, commands);
   } catch (thrown) {
-    io.writeError(`${PROGRAM_NAME}: ${describe(thrown)}\n`);
+    io.writeError(`${PROGRAM_NAME}: ${describeError(thrown)}\n`);
     return exitCodeOf(thrown);
   }
 }
@@ -47,7 +47,7 @@
 }
 
 /** Returns the message of a `TernmountError`. Any other error is a bug, so its stack is returned. */
-function describe(thrown: unknown): string {
+function describeError(thrown: unknown): string {
   const error = toError(thrown);
   return error instanceof TernmountError ? error.message : (error.stack ?? error.message);
 }
--- a/src/cli/status/status-view.ts
+++ b/src/cli/status/status-view.ts
@@ -52,7 +52,7 @@
 }
 
 /** Merges the members' answers. */
-export function statusView(
+export function toStatusView(
   members: readonly MemberReport[],
   upstreams: readonly UpstreamRecord[],
 ): StatusView {
--- a/test/cli/help.test.ts
+++ b/test/cli/help.test.ts
@@ -5,7 +5,7 @@
 import { runCli } from './cli-harness.js';
 
 /** Captures what cac prints. */
-function printed(words: readonly string[]): string {
+function captureOutput(words: readonly string[]): string {
   const lines: unknown[] = [];
   const info = console.info;
   const log = console.log;
@@ -27,7 +27,7 @@
 
 describe('help', () => {
   it('names every command', () => {
-    const help = printed(['--help']);
+    const help = captureOutput(['--help']);
     for (const { name, summary } of COMMANDS) {
       expect(help).to.contain(name);
       expect(help).to.contain(summary);
@@ -41,7 +41,7 @@
 
   for (const spec of COMMANDS) {
     it(`${spec.name} --help names arguments, options and examples`, () => {
-      const help = printed([...spec.name.split(' '), '--help']);
+      const help = captureOutput([...spec.name.split(' '), '--help']);
       expect(help).to.contain(`${PROGRAM_NAME} ${spec.name}${spec.arguments ? ` ${spec.arguments}` : ''}`);
       for (const option of spec.options) {
         expect(help).to.contain(`--${option.name}`);
@@ -80,11 +80,11 @@
     ['service list', 'say where control is'],
     ['service list --control host:80', 'host:80'],
   ];
-  for (const [line, says] of wrong) {
+  for (const [line, expectedText] of wrong) {
     it(`"${line}": exits with 2 and lists the alternatives`, async () => {
       const { exitCode, errors } = await runCli(line.split(' '));
       expect(exitCode, errors).to.equal(2);
-      expect(errors).to.contain(says);
+      expect(errors).to.contain(expectedText);
     });
   }
 });
--- a/test/cli/several-members.test.ts
+++ b/test/cli/several-members.test.ts
@@ -118,7 +118,7 @@
     expect(harness.registry.services().get('menu')?.revision).to.equal(1);
   });
 
-  for (const [line, done] of [
+  for (const [line, expectedOutput] of [
     ['control add r-2 --address 10.0.0.2:7400', 'r-2 votes'],
     ['control replace r-1 r-2 --address 10.0.0.2:7400', 'repaired: r-2 votes in place of r-1'],
   ] as const) {
@@ -134,7 +134,7 @@
       const words = [...line.split(' '), '--control', slow, '--timeout', '1ms'];
       const { exitCode, output, errors } = await runCli(words);
       expect(exitCode, errors).to.equal(0);
-      expect(output).to.contain(done);
+      expect(output).to.contain(expectedOutput);
       expect(new Set(ids).size).to.equal(1);
     });
   }
--- a/test/cli/status.test.ts
+++ b/test/cli/status.test.ts
@@ -5,7 +5,7 @@
 import { type Finding, sortFindings } from '../../src/cli/status/finding.js';
 import { serviceFindings } from '../../src/cli/status/service-findings.js';
 import { serviceLines } from '../../src/cli/status/service-lines.js';
-import { type MemberReport, statusView } from '../../src/cli/status/status-view.js';
+import { type MemberReport, toStatusView } from '../../src/cli/status/status-view.js';
 import type { ServiceMeasures } from '../../src/control/service-measures.js';
 import type { UpstreamRecord } from '../../src/registry/types.js';
 
@@ -68,7 +68,7 @@
   statuses: readonly (StatusBody | null)[],
   upstreams: readonly UpstreamRecord[] = [],
 ): Finding[] {
-  const view = statusView(reports(statuses), upstreams);
+  const view = toStatusView(reports(statuses), upstreams);
   return sortFindings([...controlFindings(view), ...serviceFindings(view)]);
 }
 
@@ -82,7 +82,7 @@
 const followers = [body('r-2'), body('r-3')];
 const leased = { upstream: 'menu-1', state: 'leased', silentMillis: 100, shards: 8, draining: 0 } as const;
 
-const evenMenu: ServiceMeasures = {
+const balancedMenu: ServiceMeasures = {
   service: 'menu',
   ownedShards: 8,
   unownedShards: 0,
@@ -95,7 +95,12 @@
   imbalanceOverBound: 1.1,
   imbalancedSinceMillis: null,
 };
-const unevenMenu = { ...evenMenu, imbalance: 2.514, imbalanceOverBound: 2, imbalancedSinceMillis: MINUTE };
+const imbalancedMenu = {
+  ...balancedMenu,
+  imbalance: 2.514,
+  imbalanceOverBound: 2,
+  imbalancedSinceMillis: MINUTE,
+};
 
 const CASES: Record<string, Case> = {
   'nothing is wrong': { statuses: [body('r-1'), ...followers], expected: [] },
@@ -179,7 +184,7 @@
     expected: [['note', 'service/menu', 900, '2 shards', 'within 3 s']],
   },
   'a service with a lasting imbalance': {
-    statuses: [body('r-1', { services: [unevenMenu] }), ...followers],
+    statuses: [body('r-1', { services: [imbalancedMenu] }), ...followers],
     expected: [
       ['warning', 'service/menu', MINUTE, 'carries 2.51 times the mean load', 'raise movesPerMinute'],
     ],
@@ -187,7 +192,7 @@
   'nothing for a balanced load, or an imbalance of less than a minute': {
     statuses: [
       body('r-1', {
-        services: [evenMenu, { ...unevenMenu, service: 'seats', imbalancedSinceMillis: MINUTE - 1 }],
+        services: [balancedMenu, { ...imbalancedMenu, service: 'seats', imbalancedSinceMillis: MINUTE - 1 }],
       }),
       ...followers,
     ],
@@ -233,18 +238,18 @@
 describe('status page', () => {
   it('has a line for each keyed service, sorted by name', () => {
     const idle = {
-      ...evenMenu,
+      ...balancedMenu,
       service: 'beds',
       unownedShards: 2,
       imbalance: null,
       imbalanceOverBound: null,
     };
-    const view = statusView(reports([body('r-1', { services: [evenMenu, idle] }), ...followers]), []);
+    const view = toStatusView(reports([body('r-1', { services: [balancedMenu, idle] }), ...followers]), []);
     expect(serviceLines(view)).to.deep.equal([
       'service/beds: 8 shards owned, 2 unowned; imbalance - of the mean, - of the lower bound; 3 changes of owner in the last minute',
       'service/menu: 8 shards owned, 0 unowned; imbalance 1.10 of the mean, 1.10 of the lower bound; 3 changes of owner in the last minute',
     ]);
-    expect(serviceLines(statusView(reports([null, ...followers]), []))).to.deep.equal([]);
+    expect(serviceLines(toStatusView(reports([null, ...followers]), []))).to.deep.equal([]);
   });
 
   for (const [name, { statuses, upstreams, expected }] of Object.entries(CASES)) {
--- a/test/cli/uneven-status.test.ts
+++ b/test/cli/uneven-status.test.ts
@@ -3,7 +3,7 @@
 import type { StatusBody } from '../../src/cli/api-types.js';
 import { controlFindings } from '../../src/cli/status/control-findings.js';
 import type { Finding } from '../../src/cli/status/finding.js';
-import { statusView } from '../../src/cli/status/status-view.js';
+import { toStatusView } from '../../src/cli/status/status-view.js';
 import type { FleetStatus } from '../../src/control/fleet-room/fleet-room.js';
 
 const ADDRESS = '10.0.0.1:7400';
@@ -33,7 +33,7 @@
     movingShards: 0,
     fleet,
   };
-  const view = statusView([{ address: '10.0.0.1:7401', status, problem: null }], []);
+  const view = toStatusView([{ address: '10.0.0.1:7401', status, problem: null }], []);
   return controlFindings(view).filter(({ subject }) => /^(zone|upstream)\//.test(subject));
 }
 
