--- a/src/cli/commands/service-apply.ts
+++ b/src/cli/commands/service-apply.ts
@@ -1,8 +1,8 @@
-/** `service apply`: makes the declarations of files the ones in force. */
+/** `service apply`: applies the declarations of files. */
 import { randomUUID } from 'node:crypto';
 import { loadDefinitions } from '../../settings/definition-documents.js';
 import type { ChangeBody } from '../api-types.js';
-import { namingEachFault, UsageError } from '../cli-error.js';
+import { rethrowAsUsageError, UsageError } from '../cli-error.js';
 import { CHANGE_OPTIONS, createClient, REVISION_OPTION, waitQuery } from '../client-options.js';
 import type { CommandSpec, Invocation } from '../command-spec.js';
 import type { ControlClient } from '../control-client.js';
@@ -11,13 +11,13 @@
 import { DRY_RUN_OPTION, writePreview } from '../preview.js';
 import { reportChange } from '../report-change.js';
 
-/** A change that was accepted. */
+/** A change that control has accepted. */
 interface AcceptedChange {
   readonly identity: string;
   readonly body: ChangeBody;
 }
 
-/** Waits for the last change only: what is in force at its revision was in force at those before. */
+/** Waits for the last change only: once its revision is in force, so are all earlier ones. */
 function queryOf(invocation: Invocation, isLast: boolean): string {
   return isLast ? waitQuery(invocation.options) : '?wait=false';
 }
@@ -56,29 +56,29 @@
   return codes.at(-1) ?? EXIT_CODES.ok;
 }
 
-/** Changes that are left out, since nothing would change. A resend leaves out none: its first outcome is asked for. */
+/** Sends the changes that have a difference. A resend sends all of them, to get the outcome of the first run. */
 async function apply(
   invocation: Invocation,
   client: ControlClient,
   changes: readonly PlannedChange[],
 ): Promise<ExitCode> {
-  const resent = invocation.options.text('request-id');
-  const isNeeded = ({ difference }: PlannedChange) => difference.length > 0 || resent !== undefined;
+  const resendId = invocation.options.text('request-id');
+  const isNeeded = ({ difference }: PlannedChange) => difference.length > 0 || resendId !== undefined;
   for (const { identity } of changes.filter((change) => !isNeeded(change))) {
     invocation.io.write(`${identity}: unchanged\n`);
   }
-  return sendAll(invocation, client, changes.filter(isNeeded), resent ?? randomUUID());
+  return sendAll(invocation, client, changes.filter(isNeeded), resendId ?? randomUUID());
 }
 
 async function run(invocation: Invocation): Promise<ExitCode> {
   const { options, io, positionals } = invocation;
-  const documents = namingEachFault(() => positionals.flatMap((file) => loadDefinitions(file)));
+  const documents = rethrowAsUsageError(() => positionals.flatMap((file) => loadDefinitions(file)));
   if (options.text('revision') !== undefined && documents.length > 1) {
     throw new UsageError('--revision is for a file with one declaration');
   }
   const client = createClient(options, io);
   const current = await readCurrent(client);
-  namingEachFault(() => checkDeclarations(documents, current));
+  rethrowAsUsageError(() => checkDeclarations(documents, current));
   const changes = planChanges(documents, current);
   if (options.on('dry-run')) {
     for (const { identity, before, after, revision } of changes) {
--- a/src/cli/daemons/settings-watch.ts
+++ b/src/cli/daemons/settings-watch.ts
@@ -1,31 +1,31 @@
 /**
- * Reads a daemon's settings again when it is told to (SIGHUP) or when their file changed, which is looked at from time to
- * time. Settings that can't be used are logged and change nothing.
+ * Reloads a daemon's settings on SIGHUP or when the settings file has changed, which is polled. Invalid settings are
+ * logged and change nothing.
  */
 import { stat } from 'node:fs/promises';
 import { toError } from '../../errors/ternmount-error.js';
 import { createLogger } from '../../logging/logger.js';
 import type { CliIo } from '../cli-io.js';
 
-const LOOK_MILLIS = 2000;
+const POLL_MILLIS = 2000;
 
 export interface SettingsWatchOptions {
   readonly io: CliIo;
-  /** Path of the settings file; left out: there is none to look at. */
+  /** Path of the settings file to poll; omitted if there is none. */
   readonly file?: string | undefined;
-  /** Reads the settings and applies what can be changed in a running daemon; throws if they can't be used. */
+  /** Reads the settings and applies those that can change in a running daemon; throws if they are invalid. */
   readonly reload: () => void;
 }
 
 export class SettingsWatch {
   private readonly log = createLogger('settings');
   private readonly timer: NodeJS.Timeout | undefined;
-  private seen: string | null = null;
+  private lastVersion: string | null = null;
 
   constructor(private readonly options: SettingsWatchOptions) {
     options.io.onReload?.(() => this.reload('signal'));
     if (options.file !== undefined) {
-      this.timer = setInterval(() => void this.look(options.file ?? ''), LOOK_MILLIS);
+      this.timer = setInterval(() => void this.look(options.file ?? ''), POLL_MILLIS);
       void this.look(options.file);
     }
   }
@@ -35,13 +35,13 @@
   }
 
   private async look(file: string): Promise<void> {
-    const found = await stat(file).catch(() => null);
-    if (found === null) {
+    const stats = await stat(file).catch(() => null);
+    if (stats === null) {
       return;
     }
-    const mark = `${found.mtimeMs} ${found.size} ${found.ino}`;
-    const isChanged = this.seen !== null && this.seen !== mark;
-    this.seen = mark;
+    const version = `${stats.mtimeMs} ${stats.size} ${stats.ino}`;
+    const isChanged = this.lastVersion !== null && this.lastVersion !== version;
+    this.lastVersion = version;
     if (isChanged) {
       this.reload('file');
     }
--- a/src/cli/declaration-plan.ts
+++ b/src/cli/declaration-plan.ts
@@ -1,4 +1,4 @@
-/** Declarations of files beside those in force, checked as a whole before anything is sent. */
+/** Compares the declarations of files with those in force and validates them as a whole before anything is sent. */
 import type { Revision } from '../model/identifiers.js';
 import { createRegistry, type OperatorCommand } from '../registry/index.js';
 import type { DefinitionDocument } from '../settings/definition-documents.js';
@@ -9,39 +9,39 @@
 import type { ControlClient } from './control-client.js';
 import { differenceLines } from './difference.js';
 
-/** What is in force now. */
+/** The declarations in force. */
 export interface CurrentDeclarations {
   readonly services: ServicesBody['services'];
   readonly upstreams: UpstreamsBody['upstreams'];
 }
 
-/** One declaration of a file, beside what stands now. */
+/** One declaration of a file, with the one in force. */
 export interface PlannedChange {
   /** `service/name` or `upstream/id`. */
   readonly identity: string;
   /** Path in the operators' API. */
   readonly path: string;
   readonly definition: DefinitionDocument['definition'];
-  /** `null`: it doesn't exist. */
+  /** The declaration in force; `null` if there is none. */
   readonly before: DocumentMap | null;
-  /** Revision now; 0: it doesn't exist. */
+  /** Current revision; 0 if it doesn't exist. */
   readonly revision: Revision;
   readonly after: DocumentMap;
   readonly difference: readonly string[];
 }
 
 const TRIAL_ACTOR = 'trial';
-const PLACE_PATTERN = /^([A-Za-z]\w*(?:\[\d+\]|\.\w+)*): (.*)$/s;
+const PATH_PATTERN = /^([A-Za-z]\w*(?:\[\d+\]|\.\w+)*): (.*)$/s;
 
-/** Reads all that is in force. */
+/** Reads all declarations in force. */
 export async function readCurrent(client: ControlClient): Promise<CurrentDeclarations> {
   const { services } = await client.read<ServicesBody>('/v1/services');
   const { upstreams } = await client.read<UpstreamsBody>('/v1/upstreams');
   return { services, upstreams };
 }
 
-/** Services first, so that upstreams find theirs. */
-function inOrder(documents: readonly DefinitionDocument[]): DefinitionDocument[] {
+/** Sorts services first, since upstreams refer to them. */
+function servicesFirst(documents: readonly DefinitionDocument[]): DefinitionDocument[] {
   return [
     ...documents.filter((document) => document.kind === 'service'),
     ...documents.filter((document) => document.kind === 'upstream'),
@@ -60,7 +60,7 @@
     : upstreamDocument(document.definition);
 }
 
-function beforeOf(
+function currentStateOf(
   document: DefinitionDocument,
   current: CurrentDeclarations,
 ): Pick<PlannedChange, 'before' | 'revision'> {
@@ -78,14 +78,14 @@
     : { before: upstreamDocument(record.definition), revision: record.revision };
 }
 
-/** What each declaration would change, in the order in which they are sent. */
+/** Returns the change for each declaration, in sending order. */
 export function planChanges(
   documents: readonly DefinitionDocument[],
   current: CurrentDeclarations,
 ): PlannedChange[] {
-  return inOrder(documents).map((document) => {
+  return servicesFirst(documents).map((document) => {
     const identity = identityOf(document);
-    const { before, revision } = beforeOf(document, current);
+    const { before, revision } = currentStateOf(document, current);
     const path = `/v1/${identity.replace('/', 's/')}`;
     const after = documentOf(document);
     const difference = differenceLines(before, after);
@@ -99,20 +99,20 @@
     : { type: 'upstream-apply', definition: document.definition, expected: null };
 }
 
-function toPath(place: string): (string | number)[] {
+function parsePath(place: string): (string | number)[] {
   const steps = place.match(/\w+/g) ?? [];
   return steps.map((step) => (/^\d+$/.test(step) ? Number(step) : step));
 }
 
-/** The registry's messages start with the place of the wrong value. */
+/** Locates a problem in the file: the registry's messages start with the path of the invalid value. */
 function problemOf(document: DefinitionDocument, message: string): SettingsProblem {
-  const [, place, rest] = PLACE_PATTERN.exec(message) ?? [];
+  const [, place, rest] = PATH_PATTERN.exec(message) ?? [];
   return place === undefined || rest === undefined
     ? document.places.problemAt([], message)
-    : document.places.problemAt(toPath(place), rest);
+    : document.places.problemAt(parsePath(place), rest);
 }
 
-/** Policies that don't compile, with line and column. */
+/** Returns the problems of policies that don't compile, with line and column. */
 export function findDocumentProblems(documents: readonly DefinitionDocument[]): SettingsProblem[] {
   return documents.flatMap((document) =>
     document.kind === 'service'
@@ -122,8 +122,8 @@
 }
 
 /**
- * Makes the changes in a registry of its own, which holds what is in force, so that a declaration that would be refused
- * is found before the first one is sent. Throws `SettingsError`.
+ * Applies the changes to a local registry filled with the declarations in force, so that a declaration that would be
+ * refused is found before the first one is sent. Throws `SettingsError`.
  */
 export function checkDeclarations(
   documents: readonly DefinitionDocument[],
@@ -139,7 +139,7 @@
     apply({ type: 'upstream-apply', definition, expected: null });
   }
   const problems = findDocumentProblems(documents);
-  for (const document of inOrder(documents)) {
+  for (const document of servicesFirst(documents)) {
     const result = apply(commandOf(document));
     if (result.type === 'invalid') {
       problems.push(problemOf(document, result.message));
--- a/src/cli/member-change.ts
+++ b/src/cli/member-change.ts
@@ -1,4 +1,4 @@
-/** Changes of the control cluster's members, which may take longer than one answer is waited for. */
+/** Membership changes of the control cluster, which may take longer than the timeout of one request. */
 import { randomUUID } from 'node:crypto';
 import type { MembershipBody } from './api-types.js';
 import { UnknownOutcomeError, UnreachableError } from './cli-error.js';
@@ -14,14 +14,14 @@
   summary: 'Longest wait; default 10m',
 };
 
-/** One change as it is sent. */
+/** A membership change to send. */
 export interface MemberChange {
   readonly path: string;
   readonly body: unknown;
 }
 
-/** Asks once. `undefined`: no answer told how it went, which a replica that catches up slowly gives too. */
-export async function askOnce(
+/** Sends the change once. Returns `undefined` if the outcome is unknown, e.g. while a replica catches up slowly. */
+export async function sendOnce(
   client: ControlClient,
   change: MemberChange,
   requestId: string = randomUUID(),
@@ -37,22 +37,22 @@
 }
 
 /**
- * Asks until the change is made: a leader that is lost meanwhile forgets it, and asking again joins one under way.
- * `undefined`: not by the end of `--repair-timeout`.
+ * Sends the change until it is complete: a new leader doesn't continue it, and a repeated request joins one in progress.
+ * Returns `undefined` if it isn't complete within `--repair-timeout`.
  */
-export async function askUntilMade(
+export async function sendUntilComplete(
   { options, io }: Invocation,
   client: ControlClient,
   change: MemberChange,
 ): Promise<MembershipBody | undefined> {
   const requestId = options.text('request-id') ?? randomUUID();
-  const until = performance.now() + (options.duration('repair-timeout') ?? DEFAULT_REPAIR_MILLIS);
+  const deadline = performance.now() + (options.duration('repair-timeout') ?? DEFAULT_REPAIR_MILLIS);
   while (!io.stopSignal.aborted) {
-    const answer = await askOnce(client, change, requestId);
+    const answer = await sendOnce(client, change, requestId);
     if (answer?.repaired) {
       return answer;
     }
-    if (performance.now() >= until) {
+    if (performance.now() >= deadline) {
       break;
     }
     await io.sleep(POLL_MILLIS);
--- a/src/cli/queries/config-validate.ts
+++ b/src/cli/queries/config-validate.ts
@@ -11,14 +11,14 @@
 import { findDocumentProblems } from '../declaration-plan.js';
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 
-/** Kinds of files. */
+/** Kinds of files that can be validated. */
 const FILE_KINDS = ['declarations', 'policy', 'control', 'router', 'tokens', 'deployment'] as const;
 type FileKind = (typeof FILE_KINDS)[number];
 
 const AUTOMATIC = 'auto';
 
-/** Keys that only one kind of file has, in the order in which they are looked for. */
-const TELLING_KEYS: readonly (readonly [string, FileKind])[] = [
+/** Top-level keys that identify a kind of file, in order of precedence. */
+const IDENTIFYING_KEYS: readonly (readonly [string, FileKind])[] = [
   ['kind', 'declarations'],
   ['tokens', 'tokens'],
   ['workload', 'deployment'],
@@ -49,13 +49,13 @@
   if (typeof value !== 'object' || value === null || Array.isArray(value)) {
     return 'declarations';
   }
-  return TELLING_KEYS.find(([key]) => key in value)?.[1] ?? 'declarations';
+  return IDENTIFYING_KEYS.find(([key]) => key in value)?.[1] ?? 'declarations';
 }
 
-/** Problems of one file, one line each. */
-function problemsOf(file: string, given: FileKind | typeof AUTOMATIC): string[] {
+/** Returns the problems of one file, one line each. */
+function problemsOf(file: string, requestedKind: FileKind | typeof AUTOMATIC): string[] {
   try {
-    const kind = given === AUTOMATIC ? guessKind(file) : given;
+    const kind = requestedKind === AUTOMATIC ? guessKind(file) : requestedKind;
     CHECKS[kind](file);
     return [];
   } catch (thrown) {
--- a/src/cli/queries/request-explain.ts
+++ b/src/cli/queries/request-explain.ts
@@ -1,6 +1,6 @@
 /**
- * `request explain`: from a request's id to its cause, by the logs. Prints what routers logged of the request and, for
- * each upstream and range that it touched, the last thing that control logged of it before.
+ * `request explain`: finds the cause of a request's outcome in log files. Prints the routers' records of the request
+ * and, for each upstream and range involved, the last record that control logged before it.
  */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
@@ -8,8 +8,8 @@
 import type { CommandSpec, Invocation } from '../command-spec.js';
 import { EXIT_CODES, type ExitCode } from '../exit-codes.js';
 
-/** A log record as far as it is read here. */
-interface LogLine {
+/** The fields of a log record that this command uses. */
+interface LogRecord {
   readonly time: string;
   readonly process: string;
   readonly event: string;
@@ -23,8 +23,8 @@
   }
 }
 
-/** Reads records; what is no JSON, such as a line cut off, is passed over. */
-async function* readLog(file: string): AsyncIterable<LogLine> {
+/** Reads log records; skips lines that aren't valid JSON, such as truncated ones. */
+async function* readLog(file: string): AsyncIterable<LogRecord> {
   const lines = createInterface({ input: createReadStream(file), crlfDelay: Number.POSITIVE_INFINITY });
   try {
     for await (const line of lines) {
@@ -38,7 +38,7 @@
   }
 }
 
-function parseLine(line: string): LogLine | null {
+function parseLine(line: string): LogRecord | null {
   const start = line.indexOf('{');
   if (start === -1) {
     return null;
@@ -53,38 +53,38 @@
   }
 }
 
-/** Names of upstreams that a request touched, or that own its key. */
-function upstreamsOf({ fields }: LogLine): string[] {
+/** Returns the upstreams that a request was sent to, and the owner of its key. */
+function upstreamsOf({ fields }: LogRecord): string[] {
   const attempts = (fields.attempts ?? []) as readonly { readonly upstream: string }[];
   const owner = typeof fields.owner === 'string' ? [fields.owner] : [];
   return [...new Set([...attempts.map(({ upstream }) => upstream), ...owner])];
 }
 
-function concerns(line: LogLine, upstream: string): boolean {
+function concerns(line: LogRecord, upstream: string): boolean {
   const { fields } = line;
   return [fields.upstream, fields.owner, fields.former].includes(upstream);
 }
 
-/** A range whose keys include that of the request. */
-function isRangeOf(line: LogLine, request: LogLine): boolean {
+/** Whether `line` records a change of the range that contains the request's key. */
+function isRangeOf(line: LogRecord, request: LogRecord): boolean {
   const key = Number(request.fields.key ?? Number.NaN);
   const { service, from, to } = line.fields;
   const isSame = service === request.fields.service;
   return line.event === 'range-changed' && isSame && Number(from) <= key && key <= Number(to);
 }
 
-/** The last record before a request that fits. */
+/** Returns the last record up to `time` that matches. */
 function lastBefore(
-  lines: readonly LogLine[],
+  lines: readonly LogRecord[],
   time: string,
-  fits: (line: LogLine) => boolean,
-): LogLine | undefined {
-  return lines.filter((line) => line.time <= time && fits(line)).at(-1);
+  matches: (line: LogRecord) => boolean,
+): LogRecord | undefined {
+  return lines.filter((line) => line.time <= time && matches(line)).at(-1);
 }
 
 async function explain({ positionals, options, io }: Invocation): Promise<ExitCode> {
   const [id = '', ...files] = positionals;
-  const lines: LogLine[] = [];
+  const lines: LogRecord[] = [];
   for (const file of files) {
     for await (const line of readLog(file)) {
       lines.push(line);
@@ -100,23 +100,25 @@
     }
   }
   if (requests.length === 0) {
-    io.writeError(`no record of request ${JSON.stringify(id)}: ordinary answers are sampled\n`);
+    io.writeError(
+      `no record of request ${JSON.stringify(id)}: ordinary responses are logged only as a sample\n`,
+    );
     return EXIT_CODES.failed;
   }
   return EXIT_CODES.ok;
 }
 
-/** All that was logged of the upstreams of a request before it. */
-function historyOf(request: LogLine, lines: readonly LogLine[]): LogLine[] {
+/** Returns all records up to the request that concern its upstreams or its range. */
+function historyOf(request: LogRecord, lines: readonly LogRecord[]): LogRecord[] {
   const upstreams = upstreamsOf(request);
-  const isOfThem = (line: LogLine): boolean => upstreams.some((upstream) => concerns(line, upstream));
-  return lines.filter((line) => line.time <= request.time && (isOfThem(line) || isRangeOf(line, request)));
+  const concernsAny = (line: LogRecord): boolean => upstreams.some((upstream) => concerns(line, upstream));
+  return lines.filter((line) => line.time <= request.time && (concernsAny(line) || isRangeOf(line, request)));
 }
 
-/** What control decided last about the key and the upstreams of a request, and what its router knew of control. */
-function causesOf(request: LogLine, lines: readonly LogLine[]): LogLine[] {
+/** Returns control's last decisions on the request's key and upstreams, and its router's last configuration. */
+function causesOf(request: LogRecord, lines: readonly LogRecord[]): LogRecord[] {
   const { time, process } = request;
-  const found = [
+  const causes = [
     lastBefore(lines, time, (line) => isRangeOf(line, request)),
     ...upstreamsOf(request).flatMap((upstream) => [
       lastBefore(lines, time, (line) => line.event === 'upstream-changed' && concerns(line, upstream)),
@@ -126,17 +128,17 @@
     lastBefore(lines, time, (line) => line.event === 'declaration-changed'),
     lastBefore(lines, time, (line) => line.event === 'configuration-applied' && line.process === process),
   ];
-  return found.filter((line) => line !== undefined);
+  return causes.filter((line) => line !== undefined);
 }
 
 export const requestExplain: CommandSpec = {
   name: 'request explain',
-  summary: 'Find the cause of what became of a request in log files, by its id',
+  summary: 'Find the cause of the outcome of a request in log files, by its id',
   arguments: '<id> <...files>',
   options: [
     {
       name: 'all',
-      summary: 'Print everything that control logged of its upstreams before, not the last only',
+      summary: 'Print all earlier records of control on its upstreams, not only the last',
     },
   ],
   examples: ['request explain 9c41d07be2a35f68 router-1.log control-1.log'],
--- a/src/cli/queries/upstream-list.ts
+++ b/src/cli/queries/upstream-list.ts
@@ -16,10 +16,10 @@
 
 type Health = StatusBody['upstreams'][number];
 
-/** An upstream as declared, beside what the leader knows of it. */
+/** A declared upstream with its state as reported by the leader. */
 interface UpstreamRow {
   readonly record: UpstreamRecord;
-  /** `undefined`: the leader has not looked at it yet, or its service isn't keyed. */
+  /** `undefined` if the leader has no state of it yet, or its service isn't keyed. */
   readonly health: Health | undefined;
 }
 
@@ -31,11 +31,11 @@
   { title: 'MAY HOLD', value: ({ record }) => record.definition.mayHold.join(',') || 'all' },
   { title: 'STATE', value: stateOf },
   { title: 'SHARDS', value: ({ health }) => health?.shards ?? null },
-  { title: 'HEARD', value: ({ health }) => heardOf(health) },
+  { title: 'HEARD', value: ({ health }) => lastContactOf(health) },
   { title: 'REVISION', value: ({ record }) => record.revision },
 ];
 
-/** Upstreams of services that aren't keyed have no session. */
+/** Returns the session state, marked if draining; `null` for services that aren't keyed, as these have no sessions. */
 function stateOf({ record, health }: UpstreamRow): string | null {
   const session = health?.state ?? null;
   if (!record.definition.leaving) {
@@ -44,7 +44,7 @@
   return session === null ? 'leaving' : `leaving (${session})`;
 }
 
-function heardOf(health: Health | undefined): string | null {
+function lastContactOf(health: Health | undefined): string | null {
   const silentMillis = health?.silentMillis ?? null;
   return silentMillis === null ? null : `${formatMillis(silentMillis)} ago`;
 }
--- a/test/cli/several-members.test.ts
+++ b/test/cli/several-members.test.ts
@@ -1,4 +1,4 @@
-/** Several control addresses: the command line finds the leader, and resends what had no answer with the same id. */
+/** With several control addresses, the command line finds the leader and resends unanswered changes with the same id. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
@@ -53,8 +53,8 @@
     return runCli(['service', 'apply', file, ...extra], environment);
   }
 
-  /** Passes requests on to the harness, then lets `interferes` take over the answers to changes. */
-  function passOn(interferes: (response: ServerResponse, count: number) => boolean) {
+  /** Forwards requests to the harness; `interferes` may replace the answers to changes. */
+  function forward(intercept: (response: ServerResponse, count: number) => boolean) {
     let changes = 0;
     return (request: IncomingMessage, response: ServerResponse): void => {
       const chunks: Buffer[] = [];
@@ -62,38 +62,38 @@
       request.on('end', async () => {
         const body = Buffer.concat(chunks).toString('utf8');
         const { method = 'GET', url = '/' } = request;
-        const kept = ['ternmount-request-id', 'if-match', 'if-none-match'];
+        const forwardedHeaders = ['ternmount-request-id', 'if-match', 'if-none-match'];
         const headers = Object.fromEntries(
-          kept.flatMap((name) =>
+          forwardedHeaders.flatMap((name) =>
             request.headers[name] === undefined ? [] : [[name, String(request.headers[name])]],
           ),
         );
         const result = await harness.write(method, url, body, headers);
         changes += method === 'GET' ? 0 : 1;
-        if (method === 'GET' || !interferes(response, changes)) {
+        if (method === 'GET' || !intercept(response, changes)) {
           answer(response, result.status, result.body);
         }
       });
     };
   }
 
-  it('goes on from members that are down or do not lead', async () => {
+  it('skips members that are down or do not lead', async () => {
     const follower = await stub((_request, response) => answer(response, 503, NOT_LEADER));
     const { exitCode, errors } = await apply([CLOSED, follower, harness.address]);
     expect(exitCode, errors).to.equal(0);
     expect(harness.registry.services().size).to.equal(1);
   });
 
-  it('a change whose answer was lost is sent again with its id, and made once', async () => {
-    const losesFirst = await stub(
-      passOn((response, count) => {
+  it('resends a change whose answer was lost with its id; the change is made once', async () => {
+    const dropsFirstAnswer = await stub(
+      forward((response, count) => {
         if (count === 1) {
           response.destroy();
         }
         return count === 1;
       }),
     );
-    const { exitCode, output } = await apply([losesFirst]);
+    const { exitCode, output } = await apply([dropsFirstAnswer]);
     expect(exitCode).to.equal(0);
     expect(output).to.contain('revision 1');
     expect(harness.registry.services().get('menu')?.revision).to.equal(1);
@@ -102,50 +102,50 @@
     expect(ids.size).to.equal(1);
   });
 
-  it('without any answer: exit code 4, and how to ask again', async () => {
-    const mute = await stub(
-      passOn((response) => {
+  it('exits with 4 without any answer, and prints how to resend', async () => {
+    const silentMember = await stub(
+      forward((response) => {
         response.destroy();
         return true;
       }),
     );
-    const lost = await apply([mute], '--timeout', '100ms');
+    const lost = await apply([silentMember], '--timeout', '100ms');
     expect(lost.exitCode).to.equal(4);
     const id = /--request-id (\S+):/.exec(lost.errors)?.[1] ?? '';
     expect(id).not.to.equal('');
-    const again = await apply([harness.address], '--request-id', id);
-    expect(again.output).to.contain('revision 1');
+    const resent = await apply([harness.address], '--request-id', id);
+    expect(resent.output).to.contain('revision 1');
     expect(harness.registry.services().get('menu')?.revision).to.equal(1);
   });
 
-  for (const [line, done] of [
+  for (const [line, expectedOutput] of [
     ['control add r-2 --address 10.0.0.2:7400', 'r-2 votes'],
     ['control replace r-1 r-2 --address 10.0.0.2:7400', 'repaired: r-2 votes in place of r-1'],
   ] as const) {
-    it(`"${line}" is asked again, with one id, until it is made`, async () => {
+    it(`"${line}" is resent with one id until it is complete`, async () => {
       const ids: unknown[] = [];
       const slow = await stub((request, response) => {
         ids.push(request.headers['ternmount-request-id']);
         const error = { code: 'outcome-unknown', message: 'not yet' };
         const membership = { voters: ['r-2'], outgoingVoters: [], learners: [], addresses: {} };
-        const made = ids.length > 5;
-        answer(response, made ? 200 : 504, made ? { membership, repaired: true } : { error });
+        const isComplete = ids.length > 5;
+        answer(response, isComplete ? 200 : 504, isComplete ? { membership, repaired: true } : { error });
       });
       const words = [...line.split(' '), '--control', slow, '--timeout', '1ms'];
       const { exitCode, output, errors } = await runCli(words);
       expect(exitCode, errors).to.equal(0);
-      expect(output).to.contain(done);
+      expect(output).to.contain(expectedOutput);
       expect(new Set(ids).size).to.equal(1);
     });
   }
 
-  it('nobody reachable: exit code 4, and nothing is said to be unknown', async () => {
+  it('exits with 4 if no member is reachable, and reports no unknown outcome', async () => {
     const { exitCode, errors } = await apply([CLOSED], '--timeout', '50ms');
     expect(exitCode).to.equal(4);
     expect(errors).to.contain('no control member gave an answer');
   });
 
-  it('a member that answers something else is not taken for control', async () => {
+  it('rejects a member that answers something else', async () => {
     const other = await stub((_request, response) => response.writeHead(200).end('<html>'));
     const { exitCode } = await apply([other], '--timeout', '50ms');
     expect(exitCode).to.equal(4);
--- a/test/cli/status.test.ts
+++ b/test/cli/status.test.ts
@@ -1,11 +1,11 @@
-/** What the status page says, as a table of states. */
+/** Tests the findings of the status page for a table of states. */
 import { expect } from 'chai';
 import type { StatusBody } from '../../src/cli/api-types.js';
 import { controlFindings } from '../../src/cli/status/control-findings.js';
 import { type Finding, sortFindings } from '../../src/cli/status/finding.js';
 import { serviceFindings } from '../../src/cli/status/service-findings.js';
 import { serviceLines } from '../../src/cli/status/service-lines.js';
-import { type MemberReport, statusView } from '../../src/cli/status/status-view.js';
+import { type MemberReport, toStatusView } from '../../src/cli/status/status-view.js';
 import type { ServiceMeasures } from '../../src/control/service-measures.js';
 import type { UpstreamRecord } from '../../src/registry/types.js';
 
@@ -50,7 +50,7 @@
   };
 }
 
-/** Reports of the three members; `null`: it doesn't answer. */
+/** Returns the reports of the three members; `null` for one that doesn't answer. */
 function reports(statuses: readonly (StatusBody | null)[]): MemberReport[] {
   return statuses.map((status, index) => ({
     address: `10.0.0.${index + 1}:7401`,
@@ -68,21 +68,21 @@
   statuses: readonly (StatusBody | null)[],
   upstreams: readonly UpstreamRecord[] = [],
 ): Finding[] {
-  const view = statusView(reports(statuses), upstreams);
+  const view = toStatusView(reports(statuses), upstreams);
   return sortFindings([...controlFindings(view), ...serviceFindings(view)]);
 }
 
 interface Case {
   readonly statuses: readonly (StatusBody | null)[];
   readonly upstreams?: readonly UpstreamRecord[];
-  /** Severity, subject, length, and parts of problem and advice of each finding. */
+  /** Severity, subject, duration, and parts of problem and advice of each finding. */
   readonly expected: readonly (readonly [Finding['severity'], string, number | null, string, string])[];
 }
 
 const followers = [body('r-2'), body('r-3')];
 const leased = { upstream: 'menu-1', state: 'leased', silentMillis: 100, shards: 8, draining: 0 } as const;
 
-const evenMenu: ServiceMeasures = {
+const balancedMenu: ServiceMeasures = {
   service: 'menu',
   ownedShards: 8,
   unownedShards: 0,
@@ -95,7 +95,12 @@
   imbalanceOverBound: 1.1,
   imbalancedSinceMillis: null,
 };
-const unevenMenu = { ...evenMenu, imbalance: 2.514, imbalanceOverBound: 2, imbalancedSinceMillis: MINUTE };
+const imbalancedMenu = {
+  ...balancedMenu,
+  imbalance: 2.514,
+  imbalanceOverBound: 2,
+  imbalancedSinceMillis: MINUTE,
+};
 
 const CASES: Record<string, Case> = {
   'nothing is wrong': { statuses: [body('r-1'), ...followers], expected: [] },
@@ -105,11 +110,11 @@
       ['critical', 'control/r-3', MINUTE, 'one more loss stops control', 'control replace r-3 NEW --address'],
     ],
   },
-  'a voter that the leader hears, whose admin address does not answer': {
+  'a voter in contact with the leader, whose admin address does not answer': {
     statuses: [body('r-1'), body('r-2'), null],
     expected: [['note', 'control/10.0.0.3:7401', null, 'ECONNREFUSED', 'network between']],
   },
-  'no leader for want of voters': {
+  'no leader because too few voters answer': {
     statuses: [null, body('r-2', { leaderSinceMillis: 9000 }, { role: 'pre-candidate', leader: null }), null],
     expected: [
       [
@@ -170,7 +175,7 @@
       ['warning', 'upstream/menu-1', 8000, "at 10.0.1.1:8000 doesn't answer", 'upstream remove menu-1'],
     ],
   },
-  'shards on the way to a new owner': {
+  'shards that are moving to a new owner': {
     statuses: [
       body('r-1', { upstreams: [leased], unowned: [{ service: 'menu', shards: 2, sinceMillis: 900 }] }),
       ...followers,
@@ -178,16 +183,16 @@
     upstreams: [upstream('menu-1')],
     expected: [['note', 'service/menu', 900, '2 shards', 'within 3 s']],
   },
-  'a service whose load stays uneven': {
-    statuses: [body('r-1', { services: [unevenMenu] }), ...followers],
+  'a service with a lasting imbalance': {
+    statuses: [body('r-1', { services: [imbalancedMenu] }), ...followers],
     expected: [
       ['warning', 'service/menu', MINUTE, 'carries 2.51 times the mean load', 'raise movesPerMinute'],
     ],
   },
-  'nothing of a load that is even, or has been uneven for less than a minute': {
+  'nothing for a balanced load, or an imbalance of less than a minute': {
     statuses: [
       body('r-1', {
-        services: [evenMenu, { ...unevenMenu, service: 'seats', imbalancedSinceMillis: MINUTE - 1 }],
+        services: [balancedMenu, { ...imbalancedMenu, service: 'seats', imbalancedSinceMillis: MINUTE - 1 }],
       }),
       ...followers,
     ],
@@ -201,7 +206,7 @@
     upstreams: [upstream('menu-1')],
     expected: [['warning', 'upstream/menu-1', null, 'never did since this leader began', 'start it']],
   },
-  'upstreams that leave': {
+  'draining upstreams': {
     statuses: [
       body('r-1', { upstreams: [leased, { ...leased, upstream: 'menu-2', shards: 0 }] }),
       ...followers,
@@ -212,7 +217,7 @@
       ['note', 'upstream/menu-2', null, 'owns nothing', 'stop it'],
     ],
   },
-  'routers that hang or are gone, as the member that heard them last says': {
+  'routers that hang or are gone, as reported by the member with the latest contact': {
     statuses: [
       body('r-1', {
         routers: [
@@ -231,27 +236,29 @@
 };
 
 describe('status page', () => {
-  it('has a line of each keyed service, in the order of names', () => {
+  it('has a line for each keyed service, sorted by name', () => {
     const idle = {
-      ...evenMenu,
+      ...balancedMenu,
       service: 'beds',
       unownedShards: 2,
       imbalance: null,
       imbalanceOverBound: null,
     };
-    const view = statusView(reports([body('r-1', { services: [evenMenu, idle] }), ...followers]), []);
+    const view = toStatusView(reports([body('r-1', { services: [balancedMenu, idle] }), ...followers]), []);
     expect(serviceLines(view)).to.deep.equal([
       'service/beds: 8 shards owned, 2 unowned; imbalance - of the mean, - of the lower bound; 3 changes of owner in the last minute',
       'service/menu: 8 shards owned, 0 unowned; imbalance 1.10 of the mean, 1.10 of the lower bound; 3 changes of owner in the last minute',
     ]);
-    expect(serviceLines(statusView(reports([null, ...followers]), []))).to.deep.equal([]);
+    expect(serviceLines(toStatusView(reports([null, ...followers]), []))).to.deep.equal([]);
   });
 
   for (const [name, { statuses, upstreams, expected }] of Object.entries(CASES)) {
-    it(`says: ${name}`, () => {
+    it(`reports: ${name}`, () => {
       const found = findings(statuses, upstreams);
-      const heads = found.map(({ severity, subject, sinceMillis }) => [severity, subject, sinceMillis]);
-      expect(heads).to.deep.equal(expected.map(([severity, subject, since]) => [severity, subject, since]));
+      const headings = found.map(({ severity, subject, sinceMillis }) => [severity, subject, sinceMillis]);
+      expect(headings).to.deep.equal(
+        expected.map(([severity, subject, since]) => [severity, subject, since]),
+      );
       expected.forEach(([, , , problem, advice], index) => {
         expect(found[index]?.problem).to.contain(problem);
         expect(found[index]?.advice).to.contain(advice);
