--- a/src/dev/disk/memory-disk.ts
+++ b/src/dev/disk/memory-disk.ts
@@ -1,15 +1,15 @@
 /**
- * A disk in memory that loses power: what wasn't synced is gone or torn afterwards, names in folders included. For tests
+ * A disk in memory that simulates power loss: unsynced data, including directory entries, is then lost or torn. For tests
  * of storage and simulated processes.
  */
 import { dirname } from 'node:path';
 import type { FileSystem, WritableFile } from '../../storage/index.js';
 import { StorageFailedError } from '../../storage/index.js';
 
-/** How much survives of what wasn't synced. Gives a share from 0 (nothing) to 1 (everything). */
+/** Returns the share of unsynced data that survives, from 0 (nothing) to 1 (everything). */
 export type SurvivingShare = () => number;
 
-/** A file's bytes, apart from its name. */
+/** Contents of a file, independent of its name. */
 interface FileBody {
   synced: Buffer;
   written: Buffer;
@@ -23,24 +23,24 @@
 }
 
 export class MemoryDisk implements FileSystem {
-  /** Names as processes see them. */
+  /** Names as seen by processes. */
   #names = new Map<string, FileBody>();
-  /** Names as they are after a loss of power. */
+  /** Names that are certain to survive a power loss. */
   #syncedNames = new Map<string, FileBody>();
   #folders = new Set<string>();
   #operationsLeft = Number.POSITIVE_INFINITY;
   #generation = 0;
-  /** There is no room: half of what is appended is written, and the write fails. */
+  /** Whether the disk is full: half of each append is written, and the write fails. */
   isFull = false;
-  /** Operations that changed something so far. */
+  /** Number of modifying operations so far. */
   operations = 0;
 
-  /** Cuts the power at the operation after `operations` more; that one has half happened. */
+  /** Cuts the power once `operations` more modifying operations have been performed; later ones fail. */
   losePowerAfter(operations: number): void {
     this.#operationsLeft = operations;
   }
 
-  /** Puts the power on again; what wasn't synced survives in part. Files that were open can't be used any more. */
+  /** Restores the power; part of the unsynced data survives. Files that were open become unusable. */
   restart(share: SurvivingShare): void {
     this.#operationsLeft = Number.POSITIVE_INFINITY;
     this.#generation += 1;
@@ -59,14 +59,14 @@
     this.#syncedNames = new Map(survived);
   }
 
-  /** Changes a file behind the back of the storage. */
+  /** Changes a file without going through the storage. */
   edit(path: string, change: (bytes: Buffer) => Buffer): void {
     const body = this.#require(path);
     body.written = change(Buffer.from(body.written));
     body.synced = body.written;
   }
 
-  /** Removes a file for good, behind the back of the storage. */
+  /** Removes a file permanently, without going through the storage. */
   lose(path: string): void {
     this.#names.delete(path);
     this.#syncedNames.delete(path);
@@ -130,8 +130,8 @@
     return {
       append: (bytes) =>
         change(() => {
-          const taken = this.isFull ? bytes.subarray(0, bytes.length >> 1) : bytes;
-          body.written = Buffer.concat([body.written, taken]);
+          const writable = this.isFull ? bytes.subarray(0, bytes.length >> 1) : bytes;
+          body.written = Buffer.concat([body.written, writable]);
           if (this.isFull) {
             const cause = Object.assign(new Error('no space left on device'), { code: 'ENOSPC' });
             throw new StorageFailedError(path, 'write', cause);
@@ -179,7 +179,7 @@
   }
 }
 
-/** Keeps the synced bytes and a share of those written after; of a cut that wasn't synced, all or nothing. */
+/** Keeps the synced bytes and a share of the bytes written after; an unsynced truncation survives entirely or not at all. */
 function tear({ synced, written }: FileBody, share: number): Buffer {
   if (written.length < synced.length) {
     return share >= 0.5 ? written : synced;
--- a/src/dev/journal/journal-reader.ts
+++ b/src/dev/journal/journal-reader.ts
@@ -1,4 +1,4 @@
-/** Reads the journals that the processes of a fleet left. */
+/** Reads the journals written by the processes of a fleet. */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { TernmountError, toError } from '../../errors/ternmount-error.js';
@@ -6,7 +6,7 @@
 
 const JOURNAL_SUFFIX = '.jsonl';
 
-/** A line other than the last can't be read. */
+/** Thrown when a line other than the last can't be parsed. */
 export class JournalDamagedError extends TernmountError {
   constructor(file: string, line: number, cause: Error) {
     const options = { code: 'TERNMOUNT_JOURNAL_DAMAGED', retriable: false, cause, info: { file, line } };
@@ -14,7 +14,7 @@
   }
 }
 
-/** Records of one journal. A last line without its line feed was cut off by a kill and is left out. */
+/** Returns the records of one journal, without an incomplete last line, which a kill may leave behind. */
 export function readJournal(file: string): JournalRecord[] {
   const text = readFileSync(file, 'utf8');
   const lines = text.split('\n');
@@ -28,7 +28,7 @@
   });
 }
 
-/** Records of every journal in `folder`, in order of time. */
+/** Returns the records of every journal in `folder`, ordered by time. */
 export function readJournals(folder: string): JournalRecord[] {
   if (!existsSync(folder)) {
     return [];
--- a/src/dev/journal/journal-tail.ts
+++ b/src/dev/journal/journal-tail.ts
@@ -1,4 +1,4 @@
-/** Follows a journal that another process still writes. */
+/** Follows a journal while another process writes it. */
 import { closeSync, existsSync, openSync, readSync } from 'node:fs';
 import type { JournalRecord } from './records.js';
 
@@ -6,22 +6,22 @@
 
 export class JournalTail {
   readonly #file: string;
-  /** Keeps a character that is cut between two reads. */
+  /** Buffers a character that is split between two reads. */
   readonly #decoder = new TextDecoder();
   #offset = 0;
-  #rest = '';
+  #incompleteLine = '';
 
   constructor(file: string) {
     this.#file = file;
   }
 
-  /** Records written since the last call; a line that isn't complete yet comes with a later one. */
+  /** Returns the records written since the last call; an incomplete line is returned by a later call. */
   read(): JournalRecord[] {
     if (!existsSync(this.#file)) {
       return [];
     }
-    const lines = (this.#rest + this.#readNew()).split('\n');
-    this.#rest = lines.pop() ?? '';
+    const lines = (this.#incompleteLine + this.#readNew()).split('\n');
+    this.#incompleteLine = lines.pop() ?? '';
     return lines.map((line) => JSON.parse(line) as JournalRecord);
   }
 
--- a/src/dev/journal/journal-writer.ts
+++ b/src/dev/journal/journal-writer.ts
@@ -1,4 +1,4 @@
-/** Appends records to a journal. Each one is handed to the kernel before `write` returns, so it outlives SIGKILL. */
+/** Appends records to a journal. Each record is passed to the kernel before `write` returns, so it survives SIGKILL. */
 import { closeSync, mkdirSync, openSync, writeSync } from 'node:fs';
 import { dirname } from 'node:path';
 import type { JournalRecord } from './records.js';
@@ -7,7 +7,7 @@
   readonly #descriptor: number;
   #closed = false;
 
-  /** Opens `file` for appending and makes its folder. */
+  /** Opens `file` for appending and creates its folder. */
   constructor(file: string) {
     mkdirSync(dirname(file), { recursive: true });
     this.#descriptor = openSync(file, 'a');
--- a/src/dev/journal/machine-clock.ts
+++ b/src/dev/journal/machine-clock.ts
@@ -1,8 +1,8 @@
-/** The clock that every process of one machine shares, so that records of several processes can be put in order. */
+/** The clock shared by all processes of one machine, by which records of several processes are ordered. */
 
 const NANOSECONDS_PER_MILLISECOND = 1e6;
 
-/** Milliseconds, with fractions, on the machine's monotonic clock; it doesn't start anew with a process. */
+/** Returns fractional milliseconds on the machine's monotonic clock, which doesn't restart with a process. */
 export function machineMillis(): number {
   return Number(process.hrtime.bigint()) / NANOSECONDS_PER_MILLISECOND;
 }
--- a/src/dev/journal/records.ts
+++ b/src/dev/journal/records.ts
@@ -1,6 +1,6 @@
 /**
- * Records of what really happened in a fleet, one JSON object a line. `at` is the machine's monotonic clock in
- * milliseconds (`machineMillis`), which all processes of a fleet share; `wall` is for people.
+ * Records of the actual events in a fleet, one JSON object per line. `at` is the machine's monotonic clock in
+ * milliseconds (`machineMillis`), which all processes of a fleet share; `wall` is for human readers.
  */
 import type {
   Epoch,
@@ -19,7 +19,7 @@
 }
 
 interface UpstreamRecordBase extends RecordBase {
-  /** Name of the stand-in's process; it may hold several upstreams. */
+  /** Name of the stand-in's process, which may host several upstreams. */
   readonly process: string;
   readonly upstream: UpstreamId;
   readonly incarnation: Incarnation;
@@ -27,11 +27,11 @@
   readonly run: number;
 }
 
-/** A stand-in upstream passed a request through its fence and began to work on it. */
+/** A stand-in upstream admitted a request through its fence and began to process it. */
 export interface RunStartRecord extends UpstreamRecordBase {
   readonly type: 'run-start';
   readonly service: ServiceName;
-  /** The caller's own id of the request; the same for each resend. */
+  /** The caller's id of the request; the same for each resend. */
   readonly request: string;
   /** The router's id of the request; `null` if it sent none. */
   readonly routerRequest: string | null;
@@ -40,18 +40,18 @@
   readonly shard: ShardId | null;
   readonly epoch: Epoch | null;
 }
-/** The run took effect: from here on it has run. */
+/** The run took effect; from then on the request counts as run. */
 export interface RunEffectRecord extends UpstreamRecordBase {
   readonly type: 'run-effect';
 }
-/** The run is over; `answered` when its whole answer was handed to the connection. */
+/** The run ended; `answered` if its complete answer was written to the connection. */
 export interface RunEndRecord extends UpstreamRecordBase {
   readonly type: 'run-end';
   readonly end: 'answered' | 'cancelled' | 'refused' | 'deadline' | 'broken-by-fault';
   readonly workMillis: number;
 }
 
-/** What a stand-in says of itself in the head of each answer. */
+/** Constraint that a stand-in reports in the head of each answer. */
 export interface SaidNeed {
   readonly limitPerSecond: number | null;
   readonly restMillis: number | null;
@@ -61,32 +61,32 @@
 interface NeedRecordBase extends RecordBase, SaidNeed {
   readonly upstream: UpstreamId;
   readonly incarnation: Incarnation;
-  /** Router's own id of the request. */
+  /** The router's id of the request. */
   readonly routerRequest: string | null;
 }
 
-/** A request came to a stand-in that says that it is in need, or said so before. */
+/** A request arrived at a stand-in that reports a constraint, or reported one before. */
 export interface NeedyArrivalRecord extends NeedRecordBase {
   readonly type: 'needy-arrival';
   /** The caller's own id of the request. */
   readonly request: string;
 }
-/** An answer that says so was handed to its connection. */
+/** An answer that reports a constraint was written to its connection. */
 export interface NeedSaidRecord extends NeedRecordBase {
   readonly type: 'need-said';
 }
 
-/** How a caller saw one attempt end. */
+/** How an attempt ended, as seen by its caller. */
 export type AnswerVerdict =
-  /** Complete, and the answer to this very request. */
+  /** A complete answer to this request. */
   | 'whole'
-  /** The router or upstream refused or failed it, and said so. */
+  /** The router or upstream reported a refusal or failure. */
   | 'refused'
-  /** The connection ended before a whole answer, or the caller gave up. */
+  /** The connection ended before a complete answer, or the caller gave up. */
   | 'lost'
-  /** The caller went away before there was an answer. */
+  /** The caller disconnected before there was an answer. */
   | 'left'
-  /** An answer was taken for complete although a piece is missing or altered. */
+  /** An answer was accepted as complete although a part is missing or altered. */
   | 'damaged'
   /** A complete answer to another request. */
   | 'foreign';
@@ -103,53 +103,53 @@
   readonly key: string | null;
   readonly idempotencyKey: string | null;
   readonly repeatable: boolean;
-  /** Whether it may have been sent behind another on its connection. */
+  /** Whether it may have been pipelined behind another request on its connection. */
   readonly pipelined: boolean;
-  /** When the schedule wanted the request sent. */
+  /** When the request was scheduled to be sent. */
   readonly scheduledAt: number;
   readonly sentAt: number;
   readonly verdict: AnswerVerdict;
-  /** `null`: no status line came. */
+  /** `null` if no status line was received. */
   readonly status: number | null;
-  /** As the answer said; `null` if it didn't. */
+  /** As reported in the answer; `null` if it wasn't. */
   readonly outcome: Outcome | null;
   readonly reason: string | null;
   readonly routerRequest: string | null;
-  /** Whether the caller gives the request up after this attempt, or has its answer. */
+  /** Whether the caller has its answer or gives up after this attempt. */
   readonly last: boolean;
 }
 
-/** Something that the fleet runner did. */
+/** An action or observation of the fleet runner. */
 export type FleetEventRecord = RecordBase & { readonly type: 'fleet-event' } & (
     | { readonly event: 'load-started' | 'load-ended' }
-    /** What a router still had under way some time after the load had ended; `null`: it didn't say. */
+    /** Requests that a router still had in flight some time after the load ended; `null` if it didn't report them. */
     | { readonly event: 'router-left-over'; readonly router: string; readonly requests: number | null }
     | { readonly event: 'process-started' | 'killed' | 'frozen' | 'thawed'; readonly process: string }
-    /** A planned stop: SIGTERM, and whether the process ended by itself. */
+    /** A planned stop: SIGTERM, then whether the process ended by itself or was killed. */
     | { readonly event: 'stopping'; readonly process: string }
     | { readonly event: 'stopped'; readonly process: string; readonly result: 'ended' | 'killed' }
     | { readonly event: 'cut' | 'healed'; readonly zones: readonly [string, string] }
-    /** Control accepted that this upstream leaves. */
+    /** Control accepted the change that drains this upstream. */
     | { readonly event: 'drain-accepted'; readonly upstream: UpstreamId }
-    /** Control accepted that it is back. */
+    /** Control accepted the change that returns this upstream to service. */
     | { readonly event: 'return-accepted'; readonly upstream: UpstreamId }
-    /** An operator sends a change that sets a growing number of a service. */
+    /** An operator sends a change that sets an increasing number of a service. */
     | { readonly event: 'change-sent'; readonly service: ServiceName; readonly value: number }
-    /** The operator was told that it is in force everywhere. */
+    /** The operator received confirmation that the change is in force everywhere. */
     | {
         readonly event: 'change-in-force';
         readonly service: ServiceName;
         readonly value: number;
         readonly revision: Revision;
       }
-    /** A read that began at `since` found this number. */
+    /** A read that began at `since` returned this number. */
     | {
         readonly event: 'change-read';
         readonly service: ServiceName;
         readonly value: number;
         readonly since: number;
       }
-    /** A router said, asked at `since`, up to where it applies the configuration. */
+    /** The revision that a router reported as applied, in response to a query at `since`. */
     | {
         readonly event: 'router-read';
         readonly router: string;
@@ -157,7 +157,7 @@
         readonly serving: boolean;
         readonly since: number;
       }
-    /** A control member lost its data folder; later a new replica was reported as repaired. */
+    /** A control member lost its data folder; later its replacement was reported as repaired. */
     | { readonly event: 'disk-lost' | 'repaired'; readonly process: string }
     | { readonly event: 'platform-lied' | 'platform-corrected'; readonly upstream: UpstreamId }
   );
--- a/src/dev/sim/catch-sabotage.ts
+++ b/src/dev/sim/catch-sabotage.ts
@@ -1,4 +1,4 @@
-/** Runs a sabotaged system seed after seed until the checker notices. */
+/** Runs a sabotaged system with one seed after another until the checker reports a violation. */
 import type { PromiseName } from '../checker/rule.js';
 import { FAULT_KINDS } from './faults/fault-plan.js';
 import { SUSPENSIONS } from './faults/suspensions.js';
@@ -6,14 +6,14 @@
 import type { SimSizes } from './sim-sizes.js';
 import { Simulation } from './simulation.js';
 
-/** The first run in which the checker found the promise broken that the sabotage stands for. */
+/** The first run in which the checker found a violation of the promise that the sabotage breaks. */
 export interface CaughtSabotage {
   readonly seed: number;
   readonly promise: PromiseName;
   readonly message: string;
 }
 
-/** Gives the first seed from `first` to `last` that shows a sabotage for what it is, or `null` if none does. */
+/** Returns the first seed from `first` to `last` whose run violates the sabotage's promise, or `null` if there is none. */
 export function catchSabotage(
   name: SabotageName,
   sizes: SimSizes,
--- a/src/dev/sim/clients/crashing-caller.ts
+++ b/src/dev/sim/clients/crashing-caller.ts
@@ -1,14 +1,14 @@
-/** A caller that sends one and the same request again and again, through any router: whoever begins to run it crashes. */
+/** A caller that sends the same request repeatedly, through any router; each upstream that begins to run it crashes. */
 import type { World } from '../world.js';
-import type { Wish } from './sending.js';
+import type { CallerRequest } from './sending.js';
 import { SimCaller } from './sim-caller.js';
 
-/** Mean time between two sendings. */
+/** Mean time between two sends. */
 const PAUSE_MILLIS = 250;
 
 export class CrashingCaller extends SimCaller {
   readonly #content: string;
-  readonly #wishOnce: () => Wish;
+  readonly #createCrashingRequest: () => CallerRequest;
   #orders = 0;
 
   constructor(world: World, number: number) {
@@ -17,18 +17,18 @@
     const { name, repeatable } = service.definition;
     const key = service.keys.length === 0 ? null : this.random.pick(service.keys);
     this.#content = `${name}/crash ${this.name}`;
-    this.#wishOnce = () => ({
+    this.#createCrashingRequest = () => ({
       service,
       key,
       content: this.#content,
       idempotency: repeatable ? null : this.#nextOrder(),
       sends: 0,
     });
-    world.crashing.add(this.#content);
+    world.crashingContents.add(this.#content);
   }
 
-  /** When it begins, drawn from its own random numbers. */
-  startsAfter(windowMillis: number): number {
+  /** Draws the start time from its own random stream. */
+  drawStartMillis(windowMillis: number): number {
     return this.random.between(0, windowMillis);
   }
 
@@ -37,17 +37,17 @@
   }
 
   protected override think(): void {
-    this.send(this.#wishOnce());
+    this.send(this.#createCrashingRequest());
     this.schedule(this.random.exponential(PAUSE_MILLIS), () => this.think());
   }
 
-  override ended(): void {}
+  override onSendEnded(): void {}
 
-  override giveUpAfter(): number | null {
+  override drawPatienceMillis(): number | null {
     return null;
   }
 
-  /** Each sending is another order, of the same thing. */
+  /** Each send is a new order with the same content. */
   #nextOrder() {
     this.#orders += 1;
     const key = `${this.name}/${this.#orders}`;
--- a/src/dev/sim/clients/evacuating-operator.ts
+++ b/src/dev/sim/clients/evacuating-operator.ts
@@ -1,16 +1,16 @@
-/** An operator that takes zones out of use and gives them back, again and again. An order is over only when it was answered. */
+/** An operator that repeatedly evacuates a zone and restores it. A request is repeated until it is accepted. */
 import type { World } from '../world.js';
 import { OperatorClient } from './operator-client.js';
 
-/** Mean time that a zone is in use, and out of use. */
+/** Mean time for which the zone is in use, and evacuated. */
 const IN_USE_MILLIS = 500;
-const OUT_MILLIS = 4500;
+const EVACUATED_MILLIS = 4500;
 
 export class EvacuatingOperator extends OperatorClient {
-  /** Its own one, so that nobody else gives back what it took. */
+  /** Each operator has its own zone, so that no other one restores it. */
   readonly #zone: string;
   #isOut = false;
-  #isOrdering = false;
+  #isRequesting = false;
   #isEnding = false;
 
   constructor(world: World, number: number) {
@@ -19,66 +19,68 @@
     this.#zone = zones[number % zones.length] as string;
   }
 
-  /** When it begins, drawn from its own random numbers. */
-  startsAfter(windowMillis: number): number {
+  /** Draws the start time from its own random stream. */
+  drawStartMillis(windowMillis: number): number {
     return this.random.between(0, windowMillis);
   }
 
-  /** Gives back what it took out of use, and takes nothing more. */
+  /** Restores the zone and evacuates no more. */
   end(): void {
     this.#isEnding = true;
-    if (this.#isOut && !this.#isOrdering) {
-      this.giveBack();
+    if (this.#isOut && !this.#isRequesting) {
+      this.restore();
     }
   }
 
   protected onStart(): void {
-    this.takeOut();
+    this.evacuate();
   }
 
   protected onStop(): void {}
 
-  private takeOut(): void {
+  private evacuate(): void {
     if (this.#isEnding) {
       return;
     }
-    this.order(true, () => {
+    this.requestUntilAccepted(true, () => {
       if (this.#isEnding) {
-        this.giveBack();
+        this.restore();
       } else {
-        this.schedule(this.random.exponential(OUT_MILLIS), () => this.giveBack());
+        this.schedule(this.random.exponential(EVACUATED_MILLIS), () => this.restore());
       }
     });
   }
 
-  private giveBack(): void {
-    if (this.#isOut && !this.#isOrdering) {
-      this.order(false, () => this.schedule(this.random.exponential(IN_USE_MILLIS), () => this.takeOut()));
+  private restore(): void {
+    if (this.#isOut && !this.#isRequesting) {
+      this.requestUntilAccepted(false, () =>
+        this.schedule(this.random.exponential(IN_USE_MILLIS), () => this.evacuate()),
+      );
     }
   }
 
-  /** Nothing is held against routers from the moment at which a zone is asked to be used again. */
-  private order(isOut: boolean, done: () => void): void {
+  /** Requests an evacuation or restoration. Routers may use the zone from the moment at which its restoration is requested. */
+  private requestUntilAccepted(isOut: boolean, done: () => void): void {
     const { recorder, time } = this.world;
     const zone = this.#zone;
     const upstreams = this.world.upstreams.filter((upstream) => upstream.zone === zone).map(({ id }) => id);
-    this.#isOrdering = true;
-    this.world.zonesOut.add(zone);
+    this.#isRequesting = true;
+    this.world.evacuatedZones.add(zone);
     if (!isOut) {
       recorder.record({ type: 'evacuation-answered', at: time.now, isOut, upstreams });
     }
     this.ask({ type: 'evacuate', actor: this.name, zone, isOut }, (response) => {
       if (response.type !== 'result' || response.result.type !== 'accepted') {
-        this.order(isOut, done);
+        this.requestUntilAccepted(isOut, done);
         return;
       }
-      this.#isOrdering = false;
+      this.#isRequesting = false;
       this.#isOut = isOut;
       recorder.count(isOut ? 'zone taken out of use' : 'zone given back');
       if (isOut) {
         recorder.record({ type: 'evacuation-answered', at: time.now, isOut, upstreams });
       } else {
-        this.world.zonesOut.delete(zone);
+        this.world.evacuatedZones.delete(zone);
       }
       done();
     });
--- a/src/dev/sim/clients/operator-client.ts
+++ b/src/dev/sim/clients/operator-client.ts
@@ -1,4 +1,4 @@
-/** How an operator's program talks to the control members: resends until there is a definite answer, and records it all. */
+/** Client of the control members for an operator: resends until there is a definite answer, and records requests and answers. */
 import type { OperatorRequest, OperatorResponse } from '../../../control/types.js';
 import type {
   CommandResult,
@@ -15,20 +15,20 @@
 
 const TIMEOUT_MILLIS = 2500;
 const RETRY_MILLIS = 60;
-const MOST_TRIES = 12;
-/** Share of answers of the system that get lost, so that the operator sends again. */
+const MAX_TRIES = 12;
+/** Share of answers that are lost, so that the operator resends the request. */
 const LOST_ANSWER_SHARE = 0.12;
-/** Share of changes that the operator sends again although they were answered. */
+/** Share of changes that the operator resends although they were answered. */
 const NEEDLESS_RESEND_SHARE = 0.15;
 const RESEND_MILLIS = 1200;
 const WAIT_SHARE = 0.4;
-/** Queue limits carry the markers of changes of services. */
+/** Queue limits encode the markers of service changes. */
 export const QUEUE_LIMIT_BASE = 100;
 
-export type Answered = (response: OperatorResponse) => void;
+export type OnOperatorResponse = (response: OperatorResponse) => void;
 
 export abstract class OperatorClient extends SimProcess {
-  /** No answer gets lost, and nobody waits until a change is in force. */
+  /** Whether no answer is lost and no change waits until it is in force. */
   protected isCareful = false;
 
   constructor(
@@ -38,7 +38,7 @@
     super(`operator-${number}`, CLIENT_ZONE, world.time, world.makeClock(), world.makeRandom());
   }
 
-  /** Asks for a change. `expected`: the revision against which only one change may win. */
+  /** Requests a change. `expected`: the revision against which only one change may succeed. */
   protected change(
     command: OperatorCommand,
     value: ThingValue,
@@ -50,7 +50,7 @@
     const request: OperatorRequest = { type: 'command', requestId, actor: this.name, command, wait };
     const { recorder, time } = this.world;
     recorder.record({ type: 'change-asked', at: time.now, requestId, value, expected });
-    const ended = (response: OperatorResponse): void => {
+    const onChangeEnded = (response: OperatorResponse): void => {
       if (response.type === 'result') {
         recorder.count(`change ${response.result.type}${response.inForce ? ' in force' : ''}`);
       }
@@ -59,48 +59,53 @@
       }
       done();
     };
-    this.ask(request, ended);
+    this.ask(request, onChangeEnded);
   }
 
-  /** Sends a request until it has a definite answer. */
-  ask(request: OperatorRequest, answered: Answered, tries = 0, hint: SimControl | null = null): void {
+  /** Resends a request until it has a definite answer or the tries are used up. */
+  ask(
+    request: OperatorRequest,
+    onResponse: OnOperatorResponse,
+    tries = 0,
+    hint: SimControl | null = null,
+  ): void {
     const { world } = this;
-    if (tries >= MOST_TRIES) {
-      answered({ type: 'unknown' });
+    if (tries >= MAX_TRIES) {
+      onResponse({ type: 'unknown' });
       return;
     }
     const control = hint ?? this.random.pick(world.controls);
     let isOver = false;
-    const again = (next: SimControl | null): void => {
+    const retry = (next: SimControl | null): void => {
       if (!isOver) {
         isOver = true;
-        this.schedule(RETRY_MILLIS, () => this.ask(request, answered, tries + 1, next));
+        this.schedule(RETRY_MILLIS, () => this.ask(request, onResponse, tries + 1, next));
       }
     };
-    this.schedule(TIMEOUT_MILLIS, () => again(null));
+    this.schedule(TIMEOUT_MILLIS, () => retry(null));
     const askedAt = world.time.now;
-    const take = (response: OperatorResponse): void => {
+    const handle = (response: OperatorResponse): void => {
       if (response.type === 'not-leader') {
-        again(world.controls.find(({ address }) => address === response.leader) ?? null);
+        retry(world.controls.find(({ address }) => address === response.leader) ?? null);
       } else if (response.type === 'unknown' || response.type === 'rejected') {
-        again(null);
+        retry(null);
       } else if (!isOver) {
         isOver = true;
-        this.noteRead(askedAt, response);
-        answered(response);
+        this.recordRead(askedAt, response);
+        onResponse(response);
       }
     };
     world.network.sendDatagram(this, control, () =>
       control.operate(request, (response) => {
-        this.noteAnswer(request, response);
+        this.recordAnswer(request, response);
         if (this.isCareful || !this.random.chance(LOST_ANSWER_SHARE)) {
-          world.network.sendDatagram(control, this, () => take(response));
+          world.network.sendDatagram(control, this, () => handle(response));
         }
       }),
     );
   }
 
-  private noteAnswer(request: OperatorRequest, response: OperatorResponse): void {
+  private recordAnswer(request: OperatorRequest, response: OperatorResponse): void {
     if (request.type !== 'command' || response.type !== 'result') {
       return;
     }
@@ -110,7 +115,7 @@
     recorder.record({ type: 'change-answered', at: time.now, requestId, ...outcomeOf(result), inForce });
   }
 
-  private noteRead(askedAt: number, response: OperatorResponse): void {
+  private recordRead(askedAt: number, response: OperatorResponse): void {
     if (response.type !== 'services' && response.type !== 'upstreams') {
       return;
     }
--- a/src/dev/sim/clients/sending.ts
+++ b/src/dev/sim/clients/sending.ts
@@ -1,4 +1,4 @@
-/** One sending of a wish of a caller to one router, from its connection to the answer, or to giving up. */
+/** One send of a caller's request to one router, from connecting to the answer or giving up. */
 import type { SendId } from '../../checker/history.js';
 import { Connection } from '../connection.js';
 import type { RouterAnswer } from '../router/router-answer.js';
@@ -7,11 +7,11 @@
 import type { World } from '../world.js';
 import type { SimCaller } from './sim-caller.js';
 
-/** Time beyond its deadline by which a request is answered or cut, late messages included. */
+/** Time after its deadline by which a request is answered or cut, allowing for late messages. */
 const ANSWER_GRACE_MILLIS = 1200;
 
-/** What a caller wants, however often it sends it. */
-export interface Wish {
+/** A caller's request, independent of how often it is sent. */
+export interface CallerRequest {
   readonly service: SizedService;
   readonly key: string | null;
   readonly content: string;
@@ -23,7 +23,7 @@
   sends: number;
 }
 
-export class Sending {
+export class RequestSend {
   private readonly id: SendId;
   private readonly connection: Connection;
   private readonly routerRun: number;
@@ -34,79 +34,79 @@
     private readonly world: World,
     private readonly caller: SimCaller,
     private readonly router: SimRouter,
-    private readonly wish: Wish,
+    private readonly callerRequest: CallerRequest,
   ) {
     this.id = `send-${world.nextNumber()}`;
     this.routerRun = router.run;
     this.connection = new Connection(
       world.network,
-      { process: caller, onBroken: () => this.cut() },
-      { process: router, onBroken: () => this.callerLeft() },
+      { process: caller, onBroken: () => this.onRouterClosed() },
+      { process: router, onBroken: () => this.onCallerClosed() },
     );
   }
 
   begin(): void {
-    const { world, wish, id } = this;
-    const { definition } = wish.service;
+    const { world, callerRequest, id } = this;
+    const { definition } = callerRequest.service;
     const now = world.time.now;
     world.recorder.record({
       type: 'request-sent',
       at: now,
       send: id,
       service: definition.name,
-      content: wish.content,
-      idempotencyKey: wish.idempotency?.key ?? null,
+      content: callerRequest.content,
+      idempotencyKey: callerRequest.idempotency?.key ?? null,
       repeatable: definition.repeatable,
       mayShareAnswer: definition.coalesce,
       answerDueAt: now + definition.deadlineMillis + ANSWER_GRACE_MILLIS,
     });
-    this.connection.sendToServer(() => this.arrive());
+    this.connection.sendToServer(() => this.onArrival());
     const dueIn = definition.deadlineMillis + ANSWER_GRACE_MILLIS;
-    this.caller.schedule(dueIn, () => this.excuse(now));
-    const patience = this.caller.giveUpAfter();
-    if (patience !== null) {
-      this.caller.schedule(patience, () => this.giveUp());
+    this.caller.schedule(dueIn, () => this.excuseMissingAnswer(now));
+    const patienceMillis = this.caller.drawPatienceMillis();
+    if (patienceMillis !== null) {
+      this.caller.schedule(patienceMillis, () => this.giveUp());
     }
   }
 
-  private arrive(): void {
-    const { router, wish, id } = this;
+  private onArrival(): void {
+    const { router, callerRequest, id } = this;
     this.request = router.accept(
       {
-        service: wish.service.definition.name,
-        key: wish.key,
-        method: wish.idempotency === null ? 'GET' : 'POST',
-        target: `/${wish.content}`,
-        fingerprint: wish.content,
+        service: callerRequest.service.definition.name,
+        key: callerRequest.key,
+        method: callerRequest.idempotency === null ? 'GET' : 'POST',
+        target: `/${callerRequest.content}`,
+        fingerprint: callerRequest.content,
         deadlineMillis: null,
-        idempotency: wish.idempotency,
+        idempotency: callerRequest.idempotency,
       },
       {
         send: id,
-        content: wish.content,
-        answer: (answer) => this.connection.sendToClient(() => this.take(answer)),
+        content: callerRequest.content,
+        answer: (answer) => this.connection.sendToClient(() => this.receive(answer)),
       },
     );
   }
 
-  private take(answer: RouterAnswer): void {
+  private receive(answer: RouterAnswer): void {
     if (this.over) {
       return;
     }
     this.over = true;
-    const { world, id, wish, caller } = this;
+    const { world, id, callerRequest, caller } = this;
     const at = world.time.now;
-    const { name } = wish.service.definition;
+    const { name } = callerRequest.service.definition;
     if (answer.type === 'answer') {
       const { ranFor, content, whole } = answer;
       world.recorder.count(`answered ${name}`);
       world.recorder.record({ type: 'answer-received', at, send: id, ranFor, content, whole });
-      caller.ended(wish, true);
+      caller.onSendEnded(callerRequest, true);
     } else {
       const { outcome, reason } = answer;
       world.recorder.count(`refused ${reason} (${outcome})`);
       world.recorder.record({ type: 'refusal-received', at, send: id, outcome, reason });
-      caller.ended(wish, outcome === 'ran');
+      caller.onSendEnded(callerRequest, outcome === 'ran');
     }
     this.connection.close(caller);
   }
@@ -118,23 +118,23 @@
     }
   }
 
-  /** No answer came in time: that's excused if the router was paused or its machine was lost meanwhile. */
-  private excuse(sentAt: number): void {
-    if (!this.over && !this.router.ranSince(sentAt)) {
+  /** Excuses a missing answer if the router was paused or its machine was lost since the send. */
+  private excuseMissingAnswer(sentAt: number): void {
+    if (!this.over && !this.router.hasRunSince(sentAt)) {
       this.end(true, 'the loss of its router');
       this.connection.close(this.caller);
     }
   }
 
-  /** The router's end is gone. */
-  private cut(): void {
+  /** Records the request as cut when the router closes the connection. */
+  private onRouterClosed(): void {
     if (!this.over) {
       const { router } = this;
-      this.end(!router.endedByPlan(this.routerRun), router.name);
+      this.end(!router.wasStoppedByPlan(this.routerRun), router.name);
     }
   }
 
-  private callerLeft(): void {
+  private onCallerClosed(): void {
     if (this.request !== null) {
       this.router.cancel(this.request);
     }
@@ -142,9 +142,9 @@
 
   private end(excused: boolean, by: string): void {
     this.over = true;
-    const { world, id, wish, caller } = this;
+    const { world, id, callerRequest, caller } = this;
     world.recorder.count('requests cut');
     world.recorder.record({ type: 'request-cut', at: world.time.now, send: id, excused, by });
-    caller.ended(wish, false);
+    caller.onSendEnded(callerRequest, false);
   }
 }
--- a/src/dev/sim/clients/sim-caller.ts
+++ b/src/dev/sim/clients/sim-caller.ts
@@ -1,19 +1,19 @@
-/** A caller: reads keys, places orders that must run at most once, gives up, and resends orders through other routers. */
+/** A caller: reads keys, places orders that must run at most once, gives up early at times, and resends orders through other routers. */
 import { CLIENT_ZONE } from '../network.js';
 import type { SimRouter } from '../router/sim-router.js';
 import { SimProcess } from '../sim-process.js';
 import type { World } from '../world.js';
-import { Sending, type Wish } from './sending.js';
+import { type CallerRequest, RequestSend } from './sending.js';
 
 const THINK_MILLIS = 50;
-/** Share of requests whose caller goes away before the answer, and how soon. */
+/** Share of requests whose caller gives up before the answer, and the mean time until then. */
 const IMPATIENT_SHARE = 0.06;
 const IMPATIENT_MILLIS = 15;
-/** Share of orders that are sent again although they were answered. */
+/** Share of orders that are resent although they were answered. */
 const NEEDLESS_RESEND_SHARE = 0.1;
-const MOST_SENDS = 4;
-const SHORTEST_RESEND_MILLIS = 20;
-const LONGEST_RESEND_MILLIS = 2500;
+const MAX_SENDS = 4;
+const MIN_RESEND_MILLIS = 20;
+const MAX_RESEND_MILLIS = 2500;
 
 export class SimCaller extends SimProcess {
   private next = 1;
@@ -32,11 +32,11 @@
   protected onStop(): void {}
 
   protected think(): void {
-    this.send(this.wish());
+    this.send(this.createRequest());
     this.schedule(this.random.exponential(THINK_MILLIS), () => this.think());
   }
 
-  private wish(): Wish {
+  private createRequest(): CallerRequest {
     const service = this.random.pick(this.world.sizes.services);
     const { name, repeatable } = service.definition;
     const number = this.next;
@@ -50,33 +50,33 @@
     return { service, key, content, idempotency, sends: 0 };
   }
 
-  protected send(wish: Wish): void {
+  protected send(request: CallerRequest): void {
     const router = this.pickRouter();
     if (router === undefined) {
       return;
     }
-    wish.sends += 1;
-    new Sending(this.world, this, router, wish).begin();
+    request.sends += 1;
+    new RequestSend(this.world, this, router, request).begin();
   }
 
-  /** One that takes connections. */
+  /** Returns a random router that accepts connections. */
   private pickRouter(): SimRouter | undefined {
     const open = this.world.routers.filter((router) => router.state !== 'stopped' && !router.isStopping);
     return open.length === 0 ? undefined : this.random.pick(open);
   }
 
-  /** A sending is over: an order whose fate isn't known, and now and then any other, is sent again. */
-  ended(wish: Wish, isSettled: boolean): void {
-    if (wish.idempotency === null || wish.sends >= MOST_SENDS) {
+  /** Handles the end of a send: resends an order whose outcome is unknown, and occasionally any other order. */
+  onSendEnded(request: CallerRequest, isSettled: boolean): void {
+    if (request.idempotency === null || request.sends >= MAX_SENDS) {
       return;
     }
     if (!isSettled || this.random.chance(NEEDLESS_RESEND_SHARE)) {
-      const pause = this.random.between(SHORTEST_RESEND_MILLIS, LONGEST_RESEND_MILLIS);
-      this.schedule(pause, () => this.send(wish));
+      const pause = this.random.between(MIN_RESEND_MILLIS, MAX_RESEND_MILLIS);
+      this.schedule(pause, () => this.send(request));
     }
   }
 
-  giveUpAfter(): number | null {
+  drawPatienceMillis(): number | null {
     return this.random.chance(IMPATIENT_SHARE) ? this.random.exponential(IMPATIENT_MILLIS) : null;
   }
 }
--- a/src/dev/sim/clients/sim-operator.ts
+++ b/src/dev/sim/clients/sim-operator.ts
@@ -1,4 +1,4 @@
-/** An operator: changes services and upstreams against what it read, races others, resends what wasn't answered, reads back. */
+/** An operator: changes services and upstreams based on the revisions it read, races others, resends unanswered requests, reads back. */
 import type { OperatorResponse } from '../../../control/types.js';
 import { parseShardId } from '../../../model/identifiers.js';
 import type { ServiceDefinition, UpstreamDefinition } from '../../../model/service.js';
@@ -8,21 +8,21 @@
 import { OperatorClient, QUEUE_LIMIT_BASE } from './operator-client.js';
 
 const THINK_MILLIS = 350;
-/** Time between the changes of a burst. */
+/** Interval between the changes of a burst. */
 const BURST_MILLIS = 10;
-/** Share of changes of a keyed service that map its keys anew. */
+/** Share of changes of a keyed service that remap its keys. */
 const REMAP_SHARE = 0.15;
-/** Fewest upstreams of a service that are left when one is marked as leaving. */
-const FEWEST_STAYING = 2;
-/** Share of visits at which a leaving upstream is removed, and a removed one is declared again. */
+/** Minimum number of active upstreams of a service that remain when one is marked as leaving. */
+const MIN_ACTIVE_UPSTREAMS = 2;
+/** Probability per visit that a leaving upstream is removed, and that a removed one is declared again. */
 const REMOVE_SHARE = 0.5;
 const RETURN_SHARE = 0.4;
 
 export class SimOperator extends OperatorClient {
-  /** Makes only changes that move no keys. */
+  /** Whether it makes only changes that move no keys. */
   isQuiet = false;
 
-  /** Declares everything that the deployment has, services first. */
+  /** Declares the whole deployment, services first. */
   declare(): void {
     this.isCareful = true;
     let left = this.world.sizes.services.length;
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Makes one change, whose answer doesn't get lost, then calls `done`. */
+  /** Makes one change whose answer isn't lost, then calls `done`. */
   probe(done: () => void): void {
     this.isCareful = true;
     const [service] = this.world.sizes.services;
@@ -56,8 +56,8 @@
     });
   }
 
-  /** Reads and changes the same service as the other operators do at this moment. */
-  raceFor(service: string): void {
+  /** Reads and changes a service that the other operators change at the same time. */
+  raceToChange(service: string): void {
     this.ask({ type: 'get-services' }, (response) => {
       const records = response.type === 'services' ? response.services : [];
       const record = records.find(({ definition }) => definition.name === service);
@@ -67,7 +67,7 @@
     });
   }
 
-  /** Has every upstream back. */
+  /** Declares removed upstreams again and ends the draining of all others. */
   undrainAll(): void {
     this.ask({ type: 'get-upstreams' }, (response) => {
       const records = response.type === 'upstreams' ? response.upstreams : [];
@@ -85,7 +85,7 @@
     });
   }
 
-  /** Makes `count` changes in a fast row. */
+  /** Makes `count` changes in quick succession. */
   burst(count: number): void {
     const ended = (): void => this.world.recorder.count('change of a burst');
     for (let number = 0; number < count; number += 1) {
@@ -109,13 +109,13 @@
       { type: 'get-upstreams' },
       { type: 'get-shards', service: null },
     ] as const;
-    this.ask(this.random.pick(reads), (response) => this.changeWhatWasRead(response));
+    this.ask(this.random.pick(reads), (response) => this.changeFromResponse(response));
   }
 
-  private changeWhatWasRead(response: OperatorResponse): void {
+  private changeFromResponse(response: OperatorResponse): void {
     if (response.type === 'services' && response.services.length > 0) {
       const record = this.random.pick(response.services);
-      this.applyService(this.altered(record), record.revision);
+      this.applyService(this.alterDefinition(record), record.revision);
     }
     if (response.type === 'upstreams' && response.upstreams.length > 0) {
       this.changeMembers(response.upstreams);
@@ -125,7 +125,7 @@
     }
   }
 
-  /** Declares an upstream again that was removed, else has one leave, come back or be removed. */
+  /** Declares a removed upstream again, or else drains, restores or removes one. */
   private changeMembers(records: readonly UpstreamRecord[]): void {
     const missing = this.missingIn(records);
     if (missing !== undefined && this.random.chance(RETURN_SHARE)) {
@@ -149,13 +149,13 @@
     const command: OperatorCommand = { type: 'upstream-remove', upstream: definition.id, expected: revision };
     const marker = `-#${this.world.nextNumber()}`;
     for (const upstream of this.world.upstreams.filter(({ id }) => id === definition.id)) {
-      upstream.isAskedToLeave = true;
+      upstream.isDrainRequested = true;
     }
     const value = { thing: `upstream/${definition.id}`, marker, leaving: true, removed: true };
     this.change(command, value, () => this.world.recorder.count('removal of an upstream asked for'));
   }
 
-  /** An order to move a shard to its owner changes nothing, so several may win against one revision. */
+  /** Moves a shard. A move to the current owner changes nothing, so several may succeed against one revision. */
   private moveShard({ shard, revision }: ShardRecord): void {
     const service = parseShardId(shard)?.service;
     const peers = this.world.upstreams.filter((upstream) => upstream.service.definition.name === service);
@@ -166,8 +166,8 @@
     this.change(command, value, () => this.world.recorder.count('move of a shard asked for'), null);
   }
 
-  /** Now and then the keys are cut into another number of shards. */
-  private altered({ definition }: ServiceRecord): ServiceDefinition {
+  /** Returns the service's definition, at times with another number of shards. */
+  private alterDefinition({ definition }: ServiceRecord): ServiceDefinition {
     if (this.isQuiet || !definition.keyed || !this.random.chance(REMAP_SHARE)) {
       return definition;
     }
@@ -179,9 +179,11 @@
 
   private toggleLeaving(record: UpstreamRecord, records: readonly UpstreamRecord[]): void {
     const { id, service, leaving } = record.definition;
-    const stays = records.filter(({ definition }) => definition.service === service && !definition.leaving);
+    const activeRecords = records.filter(
+      ({ definition }) => definition.service === service && !definition.leaving,
+    );
     const upstream = this.world.upstreams.find((candidate) => candidate.id === id);
-    if (upstream !== undefined && !this.isQuiet && (leaving || stays.length > FEWEST_STAYING)) {
+    if (upstream !== undefined && !this.isQuiet && (leaving || activeRecords.length > MIN_ACTIVE_UPSTREAMS)) {
       this.applyUpstream(upstream, !leaving, record.revision);
     }
   }
@@ -208,7 +210,7 @@
       leaving,
     };
     const thing = `upstream/${upstream.id}`;
-    upstream.isAskedToLeave = leaving;
+    upstream.isDrainRequested = leaving;
     this.change(
       { type: 'upstream-apply', definition, expected },
       { thing, marker: `#${marker}`, leaving, removed: false },
--- a/src/dev/sim/connection.ts
+++ b/src/dev/sim/connection.ts
@@ -1,18 +1,18 @@
-/** A simulated TCP connection: ordered, whole or broken; a cut holds its messages back until it heals or a peer gives up. */
+/** A simulated TCP connection: delivers in order until it breaks. A cut delays messages until it heals or a peer times out. */
 import type { Network } from './network.js';
 import type { SimProcess } from './sim-process.js';
 
-/** Silence after which an end counts its peer as dead. */
+/** Silence after which an end considers its peer dead. */
 export const DEAD_PEER_MILLIS = 1500;
-/** How often a blocked end tries again. */
+/** Interval between retransmissions of a blocked end. */
 const RETRANSMIT_MILLIS = 40;
-/** Keeps messages of one direction in order. */
+/** Minimum gap between arrivals in one direction, which keeps messages in order. */
 const ORDER_GAP_MILLIS = 0.001;
 
 /** One end of a connection. */
 export interface ConnectionEnd {
   readonly process: SimProcess;
-  /** Called once, when this end learns that the connection is gone. */
+  /** Called once, when this end detects that the connection is broken. */
   readonly onBroken: () => void;
 }
 
@@ -29,7 +29,7 @@
   private readonly backward: Direction;
   private readonly runs: readonly [number, number];
   private broken = false;
-  /** Who closed it: what it sent before still arrives. */
+  /** The process that closed the connection; messages it sent before that still arrive. */
   private closer: SimProcess | null = null;
 
   constructor(
@@ -37,8 +37,8 @@
     private readonly client: ConnectionEnd,
     private readonly server: ConnectionEnd,
   ) {
-    this.forward = direction(client.process, server.process);
-    this.backward = direction(server.process, client.process);
+    this.forward = createDirection(client.process, server.process);
+    this.backward = createDirection(server.process, client.process);
     this.runs = [client.process.run, server.process.run];
     client.process.connections.add(this);
     server.process.connections.add(this);
@@ -48,17 +48,17 @@
     return this.broken;
   }
 
-  /** Sends from the client's end. */
+  /** Sends a message from the client to the server. */
   sendToServer(deliver: () => void): void {
     this.send(this.forward, deliver);
   }
 
-  /** Sends from the server's end. */
+  /** Sends a message from the server to the client. */
   sendToClient(deliver: () => void): void {
     this.send(this.backward, deliver);
   }
 
-  /** One end closed the connection or its process ended: the other learns it when it can. */
+  /** Closes the connection from one end, also when that process ends; the other end is notified as the network permits. */
   close(closer: SimProcess): void {
     if (this.broken) {
       return;
@@ -66,62 +66,62 @@
     this.markBroken();
     this.closer = closer;
     const other = closer === this.client.process ? this.server : this.client;
-    this.tell(other, closer);
+    this.notifyClosed(other, closer);
   }
 
-  private send(way: Direction, deliver: () => void): void {
+  private send(direction: Direction, deliver: () => void): void {
     if (this.broken) {
       return;
     }
-    way.waiting.push(deliver);
-    if (way.waiting.length === 1) {
-      this.flush(way);
+    direction.waiting.push(deliver);
+    if (direction.waiting.length === 1) {
+      this.flush(direction);
     }
   }
 
-  private flush(way: Direction): void {
+  private flush(direction: Direction): void {
     if (this.broken) {
       return;
     }
     const { time } = this.network;
-    if (this.network.isBlocked(way.from, way.to)) {
-      way.blockedSince ??= time.now;
-      if (time.now - way.blockedSince >= DEAD_PEER_MILLIS) {
-        this.giveUp();
+    if (this.network.isBlocked(direction.from, direction.to)) {
+      direction.blockedSince ??= time.now;
+      if (time.now - direction.blockedSince >= DEAD_PEER_MILLIS) {
+        this.breakBothEnds();
         return;
       }
-      time.after(RETRANSMIT_MILLIS, () => this.flush(way));
+      time.after(RETRANSMIT_MILLIS, () => this.flush(direction));
       return;
     }
-    way.blockedSince = null;
-    for (const deliver of way.waiting.splice(0)) {
+    direction.blockedSince = null;
+    for (const deliver of direction.waiting.splice(0)) {
       const arrival = Math.max(
-        time.now + this.network.latency(way.from, way.to),
-        way.lastArrival + ORDER_GAP_MILLIS,
+        time.now + this.network.latency(direction.from, direction.to),
+        direction.lastArrival + ORDER_GAP_MILLIS,
       );
-      way.lastArrival = arrival;
-      time.at(arrival, () => this.arrive(way, deliver));
+      direction.lastArrival = arrival;
+      time.at(arrival, () => this.arrive(direction, deliver));
     }
   }
 
-  private arrive(way: Direction, deliver: () => void): void {
-    if (this.broken && way.from !== this.closer) {
+  private arrive(direction: Direction, deliver: () => void): void {
+    if (this.broken && direction.from !== this.closer) {
       return;
     }
-    const expectedRun = way === this.forward ? this.runs[1] : this.runs[0];
-    if (way.to.run === expectedRun && way.to.state !== 'stopped') {
-      way.to.post(deliver, true);
+    const expectedRun = direction === this.forward ? this.runs[1] : this.runs[0];
+    if (direction.to.run === expectedRun && direction.to.state !== 'stopped') {
+      direction.to.post(deliver, true);
       return;
     }
-    this.missPeer(way);
+    this.detectLostPeer(direction);
   }
 
-  /** The receiver's run is over: a new one resets the connection, a machine that is gone says nothing. */
-  private missPeer(way: Direction): void {
-    const silence = way.to.state === 'stopped' ? DEAD_PEER_MILLIS : 0;
+  /** Breaks the connection when the receiver's run is over: at once if a new run resets it, after a timeout if the machine is down. */
+  private detectLostPeer(direction: Direction): void {
+    const silence = direction.to.state === 'stopped' ? DEAD_PEER_MILLIS : 0;
     this.network.time.after(silence, () => {
       if (!this.broken) {
-        this.giveUp();
+        this.breakBothEnds();
       }
     });
   }
@@ -132,22 +132,22 @@
     this.server.process.connections.delete(this);
   }
 
-  private giveUp(): void {
+  private breakBothEnds(): void {
     this.markBroken();
-    this.tell(this.client, this.server.process);
-    this.tell(this.server, this.client.process);
+    this.notifyClosed(this.client, this.server.process);
+    this.notifyClosed(this.server, this.client.process);
   }
 
-  private tell(end: ConnectionEnd, other: SimProcess): void {
+  private notifyClosed(end: ConnectionEnd, other: SimProcess): void {
     const { time } = this.network;
     const run = end === this.client ? this.runs[0] : this.runs[1];
-    const way = end === this.client ? this.backward : this.forward;
+    const direction = end === this.client ? this.backward : this.forward;
     const arrival = Math.max(
       time.now + this.network.latency(other, end.process),
-      way.lastArrival + ORDER_GAP_MILLIS,
+      direction.lastArrival + ORDER_GAP_MILLIS,
     );
-    const learnedAt = this.network.isBlocked(other, end.process) ? time.now + DEAD_PEER_MILLIS : arrival;
-    time.at(learnedAt, () => {
+    const notifiedAt = this.network.isBlocked(other, end.process) ? time.now + DEAD_PEER_MILLIS : arrival;
+    time.at(notifiedAt, () => {
       if (end.process.run === run) {
         end.process.post(end.onBroken, true);
       }
@@ -155,6 +155,6 @@
   }
 }
 
-function direction(from: SimProcess, to: SimProcess): Direction {
+function createDirection(from: SimProcess, to: SimProcess): Direction {
   return { from, to, waiting: [], lastArrival: 0, blockedSince: null };
 }
--- a/src/dev/sim/control/persist-task.ts
+++ b/src/dev/sim/control/persist-task.ts
@@ -1,14 +1,14 @@
-/** Writes of one run of a control member: one sync at a time, in order, each reported once it is done. */
+/** Writes of one run of a control member: synced one at a time and in order, each reported when complete. */
 import type { PersistRequest } from '../../../consensus/types.js';
 import type { Random } from '../random.js';
 import type { SimProcess } from '../sim-process.js';
 import type { SimulatedDisk } from '../simulated-disk.js';
 import type { World } from '../world.js';
-import { spoilPersist } from './spoil-control.js';
+import { sabotagePersist } from './spoil-control.js';
 
-const SHORTEST_SYNC_MILLIS = 0.2;
-const LONGEST_SYNC_MILLIS = 3;
-/** How long the sabotaged disk leaves writes unsynced. */
+const MIN_SYNC_MILLIS = 0.2;
+const MAX_SYNC_MILLIS = 3;
+/** Time for which the sabotaged disk leaves writes unsynced. */
 const UNSYNCED_MILLIS = 400;
 
 export interface PersistTaskParts {
@@ -16,7 +16,7 @@
   readonly process: SimProcess;
   readonly random: Random;
   readonly disk: SimulatedDisk;
-  /** Everything up to this request is on disk, or so the core is told. */
+  /** Reports to the core that everything up to this request is on disk (under `no-fsync` it may not be). */
   readonly persisted: (persistId: number) => void;
 }
 
@@ -31,12 +31,12 @@
     this.lastSyncAt = parts.world.time.now;
   }
 
-  /** Number of the last request. */
+  /** Id of the last request. */
   get lastRequest(): number {
     return this.lastPersistId;
   }
 
-  /** Whether the core waits for the report of a request. */
+  /** Whether the report of a request is still pending. */
   get isBusy(): boolean {
     return this.lastPersistId > this.reportedId;
   }
@@ -45,9 +45,9 @@
     const { world, random, disk } = this.parts;
     const { persistId } = request;
     this.lastPersistId = persistId;
-    disk.write(spoilPersist(request, world.sabotage));
-    const took = random.between(SHORTEST_SYNC_MILLIS, LONGEST_SYNC_MILLIS);
-    this.lastSyncAt = Math.max(this.lastSyncAt, world.time.now) + took;
+    disk.write(sabotagePersist(request, world.sabotage));
+    const syncMillis = random.between(MIN_SYNC_MILLIS, MAX_SYNC_MILLIS);
+    this.lastSyncAt = Math.max(this.lastSyncAt, world.time.now) + syncMillis;
     const isReportedEarly = world.sabotage === 'no-fsync';
     if (isReportedEarly) {
       this.parts.process.schedule(0, () => this.report(persistId), true);
--- a/src/dev/sim/control/session-call.ts
+++ b/src/dev/sim/control/session-call.ts
@@ -1,15 +1,15 @@
-/** Carries session requests of a control member to upstreams; requests and answers may be lost, late or doubled. */
+/** Sends session requests of a control member to upstreams; requests and answers may be lost, delayed or duplicated. */
 import type { ControlEffect } from '../../../control/types.js';
 import type { SessionAnswer, SessionRequest } from '../../../lease/types.js';
 import type { World } from '../world.js';
 import type { SimControl } from './sim-control.js';
 
-/** An upstream that didn't answer within this time failed. */
+/** A call without an answer within this time counts as failed. */
 const SESSION_TIMEOUT_MILLIS = 300;
 
 type UpstreamCall = Extract<ControlEffect, { readonly type: 'call-upstream' }>;
 
-/** Sends a request; the control member hears of its end exactly once. */
+/** Sends a request and passes its answer or failure to the control member exactly once. */
 export function callUpstream(
   world: World,
   control: SimControl,
@@ -41,7 +41,7 @@
   }
   const { run } = control;
   world.network.sendDatagram(control, target, () => {
-    const answer = target.takeSession(request);
+    const answer = target.handleSession(request);
     world.network.sendDatagram(target, control, () => {
       if (control.run === run) {
         end(answer);
--- a/src/dev/sim/control/sim-control.ts
+++ b/src/dev/sim/control/sim-control.ts
@@ -1,4 +1,4 @@
-/** A control member: the control core on a simulated machine with its disk, its peers, routers, upstreams and operators. */
+/** A control member: the control core on a simulated machine with a disk, connected to peers, routers, upstreams and operators. */
 import type { Membership, RaftMessage, RaftStatus } from '../../../consensus/types.js';
 import { createControlNode } from '../../../control/control-node.js';
 import {
@@ -19,22 +19,22 @@
 import { SimProcess, TickTimer } from '../sim-process.js';
 import { SimulatedDisk } from '../simulated-disk.js';
 import type { World } from '../world.js';
-import { CommitJudge } from './commit-judge.js';
+import { CommitRecorder } from './commit-judge.js';
 import { PersistTask } from './persist-task.js';
 import { callUpstream } from './session-call.js';
 import {
-  spoilOperatorRequest,
-  spoilOperatorResponse,
-  spoilRouterMessage,
-  spoilSessionRequest,
+  sabotageOperatorRequest,
+  sabotageOperatorResponse,
+  sabotageRouterMessage,
+  sabotageSessionRequest,
 } from './spoil-control.js';
 
 export const CLUSTER = 'simulated';
 const ELECTION_TIMEOUT_MILLIS = 300;
 const HEARTBEAT_MILLIS = 60;
 const SNAPSHOT_ENTRIES = 120;
-/** Longest wait for another leader on a planned stop. */
-const TRANSFER_MILLIS = 2000;
+/** Maximum wait for another leader during a planned stop. */
+const MAX_TRANSFER_MILLIS = 2000;
 const STOP_CHECK_MILLIS = 10;
 
 interface RouterLine {
@@ -47,17 +47,17 @@
 export class SimControl extends SimProcess {
   readonly address: Address;
   replica: ReplicaId;
-  /** What crashes do to writes that weren't synced. */
+  /** Whether the next crash loses unsynced writes. */
   losesPower = false;
-  /** Changes that this run answered; for the sabotage of revisions. */
-  changesSeen = 0;
+  /** Number of changes accepted by this run, for the sabotage `revision-by-count`. */
+  acceptedChanges = 0;
   private disk: SimulatedDisk;
   private core: ControlCore | null = null;
   private timer: TickTimer | null = null;
   private readonly lines = new Map<string, RouterLine>();
   private readonly operations = new Map<string, AnswerOperator>();
   private persistTask: PersistTask | null = null;
-  private commits: CommitJudge | null = null;
+  private commits: CommitRecorder | null = null;
   private diskNumber = 1;
 
   constructor(
@@ -80,7 +80,7 @@
     return this.state === 'running' && this.core?.status().role === 'leader';
   }
 
-  /** The data folder is gone: what starts here next is another replica, which has to be joined. */
+  /** Loses the data folder; the next start here is a new replica, which has to join. */
   loseDisk(): void {
     if (this.world.sabotage === 'replica-id-reused') {
       this.disk = new SimulatedDisk(this.initialMembership);
@@ -91,9 +91,9 @@
     this.disk = new SimulatedDisk(null);
   }
 
-  /** Planned stop: hands leadership on, then ends. */
+  /** Planned stop: transfers leadership, then ends. */
   stopByPlan(): void {
-    const until = this.time.now + TRANSFER_MILLIS;
+    const until = this.time.now + MAX_TRANSFER_MILLIS;
     const { run } = this;
     this.operate({ type: 'transfer-leadership', to: null }, () => {});
     const check = (): void => {
@@ -114,7 +114,7 @@
     this.start();
   }
 
-  /** Hands the core an input. */
+  /** Passes an input to the core and carries out its effects. */
   input(input: ControlInput): void {
     if (this.core === null) {
       return;
@@ -124,9 +124,9 @@
     for (const effect of effects) {
       this.carryOut(effect);
     }
-    // While a write is under way the core may hold back changes of its log: then what was written may be older.
+    // While a write is pending, the core may defer changes to its log, so the written log may be older.
     if (!this.persistTask?.isBusy || this.persistTask.lastRequest !== lastRequest) {
-      this.commits?.committed(this.core.status().commitIndex, this.time.now);
+      this.commits?.recordUpTo(this.core.status().commitIndex, this.time.now);
     }
     this.timer?.arm(this.core.nextDeadline());
   }
@@ -137,7 +137,7 @@
     }
   }
 
-  /** A router connected. */
+  /** Registers the connection of a router. */
   openLine(id: string, line: RouterLine): void {
     this.lines.set(id, line);
   }
@@ -152,21 +152,21 @@
     }
   }
 
-  /** Takes an operator's request; `answer` is called at most once. */
+  /** Handles an operator's request; `answer` is called at most once. */
   operate(request: OperatorRequest, answer: AnswerOperator): void {
     const operation = `operation-${this.world.nextNumber()}`;
     this.operations.set(operation, answer);
     this.input({
       type: 'operator-request',
       operation,
-      request: spoilOperatorRequest(request, this.world.sabotage),
+      request: sabotageOperatorRequest(request, this.world.sabotage),
     });
   }
 
   protected onStart(): void {
     const { world, random, disk } = this;
-    this.changesSeen = 0;
-    this.commits = new CommitJudge(world.recorder, this.replica, disk);
+    this.acceptedChanges = 0;
+    this.commits = new CommitRecorder(world.recorder, this.replica, disk);
     this.persistTask = new PersistTask({
       world,
       process: this,
@@ -211,17 +211,17 @@
         return;
       case 'send-router': {
         const line = this.lines.get(effect.connection);
-        const message = spoilRouterMessage(effect.message, this);
+        const message = sabotageRouterMessage(effect.message, this);
         line?.connection.sendToClient(() => line.deliver(message));
         return;
       }
       case 'call-upstream':
-        callUpstream(this.world, this, effect, spoilSessionRequest(effect.request, this.world.sabotage));
+        callUpstream(this.world, this, effect, sabotageSessionRequest(effect.request, this.world.sabotage));
         return;
       case 'answer-operator': {
         const answer = this.operations.get(effect.operation);
         this.operations.delete(effect.operation);
-        answer?.(spoilOperatorResponse(effect.response, this));
+        answer?.(sabotageOperatorResponse(effect.response, this));
         return;
       }
       case 'log':
@@ -245,7 +245,7 @@
   return `127.0.0.${number}:7000`;
 }
 
-/** A machine's replicas are numbered by the disks that it had. */
+/** Returns the id of a replica; a machine's replicas are numbered by its disks. */
 export function replicaName(machine: number, disk: number): ReplicaId {
   return `replica-${machine}-${disk}`;
 }
--- a/src/dev/sim/control/spoil-control.ts
+++ b/src/dev/sim/control/spoil-control.ts
@@ -1,4 +1,4 @@
-/** Sabotages on the control side, applied where the simulated shell hands things to the core or takes them from it. */
+/** Sabotages of control members, applied where the simulated I/O layer exchanges inputs and effects with the core. */
 import type { PersistRequest } from '../../../consensus/types.js';
 import type { ControlToRouter, SyncResponse } from '../../../control/messages.js';
 import type { OperatorRequest, OperatorResponse } from '../../../control/types.js';
@@ -15,14 +15,14 @@
 /** Added to leases by `grant-before-lease-end`. */
 const LEASE_EXTRA_MILLIS = 3000;
 
-export function spoilSessionRequest(request: SessionRequest, sabotage: Active): SessionRequest {
+export function sabotageSessionRequest(request: SessionRequest, sabotage: Active): SessionRequest {
   if (sabotage !== 'grant-before-lease-end' || request.validUntil === null) {
     return request;
   }
   return { ...request, validUntil: request.validUntil + LEASE_EXTRA_MILLIS };
 }
 
-export function spoilOperatorRequest(request: OperatorRequest, sabotage: Active): OperatorRequest {
+export function sabotageOperatorRequest(request: OperatorRequest, sabotage: Active): OperatorRequest {
   if (request.type !== 'command') {
     return request;
   }
@@ -32,31 +32,31 @@
   return request;
 }
 
-export function spoilPersist(request: PersistRequest, sabotage: Active): PersistRequest {
+export function sabotagePersist(request: PersistRequest, sabotage: Active): PersistRequest {
   if (sabotage === 'vote-not-kept') {
     const { hardState: _dropped, ...rest } = request;
     return rest;
   }
   const { snapshot } = request;
-  const lost = sabotage === null ? undefined : SPOILED_SNAPSHOTS[sabotage];
+  const lost = sabotage === null ? undefined : OMITTED_SNAPSHOT_PARTS[sabotage];
   if (snapshot === undefined || lost === undefined) {
     return request;
   }
-  return { ...request, snapshot: { ...snapshot, data: without(snapshot.data, lost) } };
+  return { ...request, snapshot: { ...snapshot, data: withoutPart(snapshot.data, lost) } };
 }
 
-/** Parts of the registry's snapshots that sabotages leave out. */
-const SPOILED_SNAPSHOTS: Partial<Record<SabotageName, SnapshotPart['part']>> = {
+/** Parts of the registry's snapshots that sabotages omit. */
+const OMITTED_SNAPSHOT_PARTS: Partial<Record<SabotageName, SnapshotPart['part']>> = {
   'dedup-lost-in-snapshot': 'dedup',
   'ledger-lost-in-snapshot': 'records',
 };
 
-function without(data: Uint8Array, lost: SnapshotPart['part']): Uint8Array {
+function withoutPart(data: Uint8Array, lost: SnapshotPart['part']): Uint8Array {
   const kept = [...readParts(data)].filter(({ part }) => part !== lost);
   return Buffer.concat(kept.map(encodePart));
 }
 
-export function spoilRouterMessage(message: ControlToRouter, control: SimControl): ControlToRouter {
+export function sabotageRouterMessage(message: ControlToRouter, control: SimControl): ControlToRouter {
   if (control.sabotage === 'evacuations-untold') {
     return withoutEvacuations(message);
   }
@@ -99,7 +99,7 @@
   const { snapshot, delta } = response;
   return {
     ...response,
-    snapshot: snapshot && { ...snapshot, upstreams: snapshot.upstreams.map(stay) },
+    snapshot: snapshot && { ...snapshot, upstreams: snapshot.upstreams.map(withoutLeavingFlag) },
     delta: delta && withoutLeavingIn(delta),
   };
 }
@@ -107,18 +107,18 @@
 function withoutLeavingIn(delta: RoutingDelta): RoutingDelta {
   const changes = delta.changes.map((change) =>
     change.type === 'upstream' && change.record !== null
-      ? { ...change, record: stay(change.record) }
+      ? { ...change, record: withoutLeavingFlag(change.record) }
       : change,
   );
   return { ...delta, changes };
 }
 
-function stay(record: UpstreamRecord): UpstreamRecord {
+function withoutLeavingFlag(record: UpstreamRecord): UpstreamRecord {
   return { ...record, definition: { ...record.definition, leaving: false } };
 }
 
-/** Revisions of a run which numbers changes by how many of them it answered. */
-export function spoilOperatorResponse(response: OperatorResponse, control: SimControl): OperatorResponse {
+/** Replaces responses under `wait-cut-short` and `revision-by-count`; the latter numbers changes by the count that a run has accepted. */
+export function sabotageOperatorResponse(response: OperatorResponse, control: SimControl): OperatorResponse {
   if (control.sabotage === 'wait-cut-short' && response.type === 'result') {
     return { ...response, inForce: response.result.type === 'accepted' };
   }
@@ -128,6 +128,6 @@
   if (response.result.type !== 'accepted') {
     return response;
   }
-  control.changesSeen += 1;
-  return { ...response, result: { type: 'accepted', revision: control.changesSeen } };
+  control.acceptedChanges += 1;
+  return { ...response, result: { type: 'accepted', revision: control.acceptedChanges } };
 }
--- a/src/dev/sim/faults/disk-faults.ts
+++ b/src/dev/sim/faults/disk-faults.ts
@@ -1,28 +1,28 @@
-/** Faults of disks: power lost before a sync, folders gone, and a second one gone right after the repair of the first. */
+/** Disk faults: power loss before a sync, a lost data folder, and a second loss right after the repair of the first. */
 import type { SimControl } from '../control/sim-control.js';
 import type { Random } from '../random.js';
 import type { Simulation } from '../simulation.js';
 import type { FaultKind, InjectedFault } from './fault.js';
 
-/** How long a machine is down before its replacement starts. */
-const RETURN_MILLIS = 200;
+/** Downtime of a machine before its replacement starts. */
+const REPLACEMENT_DELAY_MILLIS = 200;
 
-/** How long a member is cut off before the others are lost. */
-const BEHIND_MILLIS = 700;
+/** Time for which a member is cut off before the others are lost. */
+const CUT_OFF_MILLIS = 700;
 
-/** Takes a member's machine down, empties its disk, and has the new replica put in its place. */
-function loseFolder(simulation: Simulation, control: SimControl, repaired: () => void): void {
+/** Crashes a member's machine, empties its disk, and replaces its replica. */
+function loseDataFolder(simulation: Simulation, control: SimControl, repaired: () => void): void {
   const old = control.replica;
   control.losesPower = true;
   control.crash(true);
   control.loseDisk();
-  simulation.time.after(RETURN_MILLIS, () => {
+  simulation.time.after(REPLACEMENT_DELAY_MILLIS, () => {
     control.start();
     simulation.repair(old, control, repaired);
   });
 }
 
-function pickWhole(simulation: Simulation, random: Random): SimControl | undefined {
+function pickIfAllRunning(simulation: Simulation, random: Random): SimControl | undefined {
   const candidates = simulation.controls.filter((control) => control.state === 'running');
   const isWhole = candidates.length === simulation.controls.length && !simulation.isRepairing;
   return isWhole ? random.pick(candidates) : undefined;
@@ -31,7 +31,7 @@
 export const DISK_FAULTS: readonly FaultKind[] = [
   {
     name: 'power-loss',
-    lasts: [50, 1500],
+    durationRange: [50, 1500],
     inject(simulation): InjectedFault {
       for (const control of simulation.controls) {
         control.losesPower = true;
@@ -49,30 +49,30 @@
   },
   {
     name: 'folder-gone',
-    lasts: [500, 1000],
+    durationRange: [500, 1000],
     inject(simulation, random) {
-      const control = pickWhole(simulation, random);
+      const control = pickIfAllRunning(simulation, random);
       if (control === undefined) {
         return null;
       }
-      loseFolder(simulation, control, () => {});
+      loseDataFolder(simulation, control, () => {});
       return { detail: control.name, heal: () => {} };
     },
   },
   {
     name: 'stale-majority',
-    lasts: [1500, 3500],
+    durationRange: [1500, 3500],
     inject(simulation, random) {
       const leader = simulation.leader();
-      const victim = pickWhole(simulation, random);
+      const victim = pickIfAllRunning(simulation, random);
       const behind = simulation.controls.find((control) => control !== leader && control !== victim);
       if (leader === undefined || victim === undefined || behind === undefined || victim === leader) {
         return null;
       }
       simulation.isRepairing = true;
       const cuts = [simulation.network.cut(behind.name, '*'), simulation.network.cut('*', behind.name)];
-      simulation.time.after(BEHIND_MILLIS, () => {
-        loseFolder(simulation, victim, () => {});
+      simulation.time.after(CUT_OFF_MILLIS, () => {
+        loseDataFolder(simulation, victim, () => {});
         leader.crash(true);
         for (const heal of cuts) {
           heal();
@@ -86,17 +86,17 @@
   },
   {
     name: 'second-loss',
-    lasts: [500, 1000],
+    durationRange: [500, 1000],
     inject(simulation, random) {
-      const first = pickWhole(simulation, random);
+      const first = pickIfAllRunning(simulation, random);
       if (first === undefined) {
         return null;
       }
       const second = random.pick(simulation.controls.filter((control) => control !== first));
-      loseFolder(simulation, first, () => {
+      loseDataFolder(simulation, first, () => {
         if (!simulation.areFaultsOver) {
           simulation.recorder.count('second loss after a repair');
-          loseFolder(simulation, second, () => {});
+          loseDataFolder(simulation, second, () => {});
         }
       });
       return { detail: `${first.name}, then ${second.name}`, heal: () => {} };
--- a/src/dev/sim/faults/fault-plan.ts
+++ b/src/dev/sim/faults/fault-plan.ts
@@ -1,4 +1,4 @@
-/** All kinds of faults, and the plan of one run: which ones come when, often two at a time. */
+/** All kinds of faults, and the plan of one run: which faults begin when, often overlapping. */
 import type { Random } from '../random.js';
 import { DISK_FAULTS } from './disk-faults.js';
 import type { FaultKind } from './fault.js';
@@ -7,7 +7,7 @@
 import { AWAY_THROUGH_CHANGES, OPERATOR_RACE, PROCESS_FAULTS } from './process-faults.js';
 import { LOSS_IN_CALM, MISLEADING_FAULTS, UPSTREAM_FAULTS } from './upstream-faults.js';
 
-/** The order is part of what a seed means: new kinds go to the end. */
+/** Seeds depend on the order, so new kinds are appended. */
 export const FAULT_KINDS: readonly FaultKind[] = [
   ...NETWORK_FAULTS,
   ...PROCESS_FAULTS,
@@ -19,20 +19,20 @@
   ...DISK_FAULTS,
 ];
 
-const FEWEST_FAULTS = 2;
-const MOST_FAULTS = 6;
-/** Share of faults that come right after the one before, while it lasts. */
-const TOGETHER_SHARE = 0.5;
-const TOGETHER_MILLIS = 400;
-/** Share of runs that begin with the loss of an owner and the leader, and how long nothing else happens then. */
+const MIN_FAULTS = 2;
+const MAX_FAULTS = 6;
+/** Share of faults that begin shortly after the previous one, and the maximum delay between the two. */
+const OVERLAP_SHARE = 0.5;
+const MAX_OVERLAP_DELAY_MILLIS = 400;
+/** Share of runs that begin with the loss of an owner and the leader, and the time without other faults that follows. */
 const LOSS_IN_CALM_SHARE = 0.2;
 const LOSS_IN_CALM_MILLIS = 3300;
 
 export interface PlannedFault {
   readonly kind: FaultKind;
-  /** Since the faults begin. */
+  /** Milliseconds since the start of the fault window. */
   readonly at: number;
-  readonly lasts: number;
+  readonly durationMillis: number;
 }
 
 /** Draws the faults of a run that begin within `windowMillis`. */
@@ -44,11 +44,11 @@
   if (kinds.length === 0) {
     return [];
   }
-  const alone = kinds.find(({ name }) => name === LOSS_IN_CALM);
-  if (alone === undefined || !random.chance(LOSS_IN_CALM_SHARE)) {
+  const lossInCalm = kinds.find(({ name }) => name === LOSS_IN_CALM);
+  if (lossInCalm === undefined || !random.chance(LOSS_IN_CALM_SHARE)) {
     return drawFaults(kinds, 0, windowMillis, random);
   }
-  const first = { kind: alone, at: 0, lasts: LOSS_IN_CALM_MILLIS };
+  const first = { kind: lossInCalm, at: 0, durationMillis: LOSS_IN_CALM_MILLIS };
   return [first, ...drawFaults(kinds, LOSS_IN_CALM_MILLIS, windowMillis, random)];
 }
 
@@ -59,14 +59,16 @@
   random: Random,
 ): PlannedFault[] {
   const plan: PlannedFault[] = [];
-  const count = random.integer(FEWEST_FAULTS, MOST_FAULTS);
+  const count = random.integer(MIN_FAULTS, MAX_FAULTS);
   let last = from;
   for (let number = 0; number < count; number += 1) {
     const kind = random.pick(kinds);
-    const isTogether = number > 0 && random.chance(TOGETHER_SHARE);
-    const at = isTogether ? last + random.between(0, TOGETHER_MILLIS) : random.between(from, windowMillis);
+    const isOverlapping = number > 0 && random.chance(OVERLAP_SHARE);
+    const at = isOverlapping
+      ? last + random.between(0, MAX_OVERLAP_DELAY_MILLIS)
+      : random.between(from, windowMillis);
     last = Math.min(at, windowMillis);
-    plan.push({ kind, at: last, lasts: random.between(...kind.lasts) });
+    plan.push({ kind, at: last, durationMillis: random.between(...kind.durationRange) });
   }
   return plan;
 }
--- a/src/dev/sim/faults/fault.ts
+++ b/src/dev/sim/faults/fault.ts
@@ -1,4 +1,4 @@
-/** What a fault of a simulation is. */
+/** Types of simulated faults. */
 import type { Random } from '../random.js';
 import type { Simulation } from '../simulation.js';
 
@@ -7,14 +7,14 @@
 
 export interface FaultKind {
   readonly name: string;
-  /** Shortest and longest time until it is healed, in milliseconds. */
-  readonly lasts: readonly [number, number];
-  /** Begins the fault; `null` if there is nothing that it could hit now. */
+  /** Minimum and maximum time until the fault is healed, in milliseconds. */
+  readonly durationRange: readonly [number, number];
+  /** Begins the fault; returns `null` if it has no possible target now. */
   inject(simulation: Simulation, random: Random): InjectedFault | null;
 }
 
 export interface InjectedFault {
-  /** What was hit, for the trace. */
+  /** The target, for the trace. */
   readonly detail: string;
   readonly heal: Heal;
 }
--- a/src/dev/sim/faults/hit-process.ts
+++ b/src/dev/sim/faults/hit-process.ts
@@ -1,9 +1,9 @@
-/** Helpers of faults that hit one process. */
+/** Helpers of faults that affect one process. */
 import type { Random } from '../random.js';
 import type { SimProcess } from '../sim-process.js';
 import type { InjectedFault } from './fault.js';
 
-export function running<Process extends SimProcess>(processes: readonly Process[]): Process[] {
+export function runningOf<Process extends SimProcess>(processes: readonly Process[]): Process[] {
   return processes.filter((process) => process.state === 'running');
 }
 
@@ -11,11 +11,11 @@
   processes: readonly Process[],
   random: Random,
 ): Process | undefined {
-  const candidates = running(processes);
+  const candidates = runningOf(processes);
   return candidates.length === 0 ? undefined : random.pick(candidates);
 }
 
-/** `silent`: the whole machine is lost. */
+/** Crashes the process. `silent`: the whole machine is lost. */
 export function crash(process: SimProcess | undefined, silent: boolean): InjectedFault | null {
   if (process === undefined) {
     return null;
@@ -32,7 +32,7 @@
   return { detail: process.name, heal: () => process.resume() };
 }
 
-/** Its whole machine stands still, and its monotonic clock with it. */
+/** Suspends the whole machine, which also stops its monotonic clock. */
 export function suspend(process: SimProcess | undefined): InjectedFault | null {
   if (process === undefined) {
     return null;
--- a/src/dev/sim/faults/planned-stops.ts
+++ b/src/dev/sim/faults/planned-stops.ts
@@ -5,7 +5,7 @@
 export const PLANNED_STOPS: readonly FaultKind[] = [
   {
     name: 'planned-router-stop',
-    lasts: [1700, 4000],
+    durationRange: [1700, 4000],
     inject(simulation, random) {
       const router = pickRunning(simulation.routers, random);
       if (router === undefined || router.isStopping) {
@@ -17,7 +17,7 @@
   },
   {
     name: 'planned-leader-stop',
-    lasts: [500, 2500],
+    durationRange: [500, 2500],
     inject(simulation) {
       const leader = simulation.leader();
       if (leader === undefined) {
@@ -29,7 +29,7 @@
   },
   {
     name: 'planned-upstream-stop',
-    lasts: [5000, 8000],
+    durationRange: [5000, 8000],
     inject(simulation, random) {
       const upstream = pickRunning(simulation.upstreams, random);
       if (upstream === undefined || upstream.isStopping) {
--- a/src/dev/sim/faults/process-faults.ts
+++ b/src/dev/sim/faults/process-faults.ts
@@ -1,46 +1,46 @@
-/** Faults of the system's own processes: crashes, pauses, absence through many changes; and operators that race. */
+/** Faults of the system's own processes: crashes, pauses, absence during many changes; and racing operators. */
 import type { FaultKind } from './fault.js';
 import { crash, pause, pickRunning } from './hit-process.js';
 
-/** Changes that are made while a member is away. */
-const CHANGES_MISSED = 260;
+/** Number of changes made while a member is down. */
+const MISSED_CHANGES = 260;
 
 export const PROCESS_FAULTS: readonly FaultKind[] = [
   {
     name: 'control-crash',
-    lasts: [50, 5000],
+    durationRange: [50, 5000],
     inject: (simulation, random) => crash(pickRunning(simulation.controls, random), random.chance(0.5)),
   },
   {
     name: 'leader-crash',
-    lasts: [50, 4000],
+    durationRange: [50, 4000],
     inject: (simulation, random) => crash(simulation.leader(), random.chance(0.5)),
   },
   {
     name: 'control-pause',
-    lasts: [200, 6000],
+    durationRange: [200, 6000],
     inject: (simulation, random) => pause(pickRunning(simulation.controls, random)),
   },
   {
     name: 'leader-pause',
-    lasts: [200, 6000],
+    durationRange: [200, 6000],
     inject: (simulation) => pause(simulation.leader()),
   },
   {
     name: 'router-crash',
-    lasts: [50, 3000],
+    durationRange: [50, 3000],
     inject: (simulation, random) => crash(pickRunning(simulation.routers, random), random.chance(0.5)),
   },
   {
     name: 'router-pause',
-    lasts: [200, 5000],
+    durationRange: [200, 5000],
     inject: (simulation, random) => pause(pickRunning(simulation.routers, random)),
   },
 ];
 
 export const AWAY_THROUGH_CHANGES: FaultKind = {
   name: 'away-through-changes',
-  lasts: [8000, 9000],
+  durationRange: [8000, 9000],
   inject(simulation, random) {
     const away = pickRunning(simulation.controls, random);
     const router = pickRunning(simulation.routers, random);
@@ -49,7 +49,7 @@
     }
     away.crash(true);
     router.pause();
-    simulation.firstOperator().burst(CHANGES_MISSED);
+    simulation.firstOperator().burst(MISSED_CHANGES);
     return {
       detail: `${away.name} and ${router.name}`,
       heal: () => {
@@ -62,7 +62,7 @@
 
 export const OPERATOR_RACE: FaultKind = {
   name: 'operator-race',
-  lasts: [10, 20],
+  durationRange: [10, 20],
   inject(simulation) {
     simulation.raceOperators();
     return { detail: 'all operators', heal: () => {} };
--- a/src/dev/sim/network.ts
+++ b/src/dev/sim/network.ts
@@ -1,41 +1,41 @@
-/** The simulated network: latency by zone, cuts of zones and single processes in either direction, loss and delay. */
+/** The simulated network: latency by zone, one-way or two-way cuts of zones and processes, loss and delay. */
 
 import type { EventQueue } from '../virtual/event-queue.js';
 import type { Random } from './random.js';
 import type { SimProcess } from './sim-process.js';
 
-/** Latencies one way, in milliseconds. */
+/** One-way latencies in milliseconds. */
 export interface NetworkTimings {
   readonly sameZoneMillis: number;
   readonly betweenZonesMillis: number;
   readonly clientMillis: number;
 }
 
-/** Disturbances that fault plans turn on and off. */
-export interface NetworkWeather {
+/** Disturbances that faults switch on and off. */
+export interface NetworkDisturbances {
   /** Share of messages lost (datagram-like traffic only). */
   loss: number;
-  /** Share of messages that arrive twice (datagram-like traffic only). */
+  /** Share of messages that are delivered twice (datagram-like traffic only). */
   duplication: number;
-  /** Share of messages that are late. */
+  /** Share of messages with an extra delay. */
   lateShare: number;
-  /** Longest extra delay of late messages. */
+  /** Maximum extra delay of a late message. */
   lateMillis: number;
 }
 
-/** One direction between two ends; each end is a zone or a process name, or `*`. */
+/** A blocked direction between two ends; each end is a zone, a process name or `*`. */
 interface Cut {
   readonly from: string;
   readonly to: string;
 }
 
-/** Where callers and operators are. */
+/** Zone of callers and operators. */
 export const CLIENT_ZONE = 'clients';
 /** Relative jitter of latencies. */
-const JITTER = 0.4;
+const LATENCY_JITTER = 0.4;
 
 export class Network {
-  readonly weather: NetworkWeather = { loss: 0, duplication: 0, lateShare: 0, lateMillis: 0 };
+  readonly disturbances: NetworkDisturbances = { loss: 0, duplication: 0, lateShare: 0, lateMillis: 0 };
   private readonly cuts = new Set<Cut>();
 
   constructor(
@@ -44,7 +44,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Blocks one direction until the returned function is called. Ends are zones, names of processes, or `*`. */
+  /** Blocks one direction until the returned function is called. Ends are zones, process names or `*`. */
   cut(from: string, to: string): () => void {
     const cut = { from, to };
     this.cuts.add(cut);
@@ -56,10 +56,10 @@
   /** Ends every cut and disturbance. */
   heal(): void {
     this.cuts.clear();
-    Object.assign(this.weather, { loss: 0, duplication: 0, lateShare: 0, lateMillis: 0 });
+    Object.assign(this.disturbances, { loss: 0, duplication: 0, lateShare: 0, lateMillis: 0 });
   }
 
-  /** Whether nothing gets from one process to the other now. */
+  /** Whether messages from one process to the other are blocked now. */
   isBlocked(from: SimProcess, to: SimProcess): boolean {
     if (from === to) {
       return false;
@@ -72,7 +72,7 @@
     return false;
   }
 
-  /** A sample of the latency one way, late messages included. */
+  /** Samples the one-way latency, including the extra delay of late messages. */
   latency(from: SimProcess, to: SimProcess): number {
     return this.withDelay(this.baseLatency(from.zone, to.zone));
   }
@@ -85,12 +85,12 @@
     return from === to ? sameZoneMillis : betweenZonesMillis;
   }
 
-  /** Sends a message that may be lost, doubled, late and overtaken. */
+  /** Sends a message that may be lost, duplicated, delayed or reordered. */
   sendDatagram(from: SimProcess, to: SimProcess, deliver: () => void): void {
-    if (this.isBlocked(from, to) || this.random.chance(this.weather.loss)) {
+    if (this.isBlocked(from, to) || this.random.chance(this.disturbances.loss)) {
       return;
     }
-    const copies = this.random.chance(this.weather.duplication) ? 2 : 1;
+    const copies = this.random.chance(this.disturbances.duplication) ? 2 : 1;
     const run = to.run;
     for (let copy = 0; copy < copies; copy += 1) {
       this.time.after(this.latency(from, to), () => {
@@ -102,8 +102,8 @@
   }
 
   private withDelay(base: number): number {
-    const { lateShare, lateMillis } = this.weather;
-    const jittered = base * this.random.between(1 - JITTER, 1 + JITTER);
+    const { lateShare, lateMillis } = this.disturbances;
+    const jittered = base * this.random.between(1 - LATENCY_JITTER, 1 + LATENCY_JITTER);
     return this.random.chance(lateShare) ? jittered + this.random.between(0, lateMillis) : jittered;
   }
 }
--- a/src/dev/sim/process-clock.ts
+++ b/src/dev/sim/process-clock.ts
@@ -1,13 +1,13 @@
-/** The clocks of one simulated process, which run beside the true time of the simulation. */
+/** The clocks of one simulated process, which deviate from the true time of the simulation. */
 import type { ClockSources } from '../../clock/suspension-watch.js';
 import type { EventQueue } from '../virtual/event-queue.js';
 
-/** Largest error of the rate of one process's clock; two of them differ by at most twice this. */
-export const SINGLE_CLOCK_RATE_ERROR = 0.0024;
+/** Maximum rate error of one process's clock; two clocks differ by at most twice this. */
+export const MAX_CLOCK_RATE_ERROR = 0.0024;
 
 /**
- * A process's own clocks: a monotonic one with an offset and a rate error, which stands still while its machine is suspended; the
- * time since boot, which doesn't; and a wall clock with a skew.
+ * A process's own clocks: a monotonic clock with an offset and a rate error, which stops while the machine is suspended; the time
+ * since boot, which doesn't stop; and a wall clock with a skew.
  */
 export class ProcessClock {
   private suspendedSince: number | null = null;
@@ -20,7 +20,7 @@
     private readonly wallSkew: number,
   ) {}
 
-  /** Monotonic milliseconds now. */
+  /** Current monotonic time in milliseconds. */
   monotonic(): number {
     const until = this.suspendedSince ?? this.clock.now;
     return this.offset + (until - this.suspendedFor) * this.rate;
@@ -31,12 +31,12 @@
     return this.offset + this.clock.now * this.rate;
   }
 
-  /** The machine is suspended. */
+  /** Stops the monotonic clock when the machine is suspended. */
   suspend(): void {
     this.suspendedSince ??= this.clock.now;
   }
 
-  /** The machine goes on. */
+  /** Restarts the monotonic clock when the machine resumes. */
   resume(): void {
     if (this.suspendedSince !== null) {
       this.suspendedFor += this.clock.now - this.suspendedSince;
@@ -44,12 +44,12 @@
     }
   }
 
-  /** Both clocks, as a process reads them. */
+  /** Both steady clocks, in the form in which a process reads them. */
   sources(): ClockSources {
     return { steady: () => this.monotonic(), sinceBoot: () => this.sinceBoot() };
   }
 
-  /** Wall-clock milliseconds now. */
+  /** Current wall-clock time in milliseconds. */
   wall(): number {
     return Math.floor(WALL_CLOCK_START + this.wallSkew + this.clock.now);
   }
@@ -60,7 +60,7 @@
   }
 }
 
-/** Wall-clock time at which simulations begin. */
+/** Wall-clock time at the start of a simulation. */
 const WALL_CLOCK_START = 1_700_000_000_000;
-/** Added so that a timer never fires before its deadline by the process's clock. */
+/** Added so that rounding never fires a timer before its deadline on the process's clock. */
 const ROUNDING_MILLIS = 0.001;
--- a/src/dev/sim/random.ts
+++ b/src/dev/sim/random.ts
@@ -1,34 +1,34 @@
-/** Seeded random numbers: one stream a part of the simulation, so that a change in one part leaves the others as they were. */
+/** Seeded random numbers: each part of the simulation has its own stream, so that a change in one part doesn't alter the others. */
 import { RandomSource } from '../virtual/random-source.js';
 
-/** The first numbers of a generator hardly depend on its seed. */
-const SKIPPED_NUMBERS = 20;
-const LARGEST_SEED = 0x3fffffff;
+/** The first numbers of a generator hardly depend on its seed, so they are discarded. */
+const DISCARDED_NUMBERS = 20;
+const MAX_SEED = 0x3fffffff;
 
 export class Random extends RandomSource {
   constructor(seed: number) {
     super(seed);
-    for (let skipped = 0; skipped < SKIPPED_NUMBERS; skipped += 1) {
+    for (let skipped = 0; skipped < DISCARDED_NUMBERS; skipped += 1) {
       this.generator.next();
     }
   }
 
-  /** A whole number from `low` to `high`, both included. */
+  /** Returns an integer from `low` to `high`, both included. */
   integer(low: number, high: number): number {
     return low + this.below(high - low + 1);
   }
 
-  /** A number from `low` (included) to `high`. */
+  /** Returns a number from `low` (included) to `high` (excluded). */
   between(low: number, high: number): number {
     return low + this.fraction() * (high - low);
   }
 
-  /** Whether an event of this probability happens. */
+  /** Draws whether an event of this probability happens. */
   chance(probability: number): boolean {
     return this.fraction() < probability;
   }
 
-  /** The items in a random order. */
+  /** Returns the items in random order. */
   shuffle<Item>(items: readonly Item[]): Item[] {
     const shuffled = [...items];
     for (let index = shuffled.length - 1; index > 0; index -= 1) {
@@ -38,8 +38,8 @@
     return shuffled;
   }
 
-  /** A new stream of its own. */
+  /** Returns a new, independent stream. */
   fork(): Random {
-    return new Random(this.integer(0, LARGEST_SEED));
+    return new Random(this.integer(0, MAX_SEED));
   }
 }
--- a/src/dev/sim/recorder.ts
+++ b/src/dev/sim/recorder.ts
@@ -1,20 +1,20 @@
-/** Takes what happens in a simulation: judges it at once, counts it, and folds it into the hash of the run's trace. */
+/** Records the events of a simulation: checks each at once, counts operations and faults, and updates the hash of the run's trace. */
 import { createHash } from 'node:crypto';
 import { Checker } from '../checker/checker.js';
 import type { HistoryEvent } from '../checker/history.js';
 import type { Violation } from '../checker/rule.js';
 import type { EventQueue } from '../virtual/event-queue.js';
 
-/** Characters of a trace hash that are shown. */
+/** Number of characters shown of a trace hash. */
 const HASH_LENGTH = 16;
 
 export class Recorder {
   readonly checker = new Checker();
   private readonly hash = createHash('sha256');
-  private readonly counted = new Map<string, number>();
-  private readonly injected = new Map<string, number>();
+  private readonly operationCounts = new Map<string, number>();
+  private readonly faultCounts = new Map<string, number>();
 
-  /** `trace` takes each line of the trace; `null`: none is kept. */
+  /** `trace` receives each line of the trace; `null` discards the lines. */
   constructor(
     private readonly time: EventQueue,
     private readonly trace: ((line: string) => void) | null,
@@ -25,17 +25,17 @@
     return this.checker.violations;
   }
 
-  /** Operations of each kind that completed. */
+  /** Number of completed operations of each kind. */
   get operations(): ReadonlyMap<string, number> {
-    return this.counted;
+    return this.operationCounts;
   }
 
-  /** Faults of each kind that were injected. */
+  /** Number of injected faults of each kind. */
   get faults(): ReadonlyMap<string, number> {
-    return this.injected;
+    return this.faultCounts;
   }
 
-  /** Something that the checker judges. */
+  /** Records an event and passes it to the checker. */
   record(event: HistoryEvent): void {
     this.note(event);
     for (const violation of this.checker.take(event)) {
@@ -43,25 +43,25 @@
     }
   }
 
-  /** An operation completed. */
+  /** Counts a completed operation. */
   count(operation: string): void {
-    this.counted.set(operation, (this.counted.get(operation) ?? 0) + 1);
+    this.operationCounts.set(operation, (this.operationCounts.get(operation) ?? 0) + 1);
   }
 
-  /** A fault begins. */
+  /** Records the start of a fault. */
   fault(kind: string, detail: string): void {
-    this.injected.set(kind, (this.injected.get(kind) ?? 0) + 1);
+    this.faultCounts.set(kind, (this.faultCounts.get(kind) ?? 0) + 1);
     this.note({ fault: kind, detail, at: this.time.now });
   }
 
-  /** Something for the trace alone. */
+  /** Adds a fact to the trace without checking it. */
   note(fact: unknown): void {
     const line = JSON.stringify(fact);
     this.hash.update(line);
     this.trace?.(line);
   }
 
-  /** The history is over. */
+  /** Ends the history and returns the hash of the trace. */
   finish(): string {
     this.checker.finish(this.time.now);
     return this.hash.digest('hex').slice(0, HASH_LENGTH);
--- a/src/dev/sim/recovery.ts
+++ b/src/dev/sim/recovery.ts
@@ -1,19 +1,19 @@
-/** Whether the system is whole again: keys have owners, services answer, operators can change things. */
+/** Checks whether the system has recovered: keys have owners, services answer and operators can make changes. */
 
 import type { Simulation } from './simulation.js';
 import type { SimUpstream } from './upstream/sim-upstream.js';
 
 /** Bound on the time from the loss of a server to new owners of its keys. */
 const NEW_OWNER_MILLIS = 3000;
-/** The bound is looked at only if no other fault was under way so shortly before. */
+/** The bound is checked only if no other fault was active within this time before. */
 const CALM_BEFORE_MILLIS = 2500;
 
 const CHANGE_AFTER_FAULTS = 'change after the faults';
-/** How often, and how far apart, a key without an owner is looked at. */
-const LOOKS = 38;
-const LOOK_MILLIS = 50;
+/** Number of checks of a key without an owner, and the interval between them. */
+const OWNER_CHECKS = 38;
+const OWNER_CHECK_INTERVAL_MILLIS = 50;
 
-/** Looks whether what a lost server held gets other owners within 3 s, if the loss comes in calm conditions. */
+/** Checks whether the keys of a lost server get new owners within 3 s, if the loss occurs in calm conditions. */
 export function expectNewOwners(simulation: Simulation, lost: SimUpstream): void {
   const { time, activeFaults, lastFaultEnd } = simulation;
   const isCalm =
@@ -22,74 +22,79 @@
   if (!isCalm || simulation.isRepairing) {
     return;
   }
-  const orphans = new Set(keys);
-  let hasHeir = true;
-  const look = (): void => {
-    hasHeir &&= simulation.upstreams.some(
-      (upstream) => isHeir(upstream, lost) && !simulation.zonesOut.has(upstream.zone),
+  const unownedKeys = new Set(keys);
+  let hasSuccessor = true;
+  const check = (): void => {
+    hasSuccessor &&= simulation.upstreams.some(
+      (upstream) => canTakeOver(upstream, lost) && !simulation.evacuatedZones.has(upstream.zone),
     );
-    for (const key of orphans) {
+    for (const key of unownedKeys) {
       if (ownersOf(simulation, lost, key) > 0) {
-        orphans.delete(key);
+        unownedKeys.delete(key);
       }
     }
   };
-  for (let after = LOOK_MILLIS; after <= NEW_OWNER_MILLIS; after += LOOK_MILLIS) {
-    time.after(after, look);
+  for (
+    let after = OWNER_CHECK_INTERVAL_MILLIS;
+    after <= NEW_OWNER_MILLIS;
+    after += OWNER_CHECK_INTERVAL_MILLIS
+  ) {
+    time.after(after, check);
   }
   time.after(NEW_OWNER_MILLIS, () => {
-    if (!hasHeir || simulation.activeFaults > 1 || simulation.lastFaultEnd > lastFaultEnd) {
+    if (!hasSuccessor || simulation.activeFaults > 1 || simulation.lastFaultEnd > lastFaultEnd) {
       return;
     }
-    const [orphan] = orphans;
+    const [unownedKey] = unownedKeys;
     simulation.recorder.count('new owners within 3 s looked at');
     simulation.recorder.record({
       type: 'recovery-observed',
       at: time.now,
-      subject: `key ${orphan ?? ''} of ${lost.id} after its loss`,
-      recovered: orphan === undefined,
+      subject: `key ${unownedKey ?? ''} of ${lost.id} after its loss`,
+      recovered: unownedKey === undefined,
     });
   });
 }
 
-/** Whether an upstream may own what another one lost: operators may have told all others to leave, or have taken their zones out of use. */
-function isHeir(upstream: SimUpstream, lost: SimUpstream): boolean {
+/** Whether an upstream may own the keys of a lost one; operators may have drained all others or evacuated their zones. */
+function canTakeOver(upstream: SimUpstream, lost: SimUpstream): boolean {
   const isPeer = upstream !== lost && upstream.service === lost.service;
-  return isPeer && upstream.state === 'running' && !upstream.isAskedToLeave;
+  return isPeer && upstream.state === 'running' && !upstream.isDrainRequested;
 }
 
-/** Looks at every key now, and at what callers and operators get in the time after. */
-export function observeRecovery(simulation: Simulation, watchMillis: number): void {
+/** Checks the owner of every key now, and the responses to callers and operators during `watchMillis` after. */
+export function observeRecovery(simulation: Simulation, observationMillis: number): void {
   const { recorder, time, upstreams } = simulation;
   const observe = (subject: string, recovered: boolean): void =>
     recorder.record({ type: 'recovery-observed', at: time.now, subject, recovered });
   for (const service of simulation.sizes.services) {
     const first = upstreams.find((upstream) => upstream.service === service) as SimUpstream;
     for (const key of service.keys) {
-      lookForOwner(simulation, first, key, LOOKS);
+      checkOwner(simulation, first, key, OWNER_CHECKS);
     }
   }
   const before = new Map(recorder.operations);
   simulation.firstOperator().probe(() => recorder.count(CHANGE_AFTER_FAULTS));
-  time.after(watchMillis - 1, () => {
-    const grew = (name: string): boolean => (recorder.operations.get(name) ?? 0) > (before.get(name) ?? 0);
+  time.after(observationMillis - 1, () => {
+    const hasIncreased = (name: string): boolean =>
+      (recorder.operations.get(name) ?? 0) > (before.get(name) ?? 0);
     for (const { definition } of simulation.sizes.services) {
-      observe(`service ${definition.name}`, grew(`answered ${definition.name}`));
+      observe(`service ${definition.name}`, hasIncreased(`answered ${definition.name}`));
     }
-    observe('changes', grew(CHANGE_AFTER_FAULTS));
+    observe('changes', hasIncreased(CHANGE_AFTER_FAULTS));
     for (const router of simulation.routers) {
       observe(router.name, router.status()?.serving ?? false);
     }
   });
 }
 
-/** A planned move leaves a key without an owner until slow requests are done, so one look proves nothing. */
-function lookForOwner(simulation: Simulation, peer: SimUpstream, key: string, looks: number): void {
+/** Checks repeatedly, since a planned move leaves a key without an owner until slow requests finish. */
+function checkOwner(simulation: Simulation, peer: SimUpstream, key: string, checksLeft: number): void {
   const isOwned = ownersOf(simulation, peer, key) === 1;
-  const isExcused = hasLostOwnerLately(simulation, peer);
-  if (!isOwned && (looks > 1 || isExcused)) {
-    simulation.time.after(LOOK_MILLIS, () =>
-      lookForOwner(simulation, peer, key, isExcused ? looks : looks - 1),
+  const isExcused = hasCrashedRecently(simulation, peer);
+  if (!isOwned && (checksLeft > 1 || isExcused)) {
+    simulation.time.after(OWNER_CHECK_INTERVAL_MILLIS, () =>
+      checkOwner(simulation, peer, key, isExcused ? checksLeft : checksLeft - 1),
     );
     return;
   }
@@ -101,8 +106,8 @@
   });
 }
 
-/** A request may bring a server down while this is looked at; its keys have the usual time to find another owner. */
-function hasLostOwnerLately({ upstreams, time }: Simulation, peer: SimUpstream): boolean {
+/** Whether a request crashed a server of the service recently; its keys then have the usual time to get a new owner. */
+function hasCrashedRecently({ upstreams, time }: Simulation, peer: SimUpstream): boolean {
   return upstreams.some(
     ({ service, crashedAt }) => service === peer.service && time.now - crashedAt < NEW_OWNER_MILLIS,
   );
--- a/src/dev/sim/router/control-line.ts
+++ b/src/dev/sim/router/control-line.ts
@@ -1,11 +1,11 @@
-/** A router's connection to one control member: made again after it broke, ordered while it lasts. */
+/** A router's connection to one control member: reconnects after a break and delivers in order while connected. */
 import type { RouterToControl } from '../../../control/messages.js';
 import { Connection } from '../connection.js';
 import type { SimControl } from '../control/sim-control.js';
 import type { World } from '../world.js';
 import type { SimRouter } from './sim-router.js';
 
-/** Pause before the next try to connect. */
+/** Delay before the next attempt to connect. */
 const RECONNECT_MILLIS = 150;
 
 export class ControlLine {
@@ -18,7 +18,7 @@
     private readonly control: SimControl,
   ) {}
 
-  /** Connects as soon as it can. */
+  /** Connects, and retries until it succeeds. */
   open(): void {
     const { world, router, control } = this;
     const isBlocked = world.network.isBlocked(router, control) || world.network.isBlocked(control, router);
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Sends a message; it is lost if there is no connection. */
+  /** Sends a message, which is lost if there is no connection. */
   send(message: RouterToControl): void {
     const { id, control } = this;
     this.connection?.sendToServer(() => control.routerMessage(id, message));
@@ -43,7 +43,7 @@
     const id = `line-${world.nextNumber()}`;
     const connection = new Connection(
       world.network,
-      { process: router, onBroken: () => this.lost() },
+      { process: router, onBroken: () => this.onBroken() },
       { process: control, onBroken: () => control.closeLine(id) },
     );
     this.id = id;
@@ -54,7 +54,7 @@
     });
   }
 
-  private lost(): void {
+  private onBroken(): void {
     this.connection = null;
     this.router.input({ type: 'control-lost', from: this.control.address });
     this.router.schedule(RECONNECT_MILLIS, () => this.open());
--- a/src/dev/sim/router/router-answer.ts
+++ b/src/dev/sim/router/router-answer.ts
@@ -1,20 +1,20 @@
-/** What callers and simulated routers say to each other. */
+/** Messages between callers and simulated routers. */
 import type { StoredAnswer } from '../../../ledger/types.js';
 import type { SendId } from '../../checker/history.js';
 
-/** What a caller may be answered. */
+/** A router's answer to a caller. */
 export type RouterAnswer =
   | { readonly type: 'answer'; readonly ranFor: SendId; readonly content: string; readonly whole: boolean }
   | { readonly type: 'refusal'; readonly outcome: 'not-run' | 'unknown' | 'ran'; readonly reason: string };
 
-/** A caller's request that waits for its answer. */
+/** A caller's request that awaits its answer. */
 export interface Exchange {
   readonly send: SendId;
   readonly content: string;
   readonly answer: (answer: RouterAnswer) => void;
 }
 
-/** What the ledger kept names the sending that ran; a body that wasn't kept only says that it ran. */
+/** Converts an answer stored in the ledger, which names the send that ran; without a stored body, it only reports that the request ran. */
 export function storedAnswer(stored: StoredAnswer): RouterAnswer {
   if (stored.truncated) {
     return { type: 'refusal', outcome: 'ran', reason: 'answer-not-kept' };
--- a/src/dev/sim/router/sim-attempt.ts
+++ b/src/dev/sim/router/sim-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a router on an upstream, from dialling to its whole answer. */
+/** One attempt of a router on an upstream, from dialling to the complete answer. */
 import type { UpstreamId } from '../../../model/identifiers.js';
 import type { AttemptNumber, AttemptResult } from '../../../routing/types.js';
 import type { SendId } from '../../checker/history.js';
@@ -13,7 +13,7 @@
 }
 
 export class SimAttempt {
-  /** What came so far. */
+  /** The answer as far as it has been received. */
   answer: ReceivedAnswer | undefined;
   private connection: UpstreamConnection | null = null;
   private phase: 'dialling' | 'sent' | 'over' = 'dialling';
@@ -25,23 +25,23 @@
     readonly frame: AttemptFrame,
   ) {}
 
-  /** Whether nobody waits for it any more. */
+  /** Whether the attempt is over, so that its result is no longer needed. */
   get isOver(): boolean {
     return this.phase === 'over';
   }
 
-  /** No connection could be made. */
-  failToConnect(): void {
+  /** Ends the attempt because no connection could be established. */
+  onConnectFailed(): void {
     this.end({ type: 'connect-failed' });
   }
 
-  /** It goes out on this connection. */
-  sentOn(connection: UpstreamConnection): void {
+  /** Records the connection on which the attempt is sent. */
+  onSent(connection: UpstreamConnection): void {
     this.connection = connection;
     this.phase = 'sent';
   }
 
-  /** The router gives it up. */
+  /** Cancels the attempt. */
   cancel(): void {
     if (this.phase === 'over') {
       return;
@@ -53,7 +53,7 @@
     this.router.schedule(0, () => this.router.attemptEnded(this.number, result), true);
   }
 
-  /** The router takes it back if it waits for a connection. */
+  /** Cancels the attempt if it is still waiting for a connection. */
   recall(): void {
     if (this.phase === 'dialling') {
       this.phase = 'over';
@@ -62,28 +62,28 @@
     }
   }
 
-  /** Takes a part of an answer; `false` if it isn't one of this attempt's. */
-  take(part: AnswerFrame): boolean {
+  /** Handles a part of an answer; returns `false` if it doesn't belong to this attempt. */
+  receive(part: AnswerFrame): boolean {
     const isChecked = this.router.world.sabotage !== 'connection-reused-after-cancel';
     if (isChecked && part.requestId !== this.frame.requestId) {
       return false;
     }
     switch (part.type) {
       case 'refusal':
-        this.router.headed(this.upstream, this.number, part.said);
+        this.router.onHead(this.upstream, this.number, part.reported);
         this.end({ type: 'refused', refusal: part.refusal, retryAfterMillis: null });
         return true;
       case 'head':
-        this.router.headed(this.upstream, this.number, part.said);
+        this.router.onHead(this.upstream, this.number, part.reported);
         this.answer = { ranFor: part.ranFor, content: part.content, whole: false };
         return true;
       case 'end':
-        return this.takeEnd(part.load);
+        return this.receiveEnd(part.load);
     }
   }
 
-  /** The connection broke, or carried something that it shouldn't. */
-  broke(): void {
+  /** Ends the attempt because the connection broke or delivered an unexpected message. */
+  onBroken(): void {
     if (this.router.world.sabotage === 'piece-as-whole' && this.answer !== undefined) {
       this.endAnswered(0);
       return;
@@ -91,7 +91,7 @@
     this.end({ type: 'broken' });
   }
 
-  private takeEnd(load: number): boolean {
+  private receiveEnd(load: number): boolean {
     if (this.answer === undefined) {
       return false;
     }
--- a/src/dev/sim/router/sim-router.ts
+++ b/src/dev/sim/router/sim-router.ts
@@ -1,4 +1,4 @@
-/** A router: the router core on a simulated machine with its callers, its control members and its upstreams. */
+/** A router: the router core on a simulated machine, connected to callers, control members and upstreams. */
 
 import { SuspensionWatch } from '../../../clock/suspension-watch.js';
 import { DEFAULT_CONFIG_LEASE_TIMINGS, type RouterToControl } from '../../../control/messages.js';
@@ -16,18 +16,18 @@
   RouterStatus,
 } from '../../../routing/types.js';
 import { SimProcess, TickTimer } from '../sim-process.js';
-import type { SaidInHead } from '../upstream/attempt-frame.js';
-import { NO_NEED, type UpstreamNeed } from '../upstream/upstream-need.js';
+import type { ReportedConstraint } from '../upstream/attempt-frame.js';
+import { NO_CONSTRAINT, type UpstreamConstraint } from '../upstream/upstream-need.js';
 import type { World } from '../world.js';
 import { ControlLine } from './control-line.js';
 import { type Exchange, type RouterAnswer, storedAnswer } from './router-answer.js';
 import { SimAttempt } from './sim-attempt.js';
-import { spoilNotice, spoilRefusal, spoilResult, spoilToControl } from './spoil-router.js';
+import { sabotageNotice, sabotageRefusal, sabotageResult, sabotageToControl } from './spoil-router.js';
 import { UpstreamConnections } from './upstream-connections.js';
 
 const CLAIM_TIMEOUT_MILLIS = 1000;
 const STOP_CHECK_MILLIS = 10;
-/** How long a router that stops still answers on connections that were open. */
+/** Time for which a stopping router still answers on open connections. */
 const STOP_IDLE_MILLIS = 1500;
 /** Length of the configuration lease under sabotage. */
 const ENDLESS_LEASE_MILLIS = 1_000_000;
@@ -35,7 +35,7 @@
 type Dispatch = Extract<RouterEffect, { readonly type: 'dispatch' }>;
 
 export class SimRouter extends SimProcess {
-  /** Takes no new callers, ends when the ones that it has are answered. */
+  /** Whether a planned stop is in progress: the router accepts no new callers and ends once the open requests are answered. */
   isStopping = false;
   private core: RouterCore | null = null;
   private timer: TickTimer | null = null;
@@ -47,10 +47,10 @@
   private readonly attempts = new Map<AttemptNumber, SimAttempt>();
   private plannedRun = 0;
   private nextRequest = 1;
-  private judgedRevision = 0;
-  private latest: AttemptNumber = 0;
-  /** Upstreams that said something of themselves, with the latest attempt that had begun then. */
-  private readonly speaking = new Map<UpstreamId, AttemptNumber>();
+  private recordedRevision = 0;
+  private lastAttempt: AttemptNumber = 0;
+  /** Upstreams that reported a constraint, with the latest attempt dispatched by that time. */
+  private readonly constraintReports = new Map<UpstreamId, AttemptNumber>();
 
   constructor(
     readonly world: World,
@@ -66,12 +66,12 @@
     return this.core?.status() ?? null;
   }
 
-  /** Whether this run ended by a planned stop, not by a crash on the way. */
-  endedByPlan(run: number): boolean {
+  /** Whether this run ended by a planned stop, not by a crash during it. */
+  wasStoppedByPlan(run: number): boolean {
     return this.plannedRun === run;
   }
 
-  /** Planned stop: takes nothing new, ends once everything is answered. */
+  /** Planned stop: accepts no new requests and ends once all open ones are answered. */
   stopByPlan(): void {
     this.isStopping = true;
     if (this.world.sabotage === 'planned-stop-cuts') {
@@ -81,7 +81,7 @@
     this.schedule(STOP_IDLE_MILLIS, () => this.stopWhenIdle());
   }
 
-  /** A new run after a planned stop; one that is still stopping goes on as if nothing had been. */
+  /** Starts a new run after a planned stop; a run that is still stopping continues normally. */
   startAfterStop(): void {
     if (this.state === 'stopped') {
       this.start();
@@ -116,20 +116,20 @@
     }
     const millis = this.suspensions.look();
     if (millis > 0) {
-      this.takeStep({ type: 'suspended', millis });
+      this.stepCore({ type: 'suspended', millis });
     }
-    this.takeStep(input);
-    this.judgeRevision();
+    this.stepCore(input);
+    this.recordRevision();
     this.timer?.arm(this.core.nextDeadline());
   }
 
-  private takeStep(input: RouterInput): void {
+  private stepCore(input: RouterInput): void {
     for (const effect of this.core?.step(input, this.clock.monotonic(), this.clock.wall()) ?? []) {
       this.carryOut(effect);
     }
   }
 
-  /** Takes a caller's request; gives its number, for `cancel`. */
+  /** Accepts a caller's request and returns its number, for `cancel`. */
   accept(request: Omit<ArrivedRequest, 'request'>, exchange: Exchange): RequestNumber {
     const number = this.nextRequest;
     this.nextRequest += 1;
@@ -138,26 +138,26 @@
     return number;
   }
 
-  /** The caller went away. */
+  /** Cancels a request after its caller disconnected. */
   cancel(request: RequestNumber): void {
     if (this.exchanges.delete(request)) {
       this.input({ type: 'request-cancelled', request });
     }
   }
 
-  /** The head of an answer came, which says something of its upstream (`undefined`: nothing). */
-  headed(upstream: UpstreamId, attempt: AttemptNumber, said: SaidInHead | undefined): void {
-    if (said !== undefined) {
-      const { incarnation, need, at: answeredAt } = said;
+  /** Handles the head of an answer and the constraint that it reports (`undefined`: none). */
+  onHead(upstream: UpstreamId, attempt: AttemptNumber, reported: ReportedConstraint | undefined): void {
+    if (reported !== undefined) {
+      const { incarnation, constraint, at: answeredAt } = reported;
       const event = { type: 'notice-given', at: this.time.now, router: this.incarnation } as const;
-      this.world.recorder.record({ ...event, upstream: incarnation, answeredAt, ...need });
-      this.speaking.set(upstream, this.latest);
-    } else if (attempt > (this.speaking.get(upstream) ?? Number.POSITIVE_INFINITY)) {
-      this.speaking.delete(upstream);
+      this.world.recorder.record({ ...event, upstream: incarnation, answeredAt, ...constraint });
+      this.constraintReports.set(upstream, this.lastAttempt);
+    } else if (attempt > (this.constraintReports.get(upstream) ?? Number.POSITIVE_INFINITY)) {
+      this.constraintReports.delete(upstream);
     } else {
       return;
     }
-    const notice = spoilNotice(noticeOf(said?.need), this.world.sabotage);
+    const notice = sabotageNotice(noticeOf(reported?.constraint), this.world.sabotage);
     this.input({ type: 'upstream-notice', attempt, notice });
   }
 
@@ -166,7 +166,11 @@
     if (result.type !== 'answered') {
       this.attempts.delete(number);
     }
-    this.input({ type: 'attempt-ended', attempt: number, result: spoilResult(result, this.world.sabotage) });
+    this.input({
+      type: 'attempt-ended',
+      attempt: number,
+      result: sabotageResult(result, this.world.sabotage),
+    });
     this.attempts.delete(number);
   }
 
@@ -174,7 +178,7 @@
     const { world } = this;
     this.incarnation = `${this.name}/${this.run}`;
     this.isStopping = false;
-    this.judgedRevision = 0;
+    this.recordedRevision = 0;
     const configLease =
       world.sabotage === 'config-lease-ignored'
         ? { ...DEFAULT_CONFIG_LEASE_TIMINGS, configLeaseMillis: ENDLESS_LEASE_MILLIS }
@@ -204,7 +208,7 @@
     this.lines.clear();
     this.exchanges.clear();
     this.attempts.clear();
-    this.speaking.clear();
+    this.constraintReports.clear();
   }
 
   private carryOut(effect: RouterEffect): void {
@@ -234,7 +238,7 @@
         this.answer(effect.request, storedAnswer(effect.answer));
         return;
       case 'refuse': {
-        const { outcome, reason } = spoilRefusal(effect, world.sabotage);
+        const { outcome, reason } = sabotageRefusal(effect, world.sabotage);
         this.answer(effect.request, { type: 'refusal', outcome, reason });
         return;
       }
@@ -244,9 +248,9 @@
   }
 
   private sendControl(to: Address, message: RouterToControl): void {
-    const spoiled = spoilToControl(message, this.world.sabotage);
-    if (spoiled !== null) {
-      this.lines.get(to)?.send(spoiled);
+    const sabotaged = sabotageToControl(message, this.world.sabotage);
+    if (sabotaged !== null) {
+      this.lines.get(to)?.send(sabotaged);
     }
   }
 
@@ -272,7 +276,7 @@
       router: this.incarnation,
     };
     const attempt = new SimAttempt(this, effect.attempt, effect.upstream, frame);
-    this.latest = effect.attempt;
+    this.lastAttempt = effect.attempt;
     this.attempts.set(effect.attempt, attempt);
     this.pools.start(attempt, effect.address);
   }
@@ -288,7 +292,7 @@
   private deliver(request: RequestNumber, number: AttemptNumber): void {
     const answer = this.attempts.get(number)?.answer;
     if (answer === undefined) {
-      throw new Error(`${this.name}: nothing to deliver of attempt ${number}`);
+      throw new Error(`${this.name}: attempt ${number} has no answer to deliver`);
     }
     this.answer(request, { type: 'answer', ...answer });
   }
@@ -299,10 +303,10 @@
     exchange?.answer(answer);
   }
 
-  private judgeRevision(): void {
+  private recordRevision(): void {
     const revision = this.core?.status().revision ?? 0;
-    if (revision !== this.judgedRevision) {
-      this.judgedRevision = revision;
+    if (revision !== this.recordedRevision) {
+      this.recordedRevision = revision;
       this.world.recorder.record({
         type: 'router-revision',
         at: this.time.now,
@@ -313,8 +317,8 @@
   }
 }
 
-function noticeOf(need: UpstreamNeed | undefined): UpstreamNotice {
-  const { limitPerSecond, restMillis, isLeaving } = need ?? NO_NEED;
+function noticeOf(constraint: UpstreamConstraint | undefined): UpstreamNotice {
+  const { limitPerSecond, restMillis, isLeaving } = constraint ?? NO_CONSTRAINT;
   const limit =
     limitPerSecond === null ? SILENT_NOTICE.limit : { type: 'named' as const, perSecond: limitPerSecond };
   return { ...SILENT_NOTICE, limit, restMillis, isLeaving };
--- a/src/dev/sim/router/spoil-router.ts
+++ b/src/dev/sim/router/spoil-router.ts
@@ -1,4 +1,4 @@
-/** Sabotages of routers, applied where the simulated shell hands things to the core or takes them from it. */
+/** Sabotages of routers, applied where the simulated I/O layer exchanges inputs and effects with the core. */
 import type { RouterToControl } from '../../../control/messages.js';
 import type { UpstreamNotice } from '../../../model/upstream-notice.js';
 import type { AttemptResult, RouterEffect } from '../../../routing/types.js';
@@ -6,23 +6,23 @@
 
 type Active = SabotageName | null;
 
-/** Longest rest that `rests-cut` lets routers hear of. */
-const CUT_REST_MILLIS = 300;
+/** Maximum back-off that reaches routers under the sabotage `rests-cut`. */
+const MAX_SABOTAGED_BACKOFF_MILLIS = 300;
 type Refuse = Extract<RouterEffect, { readonly type: 'refuse' }>;
 
-export function spoilResult(result: AttemptResult, sabotage: Active): AttemptResult {
+export function sabotageResult(result: AttemptResult, sabotage: Active): AttemptResult {
   const isInDoubt = result.type === 'broken' || result.type === 'cancelled';
   return sabotage === 'retry-after-send' && isInDoubt ? { type: 'connect-failed' } : result;
 }
 
-export function spoilRefusal(refusal: Refuse, sabotage: Active): Refuse {
+export function sabotageRefusal(refusal: Refuse, sabotage: Active): Refuse {
   const isInDoubt = refusal.outcome === 'unknown';
   return sabotage === 'unknown-told-as-not-run' && isInDoubt ? { ...refusal, outcome: 'not-run' } : refusal;
 }
 
-export function spoilNotice(notice: UpstreamNotice, sabotage: Active): UpstreamNotice {
+export function sabotageNotice(notice: UpstreamNotice, sabotage: Active): UpstreamNotice {
   if (sabotage === 'rests-cut' && notice.restMillis !== null) {
-    return { ...notice, restMillis: Math.min(CUT_REST_MILLIS, notice.restMillis) };
+    return { ...notice, restMillis: Math.min(MAX_SABOTAGED_BACKOFF_MILLIS, notice.restMillis) };
   }
   if (sabotage === 'leaving-unread') {
     return { ...notice, isLeaving: false };
@@ -30,8 +30,8 @@
   return sabotage === 'limits-unread' ? { ...notice, limit: { type: 'none' } } : notice;
 }
 
-/** `null`: the message is lost. */
-export function spoilToControl(message: RouterToControl, sabotage: Active): RouterToControl | null {
+/** Returns `null` if the message is lost. */
+export function sabotageToControl(message: RouterToControl, sabotage: Active): RouterToControl | null {
   if (sabotage === 'crashes-forgotten' && message.type === 'crash-report') {
     return null;
   }
--- a/src/dev/sim/router/upstream-connections.ts
+++ b/src/dev/sim/router/upstream-connections.ts
@@ -1,4 +1,4 @@
-/** A router's connections to upstreams: one request at a time on each, kept for the next when the answer came whole. */
+/** A router's connections to upstreams: one request at a time on each, reused after a complete answer. */
 import type { Address } from '../../../model/identifiers.js';
 import type { RunCheck } from '../../../routing/types.js';
 import { Connection } from '../connection.js';
@@ -18,12 +18,12 @@
     readonly router: SimRouter,
   ) {}
 
-  /** Sends an attempt on a connection that is free, or on a new one. */
+  /** Sends an attempt on an idle connection, or on a new one. */
   start(attempt: SimAttempt, address: Address): void {
     const host = address.slice(0, address.lastIndexOf(':'));
     const upstream = this.world.upstreams.find((candidate) => candidate.host === host);
     if (upstream === undefined) {
-      this.router.schedule(0, () => attempt.failToConnect(), true);
+      this.router.schedule(0, () => attempt.onConnectFailed(), true);
       return;
     }
     const free = this.idle.get(host)?.pop();
@@ -34,7 +34,7 @@
     this.dial(attempt, upstream);
   }
 
-  /** Looks whether anything takes connections at an address. */
+  /** Checks whether a process accepts connections at an address. */
   check(address: Address, done: (check: RunCheck) => void): void {
     const { world, router } = this;
     const { network } = world;
@@ -46,19 +46,19 @@
       router.schedule(CONNECT_TIMEOUT_MILLIS, () => done('silent'));
       return;
     }
-    const took = 2 * network.latency(router, upstream);
-    router.schedule(took, () => done(upstream.state === 'stopped' ? 'gone' : 'there'));
+    const elapsedMillis = 2 * network.latency(router, upstream);
+    router.schedule(elapsedMillis, () => done(upstream.state === 'stopped' ? 'gone' : 'there'));
   }
 
-  /** A connection has nothing to do. */
+  /** Returns an idle connection to the pool. */
   release(connection: UpstreamConnection, host: string): void {
     const free = this.idle.get(host) ?? [];
     free.push(connection);
     this.idle.set(host, free);
   }
 
-  /** A connection is gone. */
-  forget(connection: UpstreamConnection, host: string): void {
+  /** Removes a closed connection from the pool. */
+  remove(connection: UpstreamConnection, host: string): void {
     const free = this.idle.get(host) ?? [];
     this.idle.set(
       host,
@@ -71,16 +71,16 @@
     const { network } = world;
     const isBlocked = network.isBlocked(router, upstream) || network.isBlocked(upstream, router);
     if (isBlocked || (upstream.state === 'stopped' && upstream.isSilent)) {
-      router.schedule(CONNECT_TIMEOUT_MILLIS, () => attempt.failToConnect());
+      router.schedule(CONNECT_TIMEOUT_MILLIS, () => attempt.onConnectFailed());
       return;
     }
-    const took = 2 * network.latency(router, upstream) + upstream.service.template.connectMillis;
-    router.schedule(took, () => {
+    const elapsedMillis = 2 * network.latency(router, upstream) + upstream.service.template.connectMillis;
+    router.schedule(elapsedMillis, () => {
       if (attempt.isOver) {
         return;
       }
       if (upstream.state === 'stopped') {
-        attempt.failToConnect();
+        attempt.onConnectFailed();
         return;
       }
       new UpstreamConnection(this, upstream).send(attempt);
@@ -88,7 +88,7 @@
   }
 }
 
-/** One connection. */
+/** A connection to one upstream. */
 export class UpstreamConnection {
   private readonly connection: Connection;
   private attempt: SimAttempt | null = null;
@@ -107,22 +107,23 @@
 
   send(attempt: SimAttempt): void {
     this.attempt = attempt;
-    attempt.sentOn(this);
+    attempt.onSent(this);
     const { upstream, connection } = this;
     const { frame } = attempt;
     const { requestId } = frame;
     const respond = (part: AnswerFrame): void => connection.sendToClient(() => this.receive(part));
-    this.served = frame;
+    this.servedFrame = frame;
     connection.sendToServer(() =>
-      upstream.takeAttempt(frame, {
+      upstream.handleAttempt(frame, {
         send: respond,
-        refuse: (refusal, said) => respond({ type: 'refusal', requestId, refusal, ...(said && { said }) }),
+        refuse: (refusal, reported) =>
+          respond({ type: 'refusal', requestId, refusal, ...(reported && { reported }) }),
         close: () => connection.close(upstream),
       }),
     );
   }
 
-  /** Its attempt is given up: an answer is still owed, so it can't be used again. */
+  /** Cancels the attempt and closes the connection, which can't be reused because an answer is still outstanding. */
   cancel(): void {
     this.attempt = null;
     if (this.pool.world.sabotage === 'connection-reused-after-cancel') {
@@ -132,11 +133,11 @@
     this.close();
   }
 
-  private served: SimAttempt['frame'] | null = null;
+  private servedFrame: SimAttempt['frame'] | null = null;
 
   private abortServer(): void {
-    if (this.served !== null) {
-      this.upstream.abort(this.served);
+    if (this.servedFrame !== null) {
+      this.upstream.abort(this.servedFrame);
     }
   }
 
@@ -146,13 +147,13 @@
       return;
     }
     if (attempt === null) {
-      this.takeUnasked();
+      this.onUnexpectedPart();
       return;
     }
-    if (!attempt.take(part)) {
+    if (!attempt.receive(part)) {
       this.close();
       this.attempt = null;
-      attempt.broke();
+      attempt.onBroken();
       return;
     }
     if (attempt.isOver) {
@@ -161,8 +162,8 @@
     }
   }
 
-  /** An answer that nobody waits for: the connection is out of step. */
-  private takeUnasked(): void {
+  /** Closes the connection on an unexpected answer, since it is out of sync. */
+  private onUnexpectedPart(): void {
     if (this.pool.world.sabotage !== 'connection-reused-after-cancel') {
       this.close();
     }
@@ -170,15 +171,15 @@
 
   private close(): void {
     this.closed = true;
-    this.pool.forget(this, this.upstream.host);
+    this.pool.remove(this, this.upstream.host);
     this.connection.close(this.pool.router);
   }
 
   private broken(): void {
     this.closed = true;
-    this.pool.forget(this, this.upstream.host);
+    this.pool.remove(this, this.upstream.host);
     const { attempt } = this;
     this.attempt = null;
-    attempt?.broke();
+    attempt?.onBroken();
   }
 }
--- a/src/dev/sim/sabotages.ts
+++ b/src/dev/sim/sabotages.ts
@@ -1,24 +1,24 @@
-/** Ways to break a mechanism on purpose. A checker that doesn't notice them proves nothing. */
+/** Sabotages: mechanisms broken on purpose, which the checker must detect for its results to be valid. */
 import type { PromiseName } from '../checker/rule.js';
 
 export interface Sabotage {
-  /** What it breaks. */
+  /** The promise that it breaks. */
   readonly promise: PromiseName;
   readonly description: string;
-  /** Faults that bring it to light. */
+  /** Faults under which the checker can detect it. */
   readonly faults: readonly string[];
-  /** Requests that crash whoever runs them; none if left out. */
+  /** Number of requests that crash each upstream that runs them; 0 by default. */
   readonly crashingRequests?: number;
-  /** Operators that take zones out of use; none if left out. */
+  /** Number of operators that evacuate zones; 0 by default. */
   readonly evacuations?: number;
-  /** Upstreams that say in their answers that they are in need; none if left out. */
+  /** Number of upstreams that report constraints in their answers; 0 by default. */
   readonly needs?: number;
 }
 
 const TABLE = {
   'lease-from-receipt': {
     promise: 'one-owner',
-    description: 'an upstream counts its lease from when the renewal came, not from its own stamp',
+    description: 'an upstream measures its lease from the arrival of the renewal, not from its own timestamp',
     faults: ['upstream-freeze', 'delay', 'cut-upstream'],
   },
   'grant-before-lease-end': {
@@ -28,7 +28,7 @@
   },
   'lease-end-ignored': {
     promise: 'one-owner',
-    description: 'an upstream goes on serving what it was granted after its lease',
+    description: 'an upstream continues to serve its shards after its lease has ended',
     faults: ['cut-upstream', 'owner-freeze'],
   },
   'no-fence-at-effect': {
@@ -63,12 +63,12 @@
   },
   'connection-reused-after-cancel': {
     promise: 'own-whole-answer',
-    description: 'a connection that owes an answer is used again, and answers are taken unchecked',
+    description: 'a connection with an outstanding answer is reused, and answers are accepted unchecked',
     faults: ['upstream-freeze'],
   },
   'piece-as-whole': {
     promise: 'own-whole-answer',
-    description: 'the piece of an answer that came before the connection broke is delivered as the answer',
+    description: 'the part of an answer received before the connection broke is delivered as the answer',
     faults: ['bad-answers'],
   },
   'unknown-told-as-not-run': {
@@ -93,17 +93,17 @@
   },
   'drain-ignored': {
     promise: 'leaving-gets-no-work',
-    description: 'routers go on sending to upstreams that are marked as leaving',
+    description: 'routers continue to send to upstreams that are marked as leaving',
     faults: [],
   },
   'planned-stop-cuts': {
     promise: 'planned-stop-cuts-nothing',
-    description: 'a router that is told to stop ends with requests open',
+    description: 'a router ends on a planned stop while requests are open',
     faults: ['planned-router-stop'],
   },
   'config-lease-ignored': {
     promise: 'accepted-in-force',
-    description: 'a router goes on serving after its configuration lease',
+    description: 'a router continues to serve after its configuration lease has ended',
     faults: ['cut-router'],
   },
   'sync-without-quorum': {
@@ -113,41 +113,41 @@
   },
   'wait-cut-short': {
     promise: 'accepted-in-force',
-    description: 'an operator who waits is told at once that a change is in force',
+    description: 'an operator who waits receives an immediate response that a change is in force',
     faults: [],
   },
   'revision-by-count': {
     promise: 'acknowledged-survives',
-    description: 'revisions are a count of the changes that a run of a control member answered',
+    description: 'revisions count the changes that a run of a control member accepted',
     faults: ['leader-crash'],
   },
   'crashes-forgotten': {
     promise: 'crashes-bounded',
-    description: 'what routers report of runs that ended under a request never reaches control',
+    description: 'routers’ reports of runs that crashed during a request never reach control',
     faults: [],
     crashingRequests: 2,
   },
   'evacuations-untold': {
     promise: 'leaving-gets-no-work',
-    description: 'routers are told of no zone that is out of use',
+    description: 'routers receive no evacuations of zones',
     faults: [],
     evacuations: 1,
   },
   'limits-unread': {
     promise: 'needs-heeded',
-    description: 'routers read no limit that an upstream names',
+    description: 'routers ignore the limits that upstreams report',
     faults: [],
     needs: 6,
   },
   'rests-cut': {
     promise: 'needs-heeded',
-    description: 'whatever rest an upstream asks for, routers hear of a short one',
+    description: 'routers receive a short back-off, whatever an upstream requests',
     faults: [],
     needs: 6,
   },
   'leaving-unread': {
     promise: 'leaving-gets-no-work',
-    description: 'routers don’t read that an upstream says in its answers that it leaves',
+    description: 'routers ignore that an upstream reports in its answers that it is draining',
     faults: [],
     needs: 6,
   },
--- a/src/dev/sim/sim-process.ts
+++ b/src/dev/sim/sim-process.ts
@@ -1,4 +1,4 @@
-/** What all simulated processes share: they run, pause with their work piling up, crash, and start again. */
+/** Base class of all simulated processes: they run, pause while tasks queue up, crash and restart. */
 
 import type { CancelAction, EventQueue } from '../virtual/event-queue.js';
 import type { Connection } from './connection.js';
@@ -7,17 +7,17 @@
 
 export type ProcessState = 'running' | 'paused' | 'stopped';
 
-/** Longest extra delay of a piece of work that piled up while a process was paused. */
-const RESUME_SPREAD_MILLIS = 300;
-/** Share of piled-up work which is held back further, as other threads and sockets come first. */
-const RESUME_SPREAD_SHARE = 0.25;
+/** Maximum extra delay of a task that queued up while a process was paused. */
+const MAX_RESUME_DELAY_MILLIS = 300;
+/** Share of queued tasks that are delayed further after a resume, as other threads and sockets may be served first. */
+const RESUME_DELAY_SHARE = 0.25;
 
 export abstract class SimProcess {
   /** Open connections of this run. */
   readonly connections = new Set<Connection>();
   private processState: ProcessState = 'stopped';
   private runNumber = 0;
-  private undisturbedSince = 0;
+  private uninterruptedSince = 0;
   private backlog: { readonly task: () => void; readonly ordered: boolean }[] = [];
 
   constructor(
@@ -32,19 +32,19 @@
     return this.processState;
   }
 
-  /** Number of this run; a restart begins the next. */
+  /** Number of the current run; each restart begins a new run. */
   get run(): number {
     return this.runNumber;
   }
 
-  /** Whether it ran without a pause or an end since a true time. */
-  ranSince(time: number): boolean {
-    return this.processState === 'running' && this.undisturbedSince < time;
+  /** Whether the process has run without a pause or a stop since a true time. */
+  hasRunSince(time: number): boolean {
+    return this.processState === 'running' && this.uninterruptedSince < time;
   }
 
-  /** Since when it has run without a pause, in true time; a time to come while it doesn't run. */
+  /** True time since which the process has run without a pause; infinity while it doesn't run. */
   get runningSince(): number {
-    return this.processState === 'running' ? this.undisturbedSince : Number.POSITIVE_INFINITY;
+    return this.processState === 'running' ? this.uninterruptedSince : Number.POSITIVE_INFINITY;
   }
 
   /** Starts a new run. */
@@ -54,12 +54,12 @@
     }
     this.runNumber += 1;
     this.processState = 'running';
-    this.undisturbedSince = this.time.now;
+    this.uninterruptedSince = this.time.now;
     this.backlog = [];
     this.onStart();
   }
 
-  /** Ends the run at once; memory is lost. `silent`: the whole machine is gone, so nobody's connection is closed. */
+  /** Ends the run at once and loses its memory. `silent`: the whole machine is lost, so no connection is closed. */
   crash(silent = false): void {
     if (this.processState === 'stopped') {
       return;
@@ -74,14 +74,14 @@
     this.onStop();
   }
 
-  /** Stops running without an end of the process (SIGSTOP, a long collection, a stalled machine). */
+  /** Pauses the process without ending it (SIGSTOP, a long garbage collection, a stalled machine). */
   pause(): void {
     if (this.processState === 'running') {
       this.processState = 'paused';
     }
   }
 
-  /** Its machine is suspended: as a pause, and its monotonic clock stands still. */
+  /** Suspends the machine: pauses the process and stops its monotonic clock. */
   suspend(): void {
     this.pause();
     if (this.processState === 'paused') {
@@ -89,23 +89,23 @@
     }
   }
 
-  /** Goes on; what piled up runs now, some of it late and out of order. */
+  /** Resumes the process and runs the queued tasks, some of them late and out of order. */
   resume(): void {
     this.clock.resume();
     if (this.processState !== 'paused') {
       return;
     }
     this.processState = 'running';
-    this.undisturbedSince = this.time.now;
+    this.uninterruptedSince = this.time.now;
     const { backlog } = this;
     this.backlog = [];
     for (const { task, ordered } of backlog) {
-      const late = !ordered && this.random.chance(RESUME_SPREAD_SHARE);
-      this.schedule(late ? this.random.between(0, RESUME_SPREAD_MILLIS) : 0, task, ordered);
+      const late = !ordered && this.random.chance(RESUME_DELAY_SHARE);
+      this.schedule(late ? this.random.between(0, MAX_RESUME_DELAY_MILLIS) : 0, task, ordered);
     }
   }
 
-  /** Gives the process work now: runs, waits while paused, is lost if stopped. `ordered` work never overtakes. */
+  /** Runs a task now, queues it while the process is paused, drops it if stopped. `ordered` tasks are never reordered. */
   post(task: () => void, ordered = false): void {
     if (this.processState === 'running') {
       task();
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Gives this run of the process work after a true delay. */
+  /** Runs a task in this run of the process after a delay in true time. */
   schedule(delay: number, task: () => void, ordered = false): CancelAction {
     const run = this.runNumber;
     return this.time.after(delay, () => {
@@ -128,7 +128,7 @@
   protected abstract onStop(): void;
 }
 
-/** Keeps one `tick` scheduled at a core's next deadline. */
+/** Keeps one `tick` scheduled at the core's next deadline. */
 export class TickTimer {
   private cancel: CancelAction | undefined;
   private due = Number.NaN;
@@ -138,7 +138,7 @@
     private readonly tick: () => void,
   ) {}
 
-  /** Called after each step with the core's `nextDeadline()`. */
+  /** Reschedules the tick; called after each step with the core's `nextDeadline()`. */
   arm(deadline: number): void {
     if (deadline === this.due) {
       return;
@@ -150,7 +150,7 @@
       return;
     }
     const { time, clock } = this.process;
-    const at = Math.max(clock.trueTime(deadline), time.now + SHORTEST_TICK_MILLIS);
+    const at = Math.max(clock.trueTime(deadline), time.now + MIN_TICK_INTERVAL_MILLIS);
     this.cancel = this.process.schedule(at - time.now, () => {
       this.due = Number.NaN;
       this.tick();
@@ -158,5 +158,5 @@
   }
 }
 
-/** Ticks of one process are at least this far apart, so that a core that is always due can't stop time. */
-const SHORTEST_TICK_MILLIS = 0.05;
+/** Minimum interval between ticks of one process, so that a core that is always due can't stop time. */
+const MIN_TICK_INTERVAL_MILLIS = 0.05;
--- a/src/dev/sim/sim-report.ts
+++ b/src/dev/sim/sim-report.ts
@@ -1,4 +1,4 @@
-/** Sums up runs: seeds, faults, operations, and every violation with its seed. */
+/** Summarizes runs: seeds, faults, operations, and every violation with its seed. */
 import type { SimulationResult } from './simulation.js';
 
 type Counts = Map<string, number>;
@@ -12,7 +12,7 @@
 
   constructor(private readonly deployment: string) {}
 
-  /** Violations of all runs. */
+  /** Number of violations in all runs. */
   get violations(): number {
     return this.failures.length;
   }
@@ -27,7 +27,7 @@
     }
   }
 
-  /** The report as lines of text. */
+  /** Formats the report as text. */
   text(): string {
     const first = this.seeds[0];
     const last = this.seeds.at(-1);
--- a/src/dev/sim/sim-sizes.ts
+++ b/src/dev/sim/sim-sizes.ts
@@ -1,20 +1,20 @@
-/** A deployment made small enough to simulate: the same services and network, fewer upstreams, shards and keys. */
+/** Shrinks a deployment for simulation: the same services and network, with fewer upstreams, shards and keys. */
 import type { ServiceDefinition } from '../../model/service.js';
 import type { Deployment, UpstreamTemplate } from '../../settings/deployment.js';
 import type { NetworkTimings } from './network.js';
 
-const MOST_UPSTREAMS = 4;
-const MOST_SHARDS = 5;
+const MAX_UPSTREAMS = 4;
+const MAX_SHARDS = 5;
 const KEYS_PER_SERVICE = 24;
-const SAME_ZONE_SHARE = 0.25;
-/** Kept short, so that runs reach the end of it. */
+const SAME_ZONE_LATENCY_SHARE = 0.25;
+/** Short enough that runs reach the end of the retention. */
 const RETENTION_MILLIS = 6000;
 
 /** A service and the servers behind it. */
 export interface SizedService {
   readonly definition: ServiceDefinition;
   readonly template: UpstreamTemplate;
-  /** Keys that callers ask for; empty for services that aren't keyed. */
+  /** Keys that callers request; empty for services without keys. */
   readonly keys: readonly string[];
 }
 
@@ -25,7 +25,7 @@
   readonly services: readonly SizedService[];
 }
 
-/** Shrinks a deployment. Services without upstreams are left out. */
+/** Returns the reduced deployment, without the services that have no upstreams. */
 export function shrinkDeployment(deployment: Deployment): SimSizes {
   const { betweenZonesMillis, clientMillis } = deployment.network;
   const services = deployment.services.flatMap((definition) => {
@@ -35,7 +35,11 @@
   return {
     name: deployment.name,
     zones: deployment.zones,
-    network: { sameZoneMillis: betweenZonesMillis * SAME_ZONE_SHARE, betweenZonesMillis, clientMillis },
+    network: {
+      sameZoneMillis: betweenZonesMillis * SAME_ZONE_LATENCY_SHARE,
+      betweenZonesMillis,
+      clientMillis,
+    },
     services,
   };
 }
@@ -43,7 +47,7 @@
 function shrinkService(definition: ServiceDefinition, template: UpstreamTemplate): SizedService {
   const keyspaces = definition.keyspaces.map((keyspace) => ({
     ...keyspace,
-    shards: Math.min(keyspace.shards, MOST_SHARDS),
+    shards: Math.min(keyspace.shards, MAX_SHARDS),
   }));
   return {
     definition: {
@@ -51,12 +55,12 @@
       keyspaces,
       retentionMillis: Math.max(RETENTION_MILLIS, definition.deadlineMillis),
     },
-    template: { ...template, count: Math.min(template.count, MOST_UPSTREAMS) },
+    template: { ...template, count: Math.min(template.count, MAX_UPSTREAMS) },
     keys: definition.keyed ? keysOf(definition) : [],
   };
 }
 
-/** Keys of every keyspace in turn. */
+/** Returns keys of all keyspaces in rotation. */
 function keysOf(definition: ServiceDefinition): string[] {
   return Array.from({ length: KEYS_PER_SERVICE }, (_, number) => {
     const { kind, match } = definition.keyspaces[number % definition.keyspaces.length] as {
--- a/src/dev/sim/simulated-disk.ts
+++ b/src/dev/sim/simulated-disk.ts
@@ -1,8 +1,8 @@
-/** The disk of a control member: what was synced stays; of the rest a prefix may survive a loss of power, the last write torn. */
+/** The disk of a control member: synced data persists; a prefix of the unsynced writes may survive a power loss. */
 import type { LogEntry, Membership, PersistRequest, RestoredState, Snapshot } from '../../consensus/types.js';
 import type { Random } from './random.js';
 
-/** The smallest thing that is whole on disk or not there. */
+/** An atomic write: present on disk as a whole or not at all. */
 type Write = (contents: DiskContents) => void;
 
 interface PendingWrite {
@@ -18,14 +18,14 @@
 
 export class SimulatedDisk {
   private readonly synced = new DiskContents();
-  /** What a reader of the file would see: synced writes and those that only the kernel has. */
+  /** Contents as read from the file: synced writes and those that only the kernel holds. */
   private readonly written = new DiskContents();
   private pending: PendingWrite[] = [];
 
-  /** `membership`: what `control init` wrote; `null` on a replica that joins. */
+  /** `membership`: as written by `control init`; `null` on a replica that joins. */
   constructor(private readonly membership: Membership | null) {}
 
-  /** Hands a request to the kernel. */
+  /** Writes a request to the kernel without syncing it. */
   write(request: PersistRequest): void {
     for (const write of writesOf(request)) {
       write(this.written);
@@ -33,14 +33,14 @@
     }
   }
 
-  /** Everything up to this request is on disk now. */
+  /** Syncs all writes up to and including this request. */
   sync(persistId: number): void {
     while (this.pending[0] !== undefined && this.pending[0].persistId <= persistId) {
       (this.pending.shift() as PendingWrite).write(this.synced);
     }
   }
 
-  /** Power is lost: some first part of the unsynced writes made it to the disk. */
+  /** Simulates a power loss: a random prefix of the unsynced writes survives. */
   loseUnsynced(random: Random): void {
     const survivors = this.pending.length === 0 ? 0 : random.integer(0, this.pending.length);
     for (const { write } of this.pending.slice(0, survivors)) {
@@ -50,18 +50,18 @@
     copyContents(this.synced, this.written);
   }
 
-  /** Only the process ended: the kernel finishes what it was given. */
+  /** Simulates the end of the process alone: the kernel completes the pending writes. */
   keepUnsynced(): void {
     this.sync(Number.POSITIVE_INFINITY);
   }
 
-  /** What a process that starts finds. */
+  /** Returns the state that a starting process reads from disk. */
   load(): RestoredState {
     const { hardState, snapshot, entries } = this.synced;
     return { hardState, snapshot, initialMembership: this.membership, entries: [...entries] };
   }
 
-  /** The entry at an index as the running process wrote it. */
+  /** Returns the entry at an index as written by the running process. */
   entryAt(index: number): LogEntry | undefined {
     const { entries } = this.written;
     return entries[index - (entries[0]?.index ?? 0)];
--- a/src/dev/sim/simulation.ts
+++ b/src/dev/sim/simulation.ts
@@ -1,4 +1,4 @@
-/** One run: the system is declared, serves callers and operators, suffers its faults, and has to recover. */
+/** One run: declares the system, serves callers and operators, injects faults, and checks the recovery. */
 import type { ReplicaId } from '../../model/identifiers.js';
 import type { Violation } from '../checker/rule.js';
 import { EventQueue } from '../virtual/event-queue.js';
@@ -11,7 +11,7 @@
 import { planFaults } from './faults/fault-plan.js';
 import { NETWORK_FAULTS } from './faults/network-faults.js';
 import { Network } from './network.js';
-import { ProcessClock, SINGLE_CLOCK_RATE_ERROR } from './process-clock.js';
+import { MAX_CLOCK_RATE_ERROR, ProcessClock } from './process-clock.js';
 import { Random } from './random.js';
 import { Recorder } from './recorder.js';
 import { expectNewOwners, observeRecovery } from './recovery.js';
@@ -19,18 +19,18 @@
 import type { SabotageName } from './sabotages.js';
 import type { SimSizes } from './sim-sizes.js';
 import { SimUpstream } from './upstream/sim-upstream.js';
-import { beginNeed } from './upstream/upstream-need.js';
+import { beginConstraint } from './upstream/upstream-need.js';
 import type { World } from './world.js';
 
 export interface SimulationOptions {
   readonly seed: number;
   readonly sizes: SimSizes;
   readonly faults: readonly FaultKind[];
-  /** Callers whose one request crashes each upstream that runs it; none if left out. */
+  /** Number of callers whose request crashes each upstream that runs it; 0 by default. */
   readonly crashingRequests?: number;
-  /** Operators that take zones out of use and give them back; none if left out. */
+  /** Number of operators that evacuate zones and restore them; 0 by default. */
   readonly evacuations?: number;
-  /** Upstreams that say in their answers that they are in need; none if left out. */
+  /** Number of upstreams that report constraints in their answers; 0 by default. */
   readonly needs?: number;
   readonly sabotage: SabotageName | null;
   readonly trace: ((line: string) => void) | null;
@@ -44,23 +44,23 @@
   readonly faults: ReadonlyMap<string, number>;
 }
 
-/** When faults begin, how long new ones come, and when the last one is over. */
+/** Time of the first fault, length of the window in which faults begin, and time at which all faults end. */
 const FAULTS_FROM_MILLIS = 3000;
 const FAULT_WINDOW_MILLIS = 6000;
 const FAULTS_END_MILLIS = 12_000;
-/** Time that the system has to be whole again, and how long it is then watched. */
+/** Time for the system to recover, and how long it is observed afterwards. */
 const RECOVERY_MILLIS = 5000;
-const WATCH_MILLIS = 2000;
-/** Processes count as in touch again this long after a disturbance. */
-const IN_TOUCH_AFTER_MILLIS = 3000;
-/** A router is excused this long after it, or the network, was disturbed. */
-const EXCUSED_MILLIS = 4500;
+const OBSERVATION_MILLIS = 2000;
+/** Time after a disturbance from which processes count as connected again. */
+const CALM_AFTER_MILLIS = 3000;
+/** Time for which a router is excused after a disturbance of itself or the network. */
+const EXCUSED_AFTER_DISTURBANCE_MILLIS = 4500;
 const CALLERS = 5;
 const OPERATORS = 3;
 const ROUTERS = 3;
 const LARGE_CLUSTER_SHARE = 0.25;
-const LONGEST_OFFSET_MILLIS = 1_000_000;
-const LONGEST_SKEW_MILLIS = 300;
+const MAX_CLOCK_OFFSET_MILLIS = 1_000_000;
+const MAX_WALL_SKEW_MILLIS = 300;
 const REPAIR_RETRY_MILLIS = 100;
 
 export class Simulation implements World {
@@ -73,17 +73,17 @@
   readonly routers: SimRouter[] = [];
   readonly upstreams: SimUpstream[] = [];
   readonly faultRandom: Random;
-  readonly crashing = new Set<string>();
-  /** Zones that an operator has asked to be out of use, until it was told that they are in use again. */
-  readonly zonesOut = new Set<string>();
-  /** Faults that are under way, and when the last one ended. */
+  readonly crashingContents = new Set<string>();
+  /** Zones from the request to evacuate them until their restoration is confirmed. */
+  readonly evacuatedZones = new Set<string>();
+  /** Number of active faults, and the time at which the last one ended. */
   activeFaults = 0;
   lastFaultEnd = 0;
   isRepairing = false;
-  /** Faults of the network that are under way, and when the last one ended. */
+  /** Number of active network faults, and the time at which the last one ended. */
   private networkFaults = 0;
   private networkFaultEnd = Number.NEGATIVE_INFINITY;
-  /** Nothing more may be injected. */
+  /** No further faults may be injected. */
   areFaultsOver = false;
   private readonly callers: SimCaller[] = [];
   private readonly crashingCallers: CrashingCaller[] = [];
@@ -104,7 +104,7 @@
   }
 
   run(): SimulationResult {
-    const end = FAULTS_END_MILLIS + RECOVERY_MILLIS + WATCH_MILLIS;
+    const end = FAULTS_END_MILLIS + RECOVERY_MILLIS + OBSERVATION_MILLIS;
     for (const process of this.processes()) {
       process.start();
     }
@@ -112,9 +112,9 @@
     this.scheduleFaults();
     this.scheduleCrashingRequests();
     this.scheduleEvacuations();
-    this.scheduleNeeds();
+    this.scheduleConstraints();
     this.time.at(FAULTS_END_MILLIS, () => this.endFaults());
-    this.time.at(FAULTS_END_MILLIS + RECOVERY_MILLIS, () => observeRecovery(this, WATCH_MILLIS));
+    this.time.at(FAULTS_END_MILLIS + RECOVERY_MILLIS, () => observeRecovery(this, OBSERVATION_MILLIS));
     this.time.runUntil(end, () => this.recorder.violations.length > 0);
     const hash = this.recorder.finish();
     const { violations, operations, faults } = this.recorder;
@@ -123,7 +123,7 @@
 
   isCalm(): boolean {
     const isQuiet = this.activeFaults === 0 && !this.isRepairing;
-    return isQuiet && this.time.now - this.lastFaultEnd >= IN_TOUCH_AFTER_MILLIS;
+    return isQuiet && this.time.now - this.lastFaultEnd >= CALM_AFTER_MILLIS;
   }
 
   runningSince(router: string): number {
@@ -131,21 +131,21 @@
   }
 
   isExcused(router: string): boolean {
-    const since = this.time.now - EXCUSED_MILLIS;
+    const since = this.time.now - EXCUSED_AFTER_DISTURBANCE_MILLIS;
     const isNetworkCalm = this.networkFaults === 0 && this.networkFaultEnd < since;
     return !isNetworkCalm || this.runningSince(router) >= since;
   }
 
-  /** The process of a run of a router. */
+  /** Returns the process of a router's run. */
   private routerOf(incarnation: string): SimRouter | undefined {
     return this.routers.find(({ name }) => incarnation.startsWith(`${name}/`));
   }
 
   makeClock(): ProcessClock {
     const { random } = this;
-    const rate = 1 + random.between(-SINGLE_CLOCK_RATE_ERROR, SINGLE_CLOCK_RATE_ERROR);
-    const skew = random.between(-LONGEST_SKEW_MILLIS, LONGEST_SKEW_MILLIS);
-    return new ProcessClock(this.time, random.between(0, LONGEST_OFFSET_MILLIS), rate, skew);
+    const rate = 1 + random.between(-MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR);
+    const skew = random.between(-MAX_WALL_SKEW_MILLIS, MAX_WALL_SKEW_MILLIS);
+    return new ProcessClock(this.time, random.between(0, MAX_CLOCK_OFFSET_MILLIS), rate, skew);
   }
 
   makeRandom(): Random {
@@ -162,7 +162,7 @@
     return this.markers;
   }
 
-  /** The member that leads, if one runs that says so; the one of the highest term if several do. */
+  /** Returns the running member that considers itself leader, with the highest term if there are several. */
   leader(): SimControl | undefined {
     const leaders = this.controls.filter((control) => control.leads());
     return leaders.sort((one, other) => (other.status()?.term ?? 0) - (one.status()?.term ?? 0))[0];
@@ -175,16 +175,16 @@
   raceOperators(): void {
     const subject = this.faultRandom.pick(this.sizes.services).definition.name;
     for (const operator of this.operators) {
-      operator.raceFor(subject);
+      operator.raceToChange(subject);
     }
   }
 
-  /** A server that owns keys is lost now. */
+  /** Follows the keys of a server that is lost now until they have new owners. */
   expectNewOwners(lost: SimUpstream): void {
     expectNewOwners(this, lost);
   }
 
-  /** Planned stop of a server: marked as leaving, emptied, then ended. */
+  /** Stops a server as planned: marks it as leaving, lets it drain, then ends it. */
   stopUpstream(upstream: SimUpstream): void {
     upstream.isStopping = true;
     this.firstOperator().applyUpstream(upstream, true, null);
@@ -197,7 +197,7 @@
     this.firstOperator().applyUpstream(upstream, false, null);
   }
 
-  /** Has the new replica on a machine put in the place of the one whose disk was lost. */
+  /** Replaces the replica whose disk was lost by the new one on the same machine. */
   repair(oldReplica: ReplicaId, control: SimControl, repaired: () => void): void {
     if (this.sabotage === 'replica-id-reused') {
       return;
@@ -258,57 +258,57 @@
     return this.sizes.zones[number % this.sizes.zones.length] as string;
   }
 
-  /** They begin with the faults and go on to the end. Made last, so that a run without them draws what it always drew. */
+  /** Schedules crashing requests from the fault phase to the end. Created last, so that runs without them keep their random draws. */
   private scheduleCrashingRequests(): void {
     for (let number = 1; number <= (this.options.crashingRequests ?? 0); number += 1) {
       const caller = new CrashingCaller(this, CALLERS + number);
       this.crashingCallers.push(caller);
-      this.time.at(FAULTS_FROM_MILLIS + caller.startsAfter(FAULT_WINDOW_MILLIS), () => caller.start());
+      this.time.at(FAULTS_FROM_MILLIS + caller.drawStartMillis(FAULT_WINDOW_MILLIS), () => caller.start());
     }
   }
 
-  /** Made last too, for the same reason. */
+  /** Schedules evacuations; also created last, for the same reason. */
   private scheduleEvacuations(): void {
     for (let number = 1; number <= (this.options.evacuations ?? 0); number += 1) {
       const evacuator = new EvacuatingOperator(this, OPERATORS + number);
       this.evacuators.push(evacuator);
-      this.time.at(FAULTS_FROM_MILLIS + evacuator.startsAfter(FAULT_WINDOW_MILLIS / 2), () =>
+      this.time.at(FAULTS_FROM_MILLIS + evacuator.drawStartMillis(FAULT_WINDOW_MILLIS / 2), () =>
         evacuator.start(),
       );
     }
   }
 
-  /** Drawn last, for the same reason. They begin with the faults, and aren't among them. */
-  private scheduleNeeds(): void {
+  /** Schedules upstream constraints; drawn last, for the same reason. They begin in the fault phase but don't count as faults. */
+  private scheduleConstraints(): void {
     for (let number = 1; number <= (this.options.needs ?? 0); number += 1) {
       const random = this.makeRandom();
       const at = FAULTS_FROM_MILLIS + random.between(0, FAULT_WINDOW_MILLIS / 2);
-      this.time.at(at, () => beginNeed(this, random));
+      this.time.at(at, () => beginConstraint(this, random));
     }
   }
 
   private scheduleFaults(): void {
     const plan = planFaults(this.options.faults, FAULT_WINDOW_MILLIS, this.faultRandom);
-    for (const { kind, at, lasts } of plan) {
-      this.time.at(FAULTS_FROM_MILLIS + at, () => this.inject(kind, lasts));
+    for (const { kind, at, durationMillis } of plan) {
+      this.time.at(FAULTS_FROM_MILLIS + at, () => this.inject(kind, durationMillis));
     }
   }
 
-  private inject(kind: FaultKind, lasts: number): void {
+  private inject(kind: FaultKind, durationMillis: number): void {
     const injected = kind.inject(this, this.faultRandom);
     if (injected === null) {
       return;
     }
-    const ofNetwork = NETWORK_FAULTS.includes(kind) ? 1 : 0;
+    const networkFaultCount = NETWORK_FAULTS.includes(kind) ? 1 : 0;
     this.activeFaults += 1;
-    this.networkFaults += ofNetwork;
+    this.networkFaults += networkFaultCount;
     this.recorder.fault(kind.name, injected.detail);
-    this.time.at(Math.min(this.time.now + lasts, FAULTS_END_MILLIS), () => {
+    this.time.at(Math.min(this.time.now + durationMillis, FAULTS_END_MILLIS), () => {
       injected.heal();
       this.activeFaults -= 1;
       this.lastFaultEnd = this.time.now;
-      this.networkFaults -= ofNetwork;
-      this.networkFaultEnd = ofNetwork > 0 ? this.time.now : this.networkFaultEnd;
+      this.networkFaults -= networkFaultCount;
+      this.networkFaultEnd = networkFaultCount > 0 ? this.time.now : this.networkFaultEnd;
       this.recorder.note({ healed: kind.name, at: this.time.now });
     });
   }
--- a/src/dev/sim/upstream/attempt-frame.ts
+++ b/src/dev/sim/upstream/attempt-frame.ts
@@ -1,9 +1,9 @@
-/** What goes over a connection between a router and an upstream. */
+/** Messages on a connection between a router and an upstream. */
 import type { FenceCredentials, FenceRefusal } from '../../../lease/types.js';
 import type { SendId } from '../../checker/history.js';
-import type { UpstreamNeed } from './upstream-need.js';
+import type { UpstreamConstraint } from './upstream-need.js';
 
-/** A request as a router sends it. */
+/** A request as sent by a router. */
 export interface AttemptFrame {
   readonly requestId: string;
   readonly send: SendId;
@@ -13,36 +13,36 @@
   readonly router: string;
 }
 
-/** What a head says of the upstream; left out: nothing. */
-export interface SaidInHead {
+/** The constraint that an upstream reports in the head of an answer. */
+export interface ReportedConstraint {
   /** Run of the upstream. */
   readonly incarnation: string;
-  readonly need: UpstreamNeed;
-  /** When it was said, in true time. */
+  readonly constraint: UpstreamConstraint;
+  /** True time of the report. */
   readonly at: number;
 }
 
-/** A part of an answer. `end` follows on `head`; a refusal is whole by itself. */
+/** A part of an answer. `end` follows `head`; a refusal is complete by itself. */
 export type AnswerFrame =
   | {
       readonly type: 'head';
       readonly requestId: string;
       readonly ranFor: SendId;
       readonly content: string;
-      readonly said?: SaidInHead;
+      readonly reported?: ReportedConstraint;
     }
   | { readonly type: 'end'; readonly requestId: string; readonly load: number }
   | {
       readonly type: 'refusal';
       readonly requestId: string;
       readonly refusal: FenceRefusal;
-      readonly said?: SaidInHead;
+      readonly reported?: ReportedConstraint;
     };
 
-/** Where an upstream sends its answer. */
+/** Channel for an upstream's answer. */
 export interface ReplyToAttempt {
   send(frame: AnswerFrame): void;
-  refuse(refusal: FenceRefusal, said?: SaidInHead): void;
+  refuse(refusal: FenceRefusal, reported?: ReportedConstraint): void;
   /** Closes the connection. */
   close(): void;
 }
--- a/src/dev/sim/upstream/fence-view.ts
+++ b/src/dev/sim/upstream/fence-view.ts
@@ -1,4 +1,4 @@
-/** What a fence would let in, or let take effect, if it were asked at this instant. */
+/** Inspects which requests a fence would admit, or allow to take effect, at this instant. */
 import type { GrantHolder, Ticket } from '../../../lease/index.js';
 import type { KeyMap } from '../../../lease/types.js';
 import type { Epoch, Incarnation, ShardId } from '../../../model/identifiers.js';
@@ -6,8 +6,8 @@
 import type { SabotageName } from '../sabotages.js';
 import type { AttemptFrame } from './attempt-frame.js';
 
-/** A request that was let in. */
-export interface AdmittedWork {
+/** An admitted request. */
+export interface AdmittedRequest {
   readonly frame: AttemptFrame;
   readonly ticket: Ticket | null;
   readonly aborted: boolean;
@@ -16,11 +16,11 @@
 export interface FenceViewParts {
   readonly holder: GrantHolder;
   readonly incarnation: Incarnation;
-  /** The clock that its leases count on. */
+  /** The clock by which its leases are measured. */
   readonly now: () => number;
-  /** Every key map that the server was told. */
+  /** Every key map that the server received. */
   readonly maps: ReadonlyMap<number, KeyMap>;
-  /** Shards that it was granted and didn't give up. */
+  /** Shards that were granted to it and not released. */
   readonly epochs: ReadonlyMap<ShardId, Epoch>;
   readonly sabotage: SabotageName | null;
 }
@@ -28,12 +28,12 @@
 export class FenceView {
   constructor(private readonly parts: FenceViewParts) {}
 
-  /** Epoch under which a request for the key would be let in, or one of `works` would take effect; `null`: none. */
-  epochOf(key: string, works: readonly AdmittedWork[]): Epoch | null {
-    return this.admittingEpoch(key) ?? this.effectiveEpoch(key, works);
+  /** Returns the epoch under which a request for the key would be admitted, or one of `admitted` would take effect; `null` if none. */
+  epochOf(key: string, admitted: readonly AdmittedRequest[]): Epoch | null {
+    return this.admittingEpoch(key) ?? this.effectiveEpoch(key, admitted);
   }
 
-  /** Whether a request that was let in may take effect. */
+  /** Whether an admitted request may take effect now. */
   confirms(ticket: Ticket): boolean {
     const { holder, now } = this.parts;
     return holder.confirmEffect(ticket, now());
@@ -62,7 +62,7 @@
     return admission.refusal === 'lease-over' && sabotage === 'lease-end-ignored';
   }
 
-  private effectiveEpoch(key: string, works: readonly AdmittedWork[]): Epoch | null {
+  private effectiveEpoch(key: string, works: readonly AdmittedRequest[]): Epoch | null {
     for (const { frame, ticket, aborted } of works) {
       const isOfKey = ticket !== null && frame.credentials?.key === key && !aborted;
       if (isOfKey && this.confirms(ticket)) {
--- a/src/dev/sim/upstream/observe-holders.ts
+++ b/src/dev/sim/upstream/observe-holders.ts
@@ -1,19 +1,19 @@
-/** Asks every fence at the moments at which one of them may have begun to hold a key. */
+/** Checks the fences of all peers whenever one of them may have become the holder of a key. */
 import { shardOfKey } from '../../../model/key-map.js';
 import type { World } from '../world.js';
 import type { SimUpstream } from './sim-upstream.js';
 
-/** A fence accepts more only when it was told something, so it is enough to look at what `told` holds. */
-export function observeHolders(world: World, told: SimUpstream): void {
-  const { definition, keys } = told.service;
-  const granted = new Set(told.grantedShards());
+/** Checks only the keys that `updated` holds, since a fence accepts more only after it has received a message. */
+export function observeHolders(world: World, updated: SimUpstream): void {
+  const { definition, keys } = updated.service;
+  const granted = new Set(updated.grantedShards());
   if (granted.size === 0) {
     return;
   }
-  const peers = world.upstreams.filter((upstream) => upstream.service === told.service);
+  const peers = world.upstreams.filter((upstream) => upstream.service === updated.service);
   for (const key of keys) {
-    const isTold = [...told.maps.values()].some((map) => granted.has(shardOfKey(map, key) ?? ''));
-    if (isTold) {
+    const isGranted = [...updated.maps.values()].some((map) => granted.has(shardOfKey(map, key) ?? ''));
+    if (isGranted) {
       const holders = peers.map((peer) => peer.holdingOf(key)).filter((holder) => holder !== null);
       if (holders.length > 1) {
         world.recorder.record({
--- a/src/dev/sim/upstream/send-answer.ts
+++ b/src/dev/sim/upstream/send-answer.ts
@@ -1,6 +1,6 @@
-/** Sends an upstream's answer, sometimes cut in the middle, sent twice or with another request's id. */
+/** Sends an upstream's answer, sometimes truncated, duplicated or with another request's id. */
 import type { Random } from '../random.js';
-import type { AttemptFrame, ReplyToAttempt, SaidInHead } from './attempt-frame.js';
+import type { AttemptFrame, ReplyToAttempt, ReportedConstraint } from './attempt-frame.js';
 
 export function sendAnswer(
   frame: AttemptFrame,
@@ -8,10 +8,10 @@
   random: Random,
   badShare: number,
   load: number,
-  said: SaidInHead | undefined,
+  reported: ReportedConstraint | undefined,
 ): void {
   const { requestId, send, content } = frame;
-  const head = { type: 'head', requestId, ranFor: send, content, ...(said && { said }) } as const;
+  const head = { type: 'head', requestId, ranFor: send, content, ...(reported && { reported }) } as const;
   const end = { type: 'end', requestId, load } as const;
   if (!random.chance(badShare)) {
     reply.send(head);
--- a/src/dev/sim/upstream/sim-upstream.ts
+++ b/src/dev/sim/upstream/sim-upstream.ts
@@ -1,4 +1,4 @@
-/** A server that embeds the fence: takes grants, lets requests in, works on them, and takes effect only while it may. */
+/** A server that embeds the fence: accepts grants, admits and processes requests, and applies effects only while it may. */
 import { createLeaseClock } from '../../../clock/lease-clock.js';
 import { createGrantHolder, type GrantHolder, type Ticket } from '../../../lease/index.js';
 import type { FenceCredentials, FenceRefusal, SessionAnswer, SessionRequest } from '../../../lease/types.js';
@@ -7,54 +7,54 @@
 import { SimProcess } from '../sim-process.js';
 import type { SizedService } from '../sim-sizes.js';
 import type { World } from '../world.js';
-import type { AttemptFrame, ReplyToAttempt, SaidInHead } from './attempt-frame.js';
-import { type AdmittedWork, FenceView } from './fence-view.js';
+import type { AttemptFrame, ReplyToAttempt, ReportedConstraint } from './attempt-frame.js';
+import { type AdmittedRequest, FenceView } from './fence-view.js';
 import { observeHolders } from './observe-holders.js';
 import { sendAnswer } from './send-answer.js';
-import { NO_NEED, type UpstreamNeed } from './upstream-need.js';
+import { NO_CONSTRAINT, type UpstreamConstraint } from './upstream-need.js';
 
-/** Requests that wait for a slot; more are shed. */
+/** Maximum number of requests in flight; more are shed. */
 const QUEUE_LIMIT = 20;
-/** Share of requests that take much longer than others. */
+/** Share of slow requests, and the factor on their service time. */
 const SLOW_SHARE = 0.08;
 const SLOW_FACTOR = 30;
 const WARM_MILLIS = 15;
 const STOP_CHECK_MILLIS = 10;
-/** How long after a crash under a request the next run starts. */
+/** Minimum and maximum time from a crash during a request to the next run. */
 const RESTART_AFTER_CRASH_MILLIS = [2000, 4000] as const;
-/** Ports of addresses carry the markers of changes. */
+/** Ports of addresses encode the markers of changes. */
 export const PORT_BASE = 10_000;
 
-interface Work extends AdmittedWork {
+interface PendingRequest extends AdmittedRequest {
   readonly reply: ReplyToAttempt;
   aborted: boolean;
 }
 
 export class SimUpstream extends SimProcess {
   readonly id: UpstreamId;
-  /** The machine is gone: nobody answers that the port is closed. */
+  /** Whether the whole machine is lost, so that connection attempts time out instead of being refused. */
   isSilent = false;
-  /** Share of answers that are broken: cut in the middle or sent twice. */
+  /** Share of answers that are broken: truncated, duplicated or with another request's id. */
   badAnswers = 0;
-  /** What its answers say of it. */
-  need: UpstreamNeed = NO_NEED;
-  /** This run said something of itself once. */
-  private hasSaid = false;
-  /** The last change that an operator asked for marks it as leaving or removes it. */
-  isAskedToLeave = false;
-  /** A planned stop was asked for. */
+  /** The constraint that its answers report. */
+  constraint: UpstreamConstraint = NO_CONSTRAINT;
+  /** Whether this run has reported a constraint. */
+  private hasReportedConstraint = false;
+  /** Whether the operators' last change request marks it as leaving or removes it. */
+  isDrainRequested = false;
+  /** Whether a planned stop is in progress. */
   isStopping = false;
-  /** When a request last brought a run of it down, in true time. */
+  /** True time of the last crash caused by a request. */
   crashedAt = Number.NEGATIVE_INFINITY;
   readonly maps = new Map<number, SessionRequest['keyMap'] & object>();
   private holder: GrantHolder | null = null;
   private view: FenceView | null = null;
   private incarnation: Incarnation = '';
-  /** The clock that its leases count on. */
+  /** The clock by which its leases are measured. */
   private now: () => number = () => 0;
   private readonly epochs = new Map<ShardId, Epoch>();
-  private readonly waiting: Work[] = [];
-  private readonly running = new Set<Work>();
+  private readonly waiting: PendingRequest[] = [];
+  private readonly running = new Set<PendingRequest>();
 
   constructor(
     private readonly world: World,
@@ -66,7 +66,7 @@
     this.id = `${service.definition.name}-${number}`;
   }
 
-  /** Host of its address; the port carries the marker of a change. */
+  /** Host of its address; the port encodes the marker of a change. */
   get host(): string {
     return `127.1.0.${this.number}`;
   }
@@ -79,22 +79,22 @@
     return this.waiting.length + this.running.size;
   }
 
-  /** Takes a leader's message. */
-  takeSession(request: SessionRequest): SessionAnswer | null {
+  /** Handles a session request of the leader. */
+  handleSession(request: SessionRequest): SessionAnswer | null {
     if (this.holder === null) {
       return null;
     }
-    const answer = this.holder.handleSession(this.spoil(request), this.now());
+    const answer = this.holder.handleSession(this.sabotageSession(request), this.now());
     if (answer.refused === null && request.keyMap !== null) {
       this.maps.set(request.keyMap.generation, request.keyMap);
     }
-    this.takeHolderEvents();
+    this.applyHolderEvents();
     observeHolders(this.world, this);
     return answer;
   }
 
-  /** Takes a request of a router. */
-  takeAttempt(frame: AttemptFrame, reply: ReplyToAttempt): void {
+  /** Handles a request of a router. */
+  handleAttempt(frame: AttemptFrame, reply: ReplyToAttempt): void {
     this.world.recorder.record({
       type: 'request-reached',
       at: this.time.now,
@@ -102,38 +102,38 @@
       upstream: this.id,
       isInTouch: this.world.isCalm(),
     });
-    this.noteNeedyArrival(frame);
+    this.recordConstrainedArrival(frame);
     const admitted = this.admit(frame);
     if (typeof admitted === 'string') {
-      reply.refuse(admitted, this.said());
+      reply.refuse(admitted, this.reportedConstraint());
       return;
     }
-    const work: Work = { frame, reply, ticket: admitted, aborted: false };
-    this.waiting.push(work);
+    const pending: PendingRequest = { frame, reply, ticket: admitted, aborted: false };
+    this.waiting.push(pending);
     this.startWaiting();
   }
 
-  /** The router closed the connection of this attempt. */
+  /** Marks an attempt as aborted after the router closed its connection. */
   abort(frame: AttemptFrame): void {
-    const isIts = (work: Work): boolean => work.frame === frame;
-    const work = this.waiting.find(isIts) ?? [...this.running].find(isIts);
-    if (work !== undefined) {
-      work.aborted = true;
+    const isOfFrame = (pending: PendingRequest): boolean => pending.frame === frame;
+    const pending = this.waiting.find(isOfFrame) ?? [...this.running].find(isOfFrame);
+    if (pending !== undefined) {
+      pending.aborted = true;
     }
   }
 
-  /** Shards that it was granted and didn't give up. */
+  /** Shards that were granted to it and not released. */
   grantedShards(): ShardId[] {
     return [...this.epochs.keys()];
   }
 
-  /** Whether its fence would, at this instant, let in a request for the key or let one take effect. */
+  /** Returns the holder if its fence would, at this instant, admit a request for the key or let one take effect. */
   holdingOf(key: string): KeyHolder | null {
     const epoch = this.view === null ? null : this.view.epochOf(key, [...this.waiting, ...this.running]);
     return epoch === null ? null : { upstream: this.id, incarnation: this.incarnation, epoch };
   }
 
-  /** Planned stop: ends once its shards are given up and nothing is left to do. */
+  /** Planned stop: ends the run once its shards are released and no requests are left. */
   stopWhenEmpty(): void {
     if (!this.isStopping) {
       return;
@@ -151,8 +151,8 @@
     this.incarnation = `${this.id}/${this.run}`;
     this.isSilent = false;
     this.isStopping = false;
-    this.need = NO_NEED;
-    this.hasSaid = false;
+    this.constraint = NO_CONSTRAINT;
+    this.hasReportedConstraint = false;
     const { id, incarnation, maps, epochs } = this;
     const { sabotage } = this.world;
     const holder = createGrantHolder({ cluster: null, upstream: id, incarnation });
@@ -173,15 +173,15 @@
     this.running.clear();
   }
 
-  /** What a head says now; `undefined`: nothing. */
-  private said(): SaidInHead | undefined {
-    const { need, incarnation } = this;
-    this.hasSaid ||= need !== NO_NEED;
-    return need === NO_NEED ? undefined : { incarnation, need, at: this.time.now };
+  /** Returns the constraint to report in a head now; `undefined` if there is none. */
+  private reportedConstraint(): ReportedConstraint | undefined {
+    const { constraint, incarnation } = this;
+    this.hasReportedConstraint ||= constraint !== NO_CONSTRAINT;
+    return constraint === NO_CONSTRAINT ? undefined : { incarnation, constraint, at: this.time.now };
   }
 
-  private noteNeedyArrival({ router, send }: AttemptFrame): void {
-    if (this.need === NO_NEED && !this.hasSaid) {
+  private recordConstrainedArrival({ router, send }: AttemptFrame): void {
+    if (this.constraint === NO_CONSTRAINT && !this.hasReportedConstraint) {
       return;
     }
     this.world.recorder.record({
@@ -189,7 +189,7 @@
       at: this.time.now,
       router,
       upstream: this.incarnation,
-      limitPerSecond: this.need.limitPerSecond,
+      limitPerSecond: this.constraint.limitPerSecond,
       send,
       runningSince: this.world.runningSince(router),
       isExcused: this.world.isExcused(router),
@@ -198,8 +198,8 @@
 
   private admit(frame: AttemptFrame): Ticket | null | FenceRefusal {
     const { holder } = this;
-    const isTurnedAway = this.need.restMillis !== null || this.inFlight >= QUEUE_LIMIT;
-    if (holder === null || isTurnedAway) {
+    const isRejected = this.constraint.restMillis !== null || this.inFlight >= QUEUE_LIMIT;
+    if (holder === null || isRejected) {
       return 'overloaded';
     }
     const now = this.now();
@@ -226,38 +226,38 @@
   private startWaiting(): void {
     const { slots, serviceMillis } = this.service.template;
     while (this.running.size < slots) {
-      const work = this.waiting.shift();
-      if (work === undefined) {
+      const pending = this.waiting.shift();
+      if (pending === undefined) {
         return;
       }
-      this.running.add(work);
-      if (this.world.crashing.has(work.frame.content)) {
-        this.schedule(this.random.exponential(serviceMillis), () => this.crashUnder(work));
+      this.running.add(pending);
+      if (this.world.crashingContents.has(pending.frame.content)) {
+        this.schedule(this.random.exponential(serviceMillis), () => this.crashDuring(pending));
         continue;
       }
       const mean = this.random.chance(SLOW_SHARE) ? serviceMillis * SLOW_FACTOR : serviceMillis;
-      this.schedule(this.random.exponential(mean), () => this.finish(work));
+      this.schedule(this.random.exponential(mean), () => this.finish(pending));
     }
   }
 
-  private finish(work: Work): void {
-    this.running.delete(work);
-    const { frame, reply, ticket } = work;
-    if (this.mayTakeEffect(work)) {
-      this.takeEffect(work);
-      sendAnswer(frame, reply, this.random, this.badAnswers, this.inFlight, this.said());
+  private finish(pending: PendingRequest): void {
+    this.running.delete(pending);
+    const { frame, reply, ticket } = pending;
+    if (this.mayTakeEffect(pending)) {
+      this.takeEffect(pending);
+      sendAnswer(frame, reply, this.random, this.badAnswers, this.inFlight, this.reportedConstraint());
     } else {
-      reply.refuse('lease-over', this.said());
+      reply.refuse('lease-over', this.reportedConstraint());
     }
     if (ticket !== null) {
       this.holder?.finish(ticket, this.now());
-      this.takeHolderEvents();
+      this.applyHolderEvents();
     }
     this.startWaiting();
   }
 
-  /** The request brings this run down; the next one starts some seconds later. */
-  private crashUnder({ frame }: Work): void {
+  /** Crashes this run because of the request; the next run starts some seconds later. */
+  private crashDuring({ frame }: PendingRequest): void {
     const { world, id, incarnation } = this;
     world.recorder.count('upstream crashed under a request');
     world.recorder.record({
@@ -272,7 +272,7 @@
     this.time.after(this.random.between(...RESTART_AFTER_CRASH_MILLIS), () => this.start());
   }
 
-  private mayTakeEffect({ ticket, aborted }: Work): boolean {
+  private mayTakeEffect({ ticket, aborted }: PendingRequest): boolean {
     if (aborted) {
       return false;
     }
@@ -280,7 +280,7 @@
     return ticket === null || isUnchecked || (this.view?.confirms(ticket) ?? false);
   }
 
-  private takeEffect({ frame, ticket }: Work): void {
+  private takeEffect({ frame, ticket }: PendingRequest): void {
     const { name } = this.service.definition;
     this.world.recorder.count(`ran ${name}`);
     this.world.recorder.record({
@@ -294,7 +294,7 @@
     });
   }
 
-  private takeHolderEvents(): void {
+  private applyHolderEvents(): void {
     const { holder, world } = this;
     for (const event of holder?.takeEvents() ?? []) {
       switch (event.type) {
@@ -314,7 +314,7 @@
     }
   }
 
-  private spoil(request: SessionRequest): SessionRequest {
+  private sabotageSession(request: SessionRequest): SessionRequest {
     if (this.world.sabotage !== 'lease-from-receipt' || request.validUntil === null) {
       return request;
     }
@@ -322,5 +322,5 @@
   }
 }
 
-/** Length of the lease that `lease-from-receipt` counts. */
+/** Lease length that the sabotage `lease-from-receipt` assumes. */
 const LEASE_MILLIS = 1500;
--- a/src/dev/sim/upstream/upstream-need.ts
+++ b/src/dev/sim/upstream/upstream-need.ts
@@ -1,54 +1,60 @@
-/** Upstreams that come into need and say so in their answers. Each says something else, and stops saying it some time later. */
+/** Upstreams that report a constraint in their answers. The constraint is redrawn once and ends some time later. */
 import type { Random } from '../random.js';
 import type { World } from '../world.js';
 import type { SimUpstream } from './sim-upstream.js';
 
-/** What an upstream says in the head of each answer; `null`: nothing of the kind. */
-export interface UpstreamNeed {
+/** Constraint that an upstream reports in the head of each answer; `null`: no limit or no back-off. */
+export interface UpstreamConstraint {
   readonly limitPerSecond: number | null;
-  /** It turns each request away, and asks for so much rest. */
+  /** Back-off that it requests while it rejects every request. */
   readonly restMillis: number | null;
-  /** It leaves: it says so until its run ends. */
+  /** Whether it is draining, which it reports until its run ends. */
   readonly isLeaving: boolean;
 }
 
-export const NO_NEED: UpstreamNeed = { limitPerSecond: null, restMillis: null, isLeaving: false };
+export const NO_CONSTRAINT: UpstreamConstraint = { limitPerSecond: null, restMillis: null, isLeaving: false };
 
-/** How long a need lasts, and when it changes, as a share of that. */
-const LASTS_MILLIS = [5000, 9000] as const;
-const CHANGES_AT_SHARE = 0.6;
+/** Duration of a constraint, and the share of it after which the constraint changes. */
+const DURATION_MILLIS = [5000, 9000] as const;
+const CHANGE_AT_SHARE = 0.6;
 const LIMIT_PER_SECOND = [0.2, 1.5] as const;
-const REST_MILLIS = [1500, 4000] as const;
+const BACKOFF_MILLIS = [1500, 4000] as const;
 
-/** Draws what is said. */
-const NEEDS: readonly ((random: Random) => UpstreamNeed)[] = [
-  (random) => ({ ...NO_NEED, limitPerSecond: random.between(...LIMIT_PER_SECOND) }),
-  (random) => ({ ...NO_NEED, restMillis: random.between(...REST_MILLIS) }),
-  () => ({ ...NO_NEED, isLeaving: true }),
+/** Draws of the possible constraints. */
+const CONSTRAINT_DRAWS: readonly ((random: Random) => UpstreamConstraint)[] = [
+  (random) => ({ ...NO_CONSTRAINT, limitPerSecond: random.between(...LIMIT_PER_SECOND) }),
+  (random) => ({ ...NO_CONSTRAINT, restMillis: random.between(...BACKOFF_MILLIS) }),
+  () => ({ ...NO_CONSTRAINT, isLeaving: true }),
 ];
 
-/** Begins one need, drawn from random numbers of its own. */
-export function beginNeed(world: World, random: Random): void {
-  const candidates = world.upstreams.filter(({ state, need }) => state === 'running' && need === NO_NEED);
+/** Begins one constraint, drawn from its own random stream. */
+export function beginConstraint(world: World, random: Random): void {
+  const candidates = world.upstreams.filter(
+    ({ state, constraint }) => state === 'running' && constraint === NO_CONSTRAINT,
+  );
   if (candidates.length === 0) {
     return;
   }
   const upstream = random.pick(candidates);
-  // An upstream with keys says in its session that it leaves.
-  const draw = random.pick(upstream.service.definition.keyed ? NEEDS.slice(0, -1) : NEEDS);
-  const lasts = random.between(...LASTS_MILLIS);
+  // An upstream with keys reports in its session that it is draining.
+  const draw = random.pick(
+    upstream.service.definition.keyed ? CONSTRAINT_DRAWS.slice(0, -1) : CONSTRAINT_DRAWS,
+  );
+  const durationMillis = random.between(...DURATION_MILLIS);
   const { run } = upstream;
-  // A run that ended meanwhile took its need with it.
-  const say = (need: UpstreamNeed): void => {
-    upstream.need = upstream.run === run ? need : upstream.need;
+  // The constraint ends with its run.
+  const setConstraint = (constraint: UpstreamConstraint): void => {
+    upstream.constraint = upstream.run === run ? constraint : upstream.constraint;
   };
   world.recorder.count('upstream in need');
-  say(draw(random));
-  world.time.after(lasts * CHANGES_AT_SHARE, () => say(draw(random)));
-  world.time.after(lasts, () => (upstream.need.isLeaving ? endRun(upstream, run) : say(NO_NEED)));
+  setConstraint(draw(random));
+  world.time.after(durationMillis * CHANGE_AT_SHARE, () => setConstraint(draw(random)));
+  world.time.after(durationMillis, () =>
+    upstream.constraint.isLeaving ? endRun(upstream, run) : setConstraint(NO_CONSTRAINT),
+  );
 }
 
-/** One that said that it leaves ends, and its next run says nothing. */
+/** Restarts an upstream that reported that it is draining; its next run reports no constraint. */
 function endRun(upstream: SimUpstream, run: number): void {
   if (upstream.run === run) {
     upstream.crash();
--- a/src/dev/sim/world.ts
+++ b/src/dev/sim/world.ts
@@ -1,4 +1,4 @@
-/** What all parts of one simulation share. */
+/** State and services shared by all parts of one simulation. */
 
 import type { EventQueue } from '../virtual/event-queue.js';
 import type { SimControl } from './control/sim-control.js';
@@ -20,24 +20,24 @@
   readonly controls: SimControl[];
   readonly routers: SimRouter[];
   readonly upstreams: SimUpstream[];
-  /** Stream of random numbers of the faults. */
+  /** Random stream of the faults. */
   readonly faultRandom: Random;
-  /** Contents of requests that end the run of each upstream that begins to work on them. */
-  readonly crashing: Set<string>;
-  /** Zones that an operator has asked to be out of use, until it was told that they are in use again. */
-  readonly zonesOut: Set<string>;
-  /** Whether nothing but such requests has disturbed any process or link lately. */
+  /** Contents of requests that crash each upstream that begins to process them. */
+  readonly crashingContents: Set<string>;
+  /** Zones from the request to evacuate them until their restoration is confirmed. */
+  readonly evacuatedZones: Set<string>;
+  /** Whether no fault has disturbed any process or link recently; crashing requests don't count. */
   isCalm(): boolean;
-  /** Since when the process of a run of a router has run without a pause, in true time. */
+  /** True time since which the process of a router's run has run without a pause. */
   runningSince(router: string): number;
-  /** Whether a run of a router, or the network, was disturbed lately. */
+  /** Whether a router's run or the network was disturbed recently. */
   isExcused(router: string): boolean;
-  /** A clock with an offset, a rate error and a skew of its own. */
+  /** Creates a clock with its own offset, rate error and skew. */
   makeClock(): ProcessClock;
-  /** A stream of random numbers of its own. */
+  /** Creates an independent random stream. */
   makeRandom(): Random;
-  /** A number that nothing else in this run has. */
+  /** Returns a number that is unique within this run. */
   nextNumber(): number;
-  /** A small number that no other change of this run has. */
+  /** Returns a small number that is unique among the changes of this run. */
   nextMarker(): number;
 }
--- a/src/dev/virtual/event-queue.ts
+++ b/src/dev/virtual/event-queue.ts
@@ -1,4 +1,4 @@
-/** A virtual clock: actions run in the order of their times; equal times in the order they were set. */
+/** A virtual clock: actions run in order of time; those of the same time in the order in which they were scheduled. */
 
 interface ScheduledAction {
   readonly at: number;
@@ -7,21 +7,21 @@
   cancelled: boolean;
 }
 
-/** Takes back an action that hasn't run. */
+/** Cancels an action that hasn't run yet. */
 export type CancelAction = () => void;
 
-/** A binary heap of actions with the clock that they advance. Times in milliseconds. */
+/** A binary heap of actions and the clock that they advance. Times are in milliseconds. */
 export class EventQueue {
   private readonly heap: ScheduledAction[] = [];
   private nextOrder = 0;
   private clock = 0;
 
-  /** Virtual time now. */
+  /** Current virtual time. */
   get now(): number {
     return this.clock;
   }
 
-  /** Runs `action` at `time`, or now if that is past. */
+  /** Schedules `run` at `time`, or at the current time if that is past. */
   at(time: number, run: () => void): CancelAction {
     const scheduled = { at: Math.max(time, this.clock), order: this.nextOrder, run, cancelled: false };
     this.nextOrder += 1;
@@ -32,12 +32,12 @@
     };
   }
 
-  /** Runs `action` after `delay`. */
+  /** Schedules `run` after `delay`. */
   after(delay: number, run: () => void): CancelAction {
     return this.at(this.clock + delay, run);
   }
 
-  /** Runs all actions due up to and including `end`, then sets the clock to it; or stops where `isOver` says so. */
+  /** Runs all actions due up to and including `end`, then sets the clock to it; stops earlier once `isOver` returns `true`. */
   runUntil(end: number, isOver: () => boolean = () => false): void {
     for (let next = this.heap[0]; next !== undefined && next.at <= end; next = this.heap[0]) {
       this.removeFirst();
--- a/src/dev/virtual/random-source.ts
+++ b/src/dev/virtual/random-source.ts
@@ -1,4 +1,4 @@
-/** Seeded random numbers and the distributions that load models need, over `pure-rand`. */
+/** Seeded random numbers and distributions for load models, based on `pure-rand`. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -11,29 +11,29 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** A number from 0 up to, not including, 1. */
+  /** Returns a number from 0 (included) to 1 (excluded). */
   fraction(): number {
     return uniformFloat64(this.generator);
   }
 
-  /** A whole number from 0 up to, not including, `count`. */
+  /** Returns an integer from 0 (included) to `count` (excluded). */
   below(count: number): number {
     return uniformInt(this.generator, 0, count - 1);
   }
 
-  /** Exponentially distributed with this mean: gaps of a Poisson process, service times. */
+  /** Returns an exponentially distributed number with this mean, as for gaps of a Poisson process or service times. */
   exponential(mean: number): number {
     return -mean * Math.log(1 - this.fraction());
   }
 
-  /** Log-normal with this mean; `sigma` is the spread of its logarithm. */
+  /** Returns a log-normally distributed number with this mean; `sigma` is the standard deviation of its logarithm. */
   logNormal(mean: number, sigma: number): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.fraction()));
     const normal = radius * Math.cos(2 * Math.PI * this.fraction());
     return mean * Math.exp(sigma * normal - (sigma * sigma) / 2);
   }
 
-  /** One of the items. */
+  /** Returns one of the items. */
   pick<Item>(items: readonly Item[]): Item {
     return items[this.below(items.length)] as Item;
   }
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Share of all draws that rank 0 takes. */
+  /** Probability of rank 0. */
   firstShare(): number {
     return (this.cumulative[0] ?? 1) / this.total();
   }
--- a/test/dev/event-queue.test.ts
+++ b/test/dev/event-queue.test.ts
@@ -3,7 +3,7 @@
 import { RandomSource, ZipfDistribution } from '../../src/dev/virtual/random-source.js';
 
 describe('event queue', () => {
-  it('runs actions by time, then by order of setting, and leaves later ones', () => {
+  it('runs actions by time, then by order of scheduling, and keeps later ones', () => {
     const queue = new EventQueue();
     const random = new RandomSource(1);
     const seen: number[] = [];
@@ -17,7 +17,7 @@
     expect(queue.now).to.equal(55);
   });
 
-  it('leaves out what was cancelled, and stops where it is told to', () => {
+  it('skips cancelled actions, and stops when the condition is met', () => {
     const queue = new EventQueue();
     const seen: number[] = [];
     const cancel = queue.at(1, () => seen.push(1));
@@ -32,7 +32,7 @@
 });
 
 describe('zipf distribution', () => {
-  it('draws the first rank by its share', () => {
+  it('draws the first rank with its probability', () => {
     const zipf = new ZipfDistribution(100, 1);
     const random = new RandomSource(7);
     const draws = Array.from({ length: 20_000 }, () => zipf.draw(random));
--- a/test/dev/journal/journal-tail.test.ts
+++ b/test/dev/journal/journal-tail.test.ts
@@ -15,7 +15,7 @@
     rmSync(folder, { recursive: true });
   });
 
-  it('gives each record once, and a line only when it is complete', () => {
+  it('returns each record once, and a line only when it is complete', () => {
     const file = join(folder, 'j.jsonl');
     const tail = new JournalTail(file);
     expect(tail.read()).to.deep.equal([]);
--- a/test/dev/sim/random.test.ts
+++ b/test/dev/sim/random.test.ts
@@ -2,7 +2,7 @@
 import { Random } from '../../../src/dev/sim/random.js';
 
 describe('random numbers of simulations', () => {
-  it('give even chances over seeds from the first number on', () => {
+  it('are uniform across seeds from the first number on', () => {
     const seeds = Array.from({ length: 400 }, (_, seed) => seed);
     const forked = seeds.filter((seed) => new Random(seed).fork().chance(0.5));
     expect(forked.length).to.be.within(150, 250);
--- a/test/sim/crashing-requests.test.ts
+++ b/test/sim/crashing-requests.test.ts
@@ -1,10 +1,8 @@
 /**
- * What users saw: upstreams of one service ended one after the other, fourteen in eight seconds, each back some three seconds
- * later; one in ten reads wasn't served. In order: one request came, the upstream that began to run it crashed, the router told its
- * caller 502 after a second try on the next owner, which crashed too; the same request came again at another router, which knew nothing
- * of it. Cause: nothing but the work of a single arrival remembered what had become of a request, so every arrival at every router
- * began anew. Evidence: of the tries later than 3 s after the third crash most were first tries, from four routers, by
- * configurations confirmed less than 0.3 s before; no refusal had to do with the request itself.
+ * Guards against one request that crashes upstream after upstream (fourteen in eight seconds, each back some three seconds later, while
+ * one in ten reads failed). The router answered 502 after a second attempt, which crashed the next owner too; the same request then
+ * arrived at another router, which had no record of the crashes, so every arrival at every router started anew: more than 3 s after the
+ * third crash, most attempts were first attempts, from four routers with configurations confirmed less than 0.3 s before.
  */
 import { expect } from 'chai';
 import { FAULT_KINDS } from '../../src/dev/sim/faults/fault-plan.js';
@@ -25,8 +23,8 @@
   return new Simulation({ seed, sizes, faults, crashingRequests, sabotage: null, trace: null }).run();
 }
 
-describe('a request that crashes whoever runs it', () => {
-  it('ends no more upstreams once it has ended three, and in-touch routers know', () => {
+describe('a request that crashes each upstream that runs it', () => {
+  it('crashes no more upstreams after three crashes that connected routers have been informed of', () => {
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       const { violations, operations } = simulate('recife', seed, [], 2);
       expect(violations, `seed ${seed}`).to.deep.equal([]);
