--- a/test/sim/evacuations.test.ts
+++ b/test/sim/evacuations.test.ts
@@ -1,4 +1,4 @@
-/** Zones are taken out of use and given back while everything else happens that may. */
+/** Zones are evacuated and restored under all kinds of faults. */
 import { expect } from 'chai';
 import { FAULT_KINDS } from '../../src/dev/sim/faults/fault-plan.js';
 import { SUSPENSIONS } from '../../src/dev/sim/faults/suspensions.js';
@@ -6,15 +6,15 @@
 import { Simulation } from '../../src/dev/sim/simulation.js';
 import { loadDeployment } from '../../src/settings/deployment.js';
 
-/** Seeds of one run; more by the environment variable `TERNMOUNT_SEEDS`. */
+/** Number of seeds; the environment variable `TERNMOUNT_SEEDS` sets another. */
 const SEEDS = Number(process.env.TERNMOUNT_SEEDS ?? 6);
 
-/** In colombo the last owner in a zone that is in use is lost there: nobody may own its keys until a zone is given back. */
+/** In colombo the last owner in a zone that isn't evacuated is lost under this seed: no upstream may own its keys until a zone is restored. */
 const LOST_OWNER_SEED = 35;
 
 describe('evacuations of zones under faults', () => {
   for (const deployment of ['colombo', 'recife']) {
-    it(`send nothing new to a zone that is out of use: ${deployment}`, () => {
+    it(`send no new requests to an evacuated zone: ${deployment}`, () => {
       const sizes = shrinkDeployment(loadDeployment(`deployments/${deployment}.yaml`));
       let evacuated = 0;
       for (const seed of [...Array.from({ length: SEEDS }, (_, index) => index + 1), LOST_OWNER_SEED]) {
--- a/test/sim/needs.test.ts
+++ b/test/sim/needs.test.ts
@@ -1,4 +1,4 @@
-/** Upstreams say that they are in need while everything else happens that may. */
+/** Upstreams report constraints, without faults and under all kinds of faults. */
 import { expect } from 'chai';
 import { FAULT_KINDS } from '../../src/dev/sim/faults/fault-plan.js';
 import { SUSPENSIONS } from '../../src/dev/sim/faults/suspensions.js';
@@ -6,17 +6,17 @@
 import { Simulation } from '../../src/dev/sim/simulation.js';
 import { loadDeployment } from '../../src/settings/deployment.js';
 
-/** Seeds of one run; more by the environment variable `TERNMOUNT_SEEDS`. */
+/** Number of seeds; the environment variable `TERNMOUNT_SEEDS` sets another. */
 const SEEDS = Number(process.env.TERNMOUNT_SEEDS ?? 4);
 const FIRST_SEED = Number(process.env.TERNMOUNT_FIRST_SEED ?? 1);
 
-describe('upstreams in need', () => {
+describe('upstreams with constraints', () => {
   for (const deployment of ['colombo', 'recife']) {
     for (const [name, faults] of [
       ['without faults', []],
       ['under faults', [...FAULT_KINDS, ...SUSPENSIONS]],
     ] as const) {
-      it(`get what they say that they take, ${name}: ${deployment}`, () => {
+      it(`receive no more than they report that they accept, ${name}: ${deployment}`, () => {
         const sizes = shrinkDeployment(loadDeployment(`deployments/${deployment}.yaml`));
         let inNeed = 0;
         for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed += 1) {
--- a/test/sim/sabotages.test.ts
+++ b/test/sim/sabotages.test.ts
@@ -7,7 +7,7 @@
 import { shrinkDeployment } from '../../src/dev/sim/sim-sizes.js';
 import { loadDeployment } from '../../src/settings/deployment.js';
 
-/** Seeds from which each sabotage must be caught. */
+/** Range of seeds within which each sabotage must be caught. */
 const FIRST_SEED = 1;
 const LAST_SEED = 40;
 
@@ -21,7 +21,7 @@
     });
   }
 
-  it('stand for every promise', () => {
+  it('cover every promise', () => {
     const broken = SABOTAGE_NAMES.map((name) => SABOTAGES[name].promise);
     expect(broken).to.include.members([...PROMISES]);
   });
--- a/test/sim/simulation.test.ts
+++ b/test/sim/simulation.test.ts
@@ -4,9 +4,9 @@
 import { Simulation, type SimulationResult } from '../../src/dev/sim/simulation.js';
 import { loadDeployment } from '../../src/settings/deployment.js';
 
-/** Seeds that CI runs for each deployment; more run by hand, see docs/PROOF.md. */
+/** Number of seeds per deployment in CI; more are run manually, see docs/PROOF.md. */
 const SEEDS = 12;
-/** Operations that a run must have seen, or it proved nothing. */
+/** Operations that must occur in a run for its result to be meaningful. */
 const EXPECTED_OPERATIONS = [
   'change accepted',
   'change accepted in force',
@@ -34,7 +34,7 @@
     }
   }
 
-  /** A key stayed without service after its owner and the leader were lost: docs/PROOF.md, "Runs". */
+  /** Seeds in which a key stayed unserved after the loss of its owner and the leader: docs/PROOF.md, "Runs". */
   for (const seed of [842, 1847]) {
     it(`serves keys again within 3 s of the loss of owner and leader (colombo, seed ${seed})`, () => {
       const { violations, faults } = simulate('colombo', seed);
--- a/test/sim/suspensions.test.ts
+++ b/test/sim/suspensions.test.ts
@@ -1,6 +1,6 @@
 /**
- * A machine that was suspended goes on with its monotonic clock where it stopped, so a lease that it holds seems to run on, although the
- * others waited it out and gave its keys to somebody else. Here each fault is such a suspension; the promises are those of any other run.
+ * The monotonic clock of a suspended machine continues where it stopped, so a lease that it holds seems valid although the others
+ * waited until its end and granted its keys to another upstream. Each run keeps all promises under suspensions, alone and with other faults.
  */
 import { expect } from 'chai';
 import { FAULT_KINDS } from '../../src/dev/sim/faults/fault-plan.js';
@@ -14,7 +14,7 @@
 describe('machines that are suspended', () => {
   for (const deployment of ['colombo', 'recife']) {
     const sizes = shrinkDeployment(loadDeployment(`deployments/${deployment}.yaml`));
-    // Each seed by itself: ten together take 32 s beside other work, and more than the minute that a test has at twice as many processes as cores.
+    // One test per seed: ten seeds take 32 s on a busy machine, and exceed the one-minute test timeout at twice as many processes as cores.
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       it(`keep every promise (${deployment}, seed ${seed})`, () => {
         const run = { seed, sizes, sabotage: null, trace: null };
