--- a/src/dev/journal/records.ts
+++ b/src/dev/journal/records.ts
@@ -58,7 +58,7 @@
   readonly isLeaving: boolean;
 }
 
-interface NeedRecordBase extends RecordBase, SaidNeed {
+interface ConstraintRecordBase extends RecordBase, SaidNeed {
   readonly upstream: UpstreamId;
   readonly incarnation: Incarnation;
   /** The router's id of the request. */
@@ -66,13 +66,13 @@
 }
 
 /** A request arrived at a stand-in that reports a constraint, or reported one before. */
-export interface NeedyArrivalRecord extends NeedRecordBase {
+export interface NeedyArrivalRecord extends ConstraintRecordBase {
   readonly type: 'needy-arrival';
   /** The caller's own id of the request. */
   readonly request: string;
 }
 /** An answer that reports a constraint was written to its connection. */
-export interface NeedSaidRecord extends NeedRecordBase {
+export interface NeedSaidRecord extends ConstraintRecordBase {
   readonly type: 'need-said';
 }
 
--- a/test/sim/crashing-requests.test.ts
+++ b/test/sim/crashing-requests.test.ts
@@ -2,7 +2,8 @@
  * Guards against one request that crashes upstream after upstream (fourteen in eight seconds, each back some three seconds later, while
  * one in ten reads failed). The router answered 502 after a second attempt, which crashed the next owner too; the same request then
  * arrived at another router, which had no record of the crashes, so every arrival at every router started anew: more than 3 s after the
- * third crash, most attempts were first attempts, from four routers with configurations confirmed less than 0.3 s before.
+ * third crash, most attempts were first attempts, from four routers with configurations confirmed less than 0.3 s
+ * before, and no refusal was due to the request itself.
  */
 import { expect } from 'chai';
 import { FAULT_KINDS } from '../../src/dev/sim/faults/fault-plan.js';
@@ -24,7 +25,7 @@
 }
 
 describe('a request that crashes each upstream that runs it', () => {
-  it('crashes no more upstreams after three crashes that connected routers have been informed of', () => {
+  it('crashes no more upstreams once connected routers have learned of three crashes', () => {
     for (let seed = 1; seed <= SEEDS; seed += 1) {
       const { violations, operations } = simulate('recife', seed, [], 2);
       expect(violations, `seed ${seed}`).to.deep.equal([]);
