--- a/src/dev/commands/bench.ts
+++ b/src/dev/commands/bench.ts
@@ -11,7 +11,7 @@
 
 const DEFAULT_SEEDS = 5;
 const DEFAULT_FOLDER = 'build/bench';
-/** From `build/src/dev/commands`. */
+/** Relative to `build/src/dev/commands`. */
 const DEPLOYMENTS = new URL('../../../../deployments/', import.meta.url);
 
 interface BenchOptions {
@@ -21,7 +21,7 @@
   readonly out: string;
 }
 
-/** No experiment of this name. */
+/** There is no experiment of this name. */
 class UnknownExperimentError extends TernmountError {
   constructor(name: string, known: Iterable<string>) {
     const message = `unknown experiment ${name}: expected one of ${[...known].join(', ')}`;
@@ -29,7 +29,7 @@
   }
 }
 
-/** A file, or the name of one of the deployments that come with the project. */
+/** Path of a deployment file, given as a path or as the name of a deployment of the project. */
 function deploymentPath(given: string): string {
   return existsSync(given) ? given : fileURLToPath(new URL(`${given}.yaml`, DEPLOYMENTS));
 }
@@ -68,11 +68,11 @@
 export const command: DevCommand = {
   register(cli: CAC): void {
     cli
-      .command('bench [experiment]', 'Run an experiment of the bench; without a name: list them')
-      .option('--deployment <file>', "Deployment file or name; the experiment's own if left out")
+      .command('bench [experiment]', 'Run an experiment of the bench; without a name, list the experiments')
+      .option('--deployment <file>', "Deployment file or name; default: the experiment's own")
       .option('--seed <number>', 'First seed', { default: 1 })
       .option('--seeds <number>', 'Number of seeds', { default: DEFAULT_SEEDS })
-      .option('--out <folder>', 'Where the table, JSON and SVG go', { default: DEFAULT_FOLDER })
+      .option('--out <folder>', 'Folder for the table, JSON and SVG', { default: DEFAULT_FOLDER })
       .action((experiment: string | undefined, options: BenchOptions) => bench(experiment, options));
   },
 };
--- a/src/dev/commands/dev-command.ts
+++ b/src/dev/commands/dev-command.ts
@@ -1,4 +1,4 @@
-/** What each file of this folder exports as `command`; `main.ts` finds them by itself. */
+/** Interface of the `command` that each file of this folder exports; `dev-cli.ts` loads every such file. */
 import type { CAC } from 'cac';
 
 /** One command of `ternmount-dev`. */
--- a/src/dev/commands/fleet.ts
+++ b/src/dev/commands/fleet.ts
@@ -1,4 +1,4 @@
-/** `ternmount-dev fleet` and `ternmount-dev demo`: a whole fleet of real processes under load, with faults. */
+/** `ternmount-dev fleet` and `ternmount-dev demo`: a fleet of real processes under load, with faults. */
 import { existsSync, mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -7,7 +7,7 @@
 import { loadDeployment } from '../../settings/deployment.js';
 import { parseFaults } from '../fleet/fault-schedule.js';
 import { runEach } from '../fleet/fault-table.js';
-import { killOwners, killsSeconds } from '../fleet/faults/kill-owners.js';
+import { killOwners, secondsForKills } from '../fleet/faults/kill-owners.js';
 import { FLEET_DEFAULTS, type FleetOptions } from '../fleet/fleet-options.js';
 import { runFleet } from '../fleet/fleet-run.js';
 import { NAMED_FAULTS } from '../fleet/named-faults.js';
@@ -17,12 +17,12 @@
 import type { DevCommand } from './dev-command.js';
 
 const DEPLOYMENTS_FOLDER = fileURLToPath(new URL('../../../../deployments/', import.meta.url));
-/** What `demo` does to the fleet. */
+/** Faults of `demo`. */
 const DEMO_FAULTS = 'kill:owner@5+4,kill:leader@11+3,drain:owner@13+5';
 const EXIT_FAILED = 1;
 const EXIT_INTERRUPTED = 130;
 
-/** Options as the command line has them. */
+/** Options as parsed from the command line. */
 interface FleetFlags {
   readonly deployment: string;
   readonly seconds: string;
@@ -40,17 +40,17 @@
   readonly each?: boolean;
 }
 
-/** A deployment by its name, or a file. */
-function findDeployment(name: string): string {
+/** Path of a deployment file, given as a path or as the name of a deployment of the project. */
+function deploymentPath(name: string): string {
   const known = join(DEPLOYMENTS_FOLDER, `${name}.yaml`);
   return existsSync(known) ? known : name;
 }
 
 function readOptions(flags: FleetFlags, folder: string, network: number): FleetOptions {
-  const seconds = Math.max(Number(flags.seconds), killsSeconds(Number(flags.kills)));
+  const seconds = Math.max(Number(flags.seconds), secondsForKills(Number(flags.kills)));
   return {
     ...FLEET_DEFAULTS,
-    deployment: loadDeployment(findDeployment(flags.deployment)),
+    deployment: loadDeployment(deploymentPath(flags.deployment)),
     seconds,
     faults: parseFaults(flags.faults, seconds),
     folder,
@@ -64,7 +64,7 @@
   };
 }
 
-/** A signal that SIGINT, SIGTERM and SIGHUP abort. */
+/** Returns a signal that is aborted on SIGINT, SIGTERM or SIGHUP. */
 function stopSignal(): AbortSignal {
   const aborter = new AbortController();
   for (const name of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) {
@@ -83,7 +83,7 @@
   }
 }
 
-/** One fleet from start to end; `verbose` shows its progress and its report. */
+/** Runs one fleet from start to end; `verbose` prints its progress and its report. */
 async function runOnce(flags: FleetFlags, signal: AbortSignal, verbose: boolean): Promise<FleetReport> {
   const reservation = await reserveNetwork(Number(flags.network));
   const folder = flags.keep ?? mkdtempSync(join(tmpdir(), 'ternmount-fleet-'));
@@ -107,10 +107,10 @@
   }
 }
 
-/** Each fault of the list, or of the table, in a fleet of its own. */
+/** Runs each fault of `--faults`, or each named fault if there are none, in a separate fleet. */
 function runFaults(flags: FleetFlags, signal: AbortSignal): Promise<boolean> {
-  const given = flags.faults.split(',').filter((fault) => fault !== '');
-  const faults = given.length > 0 ? given : Object.keys(NAMED_FAULTS);
+  const requested = flags.faults.split(',').filter((fault) => fault !== '');
+  const faults = requested.length > 0 ? requested : Object.keys(NAMED_FAULTS);
   const runOne = (fault: string): Promise<FleetReport> => {
     const keep = flags.keep === undefined ? {} : { keep: join(flags.keep, fault) };
     return runOnce({ ...flags, ...keep, faults: fault }, signal, false);
@@ -118,7 +118,7 @@
   return runEach(faults, runOne, signal, write);
 }
 
-/** Sets the exit status: 0 only if each promise held and enough happened to say so. */
+/** Sets the exit status: 0 only if every promise held and the run provided enough evidence. */
 async function run(flags: FleetFlags): Promise<void> {
   if (flags.listFaults) {
     listFaults();
@@ -132,7 +132,7 @@
     if (!signal.aborted) {
       throw thrown;
     }
-    write('stopped before the end; every process was stopped');
+    write('interrupted; every process was stopped');
     process.exitCode = EXIT_INTERRUPTED;
   }
 }
@@ -141,29 +141,33 @@
   cli
     .command(name, summary)
     .option('--deployment <name>', 'colombo, recife or a file', { default: 'colombo' })
-    .option('--seconds <number>', 'Length of the load', { default: FLEET_DEFAULTS.seconds })
-    .option('--faults <list>', 'Faults by name or as TYPE:TARGET@T+D, with commas', { default: faults })
-    .option('--each', 'Each fault of the list (default: each that has a name) in a fleet of its own')
-    .option('--list-faults', 'List the faults that have names')
-    .option('--rate-scale <number>', "Part of the deployment's request rate", {
+    .option('--seconds <number>', 'Duration of the load', { default: FLEET_DEFAULTS.seconds })
+    .option('--faults <list>', 'Faults by name or as TYPE:TARGET@T+D, comma-separated', { default: faults })
+    .option('--each', 'Run each fault of the list (default: every named fault) in a separate fleet')
+    .option('--list-faults', 'List the named faults')
+    .option('--rate-scale <number>', "Fraction of the deployment's request rate", {
       default: FLEET_DEFAULTS.rateScale,
     })
-    .option('--network <number>', 'Second number of the 127.x addresses; the next free one is taken', {
+    .option('--network <number>', 'Second octet of the 127.x addresses; the next free one is used', {
       default: FLEET_DEFAULTS.network,
     })
-    .option('--kills <number>', 'Kill an owner this many times, one after the other, under the load', {
+    .option('--kills <number>', 'Kill an owner this many times in succession under load', {
       default: 0,
     })
-    .option('--pipelining <number>', 'Reads that half of the callers send behind one another', {
+    .option('--pipelining <number>', 'Reads that half of the callers pipeline on a connection', {
       default: FLEET_DEFAULTS.pipelining,
     })
-    .option('--leaving <share>', 'Share of the reads whose caller goes away before the answer', {
+    .option('--leaving <share>', 'Share of the reads whose caller disconnects before the answer', {
       default: FLEET_DEFAULTS.leaveShare,
     })
-    .option('--speeds <list>', "Speeds of a service's upstreams, in turn, with commas", {
-      default: FLEET_DEFAULTS.speeds.join(','),
-    })
-    .option('--profile <folder>', 'Each process leaves a processor profile here')
+    .option(
+      '--speeds <list>',
+      "Speed factors of a service's upstreams, assigned cyclically, comma-separated",
+      {
+        default: FLEET_DEFAULTS.speeds.join(','),
+      },
+    )
+    .option('--profile <folder>', 'Write a CPU profile of each process here')
     .option('--seed <number>', 'Seed of the load', { default: FLEET_DEFAULTS.seed })
     .option('--keep <folder>', 'Keep journals, logs and data here')
     .action(run);
@@ -171,11 +175,11 @@
 
 export const command: DevCommand = {
   register(cli: CAC): void {
-    register(cli, 'fleet', 'Run a whole fleet of real processes under load, with faults', '');
+    register(cli, 'fleet', 'Run a fleet of real processes under load, with faults', '');
     register(
       cli,
       'demo',
-      'Run the rush, kill an owner and the control leader, check the promises',
+      'Run the load, kill an owner and the control leader, check the promises',
       DEMO_FAULTS,
     );
   },
--- a/src/dev/commands/scale-command.ts
+++ b/src/dev/commands/scale-command.ts
@@ -1,4 +1,4 @@
-/** `ternmount-dev scale`: hollow routers and upstreams beside real control members and a few real routers. */
+/** `ternmount-dev scale`: simulated routers and upstreams with real control members and a few real routers. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import type { CAC } from 'cac';
@@ -12,7 +12,7 @@
   readonly seconds: number;
   readonly election?: number;
   readonly out?: string;
-  /** Folder for processor profiles of the control members. */
+  /** Folder for CPU profiles of the control members. */
   readonly profile?: string;
 }
 
@@ -40,14 +40,14 @@
     cli
       .command(
         'scale',
-        'Measure control traffic at a size: hollow routers and upstreams, real control members',
+        'Measure control traffic at a given size: simulated routers and upstreams, real control members',
       )
-      .option('--daemons <count>', 'Control members and routers together', { default: 300 })
-      .option('--shards <count>', 'Shards; one upstream server for each 75', { default: 22_500 })
-      .option('--seconds <count>', 'Length of the steady state', { default: 8 })
-      .option('--election <ms>', "Election timeout of the control members, if not the daemon's own")
+      .option('--daemons <count>', 'Number of control members and routers together', { default: 300 })
+      .option('--shards <count>', 'Number of shards; one upstream server for each 75', { default: 22_500 })
+      .option('--seconds <count>', 'Duration of the steady state', { default: 8 })
+      .option('--election <ms>', "Election timeout of the control members; default: the daemon's own")
       .option('--out <folder>', 'Write the result here as JSON and text')
-      .option('--profile <folder>', 'Write processor profiles of the control members here')
+      .option('--profile <folder>', 'Write CPU profiles of the control members here')
       .action(scale);
   },
 };
--- a/src/dev/commands/sim-command.ts
+++ b/src/dev/commands/sim-command.ts
@@ -1,4 +1,4 @@
-/** `ternmount-dev sim --seeds A..B`: runs the system's cores under faults, one run a seed, and judges what happened. */
+/** `ternmount-dev sim --seeds A..B`: runs the system's cores under faults, one run per seed, and checks the promises. */
 import { createWriteStream } from 'node:fs';
 import type { CAC } from 'cac';
 import { TernmountError } from '../../errors/ternmount-error.js';
@@ -30,7 +30,7 @@
   readonly trace?: string;
 }
 
-/** A flag that makes no sense. */
+/** The value of a flag is invalid. */
 class SimFlagError extends TernmountError {
   constructor(message: string) {
     super({ code: 'TERNMOUNT_SIM_FLAG', retriable: false }, message);
@@ -75,7 +75,7 @@
   return name as SabotageName;
 }
 
-/** A file, or the name of a deployment that comes with the project. */
+/** Path of a deployment file, given as a path or as the name of a deployment of the project. */
 function deploymentPath(text: string): string {
   return text.includes('.') || text.includes('/')
     ? text
@@ -89,7 +89,7 @@
   }
 }
 
-/** Looks for the first seed that shows each sabotage; fails if one isn't caught. */
+/** Finds the first seed that detects each sabotage; sets a failing exit status if one isn't detected. */
 function catchAll(flags: SimFlags): void {
   const [first, last] = readSeeds(String(flags.seeds));
   const sizes = shrinkDeployment(loadDeployment(deploymentPath(flags.deployment)));
@@ -121,13 +121,13 @@
 export const command: DevCommand = {
   register(cli: CAC): void {
     cli
-      .command('sim', 'Run the system’s cores under simulated faults and judge what happened')
-      .option('--seeds <range>', 'Seeds, A..B or one', { default: DEFAULT_SEEDS })
-      .option('--deployment <name>', 'Deployment that comes with the project, or a file', {
+      .command('sim', 'Run the system’s cores under simulated faults and check the promises')
+      .option('--seeds <range>', 'Seeds, A..B or a single one', { default: DEFAULT_SEEDS })
+      .option('--deployment <name>', 'Name of a deployment of the project, or a file', {
         default: DEFAULT_DEPLOYMENT,
       })
-      .option('--faults <list>', 'Kinds of faults, with commas (default: all; none: none)')
-      .option('--sabotage <name>', 'Break a mechanism on purpose; all: each in turn, until it is caught')
+      .option('--faults <list>', 'Kinds of faults, comma-separated (default: all; none: none)')
+      .option('--sabotage <name>', 'Disable a mechanism on purpose; all: each in turn, until it is detected')
       .option('--list-sabotages', 'Name all sabotages and the promise that each breaks')
       .option('--list-faults', 'Name all kinds of faults')
       .option('--trace <file>', 'Write each event as a JSON line')
--- a/src/dev/commands/standin-command.ts
+++ b/src/dev/commands/standin-command.ts
@@ -12,7 +12,7 @@
 import { upstreamProcessSettingsSchema } from '../standins/upstream/upstream-settings.js';
 import type { DevCommand } from './dev-command.js';
 
-/** No stand-in of this kind. */
+/** There is no stand-in of this kind. */
 class UnknownStandinError extends TernmountError {
   constructor(kind: string) {
     const message = `unknown stand-in ${kind}: expected upstream, caller, platform or link`;
@@ -20,13 +20,13 @@
   }
 }
 
-/** Something that runs until it is told to stop. */
+/** A server that runs until it is stopped. */
 interface Standin {
   start(): Promise<unknown>;
   stop(): Promise<void>;
 }
 
-/** Runs `action` at the first SIGTERM or SIGINT; later ones change nothing. */
+/** Runs `action` at the first SIGTERM or SIGINT; later ones are ignored. */
 function onStopSignal(action: () => void): void {
   let stopping = false;
   const stop = (): void => {
--- a/src/dev/dev-cli.ts
+++ b/src/dev/dev-cli.ts
@@ -1,11 +1,11 @@
-/** The command line of `ternmount-dev`: every file of `commands/` that exports a `command` is one of its commands. */
+/** The command line of `ternmount-dev`: every file of `commands/` that exports a `command` adds one. */
 import { readdirSync } from 'node:fs';
 import { type CAC, cac } from 'cac';
 import type { DevCommand } from './commands/dev-command.js';
 
 const COMMANDS_FOLDER = new URL('./commands/', import.meta.url);
 
-/** Loads every command, in the order of file names. */
+/** Loads every command, in file name order. */
 async function loadCommands(): Promise<DevCommand[]> {
   const files = readdirSync(COMMANDS_FOLDER)
     .filter((name) => name.endsWith('.js'))
@@ -20,7 +20,7 @@
   return commands;
 }
 
-/** Makes the command line with all commands; nothing is parsed yet. */
+/** Creates the command line with all commands, without parsing any arguments. */
 export async function createDevCli(): Promise<CAC> {
   const cli = cac('ternmount-dev');
   for (const command of await loadCommands()) {
--- a/src/dev/fleet/admin-client.ts
+++ b/src/dev/fleet/admin-client.ts
@@ -1,4 +1,4 @@
-/** Reads the state of a control cluster through its operators' HTTP API, whichever member leads. */
+/** Reads the state of a control cluster through its admin HTTP API, from any member. */
 
 import { setTimeout as delay } from 'node:timers/promises';
 import got, { type Got } from 'got';
@@ -14,7 +14,7 @@
 
 export type ControlStatus = Omit<Extract<OperatorResponse, { type: 'status' }>, 'type'>;
 
-/** No member answered. */
+/** No control member answered. */
 export class AdminUnavailableError extends TernmountError {
   constructor(path: string, cause: Error) {
     const options = { code: 'TERNMOUNT_ADMIN_UNAVAILABLE', retriable: true, cause, info: { path } };
@@ -27,7 +27,7 @@
   readonly #http: Got;
   #next = 0;
 
-  /** `members` are the admin addresses; connections go out from `localAddress`. */
+  /** `members` are the admin addresses; outgoing connections use `localAddress`. */
   constructor(members: readonly Address[], localAddress: string) {
     this.#members = members;
     this.#http = got.extend({
@@ -37,12 +37,12 @@
     });
   }
 
-  /** What one member says of itself. */
+  /** Reads the status of one member. */
   async statusOf(member: Address): Promise<ControlStatus> {
     return (await this.#get(member, '/v1/status')) as ControlStatus;
   }
 
-  /** The status of the member that leads with the highest term; `undefined` if none does. */
+  /** Returns the leader with the highest term and its status; `undefined` if no member is leader. */
   async findLeader(): Promise<{ readonly admin: Address; readonly status: ControlStatus } | undefined> {
     const answers = await Promise.allSettled(
       this.#members.map(async (admin) => ({ admin, status: await this.statusOf(admin) })),
@@ -53,22 +53,22 @@
     return leaders.sort((left, right) => right.status.raft.term - left.status.raft.term)[0];
   }
 
-  /** A linearizable read. */
+  /** Linearizable read. */
   async shards(): Promise<readonly ShardRecord[]> {
     return ((await this.#read('/v1/shards')) as { shards: ShardRecord[] }).shards;
   }
 
-  /** A linearizable read. */
+  /** Linearizable read. */
   async services(): Promise<readonly ServiceRecord[]> {
     return ((await this.#read('/v1/services')) as { services: ServiceRecord[] }).services;
   }
 
-  /** A linearizable read. */
+  /** Linearizable read. */
   async upstreams(): Promise<readonly UpstreamRecord[]> {
     return ((await this.#read('/v1/upstreams')) as { upstreams: UpstreamRecord[] }).upstreams;
   }
 
-  /** What a router says of itself; `undefined` if it doesn't answer. */
+  /** Reads the health status of a router; `undefined` if it doesn't answer. */
   async routerHealth(admin: Address): Promise<RouterStatus | undefined> {
     try {
       return await this.#http(`http://${admin}/healthz`, { throwHttpErrors: false }).json<RouterStatus>();
--- a/src/dev/fleet/checker/at-most-once.ts
+++ b/src/dev/fleet/checker/at-most-once.ts
@@ -1,4 +1,4 @@
-/** A request that must not be repeated takes effect at most once, whatever was resent. */
+/** A non-repeatable request takes effect at most once, even if it was resent. */
 import { type FleetHistory, groupBy } from './fleet-history.js';
 import type { PromiseResult, Violation } from './promise-check.js';
 
--- a/src/dev/fleet/checker/configuration.ts
+++ b/src/dev/fleet/checker/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * A change that an operator was told is in force everywhere is applied by each router that serves, is found by each
- * later read, and never goes back.
+ * A change that was reported to an operator as in force everywhere is applied by each serving router, is returned by
+ * each later read, and is never reverted.
  */
 import type { FleetEventRecord } from '../../journal/records.js';
 import type { FleetHistory } from './fleet-history.js';
@@ -15,32 +15,32 @@
   return history.events.filter((event): event is EventOf<Kind> => event.event === kind);
 }
 
-/** Reads of a service's number that give less than an earlier read, or than a change in force before them. */
+/** Finds reads of a service's value that return less than an earlier read, or than a change already in force. */
 function checkReads(history: FleetHistory): Violation[] {
   const inForce = eventsOf(history, 'change-in-force');
   const reads = eventsOf(history, 'change-read');
   return reads.flatMap((read, index) => {
     const accepted = inForce.filter(({ service, at }) => service === read.service && at <= read.since);
     const earlier = reads.slice(0, index).filter(({ service }) => service === read.service);
-    const least = Math.max(0, ...accepted.map(({ value }) => value), ...earlier.map(({ value }) => value));
-    if (read.value >= least) {
+    const minimum = Math.max(0, ...accepted.map(({ value }) => value), ...earlier.map(({ value }) => value));
+    if (read.value >= minimum) {
       return [];
     }
-    const message = `${read.service} went back: ${read.value} was read after ${least}`;
+    const message = `${read.service} went back: ${read.value} was read after ${minimum}`;
     return [{ promise: 'configuration-kept' as const, message, at: read.at }];
   });
 }
 
-/** Routers that serve with less than a revision in force before they were asked. */
+/** Finds routers that serve a lower revision than one in force before their status was read. */
 function checkRouters(history: FleetHistory): Violation[] {
   const inForce = eventsOf(history, 'change-in-force');
   return eventsOf(history, 'router-read').flatMap((read) => {
     const accepted = inForce.filter(({ at }) => at <= read.since).map(({ revision }) => revision);
-    const least = Math.max(0, ...accepted);
-    if (!read.serving || read.revision >= least) {
+    const minimum = Math.max(0, ...accepted);
+    if (!read.serving || read.revision >= minimum) {
       return [];
     }
-    const message = `${read.router} serves revision ${read.revision} although ${least} is in force everywhere`;
+    const message = `${read.router} serves revision ${read.revision} although ${minimum} is in force everywhere`;
     return [{ promise: 'configuration-kept' as const, message, at: read.at }];
   });
 }
--- a/src/dev/fleet/checker/drained.ts
+++ b/src/dev/fleet/checker/drained.ts
@@ -1,9 +1,9 @@
-/** An upstream that leaves gets no new work once the allowed time after the accepted change is over. */
+/** A draining upstream starts no new requests after the allowed time since control accepted the drain. */
 import type { FleetEventRecord } from '../../journal/records.js';
 import type { FleetHistory } from './fleet-history.js';
 import type { CheckOptions, PromiseResult, Violation } from './promise-check.js';
 
-/** When `upstream` was accepted back after `at`. */
+/** Time after `at` at which the drain of `upstream` was undone; infinity if it wasn't. */
 function returnedAt(events: readonly FleetEventRecord[], upstream: string, at: number): number {
   const back = events.find(
     (event) => event.event === 'return-accepted' && event.upstream === upstream && event.at > at,
--- a/src/dev/fleet/checker/fleet-history.ts
+++ b/src/dev/fleet/checker/fleet-history.ts
@@ -1,4 +1,4 @@
-/** The records of a fleet's journals, joined into runs and attempts. */
+/** Joins the records of a fleet's journals into runs and attempts. */
 import type {
   AttemptRecord,
   FleetEventRecord,
@@ -10,19 +10,19 @@
   RunStartRecord,
 } from '../../journal/records.js';
 
-/** One request's run on one upstream. */
+/** One execution of a request on one upstream. */
 export interface Run {
   readonly start: RunStartRecord;
-  /** `undefined`: it had no effect. */
+  /** `undefined` if the run had no effect. */
   effect?: RunEffectRecord;
-  /** `undefined`: the process ended before the run did. */
+  /** `undefined` if the process ended before the run. */
   end?: RunEndRecord;
 }
 
-/** What happened, each list in order of time. */
-/** Requests that came to upstreams in need, and answers that said so. */
+/** Requests that reached constrained upstreams, and answers that reported the constraints. */
 export type NeedRecord = NeedyArrivalRecord | NeedSaidRecord;
 
+/** Records of a fleet, each list in order of time. */
 export interface FleetHistory {
   readonly runs: readonly Run[];
   readonly attempts: readonly AttemptRecord[];
@@ -32,11 +32,11 @@
 
 type UpstreamRecord = RunStartRecord | RunEffectRecord | RunEndRecord;
 
-function runName(record: UpstreamRecord): string {
+function runId(record: UpstreamRecord): string {
   return `${record.upstream}|${record.incarnation}|${record.run}`;
 }
 
-/** Joins records, which may be in any order. */
+/** Joins records, which can be in any order. */
 export function buildHistory(records: readonly JournalRecord[]): FleetHistory {
   const ordered = [...records].sort((left, right) => left.at - right.at);
   const runs = new Map<string, Run>();
@@ -45,7 +45,7 @@
   const needs: NeedRecord[] = [];
   for (const record of ordered) {
     if (record.type === 'run-start') {
-      runs.set(runName(record), { start: record });
+      runs.set(runId(record), { start: record });
     } else if (record.type === 'attempt') {
       attempts.push(record);
     } else if (record.type === 'fleet-event') {
@@ -55,7 +55,7 @@
     }
   }
   for (const record of ordered) {
-    const run = 'run' in record ? runs.get(runName(record)) : undefined;
+    const run = 'run' in record ? runs.get(runId(record)) : undefined;
     if (run && record.type === 'run-effect') {
       run.effect = record;
     } else if (run && record.type === 'run-end') {
@@ -65,7 +65,7 @@
   return { runs: [...runs.values()], attempts, events, needs };
 }
 
-/** Groups items by a name; items without one are left out. */
+/** Groups items by name; omits items without one. */
 export function groupBy<Item>(
   items: readonly Item[],
   nameOf: (item: Item) => string | null,
--- a/src/dev/fleet/checker/index.ts
+++ b/src/dev/fleet/checker/index.ts
@@ -1,4 +1,4 @@
-/** The fleet checker: reads what really ran and what callers were told, and says which promises were broken. */
+/** The fleet checker: compares what ran with what callers received and returns the violated promises. */
 import type { JournalRecord } from '../../journal/records.js';
 import { checkAtMostOnce } from './at-most-once.js';
 import { checkConfiguration } from './configuration.js';
--- a/src/dev/fleet/checker/needs-heeded.ts
+++ b/src/dev/fleet/checker/needs-heeded.ts
@@ -1,6 +1,6 @@
 /**
- * Upstreams in need get what they say that they take. Judged by the rules that judge simulated runs; while routers are frozen or zones
- * cut, and for a while after, limits and rests aren't.
+ * Routers comply with the limits, back-offs and draining that upstreams report. Uses the rules of the simulation's
+ * checker. Limits and back-offs aren't checked while routers are frozen or zones are cut, and for some time after.
  */
 
 import type { HistoryEvent } from '../../checker/history.js';
@@ -12,18 +12,21 @@
 import type { FleetHistory, NeedRecord } from './fleet-history.js';
 import type { PromiseResult, Violation } from './promise-check.js';
 
+/** Time after a disturbance in which limits and back-offs aren't checked. */
 const EXCUSED_MILLIS = 4500;
 const DISTURBANCES: ReadonlySet<FleetEventRecord['event']> = new Set(['frozen', 'thawed', 'cut', 'healed']);
 
 export function checkNeedsHeeded({ needs, attempts, events }: FleetHistory): PromiseResult {
   const disturbances = events.filter(({ event }) => DISTURBANCES.has(event)).map(({ at }) => at);
-  const sent = new Map(attempts.map(({ routerRequest, sentAt }) => [routerRequest, sentAt]));
+  const sentAtByRequest = new Map(attempts.map(({ routerRequest, sentAt }) => [routerRequest, sentAt]));
   const rules: readonly Rule[] = [new LimitRule(), new RestRule(), new ToldLeavingRule()];
   const violations: Violation[] = [];
   for (const record of needs) {
-    for (const event of eventsOf(record, sent, disturbances)) {
-      const found = rules.flatMap((rule) => rule.take(event));
-      violations.push(...found.map(({ message, at }) => ({ promise: 'needs-heeded' as const, message, at })));
+    for (const event of eventsOf(record, sentAtByRequest, disturbances)) {
+      const ruleViolations = rules.flatMap((rule) => rule.take(event));
+      violations.push(
+        ...ruleViolations.map(({ message, at }) => ({ promise: 'needs-heeded' as const, message, at })),
+      );
     }
   }
   return { promise: 'needs-heeded', checked: needs.length, violations };
@@ -31,7 +34,7 @@
 
 function eventsOf(
   record: NeedRecord,
-  sent: ReadonlyMap<string | null, number>,
+  sentAtByRequest: ReadonlyMap<string | null, number>,
   disturbances: readonly number[],
 ): HistoryEvent[] {
   const { at, routerRequest, upstream: name, incarnation } = record;
@@ -43,13 +46,21 @@
       { type: 'notice-given', at, answeredAt: at, router, upstream, limitPerSecond, restMillis, isLeaving },
     ];
   }
-  const last = disturbances.filter((time) => time <= at).at(-1) ?? Number.NEGATIVE_INFINITY;
-  const isExcused = at - last < EXCUSED_MILLIS;
+  const lastDisturbance = disturbances.filter((time) => time <= at).at(-1) ?? Number.NEGATIVE_INFINITY;
+  const isExcused = at - lastDisturbance < EXCUSED_MILLIS;
   const send = routerRequest ?? '';
-  const reached = { at, router, upstream, send, runningSince: last, limitPerSecond, isExcused } as const;
-  const asked: HistoryEvent = {
+  const arrival = {
+    at,
+    router,
+    upstream,
+    send,
+    runningSince: lastDisturbance,
+    limitPerSecond,
+    isExcused,
+  } as const;
+  const requestSent: HistoryEvent = {
     type: 'request-sent',
-    at: sent.get(routerRequest) ?? at,
+    at: sentAtByRequest.get(routerRequest) ?? at,
     send,
     service: '',
     content: '',
@@ -58,10 +69,10 @@
     mayShareAnswer: true,
     answerDueAt: Number.POSITIVE_INFINITY,
   };
-  return [asked, { type: 'needy-upstream-reached', ...reached }];
+  return [requestSent, { type: 'needy-upstream-reached', ...arrival }];
 }
 
-/** The run of a router, by its id of a request. */
+/** Returns the run of a router that a router request id belongs to. */
 function routerOf(routerRequest: string | null): string {
   const id = routerRequest ?? '';
   return id.slice(0, Math.max(0, id.lastIndexOf('.')));
--- a/src/dev/fleet/checker/nothing-left-over.ts
+++ b/src/dev/fleet/checker/nothing-left-over.ts
@@ -1,4 +1,4 @@
-/** Once the load has ended, no router has anything under way for callers, also not for those that went away. */
+/** After the load, no router has pending requests, not even of callers that disconnected. */
 import type { FleetHistory } from './fleet-history.js';
 import type { PromiseResult, Violation } from './promise-check.js';
 
@@ -11,7 +11,7 @@
     }
     checked += Number(event.requests !== null);
     if (event.requests !== null && event.requests > 0) {
-      const message = `${event.router} still had ${event.requests} requests under way after the load`;
+      const message = `${event.router} still had ${event.requests} pending requests after the load`;
       violations.push({ promise: 'nothing-left-over', message, at: event.at });
     }
   }
--- a/src/dev/fleet/checker/promise-check.ts
+++ b/src/dev/fleet/checker/promise-check.ts
@@ -1,7 +1,7 @@
-/** What the check of one promise looks like. */
+/** Types of the checks of promises. */
 import type { FleetHistory } from './fleet-history.js';
 
-/** Names of the promises that a fleet's journals can show to be broken. */
+/** Names of the promises that are checked against a fleet's journals. */
 export type PromiseName =
   | 'at-most-once'
   | 'whole-answers'
@@ -14,28 +14,28 @@
   | 'needs-heeded'
   | 'nothing-left-over';
 
-/** One thing that happened and must not. */
+/** One violation of a promise. */
 export interface Violation {
   readonly promise: PromiseName;
-  /** A sentence for people. */
+  /** Human-readable description. */
   readonly message: string;
-  /** When, on the machine's monotonic clock. */
+  /** Time on the machine's monotonic clock. */
   readonly at: number;
 }
 
-/** Outcome of one promise's check. */
+/** Result of the check of one promise. */
 export interface PromiseResult {
   readonly promise: PromiseName;
-  /** How many things were looked at; 0 means that nothing was proved. */
+  /** Number of items checked; 0 means that nothing was proved. */
   readonly checked: number;
   readonly violations: readonly Violation[];
 }
 
-/** Times that the checks allow. */
+/** Tolerances of the checks. */
 export interface CheckOptions {
-  /** A leaving upstream may get new work for this long after control accepted that it leaves. */
+  /** Time after control accepted a drain in which the upstream may still start new requests. */
   readonly drainMillis: number;
-  /** Requests sent less than this before a planned stop may not have reached the process. */
+  /** Requests sent less than this before a planned stop possibly did not reach the process. */
   readonly stopMarginMillis: number;
 }
 
--- a/src/dev/fleet/checker/ran.ts
+++ b/src/dev/fleet/checker/ran.ts
@@ -1,4 +1,4 @@
-/** An order that was answered did take effect: none is lost behind a good answer. */
+/** Every non-repeatable request that was answered successfully took effect. */
 import type { FleetHistory } from './fleet-history.js';
 import type { PromiseResult } from './promise-check.js';
 
--- a/src/dev/fleet/checker/whole-answers.ts
+++ b/src/dev/fleet/checker/whole-answers.ts
@@ -1,4 +1,4 @@
-/** Every answer that a caller took for complete was whole and its own. */
+/** Every answer that a caller accepted as complete was whole and belonged to its request. */
 import type { AnswerVerdict } from '../../journal/records.js';
 import type { FleetHistory } from './fleet-history.js';
 import type { PromiseResult } from './promise-check.js';
--- a/src/dev/fleet/fault-schedule.ts
+++ b/src/dev/fleet/fault-schedule.ts
@@ -1,12 +1,12 @@
 /**
- * Faults of a fleet run as `--faults` writes them: `TYPE:TARGET@T` or `TYPE:TARGET@T+D`, with commas between; times in
- * seconds of load. A name of `named-faults.ts` may stand in place of one.
+ * Parses the value of `--faults`: a comma-separated list of `TYPE:TARGET@T` or `TYPE:TARGET@T+D`, with times in seconds
+ * of load, or of names defined in `named-faults.ts`.
  */
 import { TernmountError } from '../../errors/ternmount-error.js';
 import { FAULT_KINDS } from '../standins/upstream/fault-switchboard.js';
 import { NAMED_FAULTS } from './named-faults.js';
 
-/** What can be done to a fleet. `+D` is how long it lasts, or the time until the process is started again. */
+/** Types of faults. `+D` is the duration of the fault, or the time until the process is restarted. */
 export const FAULT_TYPES = [
   /** SIGKILL. */
   'kill',
@@ -16,44 +16,44 @@
   'freeze',
   /** `upstream drain`, then `--undo`. */
   'drain',
-  /** SIGKILL of a control member, its data folder deleted; then a new replica takes its place. */
+  /** SIGKILL of a control member and deletion of its data folder; then a new replica replaces it. */
   'lose-disk',
-  /** As `lose-disk`; the leader is killed in the moment in which the repair is reported. */
+  /** As `lose-disk`, and the leader is killed as soon as the repair is reported. */
   'second-loss',
-  /** Two zones `A|B` lose each other: bytes wait, connections hang. */
+  /** Partition of two zones `A|B`: bytes are held, connections hang. */
   'cut',
-  /** A zone loses all others. */
+  /** Partition of a zone from all others. */
   'isolate',
-  /** Bytes from zone `A` to zone `B` wait, those of the other way pass: `A>B`. */
+  /** One-way partition `A>B`: bytes from zone `A` to zone `B` are held, the opposite direction is open. */
   'half-open',
-  /** The platform's list names a live upstream as gone. */
+  /** The platform lists a live upstream as gone. */
   'platform-gone',
-  /** The platform's list names a live upstream as leaving. */
+  /** The platform lists a live upstream as leaving. */
   'platform-leaving',
-  /** It names every upstream of the target's service as leaving. */
+  /** The platform lists every upstream of the target's service as leaving. */
   'platform-leaving-all',
   /** Planned stop and start of `control`, `routers` or `upstreams`, one process after the other. */
   'roll',
-  /** An upstream answers badly or gives false hints. */
+  /** An upstream sends bad answers or false hints. */
   ...FAULT_KINDS,
 ] as const;
 export type FaultType = (typeof FAULT_TYPES)[number];
 
-/** One fault and when it is due. */
+/** A fault and its time. */
 export interface ScheduledFault {
   readonly type: FaultType;
-  /** A process, an upstream, a zone or two, or one of `ROLE_TARGETS`. */
+  /** A process, an upstream, one or two zones, or one of `ROLE_TARGETS`. */
   readonly target: string;
   /** Seconds after the load started. */
   readonly at: number;
   readonly seconds: number;
 }
 
-/** Targets that are looked up when the fault is due. */
+/** Targets that are resolved when the fault is due. */
 export const ROLE_TARGETS = ['leader', 'follower', 'owner', 'unkeyed', 'router'] as const;
 export type RoleTarget = (typeof ROLE_TARGETS)[number];
 
-/** A fault isn't written as it must be. */
+/** The text of a fault is invalid. */
 export class FaultSyntaxError extends TernmountError {
   constructor(text: string, expected: string) {
     const options = { code: 'TERNMOUNT_FAULT_SYNTAX', retriable: false, info: { text } };
@@ -63,7 +63,7 @@
 
 const FAULT_PATTERN = /^([a-z-]+):([^@,+]+)@(\d+(?:\.\d+)?)(?:\+(\d+(?:\.\d+)?))?$/;
 const DEFAULT_SECONDS = 3;
-/** Share of the load before the first named fault and after the last. */
+/** Share of the load before the first named fault, and after the last. */
 const MARGIN_SHARE = 0.2;
 
 function parseFault(text: string): ScheduledFault {
@@ -82,14 +82,14 @@
   };
 }
 
-/** When the `index`th of `count` named faults is due, in a load of `seconds`. */
-function placeNamed(index: number, count: number, seconds: number): number {
+/** Time in seconds of the `index`th of `count` named faults, in a load of `seconds`. */
+function namedFaultTime(index: number, count: number, seconds: number): number {
   const from = seconds * MARGIN_SHARE;
-  const stretch = seconds * (1 - 2 * MARGIN_SHARE);
-  return from + (stretch * index) / Math.max(1, count);
+  const span = seconds * (1 - 2 * MARGIN_SHARE);
+  return from + (span * index) / Math.max(1, count);
 }
 
-/** All faults of a list in order of time; named ones are spread over the load. Throws `FaultSyntaxError`. */
+/** Returns all faults of a list in order of time; named ones are spread over the load. Throws `FaultSyntaxError`. */
 export function parseFaults(list: string, seconds: number): ScheduledFault[] {
   const items = list.split(',').filter((item) => item !== '');
   const named = items.filter((item) => item in NAMED_FAULTS);
@@ -98,7 +98,7 @@
     if (definition === undefined) {
       return [parseFault(item)];
     }
-    const at = placeNamed(named.indexOf(item), named.length, seconds);
+    const at = namedFaultTime(named.indexOf(item), named.length, seconds);
     return definition.faults.map((fault) => ({ ...fault, at }));
   });
   return faults.sort((left, right) => left.at - right.at);
--- a/src/dev/fleet/fault-table.ts
+++ b/src/dev/fleet/fault-table.ts
@@ -1,33 +1,33 @@
-/** Runs faults one after the other, each in a fleet of its own, and tables the verdicts. */
-import { formatStretch } from './report/fault-effects.js';
+/** Runs faults one after the other, each in a separate fleet, and formats a table of the verdicts. */
+import { formatInterval } from './report/fault-effects.js';
 import { type FleetReport, isGood } from './report/fleet-report.js';
 import { formatTable } from './report/text-table.js';
 
-/** One fault and what its run showed. */
+/** A fault and the outcome of its run. */
 interface FaultVerdict {
   readonly fault: string;
-  /** `undefined`: the run itself failed. */
+  /** `undefined` if the run itself failed. */
   readonly report: FleetReport | undefined;
   readonly failure: string;
 }
 
-/** Runs one fleet with these faults. */
+/** Runs one fleet with the given faults. */
 export type RunOne = (faults: string) => Promise<FleetReport>;
 
 function total(report: FleetReport, figure: 'requests' | 'answered' | 'refused' | 'unknown'): string {
   return String(report.services.reduce((sum, service) => sum + service[figure], 0));
 }
 
-function whatFailed(report: FleetReport): string[] {
+function failures(report: FleetReport): string[] {
   const broken = report.promises.filter(({ violations }) => violations.length > 0);
   return [...broken.map(({ promise }) => promise), ...report.problems];
 }
 
-/** Of the first fault of a single upstream, if there was one. */
+/** Cells for the first fault of a single upstream; empty if there was none. */
 function effectCells({ faultEffects }: FleetReport): string[] {
   const [effect] = faultEffects;
-  const stretches = effect === undefined ? [] : [effect.before, effect.atFirst, effect.afterReaction];
-  return effect === undefined ? ['', '', ''] : stretches.map(formatStretch);
+  const intervals = effect === undefined ? [] : [effect.before, effect.atFirst, effect.afterReaction];
+  return effect === undefined ? ['', '', ''] : intervals.map(formatInterval);
 }
 
 function rowOf({ fault, report, failure }: FaultVerdict): string[] {
@@ -45,7 +45,7 @@
     keySeconds.toFixed(1),
     served,
     ...effectCells(report),
-    isGood(report) ? 'held' : `FAILED: ${whatFailed(report).join('; ')}`,
+    isGood(report) ? 'held' : `FAILED: ${failures(report).join('; ')}`,
   ];
 }
 
@@ -66,7 +66,7 @@
   return formatTable(head, verdicts.map(rowOf));
 }
 
-/** Runs each fault; `false` if any run wasn't good. A run that fails doesn't keep the others from running. */
+/** Runs each fault and returns whether every run was good. After a failed run the others still run. */
 export async function runEach(
   faults: readonly string[],
   runOne: RunOne,
--- a/src/dev/fleet/faults/announced-faults.ts
+++ b/src/dev/fleet/faults/announced-faults.ts
@@ -1,4 +1,4 @@
-/** What others announce of an upstream: an operator that drains it, a platform that calls it gone. */
+/** Faults announced by others: an operator drains an upstream, or the platform lists it as gone or leaving. */
 import got from 'got';
 import type { MachineState } from '../../standins/platform/platform-standin.js';
 import type { ScheduledFault } from '../fault-schedule.js';
@@ -15,36 +15,36 @@
     this.#log = log;
   }
 
-  /** An operator drains an upstream and takes it back after `length` milliseconds. */
+  /** An operator drains an upstream and undoes the drain after `length` milliseconds. */
   async drain(fault: ScheduledFault, { name: upstream }: Target, length: number): Promise<void> {
     const { journal, operator } = this.#fleet;
     this.#log.note(fault, upstream);
-    await operator.must(['upstream', 'drain', upstream, '--no-wait']);
+    await operator.runOrThrow(['upstream', 'drain', upstream, '--no-wait']);
     journal.write({ event: 'drain-accepted', upstream });
     await this.#fleet.wait(length);
     journal.write({ event: 'return-accepted', upstream });
-    await operator.must(['upstream', 'drain', upstream, '--undo', '--no-wait']);
+    await operator.runOrThrow(['upstream', 'drain', upstream, '--undo', '--no-wait']);
   }
 
-  /** The platform's list says `state` of a live upstream, or of all of its service, for `length` milliseconds. */
-  async lieOfPlatform(
+  /** The platform lists a live upstream, or all upstreams of its service, as `state` for `length` milliseconds. */
+  async listFalseState(
     fault: ScheduledFault,
     { name: upstream }: Target,
     state: 'gone' | 'leaving',
     length: number,
   ): Promise<void> {
     const { journal } = this.#fleet;
-    const names = fault.type === 'platform-leaving-all' ? this.#serviceOf(upstream) : [upstream];
+    const names = fault.type === 'platform-leaving-all' ? this.#upstreamsOfSameService(upstream) : [upstream];
     this.#log.note(fault, upstream);
     journal.write({ event: 'platform-lied', upstream });
-    await this.#list(names, state);
+    await this.#setListedState(names, state);
     await this.#fleet.wait(length);
-    await this.#list(names, 'live');
+    await this.#setListedState(names, 'live');
     journal.write({ event: 'platform-corrected', upstream });
   }
 
-  /** The list says so at once, without its lag. */
-  async #list(upstreams: readonly string[], state: MachineState): Promise<void> {
+  /** Sets the listed state at once, without the list's lag. */
+  async #setListedState(upstreams: readonly string[], state: MachineState): Promise<void> {
     const { listen } = this.#fleet.plan.platform;
     const puts = upstreams.map((upstream) =>
       got.put(`http://${listen}/machines/${upstream}`, { json: { state, listed: true } }),
@@ -52,8 +52,8 @@
     await Promise.all(puts);
   }
 
-  /** All upstreams of the service of this one. */
-  #serviceOf(id: string): string[] {
+  /** Ids of all upstreams of the service of upstream `id`. */
+  #upstreamsOfSameService(id: string): string[] {
     const upstreams = upstreamsOf(this.#fleet.plan);
     const service = upstreams.find((upstream) => upstream.id === id)?.service;
     return upstreams.filter((upstream) => upstream.service === service).map((upstream) => upstream.id);
--- a/src/dev/fleet/faults/fault-runner.ts
+++ b/src/dev/fleet/faults/fault-runner.ts
@@ -1,4 +1,4 @@
-/** Carries out the faults of a run when they are due, and takes them back. */
+/** Applies the faults of a run when they are due, and reverts them. */
 import { machineMillis } from '../../journal/machine-clock.js';
 import { FAULT_KINDS } from '../../standins/upstream/fault-switchboard.js';
 import type { FaultType, ScheduledFault } from '../fault-schedule.js';
@@ -11,10 +11,10 @@
 import { UpstreamFaults } from './upstream-faults.js';
 
 const MILLIS_PER_SECOND = 1000;
-/** Time before a fault at which its target is looked up. */
-const LOOK_UP_MILLIS = 250;
+/** Time before a fault at which its target is resolved. */
+const TARGET_LOOKUP_MILLIS = 250;
 /** Faults whose target is one process or upstream. */
-const SINGLE_TARGET: ReadonlySet<FaultType> = new Set([
+const SINGLE_TARGET_TYPES: ReadonlySet<FaultType> = new Set([
   'kill',
   'stop',
   'freeze',
@@ -26,8 +26,8 @@
   'platform-leaving-all',
   ...FAULT_KINDS,
 ]);
-/** Faults through which an owner loses its keys without a planned handover. */
-const LOSES_OWNER: ReadonlySet<FaultType> = new Set(['kill', 'freeze']);
+/** Faults that make an owner lose its keys without a planned handover. */
+const OWNER_LOSS_TYPES: ReadonlySet<FaultType> = new Set(['kill', 'freeze']);
 
 export class FaultRunner {
   readonly log: FaultLog;
@@ -48,16 +48,16 @@
     this.#upstreams = new UpstreamFaults(fleet, this.log);
   }
 
-  /** Carries out all faults; `startedAt` is when the load began, on the machine's clock. */
+  /** Applies all faults; `startedAt` is the start of the load on the machine's clock. */
   async run(faults: readonly ScheduledFault[], startedAt: number): Promise<void> {
     await Promise.all(faults.map((fault) => this.#runOne(fault, startedAt)));
     await this.log.waitForNewOwners();
   }
 
-  /** Kills an owner, waits until others serve its keys, and starts it again. Gives its name. */
-  async loseOwnerOnce(): Promise<string> {
+  /** Kills an owner, waits until other owners serve its keys, and restarts it. Returns its name. */
+  async killOwnerAndRestart(): Promise<string> {
     const fault = { type: 'kill', target: 'owner', at: 0, seconds: 0 } as const;
-    const target = await this.#lookUp(fault);
+    const target = await this.#resolveTarget(fault);
     await this.#processes.killNow(fault, target);
     await this.log.waitForNewOwners();
     await this.#fleet.startProcess(target.name);
@@ -66,22 +66,22 @@
 
   async #runOne(fault: ScheduledFault, startedAt: number): Promise<void> {
     const dueAt = startedAt + fault.at * MILLIS_PER_SECOND;
-    await this.#fleet.wait(dueAt - LOOK_UP_MILLIS - machineMillis());
-    const target = await this.#lookUp(fault);
+    await this.#fleet.wait(dueAt - TARGET_LOOKUP_MILLIS - machineMillis());
+    const target = await this.#resolveTarget(fault);
     await this.#fleet.wait(dueAt - machineMillis());
-    await this.#carryOut(fault, target, fault.seconds * MILLIS_PER_SECOND);
+    await this.#apply(fault, target, fault.seconds * MILLIS_PER_SECOND);
   }
 
-  /** Finds out who is meant, ahead of time, so that faults of one moment don't wait for each other's effects. */
-  async #lookUp({ type, target }: ScheduledFault): Promise<Target> {
-    if (!SINGLE_TARGET.has(type)) {
+  /** Resolves the target ahead of time, so that simultaneous faults don't wait for each other's effects. */
+  async #resolveTarget({ type, target }: ScheduledFault): Promise<Target> {
+    if (!SINGLE_TARGET_TYPES.has(type)) {
       return { name: target, owned: undefined };
     }
     const name = await this.#targets.process(target);
-    return { name, owned: LOSES_OWNER.has(type) ? await this.log.ownedBy(name) : undefined };
+    return { name, owned: OWNER_LOSS_TYPES.has(type) ? await this.log.ownedBy(name) : undefined };
   }
 
-  async #carryOut(fault: ScheduledFault, target: Target, length: number): Promise<void> {
+  async #apply(fault: ScheduledFault, target: Target, length: number): Promise<void> {
     switch (fault.type) {
       case 'kill':
         return this.#processes.kill(fault, target, length);
@@ -92,16 +92,16 @@
       case 'lose-disk':
         return this.#processes.loseDisk(fault, target, length);
       case 'second-loss':
-        return this.#processes.loseSecond(fault, target, length);
+        return this.#processes.loseDiskThenLeader(fault, target, length);
       case 'roll':
         return this.#processes.roll(fault, length);
       case 'drain':
         return this.#announced.drain(fault, target, length);
       case 'platform-gone':
-        return this.#announced.lieOfPlatform(fault, target, 'gone', length);
+        return this.#announced.listFalseState(fault, target, 'gone', length);
       case 'platform-leaving':
       case 'platform-leaving-all':
-        return this.#announced.lieOfPlatform(fault, target, 'leaving', length);
+        return this.#announced.listFalseState(fault, target, 'leaving', length);
       case 'cut':
       case 'isolate':
       case 'half-open':
--- a/src/dev/fleet/faults/network-faults.ts
+++ b/src/dev/fleet/faults/network-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the network between zones, carried out by the stand-in links. */
+/** Faults of the network between zones, applied by the stand-in links. */
 import got from 'got';
 import type { Zone } from '../../../model/identifiers.js';
 import type { LinkRule } from '../../standins/link/link-settings.js';
@@ -6,10 +6,10 @@
 import type { Fleet } from '../fleet.js';
 import type { FaultLog } from './fault-log.js';
 
-/** From zone to zone. */
+/** Source and destination zone. */
 type ZoneDirection = readonly [Zone, Zone];
 
-/** Directions in which bytes wait under a fault of type `cut`, `isolate` or `half-open`. */
+/** Returns the directions in which a fault of type `cut`, `isolate` or `half-open` holds bytes. */
 export function heldDirections(
   { type, target }: Pick<ScheduledFault, 'type' | 'target'>,
   zones: readonly Zone[],
@@ -41,7 +41,7 @@
     this.#log = log;
   }
 
-  /** Holds bytes for `length` milliseconds. */
+  /** Holds the bytes of the fault's directions for `length` milliseconds. */
   async hold(fault: ScheduledFault, length: number): Promise<void> {
     const { journal, plan } = this.#fleet;
     const directions = heldDirections(fault, plan.deployment.zones);
--- a/src/dev/fleet/faults/process-faults.ts
+++ b/src/dev/fleet/faults/process-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of single processes: killed, stopped, frozen, disk lost, restarted in turn. */
+/** Faults of processes: kill, planned stop, freeze, loss of a disk, rolling restart. */
 import { rmSync } from 'node:fs';
 import type { ScheduledFault } from '../fault-schedule.js';
 import type { Fleet } from '../fleet.js';
@@ -20,7 +20,7 @@
     this.#targets = targets;
   }
 
-  /** SIGKILL, and a start after `length` milliseconds. */
+  /** SIGKILL, and a restart after `length` milliseconds. */
   async kill(fault: ScheduledFault, target: Target, length: number): Promise<void> {
     await this.killNow(fault, target);
     await this.#fleet.wait(length);
@@ -37,7 +37,7 @@
     await killed;
   }
 
-  /** Planned stop, and a start after `length` milliseconds. */
+  /** Planned stop, and a restart after `length` milliseconds. */
   async stop(fault: ScheduledFault, { name }: Target, length: number): Promise<void> {
     this.#log.note(fault, name);
     await this.#fleet.stopProcess(name);
@@ -60,7 +60,7 @@
     }
   }
 
-  /** A killed member comes back with an empty disk, as a new replica, and takes the old one's place. */
+  /** Kills a control member and deletes its data; the member rejoins as a new replica that replaces the old one. */
   async loseDisk(fault: ScheduledFault, { name }: Target, length: number): Promise<void> {
     const { admin, journal, operator, supervisor } = this.#fleet;
     const control = this.#fleet.plan.control.find((member) => member.name === name) as ControlPlan;
@@ -72,18 +72,18 @@
     await this.#fleet.wait(length);
     const newReplica = await this.#fleet.joinControl(control);
     const { advertised } = control.internal;
-    await operator.must(['control', 'replace', oldReplica, newReplica, '--address', advertised]);
+    await operator.runOrThrow(['control', 'replace', oldReplica, newReplica, '--address', advertised]);
     journal.write({ event: 'repaired', process: name });
   }
 
-  /** The leader is lost in the moment in which the repair of another member is reported. */
-  async loseSecond(fault: ScheduledFault, target: Target, length: number): Promise<void> {
+  /** Kills the leader as soon as the repair of another member's lost disk is reported. */
+  async loseDiskThenLeader(fault: ScheduledFault, target: Target, length: number): Promise<void> {
     const leader = await this.#targets.leader();
     await this.loseDisk(fault, target, length);
     await this.kill(fault, { name: leader.name, owned: undefined }, length);
   }
 
-  /** Planned stop and start of one process after the other. */
+  /** Planned stop and restart of one process after the other. */
   async roll(fault: ScheduledFault, length: number): Promise<void> {
     for (const name of this.#namesToRoll(fault.target)) {
       this.#log.note(fault, name);
--- a/src/dev/fleet/faults/target-finder.ts
+++ b/src/dev/fleet/faults/target-finder.ts
@@ -1,13 +1,16 @@
-/** Finds the process or upstream that a fault is meant for, at the moment when it is due. */
+/** Resolves the target of a fault to a process or upstream of the running fleet. */
 import { TernmountError } from '../../../errors/ternmount-error.js';
 import type { UpstreamId } from '../../../model/identifiers.js';
 import type { Fleet } from '../fleet.js';
 import { type ControlPlan, type UpstreamPlan, upstreamsOf } from '../fleet-plan.js';
 
-/** Nothing fits the target now. */
+/** No running process or upstream matches the target. */
 export class TargetNotFoundError extends TernmountError {
   constructor(target: string) {
-    super({ code: 'TERNMOUNT_FAULT_TARGET', retriable: false }, `a fault's target isn't there: ${target}`);
+    super(
+      { code: 'TERNMOUNT_FAULT_TARGET', retriable: false },
+      `no process or upstream matches the fault target ${target}`,
+    );
   }
 }
 
@@ -18,7 +21,7 @@
     this.#fleet = fleet;
   }
 
-  /** The process of a target: a role, an upstream with a process of its own, or a process by its name. */
+  /** Returns the process of a target: a role, an upstream with a dedicated process, or a process name. */
   async process(target: string): Promise<string> {
     switch (target) {
       case 'leader':
@@ -28,9 +31,9 @@
       case 'owner':
         return this.owner();
       case 'unkeyed':
-        return this.#alone(({ keyed }) => !keyed);
+        return this.#firstDedicated(({ keyed }) => !keyed);
       case 'router':
-        return this.#running(this.#fleet.plan.routers.map(({ name }) => name));
+        return this.#firstRunning(this.#fleet.plan.routers.map(({ name }) => name));
       default:
         return this.#fleet.specOf(target).name;
     }
@@ -49,7 +52,7 @@
     return follower ?? this.#fail('follower');
   }
 
-  /** Of the keyed upstreams with a process of their own, the one that owns most shards. */
+  /** Returns the keyed upstream with a dedicated process that owns the most shards. */
   async owner(): Promise<UpstreamId> {
     const counts = new Map<UpstreamId, number>();
     for (const { owner } of await this.#fleet.admin.shards()) {
@@ -57,28 +60,28 @@
         counts.set(owner, (counts.get(owner) ?? 0) + 1);
       }
     }
-    const owners = this.#aloneAndRunning().filter(({ keyed, id }) => keyed && counts.has(id));
+    const owners = this.#runningDedicated().filter(({ keyed, id }) => keyed && counts.has(id));
     owners.sort((left, right) => (counts.get(right.id) as number) - (counts.get(left.id) as number));
     return owners[0]?.id ?? this.#fail('owner');
   }
 
-  /** The upstream with this id, whichever process it is in. */
+  /** Returns the upstream with this id, in any process. */
   upstream(id: UpstreamId): UpstreamPlan {
     return upstreamsOf(this.#fleet.plan).find((upstream) => upstream.id === id) ?? this.#fail(id);
   }
 
-  #aloneAndRunning(): UpstreamPlan[] {
+  #runningDedicated(): UpstreamPlan[] {
     const { plan, supervisor } = this.#fleet;
     return plan.upstreams
       .filter(({ name, upstreams }) => upstreams.length === 1 && supervisor.isRunning(name))
       .flatMap(({ upstreams }) => upstreams);
   }
 
-  #alone(fits: (upstream: UpstreamPlan) => boolean): UpstreamId {
-    return this.#aloneAndRunning().find(fits)?.id ?? this.#fail('upstream with a process of its own');
+  #firstDedicated(matches: (upstream: UpstreamPlan) => boolean): UpstreamId {
+    return this.#runningDedicated().find(matches)?.id ?? this.#fail('upstream with a dedicated process');
   }
 
-  #running(names: readonly string[]): string {
+  #firstRunning(names: readonly string[]): string {
     return names.find((name) => this.#fleet.supervisor.isRunning(name)) ?? this.#fail('running process');
   }
 
--- a/src/dev/fleet/faults/upstream-faults.ts
+++ b/src/dev/fleet/faults/upstream-faults.ts
@@ -1,4 +1,4 @@
-/** Bad answers and false hints of a stand-in upstream, switched on and off at its control endpoint. */
+/** Bad answers and false hints of a stand-in upstream, switched on and off through its control endpoint. */
 import got from 'got';
 import type { FaultKind } from '../../standins/upstream/fault-switchboard.js';
 import type { ScheduledFault } from '../fault-schedule.js';
@@ -14,15 +14,15 @@
     this.#log = log;
   }
 
-  /** Each request or hint of an upstream meets the fault for `length` milliseconds. */
+  /** Applies the fault to each request or hint of an upstream for `length` milliseconds. */
   async hold(fault: ScheduledFault, kind: FaultKind, { name }: Target, length: number): Promise<void> {
-    await this.#set(name, kind, 1);
+    await this.#setFaultShare(name, kind, 1);
     this.#log.note(fault, name);
     await this.#fleet.wait(length);
-    await this.#set(name, kind, 0);
+    await this.#setFaultShare(name, kind, 0);
   }
 
-  async #set(upstream: string, kind: FaultKind, share: number): Promise<void> {
+  async #setFaultShare(upstream: string, kind: FaultKind, share: number): Promise<void> {
     const process = this.#fleet.plan.upstreams.find(({ name }) => name === upstream);
     const url = `http://${process?.admin}/upstreams/${upstream}/faults`;
     await got.put(url, { json: { kind, share } });
--- a/src/dev/fleet/fleet-journal.ts
+++ b/src/dev/fleet/fleet-journal.ts
@@ -1,4 +1,4 @@
-/** The runner's own journal: what it did to the fleet, and what it read. */
+/** The runner's own journal of its actions and reads. */
 import { JournalWriter } from '../journal/journal-writer.js';
 import { machineMillis } from '../journal/machine-clock.js';
 import type { FleetEventRecord } from '../journal/records.js';
--- a/src/dev/fleet/fleet-options.ts
+++ b/src/dev/fleet/fleet-options.ts
@@ -1,38 +1,38 @@
-/** What a fleet run is asked to do. */
+/** Options of a fleet run. */
 import type { Deployment } from '../../settings/deployment.js';
 import type { ScheduledFault } from './fault-schedule.js';
 
 export interface FleetOptions {
   readonly deployment: Deployment;
-  /** Length of the load. */
+  /** Duration of the load. */
   readonly seconds: number;
   readonly faults: readonly ScheduledFault[];
-  /** Folder for data, logs, journals and the report; it must be empty or not exist. */
+  /** Folder for data, logs, journals and the report; must be empty or not exist. */
   readonly folder: string;
   readonly controlMembers: number;
   readonly routersPerZone: number;
-  /** Upstreams of each service that get a process of their own, so that they can be killed alone. */
+  /** Number of upstreams of each service with a dedicated process, which can be killed individually. */
   readonly ownProcesses: { readonly keyed: number; readonly unkeyed: number };
-  /** Caller processes, which share the load. */
+  /** Number of caller processes, which share the load. */
   readonly callers: number;
-  /** Part of the deployment's request rate, 1 for all of it. */
+  /** Factor on the deployment's request rate. */
   readonly rateScale: number;
   readonly seed: number;
-  /** Second number of the fleet's addresses. */
+  /** Second octet of the fleet's addresses. */
   readonly network: number;
-  /** Folder for processor profiles of every process; `null`: none are made. */
+  /** Folder for CPU profiles of every process; `null` disables them. */
   readonly profileFolder: string | null;
-  /** Reads that half of the callers send behind one another on a connection; 1: none. */
+  /** Number of reads that half of the callers pipeline on a connection; 1 disables pipelining. */
   readonly pipelining: number;
-  /** Share of the reads whose caller goes away before the answer. */
+  /** Share of the reads whose caller disconnects before the answer. */
   readonly leaveShare: number;
-  /** Speeds of a service's upstreams, in turn, as factors on the deployment's. */
+  /** Speed factors of a service's upstreams relative to the deployment, assigned cyclically. */
   readonly speeds: readonly number[];
-  /** How far the platform's list lags. */
+  /** Delay with which the platform's list follows the actual state. */
   readonly platformLagMillis: number;
 }
 
-/** Defaults of a fleet run; the rest must be given. */
+/** Defaults of a fleet run; options without one are required. */
 export const FLEET_DEFAULTS = {
   seconds: 20,
   controlMembers: 3,
--- a/src/dev/fleet/fleet-plan.ts
+++ b/src/dev/fleet/fleet-plan.ts
@@ -1,4 +1,4 @@
-/** The processes of a fleet, their zones and addresses; nothing is started or written here. */
+/** Plans the processes of a fleet, their zones and addresses, without starting or writing anything. */
 import { randomBytes } from 'node:crypto';
 import { join } from 'node:path';
 import type { Address, ClusterId, ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
@@ -13,12 +13,12 @@
 } from './address-plan.js';
 import type { FleetOptions } from './fleet-options.js';
 
-/** What every process of a plan has. */
+/** Properties common to all processes of a plan. */
 interface ProcessPlan {
   readonly name: string;
   readonly zone: Zone;
   readonly host: string;
-  /** Own folder: settings, log, data. */
+  /** Folder of the process, for settings, log and data. */
   readonly folder: string;
 }
 
@@ -33,7 +33,7 @@
   readonly admin: Address;
 }
 
-/** One upstream; several may share a process. */
+/** One upstream; several can share a process. */
 export interface UpstreamPlan {
   readonly id: UpstreamId;
   readonly service: ServiceName;
@@ -41,23 +41,23 @@
   readonly keyed: boolean;
   readonly endpoint: LinkedEndpoint;
   readonly template: UpstreamTemplate;
-  /** Its place among its service's, from 0. */
+  /** Index among the upstreams of its service, from 0. */
   readonly place: number;
 }
 
 export interface UpstreamProcessPlan extends ProcessPlan {
-  /** Takes faults of answers. */
+  /** Endpoint that switches faults of answers on and off. */
   readonly admin: Address;
   readonly upstreams: readonly UpstreamPlan[];
 }
 
-/** Forwards what comes to one zone. */
+/** Forwards the traffic into one zone. */
 export interface LinkPlan extends ProcessPlan {
   readonly admin: Address;
 }
 
 export interface CallerPlan extends ProcessPlan {
-  /** The load begins with `POST /start` here. */
+  /** `POST /start` at this address starts the load. */
   readonly admin: Address;
 }
 
@@ -78,7 +78,7 @@
   readonly links: readonly LinkPlan[];
   readonly platform: PlatformPlan;
   readonly callers: readonly CallerPlan[];
-  /** The runner's own address, for its requests. */
+  /** Source address of the runner's requests. */
   readonly operatorHost: string;
   readonly hostsByZone: Readonly<Record<Zone, readonly string[]>>;
 }
@@ -89,7 +89,7 @@
   return Array.from({ length: count }, (_, index) => index);
 }
 
-/** Makes the plan of one run. */
+/** Creates the plan of one run. */
 export class FleetPlanner {
   readonly #options: FleetOptions;
   readonly #addresses: AddressPlan;
@@ -109,7 +109,7 @@
       links: zones.map((zone) => this.#link(zone)),
       platform: this.#platform(),
       callers: range(callers).map((index) => this.#caller(index)),
-      operatorHost: this.#addresses.takeHost(CLIENT_ZONE),
+      operatorHost: this.#addresses.allocateHost(CLIENT_ZONE),
     };
     return {
       ...parts,
@@ -132,7 +132,7 @@
     return {
       name,
       zone,
-      host: this.#addresses.takeHost(zone),
+      host: this.#addresses.allocateHost(zone),
       folder: join(this.#options.folder, 'processes', name),
     };
   }
@@ -168,23 +168,23 @@
     return { ...process, listen: addressOf(process.host, PORTS.admin) };
   }
 
-  /** Own processes for the first upstreams of each service; the rest share one process a zone. */
+  /** The first upstreams of each service get dedicated processes; the others share one process per zone. */
   #upstreamProcesses(): UpstreamProcessPlan[] {
     const { deployment, ownProcesses } = this.#options;
-    const alone: UpstreamPlan[] = [];
+    const dedicated: UpstreamPlan[] = [];
     const shared: UpstreamPlan[] = [];
     for (const template of deployment.upstreams) {
       const keyed = deployment.services.some(({ name, keyed }) => name === template.service && keyed);
-      const own = keyed ? ownProcesses.keyed : ownProcesses.unkeyed;
+      const dedicatedCount = keyed ? ownProcesses.keyed : ownProcesses.unkeyed;
       for (const index of range(template.count)) {
-        (index < own ? alone : shared).push(this.#upstream(template, keyed, index));
+        (index < dedicatedCount ? dedicated : shared).push(this.#upstream(template, keyed, index));
       }
     }
     const groups = deployment.zones
       .map((zone) => shared.filter((upstream) => upstream.zone === zone))
       .filter((upstreams) => upstreams.length > 0);
     return [
-      ...alone.map((upstream) => this.#upstreamProcess(upstream.id, [upstream])),
+      ...dedicated.map((upstream) => this.#upstreamProcess(upstream.id, [upstream])),
       ...groups.map((upstreams) => this.#upstreamProcess(`upstreams-${upstreams[0]?.zone}`, upstreams)),
     ];
   }
@@ -192,7 +192,7 @@
   #upstream(template: UpstreamTemplate, keyed: boolean, index: number): UpstreamPlan {
     const zone = template.zones[index % template.zones.length] as Zone;
     const id = `${template.service}-${index + 1}`;
-    const endpoint = linkedEndpoint(this.#addresses.takeHost(zone), PORTS.service);
+    const endpoint = linkedEndpoint(this.#addresses.allocateHost(zone), PORTS.service);
     return { id, service: template.service, zone, keyed, endpoint, template, place: index };
   }
 
--- a/src/dev/fleet/fleet-run.ts
+++ b/src/dev/fleet/fleet-run.ts
@@ -1,4 +1,4 @@
-/** One run of a fleet: start, load, faults, stop, judgement. */
+/** Runs a fleet: start, load, faults, stop, evaluation. */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { machineMillis } from '../journal/machine-clock.js';
@@ -11,14 +11,14 @@
 import { Progress } from './observe/progress.js';
 import { type FleetReport, makeReport } from './report/fleet-report.js';
 
-/** Writes one line for people. */
+/** Writes one human-readable line. */
 export type WriteLine = (line: string) => void;
 
-/** What is done to the fleet while the load runs, beside the scheduled faults. */
+/** Additional actions on the fleet during the load, besides the scheduled faults. */
 export type ExtraWork = (fleet: Fleet, faults: FaultRunner) => Promise<void>;
 
-/** Faults of a run as they come up, for the progress line. */
-function newFaults(log: FaultLog): () => string {
+/** Returns a function that formats the faults applied since its last call, for the progress line. */
+function newFaultsFormatter(log: FaultLog): () => string {
   let shown = 0;
   return () => {
     const fresh = log.done.slice(shown);
@@ -27,24 +27,24 @@
   };
 }
 
-/** Runs the load with its faults on a fleet that is up. */
+/** Runs the load and its faults on a started fleet. */
 async function loadFleet(fleet: Fleet, write: WriteLine, extra: ExtraWork | undefined) {
   const faults = new FaultRunner(fleet);
   const sampler = new OwnershipSampler(fleet.admin);
   const changes = new ChangeMaker(fleet);
-  const progress = new Progress(fleet, write, newFaults(faults.log));
+  const progress = new Progress(fleet, write, newFaultsFormatter(faults.log));
   sampler.start();
   await fleet.startCallers();
   const startedAt = machineMillis();
   changes.start();
   progress.start(startedAt);
   try {
-    const work = [
+    const tasks = [
       faults.run(fleet.options.faults, startedAt),
       extra?.(fleet, faults),
       fleet.waitForCallers(),
     ];
-    await Promise.all(work);
+    await Promise.all(tasks);
   } finally {
     progress.stop();
     await changes.stop();
@@ -55,14 +55,14 @@
   return { faults: done, ownerLosses, samples: sampler.samples };
 }
 
-/** Stops what runs whenever this process ends, so that none is left behind. */
-function guardExit(fleet: Fleet): () => void {
+/** Kills all processes of the fleet when this process exits; returns a function that removes the handler. */
+function killAllOnExit(fleet: Fleet): () => void {
   const killAll = (): void => fleet.supervisor.killAllNow();
   process.once('exit', killAll);
   return () => process.off('exit', killAll);
 }
 
-/** Runs a fleet from start to end. Every process is stopped, also if it throws; `signal` ends it early. */
+/** Runs a fleet from start to end. Stops every process, also if it throws; `signal` ends the run early. */
 export async function runFleet(
   options: FleetOptions,
   signal: AbortSignal,
@@ -70,7 +70,7 @@
   extra?: ExtraWork,
 ): Promise<FleetReport> {
   const fleet = new Fleet(options, signal);
-  const unguard = guardExit(fleet);
+  const removeExitHandler = killAllOnExit(fleet);
   let observed: Awaited<ReturnType<typeof loadFleet>>;
   let unexpectedEnds: readonly string[];
   try {
@@ -82,7 +82,7 @@
     unexpectedEnds = [...fleet.supervisor.unexpectedEnds];
   } finally {
     await fleet.stop();
-    unguard();
+    removeExitHandler();
   }
   const report = makeReport({ options, plan: fleet.plan, unexpectedEnds, ...observed });
   writeFileSync(join(options.folder, 'report.json'), `${JSON.stringify(report, null, 2)}\n`);
--- a/src/dev/fleet/fleet.ts
+++ b/src/dev/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of real processes on this machine: starts them, loads them, stops them. */
+/** Starts, loads and stops a fleet of real processes on this machine. */
 import { join } from 'node:path';
 import { setTimeout as delay } from 'node:timers/promises';
 import got from 'got';
@@ -16,20 +16,23 @@
 
 const SETTLE_TIMEOUT_MILLIS = 30_000;
 const SETTLE_POLL_MILLIS = 100;
-/** After the last caller has its answer or is gone, routers have this long to end what is under way. */
-const LEFT_OVER_MILLIS = 500;
-/** Longest planned stop. */
+/** Time for routers to finish pending requests after the last caller was answered or has disconnected. */
+const PENDING_REQUESTS_GRACE_MILLIS = 500;
+/** Time after which a process that does not complete a planned stop is killed. */
 export const STOP_GRACE_MILLIS = 15_000;
 /**
- * Order in which a fleet is stopped. Control goes before the upstreams, which would else wait for their shards to be
- * moved to each other.
+ * Order in which a fleet is stopped. Control stops before the upstreams, because these would otherwise wait until their
+ * shards are moved to each other.
  */
 const STOP_ORDER: readonly ProcessKind[] = ['caller', 'router', 'control', 'upstream', 'platform', 'link'];
 
-/** The fleet didn't come to the state that it should have. */
+/** The fleet did not reach the expected state in time. */
 export class FleetNotReadyError extends TernmountError {
   constructor(missing: string) {
-    super({ code: 'TERNMOUNT_FLEET_NOT_READY', retriable: false }, `the fleet isn't ready: ${missing}`);
+    super(
+      { code: 'TERNMOUNT_FLEET_NOT_READY', retriable: false },
+      `the fleet did not become ready: ${missing}`,
+    );
   }
 }
 
@@ -43,7 +46,7 @@
   readonly signal: AbortSignal;
   readonly #specs: ReadonlyMap<string, ProcessSpec>;
 
-  /** Writes the settings; starts nothing yet. `signal` ends waits. */
+  /** Writes the settings without starting any process. `signal` aborts waits. */
   constructor(options: FleetOptions, signal: AbortSignal) {
     this.options = options;
     this.signal = signal;
@@ -65,17 +68,17 @@
     return spec;
   }
 
-  /** Brings everything up until each shard has an owner and each router serves. */
+  /** Starts all processes but the callers and waits until each shard has an owner and each router serves. */
   async start(): Promise<void> {
     await this.#startKind('link');
     const others = (['platform', 'upstream', 'router'] as const).map((kind) => this.#startKind(kind));
     await Promise.all([this.#startControl(), ...others]);
-    await this.operator.must(['service', 'apply', declarationsFileOf(this.plan), '--no-wait']);
-    await this.#until('an owner for each shard', () => this.#everyShardOwned());
-    await this.#until('routers that serve', () => this.#everyRouterServes());
+    await this.operator.runOrThrow(['service', 'apply', declarationsFileOf(this.plan), '--no-wait']);
+    await this.#waitUntil('an owner for each shard', () => this.#everyShardOwned());
+    await this.#waitUntil('routers that serve', () => this.#everyRouterServes());
   }
 
-  /** Waits; throws if the run is stopped meanwhile. */
+  /** Waits; throws if the run is aborted meanwhile. */
   async wait(millis: number): Promise<void> {
     await delay(Math.max(0, millis), undefined, { signal: this.signal });
   }
@@ -98,15 +101,15 @@
     await Promise.all(this.plan.callers.map(({ admin }) => got.post(`http://${admin}/start`)));
   }
 
-  /** Resolves when the whole load was sent and answered. */
+  /** Resolves when the callers have ended and the requests left in each router are recorded. */
   async waitForCallers(): Promise<void> {
     await Promise.all(this.plan.callers.map(({ name }) => this.supervisor.waitForEnd(name)));
     this.journal.write({ event: 'load-ended' });
-    await this.wait(LEFT_OVER_MILLIS);
-    await Promise.all(this.plan.routers.map((router) => this.#noteLeftOver(router)));
+    await this.wait(PENDING_REQUESTS_GRACE_MILLIS);
+    await Promise.all(this.plan.routers.map((router) => this.#recordPendingRequests(router)));
   }
 
-  /** Planned stop of everything. */
+  /** Planned stop of all processes. */
   async stop(): Promise<void> {
     for (const kind of STOP_ORDER) {
       const names = this.supervisor.namesOf(kind);
@@ -115,8 +118,8 @@
     this.journal.close();
   }
 
-  /** A router that was started again after the load has nothing to tell of it, and says so by its own count. */
-  async #noteLeftOver({ name, admin }: RouterPlan): Promise<void> {
+  /** Records the pending requests of a router by its own count; a router restarted after the load reports none. */
+  async #recordPendingRequests({ name, admin }: RouterPlan): Promise<void> {
     const state = await this.admin.routerHealth(admin);
     const requests = state === undefined ? null : state.queued + state.inFlight;
     this.journal.write({ event: 'router-left-over', router: name, requests });
@@ -128,22 +131,22 @@
     await Promise.all(specs.map((spec) => this.startProcess(spec.name)));
   }
 
-  /** The first member begins the cluster, the others join it one by one. */
+  /** The first member initializes the cluster, the others join it one by one. */
   async #startControl(): Promise<void> {
     const [first, ...others] = this.plan.control as [ControlPlan, ...ControlPlan[]];
-    await this.operator.mustLocal(['control', 'init', '--settings', settingsFileOf(first)]);
+    await this.operator.runLocalOrThrow(['control', 'init', '--settings', settingsFileOf(first)]);
     await this.startProcess(first.name);
-    await this.#until('a control leader', async () => (await this.admin.findLeader()) !== undefined);
+    await this.#waitUntil('a control leader', async () => (await this.admin.findLeader()) !== undefined);
     const replicas = await Promise.all(others.map((control) => this.joinControl(control)));
     for (const [index, { internal }] of others.entries()) {
       const replica = replicas[index] as ReplicaId;
-      await this.operator.must(['control', 'add', replica, '--address', internal.advertised]);
+      await this.operator.runOrThrow(['control', 'add', replica, '--address', internal.advertised]);
     }
   }
 
-  /** Makes a new data folder for a control member and starts it; gives its replica id. It has no vote yet. */
+  /** Creates a new data folder for a control member and starts it; returns its replica id. It has no vote yet. */
   async joinControl(control: ControlPlan): Promise<ReplicaId> {
-    const { output } = await this.operator.mustLocal([
+    const { output } = await this.operator.runLocalOrThrow([
       'control',
       'join',
       '--settings',
@@ -165,7 +168,7 @@
     return states.every((state) => state?.serving === true);
   }
 
-  async #until(what: string, reached: () => Promise<boolean>): Promise<void> {
+  async #waitUntil(what: string, reached: () => Promise<boolean>): Promise<void> {
     const deadline = Date.now() + SETTLE_TIMEOUT_MILLIS;
     while (!(await reached())) {
       this.signal.throwIfAborted();
--- a/src/dev/fleet/load-plan.ts
+++ b/src/dev/fleet/load-plan.ts
@@ -1,4 +1,4 @@
-/** Turns a deployment's workload into the streams of one stand-in caller. */
+/** Converts a deployment's workload into the request streams of a stand-in caller. */
 import { z } from 'zod';
 import type { KeyspaceDefinition, ServiceDefinition } from '../../model/service.js';
 import type { Deployment, WorkloadPhase, WorkloadShare } from '../../settings/deployment.js';
@@ -6,9 +6,9 @@
 import { ZipfKeys } from '../standins/caller/zipf-keys.js';
 import { StandinRandomSource } from '../standins/random-source.js';
 
-/** Attempts at a request that must not be repeated; each carries the same idempotency key. */
+/** Attempts at a non-repeatable request; all carry the same idempotency key. */
 const ORDER_ATTEMPTS = 5;
-/** Attempts at a read, each at another router, if the connection fails. */
+/** Attempts at a read, each at a different router, if the connection fails. */
 const READ_ATTEMPTS = 3;
 const DEFAULT_KEY_PREFIX = 'key/';
 
@@ -19,33 +19,33 @@
   return named?.match ?? DEFAULT_KEY_PREFIX;
 }
 
-/** How a phase's time is laid into the run. */
-interface PhasePlace {
+/** A phase and its interval of the run. */
+interface PhaseInterval {
   readonly phase: WorkloadPhase;
   readonly fromSeconds: number;
   readonly toSeconds: number;
 }
 
-/** Phases in turn, squeezed or stretched to `seconds` in all. */
-function placePhases(phases: readonly WorkloadPhase[], seconds: number): PhasePlace[] {
+/** Phases in sequence, scaled to `seconds` in total. */
+function schedulePhases(phases: readonly WorkloadPhase[], seconds: number): PhaseInterval[] {
   const total = phases.reduce((sum, phase) => sum + phase.seconds, 0);
   let from = 0;
   return phases.map((phase) => {
     const length = (phase.seconds / total) * seconds;
-    const place = { phase, fromSeconds: from, toSeconds: from + length };
+    const interval = { phase, fromSeconds: from, toSeconds: from + length };
     from += length;
-    return place;
+    return interval;
   });
 }
 
 function planStream(
-  place: PhasePlace,
+  interval: PhaseInterval,
   share: WorkloadShare,
   service: ServiceDefinition,
   { callers, leaveShare }: CallerShare,
 ): z.input<typeof streamsSchema.element> {
-  const shares = place.phase.mix.reduce((sum, other) => sum + other.share, 0);
-  const rate = (place.phase.requestsPerSecond * share.share) / shares / callers;
+  const shares = interval.phase.mix.reduce((sum, other) => sum + other.share, 0);
+  const rate = (interval.phase.requestsPerSecond * share.share) / shares / callers;
   return {
     service: share.service,
     method: share.method,
@@ -59,32 +59,32 @@
     leaveShare: service.repeatable ? leaveShare : 0,
     attempts: service.repeatable ? READ_ATTEMPTS : ORDER_ATTEMPTS,
     rates: [
-      { fromSeconds: place.fromSeconds, requestsPerSecond: rate },
-      { fromSeconds: place.toSeconds, requestsPerSecond: 0 },
+      { fromSeconds: interval.fromSeconds, requestsPerSecond: rate },
+      { fromSeconds: interval.toSeconds, requestsPerSecond: 0 },
     ],
   };
 }
 
-/** What one caller process takes of the load. */
+/** The part of the load of one caller process. */
 export interface CallerShare {
-  /** Like callers that share it. */
+  /** Number of callers that share the load evenly. */
   readonly callers: number;
-  /** Share of the reads whose caller goes away before the answer. */
+  /** Share of the reads whose caller disconnects before the answer. */
   readonly leaveShare: number;
 }
 
-/** Streams of one caller process, over `seconds` in all. */
+/** Streams of one caller process, over `seconds` in total. */
 export function planStreams(deployment: Deployment, seconds: number, caller: CallerShare): CallerStream[] {
   const services = new Map(deployment.services.map((service) => [service.name, service]));
-  const streams = placePhases(deployment.workload.phases, seconds).flatMap((place) =>
-    place.phase.mix.map((share) =>
-      planStream(place, share, services.get(share.service) as ServiceDefinition, caller),
+  const streams = schedulePhases(deployment.workload.phases, seconds).flatMap((interval) =>
+    interval.phase.mix.map((share) =>
+      planStream(interval, share, services.get(share.service) as ServiceDefinition, caller),
     ),
   );
   return streamsSchema.parse(streams);
 }
 
-/** Every key of a service that the load asks for, most popular first. */
+/** Every key of a service that the load requests, most popular first. */
 export function keysOfService(deployment: Deployment, service: ServiceDefinition): string[] {
   const counts = deployment.workload.phases
     .flatMap((phase) => phase.mix)
--- a/src/dev/fleet/named-faults.ts
+++ b/src/dev/fleet/named-faults.ts
@@ -1,18 +1,18 @@
-/** The table of faults that a fleet run knows by name. */
+/** Named faults of a fleet run. */
 import type { ScheduledFault } from './fault-schedule.js';
 
-/** A fault without its time. */
-export type UnplacedFault = Omit<ScheduledFault, 'at'>;
+/** A fault without a time. */
+export type UnscheduledFault = Omit<ScheduledFault, 'at'>;
 
-/** What a name stands for. */
+/** Definition of a named fault. */
 export interface NamedFault {
   readonly summary: string;
-  readonly faults: readonly UnplacedFault[];
+  readonly faults: readonly UnscheduledFault[];
 }
 
 export const NAMED_FAULTS: Readonly<Record<string, NamedFault>> = {
   'kill-owner': {
-    summary: 'SIGKILL of the upstream that owns most shards',
+    summary: 'SIGKILL of the upstream that owns the most shards',
     faults: [{ type: 'kill', target: 'owner', seconds: 4 }],
   },
   'kill-unkeyed': {
@@ -32,7 +32,7 @@
     faults: [{ type: 'kill', target: 'router', seconds: 3 }],
   },
   'kill-owner-and-leader': {
-    summary: 'SIGKILL of an owner and of the control leader in the same moment',
+    summary: 'SIGKILL of an owner and of the control leader at the same time',
     faults: [
       { type: 'kill', target: 'owner', seconds: 5 },
       { type: 'kill', target: 'leader', seconds: 5 },
@@ -51,31 +51,31 @@
     faults: [{ type: 'freeze', target: 'router', seconds: 4 }],
   },
   'lose-disk': {
-    summary: 'SIGKILL of a control follower, data folder deleted, a new replica takes its place',
+    summary: 'SIGKILL of a control follower, its data folder is deleted, and a new replica replaces it',
     faults: [{ type: 'lose-disk', target: 'follower', seconds: 1 }],
   },
   'second-loss': {
-    summary: 'a lost disk is repaired, and in that moment the leader is killed',
+    summary: 'a lost disk is repaired, and the leader is killed as soon as the repair is reported',
     faults: [{ type: 'second-loss', target: 'follower', seconds: 1 }],
   },
   'isolate-zone': {
-    summary: 'one zone loses the others, silently',
+    summary: 'one zone is partitioned from the others, without errors',
     faults: [{ type: 'isolate', target: 'zone-b', seconds: 5 }],
   },
   'cut-zones': {
-    summary: 'two zones lose each other, silently; the third sees both',
+    summary: 'two zones are partitioned from each other, without errors; the third reaches both',
     faults: [{ type: 'cut', target: 'zone-a|zone-b', seconds: 5 }],
   },
   'half-open': {
-    summary: 'bytes from one zone to another stop, those of the other way pass',
+    summary: 'bytes from one zone to another are held, the opposite direction is open',
     faults: [{ type: 'half-open', target: 'zone-a>zone-b', seconds: 5 }],
   },
   'drain-owner': {
-    summary: 'an operator drains an owner under load and takes it back',
+    summary: 'an operator drains an owner under load and undoes the drain',
     faults: [{ type: 'drain', target: 'owner', seconds: 8 }],
   },
   'drain-unkeyed': {
-    summary: 'an operator drains an upstream whose service is not keyed, and takes it back',
+    summary: 'an operator drains an upstream whose service is not keyed, and undoes the drain',
     faults: [{ type: 'drain', target: 'unkeyed', seconds: 6 }],
   },
   'stop-owner': {
@@ -95,23 +95,23 @@
     faults: [{ type: 'roll', target: 'control', seconds: 1 }],
   },
   'roll-upstreams': {
-    summary: 'planned stop and start of each upstream that has a process of its own',
+    summary: 'planned stop and start of each upstream with a dedicated process',
     faults: [{ type: 'roll', target: 'upstreams', seconds: 1 }],
   },
   'platform-lies': {
-    summary: 'the platform names a live owner as gone',
+    summary: 'the platform lists a live owner as gone',
     faults: [{ type: 'platform-gone', target: 'owner', seconds: 6 }],
   },
   'platform-lags': {
-    summary: 'an owner is killed and the platform goes on naming it as live for 30 s',
+    summary: 'an owner is killed and the platform still lists it as live for 30 s',
     faults: [{ type: 'kill', target: 'owner', seconds: 6 }],
   },
   'answers-fail': {
-    summary: 'an upstream answers 500 to each request while its health says fine',
+    summary: 'an upstream answers 500 to each request while its health check succeeds',
     faults: [{ type: 'fail', target: 'unkeyed', seconds: 6 }],
   },
   'answers-truncated': {
-    summary: 'each answer of an upstream breaks off in the middle',
+    summary: 'each answer of an upstream is truncated',
     faults: [{ type: 'truncate', target: 'unkeyed', seconds: 6 }],
   },
   'answers-wrong-length': {
@@ -127,59 +127,59 @@
     faults: [{ type: 'late', target: 'unkeyed', seconds: 6 }],
   },
   'answers-foreign': {
-    summary: 'an upstream answers each request with the answer and id of the one before',
+    summary: 'an upstream answers each request with the answer and id of the previous one',
     faults: [{ type: 'foreign', target: 'unkeyed', seconds: 6 }],
   },
   'owner-fails': {
-    summary: 'an owner answers 500 to each request while its health says fine',
+    summary: 'an owner answers 500 to each request while its health check succeeds',
     faults: [{ type: 'fail', target: 'owner', seconds: 6 }],
   },
   'owner-foreign': {
-    summary: 'an owner answers each request with the answer and id of the one before',
+    summary: 'an owner answers each request with the answer and id of the previous one',
     faults: [{ type: 'foreign', target: 'owner', seconds: 6 }],
   },
   'health-ill': {
-    summary: 'the health of an upstream says ill while requests succeed',
+    summary: 'the health check of an upstream fails while requests succeed',
     faults: [{ type: 'health-ill', target: 'unkeyed', seconds: 6 }],
   },
   'names-limit': {
-    summary: 'an upstream names in its answers that it takes 2 requests a second from all routers',
+    summary: 'an upstream reports in its answers a limit of 2 requests per second from all routers',
     faults: [{ type: 'names-limit', target: 'unkeyed', seconds: 10 }],
   },
   'owner-names-limit': {
-    summary: 'an owner names in its answers that it takes 2 requests a second from all routers',
+    summary: 'an owner reports in its answers a limit of 2 requests per second from all routers',
     faults: [{ type: 'names-limit', target: 'owner', seconds: 10 }],
   },
   'asks-rest': {
-    summary: 'an upstream turns each request away and asks for 2 s of rest',
+    summary: 'an upstream rejects each request and requests a back-off of 2 s',
     faults: [{ type: 'asks-rest', target: 'unkeyed', seconds: 6 }],
   },
   'owner-asks-rest': {
-    summary: 'an owner turns each request away and asks for 2 s of rest',
+    summary: 'an owner rejects each request and requests a back-off of 2 s',
     faults: [{ type: 'asks-rest', target: 'owner', seconds: 6 }],
   },
   'says-leaving': {
-    summary: 'an upstream says in its answers that it leaves',
+    summary: 'an upstream reports in its answers that it is draining',
     faults: [{ type: 'says-leaving', target: 'unkeyed', seconds: 6 }],
   },
   'load-frozen': {
-    summary: 'the load that an upstream reports stays what it was',
+    summary: 'the load that an upstream reports no longer changes',
     faults: [{ type: 'load-frozen', target: 'unkeyed', seconds: 6 }],
   },
   'load-wild': {
-    summary: 'the load that an upstream reports jumps between none and far too much',
+    summary: 'the load that an upstream reports alternates between none and overload',
     faults: [{ type: 'load-wild', target: 'unkeyed', seconds: 6 }],
   },
   'platform-leaving': {
-    summary: 'the platform names a live upstream as leaving whose service is not keyed',
+    summary: 'the platform lists a live upstream whose service is not keyed as leaving',
     faults: [{ type: 'platform-leaving', target: 'unkeyed', seconds: 6 }],
   },
   'platform-leaving-all': {
-    summary: 'the platform names all live upstreams of a service that is not keyed as leaving',
+    summary: 'the platform lists all live upstreams of a service that is not keyed as leaving',
     faults: [{ type: 'platform-leaving-all', target: 'unkeyed', seconds: 6 }],
   },
   'platform-lies-unkeyed': {
-    summary: 'the platform names a live upstream as gone whose service is not keyed',
+    summary: 'the platform lists a live upstream whose service is not keyed as gone',
     faults: [{ type: 'platform-gone', target: 'unkeyed', seconds: 6 }],
   },
 };
--- a/src/dev/fleet/observe/change-maker.ts
+++ b/src/dev/fleet/observe/change-maker.ts
@@ -1,4 +1,4 @@
-/** An operator who changes one service again and again, each change a larger number, and reads it back. */
+/** Repeatedly changes a service as an operator, each time to a larger value, and reads the value back. */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -28,7 +28,7 @@
     this.#running = this.#run();
   }
 
-  /** Ends after the change under way; what is in force then is read once more. */
+  /** Stops after the current change and reads the value a last time. */
   async stop(): Promise<void> {
     this.#stopped = true;
     await this.#running;
--- a/src/dev/fleet/observe/owner-loss-probe.ts
+++ b/src/dev/fleet/observe/owner-loss-probe.ts
@@ -1,4 +1,4 @@
-/** Measures, from a caller's side, how long the keys of a lost owner stay without an answer from a new one. */
+/** Measures as a caller how long the keys of a lost owner get no answer from a new owner. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { ServiceName, UpstreamId } from '../../../model/identifiers.js';
 import { shardOfKey } from '../../../model/key-map.js';
@@ -7,14 +7,14 @@
 import type { Fleet } from '../fleet.js';
 import { keysOfService } from '../load-plan.js';
 
-const GIVE_UP_MILLIS = 15_000;
+const PROBE_TIMEOUT_MILLIS = 15_000;
 const RETRY_MILLIS = 25;
 const DEADLINE_MILLIS = 2000;
 const LIMITS = { connections: 64, pipelining: 1 };
-/** Keys that are asked for. More at once would be a burst of their own, and measure the queues of routers. */
+/** Maximum number of probed keys. More would be a burst of requests and measure the routers' queues instead. */
 const MAX_PROBED_KEYS = 150;
 
-/** Keys of one owner as control had them before the loss. */
+/** Keys of one owner before the loss, according to control. */
 export interface OwnedKeys {
   readonly upstream: UpstreamId;
   readonly service: ServiceName;
@@ -22,17 +22,17 @@
   readonly shards: number;
 }
 
-/** How one loss went. Times in milliseconds from the loss. */
+/** Measurements of one loss. Durations are in milliseconds since the loss. */
 export interface OwnerLoss {
   readonly upstream: UpstreamId;
   readonly keys: number;
-  /** How many of them were asked for. */
+  /** Number of keys that were probed. */
   readonly probedKeys: number;
   readonly shards: number;
-  /** When the owner was lost, on the machine's clock and on the wall. */
+  /** Time of the loss, on the machine's clock and on the wall clock. */
   readonly lostAt: number;
   readonly wall: number;
-  /** Times until each key was answered by another upstream; keys never answered are left out. */
+  /** Time until another upstream answered each key; omits keys that were never answered. */
   readonly millis: readonly number[];
   readonly unserved: number;
 }
@@ -50,7 +50,7 @@
     );
   }
 
-  /** Keys of the load that `upstream` owns now. */
+  /** Returns the keys of the load that `upstream` owns now. */
   async keysOf(upstream: UpstreamId): Promise<OwnedKeys> {
     const { admin, plan } = this.#fleet;
     const owned = new Set(
@@ -70,7 +70,7 @@
     return { upstream, service, keys, shards: owned.size };
   }
 
-  /** Asks for each key, or an even sample of many, until another upstream answers it. Call at the moment of the loss. */
+  /** Requests each key, or an even sample of many, until another upstream answers. Call it at the time of the loss. */
   async watch(owned: OwnedKeys): Promise<OwnerLoss> {
     const lostAt = machineMillis();
     const wall = Date.now();
@@ -94,7 +94,7 @@
   }
 
   async #watchKey(owned: OwnedKeys, key: string, lostAt: number): Promise<number | null> {
-    while (machineMillis() - lostAt < GIVE_UP_MILLIS && !this.#fleet.signal.aborted) {
+    while (machineMillis() - lostAt < PROBE_TIMEOUT_MILLIS && !this.#fleet.signal.aborted) {
       this.#requestCount += 1;
       const router = this.#routers[this.#requestCount % this.#routers.length] as RouterClient;
       const answer = await router.send({
@@ -116,7 +116,7 @@
   }
 }
 
-/** At most `count` of the items, evenly spread over them. */
+/** Returns at most `count` of the items, evenly spaced. */
 export function evenSample<Item>(items: readonly Item[], count: number): Item[] {
   const step = Math.max(1, items.length / count);
   return items.filter((_, index) => Math.floor(index / step) !== Math.floor((index - 1) / step));
--- a/src/dev/fleet/observe/ownership-sampler.ts
+++ b/src/dev/fleet/observe/ownership-sampler.ts
@@ -1,4 +1,4 @@
-/** Reads now and then who owns each shard. */
+/** Periodically reads the owner of each shard. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { ShardId, UpstreamId } from '../../../model/identifiers.js';
 import { machineMillis } from '../../journal/machine-clock.js';
@@ -6,7 +6,7 @@
 
 const INTERVAL_MILLIS = 500;
 
-/** Owners at one time; shards without one are left out. */
+/** Owners of the shards at one time; omits shards without an owner. */
 export interface OwnershipSample {
   readonly at: number;
   readonly shards: number;
@@ -48,7 +48,7 @@
   }
 }
 
-/** Times that a shard got another owner than its last one. */
+/** Counts how often the owner of a shard differs from its last known owner. */
 export function countOwnerChanges(samples: readonly OwnershipSample[]): number {
   const last = new Map<ShardId, UpstreamId>();
   let changes = 0;
--- a/src/dev/fleet/observe/progress.ts
+++ b/src/dev/fleet/observe/progress.ts
@@ -1,4 +1,4 @@
-/** One line a second on how the load goes, from the callers' journals. */
+/** Writes a progress line per second, from the callers' journals. */
 import { JournalTail } from '../../journal/journal-tail.js';
 import { machineMillis } from '../../journal/machine-clock.js';
 import type { AttemptRecord } from '../../journal/records.js';
@@ -14,7 +14,7 @@
   #startedAt = 0;
   #timer: NodeJS.Timeout | undefined;
 
-  /** `notes` says what was done to the fleet since it was last called. */
+  /** `notes` returns text about the faults applied since its last call. */
   constructor(fleet: Fleet, write: (line: string) => void, notes: () => string) {
     const { plan } = fleet;
     this.#tails = plan.callers.map((caller) => new JournalTail(journalFileOf(plan, caller)));
--- a/src/dev/fleet/operator.ts
+++ b/src/dev/fleet/operator.ts
@@ -1,4 +1,4 @@
-/** An operator of a fleet: works with the `ternmount` command as a person would. */
+/** An operator of a fleet: runs the `ternmount` command as a person would. */
 import { execFile } from 'node:child_process';
 import { TernmountError } from '../../errors/ternmount-error.js';
 import type { FleetPlan } from './fleet-plan.js';
@@ -6,14 +6,14 @@
 
 const COMMAND_TIMEOUT_MILLIS = 60_000;
 
-/** How a command ended. */
+/** The result of a command. */
 export interface CommandResult {
-  /** `null` if it was killed. */
+  /** `null` if the command was killed. */
   readonly exitCode: number | null;
   readonly output: string;
 }
 
-/** A command that must succeed did not. */
+/** A command that must succeed failed. */
 export class OperatorCommandError extends TernmountError {
   constructor(words: readonly string[], result: CommandResult) {
     const options = { code: 'TERNMOUNT_OPERATOR_COMMAND', retriable: false, info: { words } };
@@ -25,18 +25,18 @@
   readonly #control: string;
   readonly #signal: AbortSignal;
 
-  /** `signal` ends commands under way. */
+  /** `signal` aborts running commands. */
   constructor(plan: FleetPlan, signal: AbortSignal) {
     this.#control = plan.control.map(({ admin }) => admin).join(',');
     this.#signal = signal;
   }
 
-  /** Runs `ternmount <words>` with control's addresses. */
+  /** Runs `ternmount <words>` with the addresses of control. */
   async run(words: readonly string[]): Promise<CommandResult> {
     return this.runLocal([...words, '--control', this.#control]);
   }
 
-  /** Runs `ternmount <words>` as they are. */
+  /** Runs `ternmount <words>` without adding arguments. */
   async runLocal(words: readonly string[]): Promise<CommandResult> {
     const options = { timeout: COMMAND_TIMEOUT_MILLIS, signal: this.#signal };
     return new Promise((resolve) => {
@@ -47,17 +47,17 @@
     });
   }
 
-  /** Throws `OperatorCommandError` unless the command succeeds. */
-  async must(words: readonly string[]): Promise<CommandResult> {
-    return this.#check(words, await this.run(words));
+  /** As `run`; throws `OperatorCommandError` unless the command succeeds. */
+  async runOrThrow(words: readonly string[]): Promise<CommandResult> {
+    return this.#assertSuccess(words, await this.run(words));
   }
 
-  /** As `must`, for commands that don't talk to control. */
-  async mustLocal(words: readonly string[]): Promise<CommandResult> {
-    return this.#check(words, await this.runLocal(words));
+  /** As `runOrThrow`, for commands that don't connect to control. */
+  async runLocalOrThrow(words: readonly string[]): Promise<CommandResult> {
+    return this.#assertSuccess(words, await this.runLocal(words));
   }
 
-  #check(words: readonly string[], result: CommandResult): CommandResult {
+  #assertSuccess(words: readonly string[], result: CommandResult): CommandResult {
     if (result.exitCode !== 0) {
       throw new OperatorCommandError(words, result);
     }
--- a/src/dev/fleet/process-spec.ts
+++ b/src/dev/fleet/process-spec.ts
@@ -1,4 +1,4 @@
-/** What the fleet runner needs to know of a process to start it. */
+/** Start parameters of a process of a fleet. */
 import type { Address, Zone } from '../../model/identifiers.js';
 
 export type ProcessKind = 'control' | 'router' | 'upstream' | 'caller' | 'link' | 'platform';
@@ -7,12 +7,12 @@
   readonly name: string;
   readonly kind: ProcessKind;
   readonly zone: Zone;
-  /** Own IP number, 127.x.y.z. */
+  /** IP address of the process, 127.x.y.z. */
   readonly host: string;
   /** Arguments for `node`. */
   readonly command: readonly string[];
-  /** The process is up once this accepts connections; `null`: as soon as it runs. */
+  /** The process is ready once this address accepts connections; `null`: as soon as it runs. */
   readonly readyAddress: Address | null;
-  /** Own folder, made before the start. */
+  /** Folder of the process, created before the start. */
   readonly folder: string;
 }
--- a/src/dev/fleet/report/fault-effects.ts
+++ b/src/dev/fleet/report/fault-effects.ts
@@ -1,11 +1,11 @@
-/** What a fault of one upstream did to its service: share of good answers, and how much work the upstream still got. */
+/** Effects of a fault of one upstream on its service: share of whole answers, and the upstream's share of the runs. */
 import { type FleetHistory, groupBy } from '../checker/fleet-history.js';
 
 const MILLIS_PER_SECOND = 1000;
-/** Routers must have reacted to a bad upstream by then. */
+/** Time within which routers must react to a bad upstream. */
 export const REACTION_MILLIS = 3000;
 
-/** A fault that met one upstream, on the clock of the journals. */
+/** A fault of one upstream, with times on the clock of the journals. */
 export interface UpstreamFault {
   readonly type: string;
   readonly upstream: string;
@@ -13,13 +13,13 @@
   readonly to: number;
 }
 
-/** Requests that were due within one stretch of time; shares are 0 to 1, `null` if there were no requests. */
-export interface StretchEffect {
+/** Requests scheduled within one interval; shares are 0 to 1, `null` if there were no requests. */
+export interface IntervalEffect {
   readonly requests: number;
   readonly answered: number;
-  /** Share of the service's requests that were answered whole in the end. */
+  /** Share of the service's requests whose last attempt was answered whole. */
   readonly goodShare: number | null;
-  /** Share of the service's runs that began on the upstream. */
+  /** Share of the service's runs that started on the upstream. */
   readonly runShare: number | null;
 }
 
@@ -27,24 +27,24 @@
   readonly type: string;
   readonly upstream: string;
   readonly service: string;
-  readonly before: StretchEffect;
-  /** From the fault on, for `REACTION_MILLIS`. */
-  readonly atFirst: StretchEffect;
+  readonly before: IntervalEffect;
+  /** The first `REACTION_MILLIS` of the fault. */
+  readonly atFirst: IntervalEffect;
   /** The rest of the fault. */
-  readonly afterReaction: StretchEffect;
+  readonly afterReaction: IntervalEffect;
 }
 
 function shareOf(part: number, whole: number): number | null {
   return whole === 0 ? null : part / whole;
 }
 
-function stretchEffect(
+function intervalEffect(
   history: FleetHistory,
   service: string,
   upstream: string,
   from: number,
   to: number,
-): StretchEffect {
+): IntervalEffect {
   const ends = history.attempts.filter(
     (attempt) =>
       attempt.last && attempt.service === service && attempt.scheduledAt >= from && attempt.scheduledAt < to,
@@ -62,7 +62,7 @@
   };
 }
 
-/** The effects of these faults; one whose upstream never ran anything is left out. */
+/** Returns the effects of these faults; omits faults whose upstream ran no request. */
 export function faultEffects(
   history: FleetHistory,
   faults: readonly UpstreamFault[],
@@ -75,49 +75,50 @@
       return [];
     }
     const reactedAt = Math.min(to, from + REACTION_MILLIS);
-    const stretch = (start: number, end: number) => stretchEffect(history, service, upstream, start, end);
+    const effectWithin = (start: number, end: number) =>
+      intervalEffect(history, service, upstream, start, end);
     return [
       {
         type,
         upstream,
         service,
-        before: stretch(loadStartedAt, from),
-        atFirst: stretch(from, reactedAt),
-        afterReaction: stretch(reactedAt, to),
+        before: effectWithin(loadStartedAt, from),
+        atFirst: effectWithin(from, reactedAt),
+        afterReaction: effectWithin(reactedAt, to),
       },
     ];
   });
 }
 
-/** A fault must leave this share of its service's requests answered once routers had time to react. */
-const LEAST_GOOD_SHARE = 0.9;
-/** Faults under which the upstream is as good as before and must go on getting work. */
-const HARMLESS: ReadonlySet<string> = new Set(['platform-gone', 'load-frozen', 'load-wild']);
+/** Minimum share of the service's requests that are answered under a fault, after routers had time to react. */
+const MIN_GOOD_SHARE = 0.9;
+/** Faults that don't impair the upstream, so it must still receive requests. */
+const HARMLESS_TYPES: ReadonlySet<string> = new Set(['platform-gone', 'load-frozen', 'load-wild']);
 
-/** What is wrong with these effects. */
+/** Returns the problems that these effects show. */
 export function effectProblems(effects: readonly FaultEffect[]): string[] {
   return effects.flatMap(({ type, upstream, service, afterReaction }) => {
     const { answered, requests, goodShare, runShare } = afterReaction;
     const problems: string[] = [];
-    if (goodShare !== null && goodShare < LEAST_GOOD_SHARE) {
+    if (goodShare !== null && goodShare < MIN_GOOD_SHARE) {
       problems.push(
         `${type} of ${upstream}: ${answered} of ${requests} requests to ${service} answered after the reaction`,
       );
     }
-    if (HARMLESS.has(type) && runShare === 0) {
-      problems.push(`${type} of ${upstream}: it got no more work although it served well`);
+    if (HARMLESS_TYPES.has(type) && runShare === 0) {
+      problems.push(`${type} of ${upstream}: it received no more requests although it served them correctly`);
     }
     return problems;
   });
 }
 
-/** One stretch for people: answered of requests, and the upstream's share of the runs. */
-export function formatStretch({ requests, answered, runShare }: StretchEffect): string {
+/** Formats one interval: answered requests of all, and the upstream's share of the runs. */
+export function formatInterval({ requests, answered, runShare }: IntervalEffect): string {
   const runs = runShare === null ? '–' : `${(runShare * 100).toFixed(1)}%`;
   return `${answered}/${requests}, ${runs}`;
 }
 
-/** Length of a fault in the journals' unit. */
+/** End of a fault in the journals' unit. */
 export function faultEnd(at: number, seconds: number): number {
   return at + seconds * MILLIS_PER_SECOND;
 }
--- a/src/dev/fleet/report/fleet-report.ts
+++ b/src/dev/fleet/report/fleet-report.ts
@@ -1,10 +1,10 @@
-/** What a fleet run showed, and whether that is enough to call it good. */
+/** Builds the report of a fleet run and decides whether the run was good. */
 import { quantile } from '../../bench/statistics.js';
 import { readJournals } from '../../journal/journal-reader.js';
 import { ANSWER_FAULT_KINDS, HINT_FAULT_KINDS } from '../../standins/upstream/fault-switchboard.js';
 import { buildHistory, type FleetHistory } from '../checker/fleet-history.js';
 import { checkFleet, type PromiseResult } from '../checker/index.js';
-import type { FaultDone } from '../faults/fault-log.js';
+import type { AppliedFault } from '../faults/fault-log.js';
 import type { FleetOptions } from '../fleet-options.js';
 import type { FleetPlan } from '../fleet-plan.js';
 import type { OwnerLoss } from '../observe/owner-loss-probe.js';
@@ -13,14 +13,14 @@
 import { imbalanceOf, loadFigures, type ServiceFigures } from './load-figures.js';
 import { type LossPhases, phasesOf, readOwnershipLogs } from './loss-phases.js';
 
-/** Share of a lost owner's keys that counts as served again. */
+/** Share of a lost owner's keys that must be served for the loss to count as over. */
 const SERVED_SHARE = 0.99;
 
-/** Load after the last fault that must show the fleet at work again; with less, nothing is said of it. */
+/** Minimum load after the last fault; with less, recovery isn't checked. */
 const RECOVERY_SECONDS = 6;
 const MILLIS_PER_SECOND = 1000;
 
-/** One loss of an owner, in figures. */
+/** Figures of one loss of an owner. */
 export interface OwnerLossFigures {
   readonly upstream: string;
   readonly keys: number;
@@ -28,7 +28,7 @@
   readonly shards: number;
   readonly unserved: number;
   readonly p50Millis: number;
-  /** Time until 99% of its keys were served by others. */
+  /** Time until 99% of its keys were served by other upstreams. */
   readonly servedMillis: number;
   readonly maxMillis: number;
   readonly phases: LossPhases;
@@ -39,25 +39,25 @@
   readonly seconds: number;
   readonly services: readonly ServiceFigures[];
   readonly imbalance: Readonly<Record<string, number>>;
-  /** Changes of a shard's owner during the load. */
+  /** Number of changes of a shard's owner during the load. */
   readonly ownerChanges: number;
   readonly ownerLosses: readonly OwnerLossFigures[];
   readonly faults: readonly { readonly type: string; readonly target: string; readonly at: number }[];
-  /** Of faults of single upstreams. */
+  /** Effects of faults of single upstreams. */
   readonly faultEffects: readonly FaultEffect[];
   readonly promises: readonly PromiseResult[];
-  /** What went wrong with the run itself, or did not happen although it must. */
+  /** Problems of the run itself, and required events that did not happen. */
   readonly problems: readonly string[];
 }
 
-/** What the runner saw, beside the journals. */
+/** Observations of the runner, besides the journals. */
 export interface FleetObservations {
   readonly options: FleetOptions;
   readonly plan: FleetPlan;
-  readonly faults: readonly FaultDone[];
+  readonly faults: readonly AppliedFault[];
   readonly ownerLosses: readonly OwnerLoss[];
   readonly samples: readonly OwnershipSample[];
-  /** Processes that ended by themselves. */
+  /** Names of processes that ended without a stop request. */
   readonly unexpectedEnds: readonly string[];
 }
 
@@ -77,7 +77,7 @@
   };
 }
 
-/** Promises that a run always tries; the others need a fault of their kind. */
+/** Promises that every run checks; the others need a specific fault. */
 const ALWAYS_CHECKED: ReadonlySet<string> = new Set([
   'single-owner',
   'at-most-once',
@@ -87,8 +87,8 @@
   'planned-stop',
 ]);
 
-/** Things that must have happened for the run to prove anything. */
-function missing(
+/** Finds required events that did not happen; without them the run proves nothing. */
+function missingEvents(
   observed: FleetObservations,
   history: FleetHistory,
   services: readonly ServiceFigures[],
@@ -107,7 +107,7 @@
   }
   const unproved = promises.filter(({ promise, checked }) => ALWAYS_CHECKED.has(promise) && checked === 0);
   problems.push(...unproved.map(({ promise }) => `nothing was checked for ${promise}`));
-  problems.push(...missingAfterFaults(observed, history));
+  problems.push(...recoveryProblems(observed, history));
   if (faults.some(({ type }) => type === 'drain')) {
     const drained = promises.find(({ promise }) => promise === 'drained');
     problems.push(...(drained?.checked === 0 ? ['no drain was accepted'] : []));
@@ -115,8 +115,8 @@
   return problems;
 }
 
-/** Once the last fault is over, each service must answer again and operators must be able to change something. */
-function missingAfterFaults({ options }: FleetObservations, history: FleetHistory): string[] {
+/** After the last fault each service must answer again, and a change by an operator must be accepted. */
+function recoveryProblems({ options }: FleetObservations, history: FleetHistory): string[] {
   const { deployment, faults, seconds } = options;
   const overAt = Math.max(0, ...faults.map(({ at, seconds: length }) => at + length));
   if (overAt + RECOVERY_SECONDS > seconds) {
@@ -140,7 +140,7 @@
 function lossProblems(losses: readonly OwnerLossFigures[], observed: FleetObservations): string[] {
   const problems = losses
     .filter(({ unserved }) => unserved > 0)
-    .map(({ upstream, unserved }) => `${unserved} keys of ${upstream} were served by nobody else`);
+    .map(({ upstream, unserved }) => `${unserved} keys of ${upstream} were not served by any other upstream`);
   const killsOwner = observed.options.faults.some(
     ({ type, target }) => type === 'kill' && target === 'owner',
   );
@@ -156,8 +156,8 @@
 }
 
 /**
- * Bad answers and false hints of single upstreams, and what others announced of them: routers are to serve in spite of them. Not so for servers in
- * need, whose requests are refused as they ask.
+ * Bad answers and false hints of single upstreams, and false announcements about them: routers must serve despite these.
+ * Excludes the limits and back-offs of constrained upstreams, whose requests are rejected as the upstream requires.
  */
 function upstreamFaults({ faults }: FleetObservations) {
   const kinds: ReadonlySet<string> = new Set([
@@ -177,7 +177,7 @@
     }));
 }
 
-/** Reads the journals and judges the run. */
+/** Reads the journals and evaluates the run. */
 export function makeReport(observed: FleetObservations): FleetReport {
   const records = readJournals(observed.plan.journalFolder);
   const history = buildHistory(records);
@@ -202,15 +202,15 @@
     faultEffects: effects,
     promises,
     problems: [
-      ...missing(observed, history, services, promises),
+      ...missingEvents(observed, history, services, promises),
       ...lossProblems(ownerLosses, observed),
       ...effectProblems(effects),
-      ...observed.unexpectedEnds.map((name) => `${name} ended by itself`),
+      ...observed.unexpectedEnds.map((name) => `${name} ended unexpectedly`),
     ],
   };
 }
 
-/** Whether each promise held and enough happened to say so. */
+/** Returns whether every promise held and the run provided enough evidence. */
 export function isGood(report: FleetReport): boolean {
   return report.problems.length === 0 && report.promises.every(({ violations }) => violations.length === 0);
 }
--- a/src/dev/fleet/report/load-figures.ts
+++ b/src/dev/fleet/report/load-figures.ts
@@ -1,36 +1,36 @@
-/** Figures of a run as callers saw it. */
+/** Figures of a run from the callers' journals. */
 import { quantile } from '../../bench/statistics.js';
 import type { AttemptRecord } from '../../journal/records.js';
 import { type FleetHistory, groupBy } from '../checker/fleet-history.js';
 
 const MILLIS_PER_SECOND = 1000;
-/** A request without an answer for this long counts its key as unavailable. */
+/** Time without an answer after which the key of a request counts as unavailable. */
 const LATE_MILLIS = 500;
 
-/** Requests of one service, each with all its attempts. */
+/** Figures of one service; all attempts of a request count as one. */
 export interface ServiceFigures {
   readonly service: string;
   readonly requests: number;
   readonly answered: number;
-  /** Told `not-run` in the end. */
+  /** Requests whose last attempt was refused as `not-run`. */
   readonly refused: number;
-  /** Told `unknown`, or given no answer. */
+  /** Requests whose last attempt ended as `unknown` or without an answer. */
   readonly unknown: number;
   readonly failed: number;
-  /** Of answered requests, from their scheduled times. */
+  /** Latency of answered requests, from their scheduled times. */
   readonly p50Millis: number;
   readonly p99Millis: number;
-  /** Seconds for which its keys were unavailable, summed over keys. */
+  /** Seconds for which the keys were unavailable, summed over keys. */
   readonly unavailableKeySeconds: number;
 }
 
-interface Stretch {
+interface Interval {
   readonly from: number;
   readonly to: number;
 }
 
-function totalLength(stretches: readonly Stretch[]): number {
-  const ordered = [...stretches].sort((left, right) => left.from - right.from);
+function totalLength(intervals: readonly Interval[]): number {
+  const ordered = [...intervals].sort((left, right) => left.from - right.from);
   let total = 0;
   let end = Number.NEGATIVE_INFINITY;
   for (const { from, to } of ordered) {
@@ -41,8 +41,8 @@
 }
 
 /**
- * For each request that wasn't answered whole in time: the stretch from when it was due to the next whole answer for
- * its key, or to its own end if no other came. Stretches that overlap count once.
+ * Each request without a whole answer in time adds the interval from its scheduled time to the next whole answer for its
+ * key, or to the last end of any request for the key if there was none. Overlapping intervals count once.
  */
 function unavailableMillis(ends: readonly AttemptRecord[]): number {
   const answers = ends.filter(({ verdict }) => verdict === 'whole').map(({ at }) => at);
@@ -79,7 +79,7 @@
   };
 }
 
-/** Figures of each service, by name. */
+/** Returns the figures of each service, sorted by name. */
 export function loadFigures(history: FleetHistory): ServiceFigures[] {
   const ends = history.attempts.filter(({ last }) => last);
   const byService = groupBy(ends, ({ service }) => service);
@@ -87,7 +87,7 @@
   return services.map((service) => figuresOf(service, byService.get(service) ?? []));
 }
 
-/** Requests of the most loaded upstream over the mean of all, for each service with `counts` upstreams. */
+/** Ratio of the most loaded upstream's runs to the mean over all `counts` upstreams, for each service. */
 export function imbalanceOf(
   history: FleetHistory,
   counts: ReadonlyMap<string, number>,
--- a/src/dev/fleet/report/loss-phases.ts
+++ b/src/dev/fleet/report/loss-phases.ts
@@ -1,18 +1,18 @@
-/** How the time from the loss of an owner to its keys' new owner divides, from the control members' logs. */
+/** Phases of the time from the loss of an owner to its keys' new owner, from the control members' logs. */
 import { existsSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import type { FleetPlan } from '../fleet-plan.js';
 import type { OwnerLoss } from '../observe/owner-loss-probe.js';
 
-/** Milliseconds from the loss; `null`: not found in the logs. */
+/** Milliseconds since the loss; `null` if not found in the logs. */
 export interface LossPhases {
-  /** The leader committed that the owner's lease had ended, so that its shards had no owner. */
+  /** When the leader committed the end of the owner's lease, after which its shards had no owner. */
   readonly leaseEndedMillis: number | null;
-  /** The last of its shards was granted anew. */
+  /** When the last of its shards was granted again. */
   readonly grantedMillis: number | null;
 }
 
-/** A record that control members write when ownership changes. */
+/** Log record of a control member about a change of ownership. */
 interface OwnershipLog {
   readonly time: string;
   readonly event: string;
@@ -23,10 +23,10 @@
 }
 
 const EVENTS = ['"upstream-changed"', '"shards-changed"'];
-/** A loss is over by then. */
-const LONGEST_LOSS_MILLIS = 15_000;
+/** Log records later than this don't belong to the loss. */
+const MAX_LOSS_MILLIS = 15_000;
 
-/** Records of ownership changes of all control members, in order of time. */
+/** Reads the ownership changes in the logs of all control members, in order of time. */
 export function readOwnershipLogs(plan: FleetPlan): OwnershipLog[] {
   const lines = plan.control
     .map(({ folder }) => join(folder, 'log.jsonl'))
@@ -37,10 +37,10 @@
   return records.sort((left, right) => left.time.localeCompare(right.time));
 }
 
-/** The phases of one loss. */
+/** Returns the phases of one loss. */
 export function phasesOf(loss: OwnerLoss, logs: readonly OwnershipLog[]): LossPhases {
   const millisOf = ({ time }: OwnershipLog): number => Date.parse(time) - loss.wall;
-  const after = logs.filter((log) => millisOf(log) >= 0 && millisOf(log) < LONGEST_LOSS_MILLIS);
+  const after = logs.filter((log) => millisOf(log) >= 0 && millisOf(log) < MAX_LOSS_MILLIS);
   const end = after.find(
     ({ event, upstream, incarnation }) =>
       event === 'upstream-changed' && upstream === loss.upstream && incarnation === null,
--- a/src/dev/fleet/report/report-text.ts
+++ b/src/dev/fleet/report/report-text.ts
@@ -1,9 +1,9 @@
-/** Writes a report for people. */
-import { formatStretch } from './fault-effects.js';
+/** Formats a report as human-readable text. */
+import { formatInterval } from './fault-effects.js';
 import { type FleetReport, isGood } from './fleet-report.js';
 import { formatTable } from './text-table.js';
 
-const VIOLATIONS_SHOWN = 5;
+const MAX_VIOLATIONS_SHOWN = 5;
 
 function servicesTable(report: FleetReport): string {
   const head = [
@@ -66,9 +66,9 @@
   const rows = report.faultEffects.map(({ type, upstream, before, atFirst, afterReaction }) => [
     type,
     upstream,
-    formatStretch(before),
-    formatStretch(atFirst),
-    formatStretch(afterReaction),
+    formatInterval(before),
+    formatInterval(atFirst),
+    formatInterval(afterReaction),
   ]);
   return formatTable(head, rows);
 }
@@ -87,11 +87,11 @@
 
 function violationLines(report: FleetReport): string[] {
   return report.promises.flatMap(({ violations }) =>
-    violations.slice(0, VIOLATIONS_SHOWN).map(({ promise, message }) => `broken: ${promise}: ${message}`),
+    violations.slice(0, MAX_VIOLATIONS_SHOWN).map(({ promise, message }) => `broken: ${promise}: ${message}`),
   );
 }
 
-/** The report as text. */
+/** Returns the report as text. */
 export function formatReport(report: FleetReport): string {
   const faults = report.faults.map(({ type, target, at }) => `${type} ${target} at ${at.toFixed(1)} s`);
   const parts = [
--- a/src/dev/fleet/settings-files.ts
+++ b/src/dev/fleet/settings-files.ts
@@ -1,4 +1,4 @@
-/** Settings files of a fleet's processes, and the declarations that its operator applies. */
+/** Writes the settings files of a fleet's processes, and the declarations that its operator applies. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { stringify } from 'yaml';
@@ -18,16 +18,16 @@
 import { planStreams } from './load-plan.js';
 
 const SECRET_MODE = 0o600;
-/** Requests that wait in a stand-in upstream for a slot. */
+/** Maximum number of requests that wait for a slot in a stand-in upstream. */
 const UPSTREAM_QUEUE_LIMIT = 8;
-/** Of one caller process to one router: so many that requests never wait for a connection. */
+/** Connections of one caller process to one router, enough that requests never wait for one. */
 const CALLER_CONNECTIONS = 512;
-/** The same for a caller that sends requests behind one another: so few that it does. */
+/** The same for a pipelining caller, few enough that requests are in fact pipelined. */
 const PIPELINING_CONNECTIONS = 2;
 const PROBE_INTERVAL = '1s';
-/** State of one shard is loaded in this time. */
+/** Time to load the state of one shard. */
 const SHARD_WARM_MILLIS = 20;
-/** A started upstream takes its usual time for requests after this. */
+/** A started upstream reaches its usual service time after `millis`. */
 const COLD_START = { millis: 2000, factor: 2, shardWarmMillis: SHARD_WARM_MILLIS };
 
 export function settingsFileOf(process: { readonly folder: string }): string {
@@ -38,7 +38,7 @@
   return join(plan.journalFolder, `${process.name}.jsonl`);
 }
 
-/** File with all declarations. */
+/** Path of the file with all declarations. */
 export function declarationsFileOf(plan: FleetPlan): string {
   return join(plan.folder, 'declarations.yaml');
 }
@@ -115,7 +115,7 @@
   };
 }
 
-/** The link forwards to each process of its zone that others reach through it. */
+/** The link forwards to each process of its zone that other processes reach through it. */
 function linkSettings(plan: FleetPlan, link: LinkPlan): object {
   const inZone = <Item extends { readonly zone: string }>(items: readonly Item[]): Item[] =>
     items.filter(({ zone }) => zone === link.zone);
--- a/src/dev/fleet/supervisor.ts
+++ b/src/dev/fleet/supervisor.ts
@@ -1,4 +1,4 @@
-/** Starts the processes of a fleet, disturbs them on command, and sees to it that none outlives the run. */
+/** Starts, signals and stops the processes of a fleet, and ensures that none outlives the run. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { closeSync, mkdirSync, openSync } from 'node:fs';
 import { connect } from 'node:net';
@@ -12,7 +12,7 @@
 const READY_TIMEOUT_MILLIS = 20_000;
 const READY_POLL_MILLIS = 25;
 
-/** A process ended, or never came up, when it should run. */
+/** A process exited unexpectedly or did not become ready. */
 export class ProcessFailedError extends TernmountError {
   constructor(name: string, problem: string, log: string) {
     const options = { code: 'TERNMOUNT_PROCESS_FAILED', retriable: false, info: { name, log } };
@@ -20,7 +20,7 @@
   }
 }
 
-/** How a process that was asked to stop ended. */
+/** How a process ended after a stop request. */
 export type StopResult = 'ended' | 'killed';
 
 interface RunningProcess {
@@ -28,11 +28,11 @@
   readonly child: ChildProcess;
   readonly exited: Promise<number | null>;
   frozen: boolean;
-  /** Set when the fleet wants it gone. */
+  /** Set when the runner expects the process to end. */
   expectedToEnd: boolean;
 }
 
-/** Whether something accepts connections at `address`. */
+/** Returns whether `address` accepts connections. */
 async function acceptsConnections(address: Address): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = connect(parseAddress(address));
@@ -46,29 +46,29 @@
 
 export class Supervisor {
   readonly #running = new Map<string, RunningProcess>();
-  readonly #unexpected: string[] = [];
+  readonly #unexpectedNames: string[] = [];
   readonly #profileFolder: string | null;
 
-  /** `profileFolder`: where each process leaves a processor profile when it ends; `null`: none. */
+  /** `profileFolder`: folder for the CPU profile that each process writes when it ends; `null`: none. */
   constructor(profileFolder: string | null = null) {
     this.#profileFolder = profileFolder;
   }
 
-  /** Processes that ended by themselves although nobody asked them to. */
+  /** Names of processes that ended without a stop request. */
   get unexpectedEnds(): readonly string[] {
-    return this.#unexpected;
+    return this.#unexpectedNames;
   }
 
   isRunning(name: string): boolean {
     return this.#running.has(name);
   }
 
-  /** Number of processes that run. */
+  /** Number of running processes. */
   get count(): number {
     return this.#running.size;
   }
 
-  /** Processes of a kind that run. */
+  /** Names of the running processes of a kind. */
   namesOf(kind: ProcessKind): string[] {
     return [...this.#running.values()].filter(({ spec }) => spec.kind === kind).map(({ spec }) => spec.name);
   }
@@ -77,30 +77,30 @@
     return this.#running.get(name)?.child.pid;
   }
 
-  /** File with all that a process wrote. */
+  /** File with the standard output and standard error of a process. */
   logOf(spec: ProcessSpec): string {
     return join(spec.folder, 'log.jsonl');
   }
 
-  /** Starts a process and waits until it is up. */
+  /** Starts a process and waits until it is ready. */
   async start(spec: ProcessSpec): Promise<void> {
     const process = this.#spawn(spec);
     const deadline = Date.now() + READY_TIMEOUT_MILLIS;
     while (spec.readyAddress !== null && !(await acceptsConnections(spec.readyAddress))) {
       if (!this.#running.has(spec.name)) {
-        throw new ProcessFailedError(spec.name, 'ended before it was up', this.logOf(spec));
+        throw new ProcessFailedError(spec.name, 'ended before it was ready', this.logOf(spec));
       }
       if (Date.now() > deadline) {
-        throw new ProcessFailedError(spec.name, "isn't up in time", this.logOf(spec));
+        throw new ProcessFailedError(spec.name, 'was not ready in time', this.logOf(spec));
       }
       await delay(READY_POLL_MILLIS);
     }
     if (process.child.pid === undefined) {
-      throw new ProcessFailedError(spec.name, "can't be started", this.logOf(spec));
+      throw new ProcessFailedError(spec.name, 'could not be started', this.logOf(spec));
     }
   }
 
-  /** Runs a program to its end; throws if it fails. */
+  /** Runs a process to its end; throws if it fails. */
   async runToEnd(spec: ProcessSpec): Promise<void> {
     const process = this.#spawn(spec);
     process.expectedToEnd = true;
@@ -121,7 +121,7 @@
 
   /** SIGKILL. */
   async kill(name: string): Promise<void> {
-    const process = this.#require(name);
+    const process = this.#runningProcess(name);
     process.expectedToEnd = true;
     process.child.kill('SIGKILL');
     await process.exited;
@@ -129,12 +129,12 @@
 
   /** SIGSTOP. */
   freeze(name: string): void {
-    const process = this.#require(name);
+    const process = this.#runningProcess(name);
     process.frozen = true;
     process.child.kill('SIGSTOP');
   }
 
-  /** SIGCONT; nothing if the process is gone or wasn't frozen. */
+  /** SIGCONT; does nothing if the process has ended or wasn't frozen. */
   thaw(name: string): void {
     const process = this.#running.get(name);
     if (process?.frozen) {
@@ -143,7 +143,7 @@
     }
   }
 
-  /** SIGTERM, then SIGKILL once `graceMillis` is over. */
+  /** SIGTERM, then SIGKILL after `graceMillis`. */
   async stop(name: string, graceMillis: number): Promise<StopResult> {
     const process = this.#running.get(name);
     if (!process) {
@@ -166,24 +166,24 @@
     return 'killed';
   }
 
-  /** Stops all that still run; gives the names of those that had to be killed. */
+  /** Stops all running processes; returns the names of the killed ones. */
   async stopAll(graceMillis: number): Promise<string[]> {
     const names = [...this.#running.keys()];
     const results = await Promise.all(names.map((name) => this.stop(name, graceMillis)));
     return names.filter((_, index) => results[index] === 'killed');
   }
 
-  /** SIGKILL to all, without waiting: for the end of the runner itself. */
+  /** Sends SIGKILL to all processes without waiting, for the exit of the runner itself. */
   killAllNow(): void {
     for (const { child } of this.#running.values()) {
       child.kill('SIGKILL');
     }
   }
 
-  #require(name: string): RunningProcess {
+  #runningProcess(name: string): RunningProcess {
     const process = this.#running.get(name);
     if (!process) {
-      throw new RangeError(`no process ${name} runs`);
+      throw new RangeError(`process ${name} is not running`);
     }
     return process;
   }
@@ -200,7 +200,7 @@
     });
     const running: RunningProcess = { spec, child, exited, frozen: false, expectedToEnd: false };
     this.#running.set(spec.name, running);
-    void exited.then(() => this.#forget(running));
+    void exited.then(() => this.#onExit(running));
     return running;
   }
 
@@ -211,13 +211,13 @@
       : ['--cpu-prof', `--cpu-prof-dir=${folder}`, `--cpu-prof-name=${name}.cpuprofile`];
   }
 
-  #forget(process: RunningProcess): void {
+  #onExit(process: RunningProcess): void {
     const { name } = process.spec;
     if (this.#running.get(name) === process) {
       this.#running.delete(name);
     }
     if (!process.expectedToEnd) {
-      this.#unexpected.push(name);
+      this.#unexpectedNames.push(name);
     }
   }
 }
--- a/src/dev/main.ts
+++ b/src/dev/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `ternmount-dev`: stand-ins, the fleet runner and other tools of development. */
+/** `ternmount-dev`: stand-ins, the fleet runner and other development tools. */
 import { toError } from '../errors/ternmount-error.js';
 import { createDevCli } from './dev-cli.js';
 
--- a/test/fleet/checker/checker.test.ts
+++ b/test/fleet/checker/checker.test.ts
@@ -6,7 +6,7 @@
 interface Case {
   readonly title: string;
   readonly records: readonly JournalRecord[];
-  /** Promises that are broken. */
+  /** Promises that the records violate. */
   readonly broken: readonly PromiseName[];
 }
 
@@ -16,8 +16,8 @@
 const UPSTREAM = { wall: 0, upstream: 'up-1', incarnation: 'one' };
 const NO_NEED = { limitPerSecond: null, restMillis: null, isLeaving: false };
 
-/** An answer that says so, and requests that come to the same upstream from the same router. */
-function needy(need: Partial<SaidNeed>, arrivals: readonly number[]): JournalRecord[] {
+/** An answer that reports `need`, and requests that reach the same upstream from the same router. */
+function constrainedUpstream(need: Partial<SaidNeed>, arrivals: readonly number[]): JournalRecord[] {
   const said = { ...NO_NEED, ...need };
   const answer: JournalRecord = { type: 'need-said', at: 0, ...UPSTREAM, routerRequest: 'r1/1.1', ...said };
   const later = arrivals.map((at, index): JournalRecord => {
@@ -34,27 +34,27 @@
 const CASES: readonly Case[] = [
   {
     title: 'a limit that is kept',
-    records: needy({ limitPerSecond: 2 }, times(3000, 250, 17)),
+    records: constrainedUpstream({ limitPerSecond: 2 }, times(3000, 250, 17)),
     broken: [],
   },
   {
-    title: 'a limit of which each router takes the whole',
-    records: needy({ limitPerSecond: 2 }, times(3000, 100, 40)),
+    title: 'a limit that each router uses in full',
+    records: constrainedUpstream({ limitPerSecond: 2 }, times(3000, 100, 40)),
     broken: ['needs-heeded'],
   },
   {
-    title: 'a rest that is cut to a second',
-    records: needy({ restMillis: 3000 }, [1000, 1010, 1020, 2100]),
+    title: 'a back-off that is shortened to a second',
+    records: constrainedUpstream({ restMillis: 3000 }, [1000, 1010, 1020, 2100]),
     broken: ['needs-heeded'],
   },
   {
-    title: 'a rest that is kept',
-    records: needy({ restMillis: 3000 }, [100, 400, 1000, 1010, 3000, 3001]),
+    title: 'a back-off that is kept',
+    records: constrainedUpstream({ restMillis: 3000 }, [100, 400, 1000, 1010, 3000, 3001]),
     broken: [],
   },
   {
-    title: 'requests to one that said that it leaves, after a success',
-    records: needy({ isLeaving: true }, [1900, 2100]),
+    title: 'requests to an upstream after an answer that reported draining',
+    records: constrainedUpstream({ isLeaving: true }, [1900, 2100]),
     broken: ['needs-heeded'],
   },
   { title: 'nothing', records: [], broken: [] },
@@ -67,7 +67,7 @@
     broken: [],
   },
   {
-    title: 'an old owner refused at the point of effect',
+    title: 'an old owner rejected at the point of effect',
     records: [
       ...run({ shard, epoch: 5, at: 0, effectAt: null }),
       ...run({ shard, epoch: 9, at: 10, upstream: 'up-2', incarnation: 'two' }),
@@ -75,7 +75,7 @@
     broken: [],
   },
   {
-    title: 'an old owner that takes effect after a new one began',
+    title: 'an old owner that takes effect after a new one started',
     records: [
       ...run({ shard, epoch: 5, at: 0, effectAt: 20 }),
       ...run({ shard, epoch: 9, at: 10, upstream: 'up-2', incarnation: 'two' }),
@@ -101,7 +101,7 @@
     broken: ['single-owner'],
   },
   {
-    title: 'two owners of one key by way of two key maps',
+    title: 'two owners of one key through two key maps',
     records: [
       ...run({ shard: 'menuboard/sheets@4/1', key: 'sheet/7', epoch: 5, at: 0, effectAt: 20 }),
       ...run({ shard: 'menuboard/hot@8/0', key: 'sheet/7', epoch: 9, at: 10, upstream: 'up-2' }),
@@ -123,7 +123,7 @@
     broken: ['at-most-once'],
   },
   {
-    title: 'an order begun twice of which one had no effect',
+    title: 'an order started twice, once without effect',
     records: [
       ...run({ ...order, request: 'a', effectAt: null }),
       ...run({ ...order, request: 'a', upstream: 'up-2' }),
@@ -172,33 +172,33 @@
     broken: [],
   },
   {
-    title: 'a piece taken for the whole',
+    title: 'a partial answer accepted as complete',
     records: [attempt({ verdict: 'damaged' })],
     broken: ['whole-answers'],
   },
   {
-    title: "someone else's answer",
+    title: 'the answer of another request',
     records: [attempt({ verdict: 'foreign' })],
     broken: ['whole-answers'],
   },
-  { title: 'an answer that broke off and was seen to', records: [attempt({ verdict: 'lost' })], broken: [] },
+  { title: 'a truncated answer that was detected', records: [attempt({ verdict: 'lost' })], broken: [] },
   {
     title: 'an order answered that never ran',
     records: [attempt({ ...order, request: 'a' })],
     broken: ['ran-is-true'],
   },
   {
-    title: 'new work soon after a drain',
+    title: 'a new request soon after a drain',
     records: [event(0, { event: 'drain-accepted', upstream: 'up-1' }), ...run({ at: 1000 })],
     broken: [],
   },
   {
-    title: 'new work long after a drain',
+    title: 'a new request long after a drain',
     records: [event(0, { event: 'drain-accepted', upstream: 'up-1' }), ...run({ at: 9000 })],
     broken: ['drained'],
   },
   {
-    title: 'new work after it came back',
+    title: 'a new request after the drain was undone',
     records: [
       event(0, { event: 'drain-accepted', upstream: 'up-1' }),
       event(8000, { event: 'return-accepted', upstream: 'up-1' }),
@@ -207,17 +207,17 @@
     broken: [],
   },
   {
-    title: 'a planned stop that lets work finish',
+    title: 'a planned stop that waits for requests in flight',
     records: [...run({ at: 0 }), event(1, { event: 'stopping', process: 'up-1' })],
     broken: [],
   },
   {
-    title: 'a planned stop in the middle of a run',
+    title: 'a planned stop during a run',
     records: [...run({ at: 0, endAt: null }), event(1, { event: 'stopping', process: 'up-1' })],
     broken: ['planned-stop'],
   },
   {
-    title: 'a kill in the middle of a run',
+    title: 'a kill during a run',
     records: [...run({ at: 0, endAt: null }), event(1, { event: 'killed', process: 'up-1' })],
     broken: [],
   },
@@ -230,7 +230,7 @@
     broken: ['planned-stop'],
   },
   {
-    title: 'a planned stop of a router with a request at an upstream that was sent behind another',
+    title: 'a planned stop of a router with a pipelined request at an upstream',
     records: [
       ...run({ at: 100, request: 'request' }),
       event(500, { event: 'stopping', process: 'router-1' }),
@@ -239,7 +239,7 @@
     broken: ['planned-stop'],
   },
   {
-    title: 'a planned stop of a router that never sent on what came behind another request',
+    title: 'a planned stop of a router that never forwarded a pipelined request',
     records: [
       event(500, { event: 'stopping', process: 'router-1' }),
       attempt({ sentAt: 0, at: 600, verdict: 'lost', pipelined: true }),
@@ -248,7 +248,7 @@
   },
   {
     title:
-      'a planned stop of a router that never sent on what came behind another request, which its caller then sent elsewhere',
+      'a planned stop of a router that never forwarded a pipelined request, which its caller then sent to another router',
     records: [
       event(500, { event: 'stopping', process: 'router-1' }),
       attempt({ sentAt: 0, at: 600, verdict: 'lost', pipelined: true, last: false }),
@@ -258,7 +258,7 @@
     broken: [],
   },
   {
-    title: 'a caller that went away',
+    title: 'a caller that disconnected',
     records: [
       attempt({ verdict: 'left' }),
       event(9, { event: 'router-left-over', router: 'a', requests: 0 }),
@@ -266,12 +266,12 @@
     broken: [],
   },
   {
-    title: 'requests that are under way after the load',
+    title: 'requests that are pending after the load',
     records: [event(9, { event: 'router-left-over', router: 'router-1', requests: 3 })],
     broken: ['nothing-left-over'],
   },
   {
-    title: 'a planned stop that never came to an end',
+    title: 'a planned stop that never completed',
     records: [
       event(10, { event: 'stopping', process: 'up-1' }),
       event(9000, { event: 'stopped', process: 'up-1', result: 'killed' }),
@@ -279,7 +279,7 @@
     broken: ['planned-stop'],
   },
   {
-    title: 'a planned stop of a process that was killed and started again before',
+    title: 'a planned stop of a process that was killed and restarted before',
     records: [
       ...run({ at: 5, endAt: null }),
       event(10, { event: 'killed', process: 'up-1' }),
@@ -289,7 +289,7 @@
     broken: [],
   },
   {
-    title: 'a planned stop that cuts a request after an earlier kill',
+    title: 'a planned stop that interrupts a request after an earlier kill',
     records: [
       ...run({ at: 5, endAt: null }),
       event(10, { event: 'killed', process: 'up-1' }),
@@ -299,7 +299,7 @@
     broken: ['planned-stop'],
   },
   {
-    title: 'a change in force that each later read finds',
+    title: 'a change in force that each later read returns',
     records: [
       event(0, { event: 'change-sent', service: 'menuboard', value: 2 }),
       event(1, { event: 'change-read', service: 'menuboard', value: 1, since: 0 }),
@@ -312,7 +312,7 @@
     broken: [],
   },
   {
-    title: 'a change in force that a later read does not find',
+    title: 'a change in force that a later read does not return',
     records: [
       event(5, { event: 'change-in-force', service: 'menuboard', value: 2, revision: 40 }),
       event(7, { event: 'change-read', service: 'menuboard', value: 1, since: 6 }),
@@ -320,7 +320,7 @@
     broken: ['configuration-kept'],
   },
   {
-    title: 'a change that was read and then went back',
+    title: 'a change that was read and then reverted',
     records: [
       event(5, { event: 'change-read', service: 'menuboard', value: 3, since: 4 }),
       event(7, { event: 'change-read', service: 'menuboard', value: 2, since: 6 }),
@@ -328,7 +328,7 @@
     broken: ['configuration-kept'],
   },
   {
-    title: 'a router that serves less than what is in force',
+    title: 'a router that serves a lower revision than the one in force',
     records: [
       event(5, { event: 'change-in-force', service: 'menuboard', value: 2, revision: 40 }),
       event(8, { event: 'router-read', router: 'router-1', revision: 39, serving: true, since: 6 }),
--- a/test/fleet/checker/journal-fixtures.ts
+++ b/test/fleet/checker/journal-fixtures.ts
@@ -1,4 +1,4 @@
-/** Short ways to write journals for checker tests. */
+/** Builders of journal records for checker tests. */
 import type {
   AttemptRecord,
   FleetEventRecord,
@@ -10,13 +10,13 @@
 
 let runCount = 0;
 
-/** Fields of a run; `effectAt` and `endAt` `null` leave the record out. */
+/** Fields of a run; `null` for `effectAt` or `endAt` omits the record. */
 export interface RunFixture extends Partial<Omit<RunStartRecord, 'type' | 'run'>> {
   readonly effectAt?: number | null;
   readonly endAt?: number | null;
 }
 
-/** The records of one run that starts at `at` (0) and, unless said otherwise, takes effect and ends. */
+/** Records of one run that starts at `at` (default 0) and by default takes effect and ends. */
 export function run(fixture: RunFixture): JournalRecord[] {
   runCount += 1;
   const { effectAt, endAt, ...fields } = fixture;
@@ -57,7 +57,7 @@
   return records;
 }
 
-/** One attempt, answered whole unless said otherwise. */
+/** Record of one attempt, by default answered whole. */
 export function attempt(fields: Partial<Omit<AttemptRecord, 'type'>>): AttemptRecord {
   return {
     type: 'attempt',
@@ -84,7 +84,7 @@
   };
 }
 
-/** Something that the fleet runner did at `at`. */
+/** Record of an action of the fleet runner at `at`. */
 export function event(at: number, fields: DistributiveOmit<FleetEventRecord>): JournalRecord {
   return { type: 'fleet-event', at, wall: 0, ...fields } as FleetEventRecord;
 }
--- a/test/fleet/even-sample.test.ts
+++ b/test/fleet/even-sample.test.ts
@@ -10,12 +10,12 @@
     { count: 3, sample: [0, 34, 67] },
   ];
   for (const { count, sample } of cases) {
-    it(`takes at most ${count} of 100`, () => {
+    it(`returns at most ${count} of 100 items`, () => {
       expect(evenSample(items, count)).to.deep.equal(sample);
     });
   }
 
-  it('takes nothing from nothing', () => {
+  it('returns nothing for an empty list', () => {
     expect(evenSample([], 5)).to.deep.equal([]);
   });
 });
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -81,7 +81,7 @@
     }
   }).timeout(120_000);
 
-  it('gives servers in need what they say that they take', async () => {
+  it('complies with the limits, back-offs and draining that upstreams report', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'ternmount-fleet-test-'));
     const { network, release } = await reserveNetwork(FLEET_DEFAULTS.network);
     const faults = 'names-limit:owner@1+9,says-leaving:unkeyed@1+6,asks-rest:owner@11+4';
@@ -106,7 +106,7 @@
     }
   }).timeout(120_000);
 
-  it('keeps every promise with reads behind one another, callers that leave and upstreams of unequal speed', async () => {
+  it('keeps every promise with pipelined reads, callers that disconnect and upstreams of unequal speed', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'ternmount-fleet-test-'));
     const { network, release } = await reserveNetwork(FLEET_DEFAULTS.network);
     try {
--- a/test/fleet/network-reservation.test.ts
+++ b/test/fleet/network-reservation.test.ts
@@ -5,7 +5,7 @@
 const LAST_NETWORK = 254;
 
 describe('network reservation', () => {
-  it('gives two fleets two networks, and a released one again', async () => {
+  it('assigns different networks to two fleets, and reuses a released one', async () => {
     const first = await reserveNetwork(PREFERRED);
     const second = await reserveNetwork(PREFERRED);
     expect(second.network).not.to.equal(first.network);
@@ -15,7 +15,7 @@
     await Promise.all([second.release(), third.release()]);
   });
 
-  it('says so if none is left', async () => {
+  it('throws if no network is free', async () => {
     const last = await reserveNetwork(LAST_NETWORK).catch(() => undefined);
     const error = await reserveNetwork(LAST_NETWORK).catch((thrown: unknown) => thrown);
     expect(error).to.be.instanceOf(NoFreeNetworkError);
--- a/test/fleet/outgoing.test.ts
+++ b/test/fleet/outgoing.test.ts
@@ -9,10 +9,10 @@
 
 const OWN_HOST = '127.0.0.9';
 
-/** What makes one connection to `address` from `OWN_HOST`; gives how to stop it. */
-type Dialler = (address: string) => () => unknown;
+/** Opens one connection to `address` from `OWN_HOST`; returns a function that closes it. */
+type Connector = (address: string) => () => unknown;
 
-const DIALLERS: Readonly<Record<string, Dialler>> = {
+const CONNECTORS: Readonly<Record<string, Connector>> = {
   'a router to an upstream': (address) => {
     const options = { connectionsPerUpstream: 1, connectMillis: 1000, streamStallMillis: 1000 };
     const pools = new UpstreamPools({ ...options, localAddress: OWN_HOST });
@@ -86,10 +86,10 @@
     server.close();
   });
 
-  for (const [title, dial] of Object.entries(DIALLERS)) {
-    it(`of ${title} come from its own IP number`, async () => {
+  for (const [title, connectTo] of Object.entries(CONNECTORS)) {
+    it(`of ${title} use its own IP address`, async () => {
       const { port } = server.address() as AddressInfo;
-      const stop = dial(`127.0.0.1:${port}`);
+      const stop = connectTo(`127.0.0.1:${port}`);
       const [socket] = (await once(server, 'connection')) as [Socket];
       const { remoteAddress } = socket;
       socket.destroy();
--- a/test/fleet/ownership-sampler.test.ts
+++ b/test/fleet/ownership-sampler.test.ts
@@ -6,7 +6,7 @@
 }
 
 describe('countOwnerChanges', () => {
-  it('counts a new owner, not a first one, an unchanged one, or the same one after a gap', () => {
+  it('counts a new owner, but not a first one, an unchanged one, or the same one after a gap', () => {
     const samples = [
       sample({ a: 'up-1' }),
       sample({ a: 'up-1', b: 'up-2' }),
--- a/test/fleet/report/fault-effects.test.ts
+++ b/test/fleet/report/fault-effects.test.ts
@@ -13,7 +13,7 @@
 const fault = { type: 'fail', upstream: 'up-1', from: FROM, to: FROM + 6000 };
 
 describe('faultEffects', () => {
-  it('counts answers and runs before the fault, at its beginning, and later on', () => {
+  it('counts answers and runs before the fault, at its start, and later', () => {
     const history = buildHistory([
       ...run({ at: 10 }),
       ...run({ at: FROM + 10 }),
@@ -30,35 +30,35 @@
     expect(effect?.afterReaction).to.deep.equal({ requests: 1, answered: 1, goodShare: 1, runShare: 0 });
   });
 
-  it('says nothing of an upstream that ran nothing', () => {
+  it('omits an upstream that ran no request', () => {
     expect(faultEffects(buildHistory([]), [fault], 0)).to.deep.equal([]);
   });
 });
 
 describe('effectProblems', () => {
-  const stretch = { requests: 100, answered: 100, goodShare: 1, runShare: 0.2 };
+  const interval = { requests: 100, answered: 100, goodShare: 1, runShare: 0.2 };
   const effect: FaultEffect = {
     type: 'fail',
     upstream: 'up-1',
     service: 'menuboard',
-    before: stretch,
-    atFirst: { ...stretch, answered: 10, goodShare: 0.1 },
-    afterReaction: stretch,
+    before: interval,
+    atFirst: { ...interval, answered: 10, goodShare: 0.1 },
+    afterReaction: interval,
   };
 
   function problemsOf(type: string, afterReaction: object): string[] {
-    return effectProblems([{ ...effect, type, afterReaction: { ...stretch, ...afterReaction } }]);
+    return effectProblems([{ ...effect, type, afterReaction: { ...interval, ...afterReaction } }]);
   }
 
-  it('lets routers react first', () => {
+  it('ignores the time in which routers react', () => {
     expect(effectProblems([effect])).to.deep.equal([]);
   });
 
-  it("finds a bad upstream that isn't routed around", () => {
+  it("finds a bad upstream that routers don't avoid", () => {
     expect(problemsOf('fail', { answered: 89, goodShare: 0.89 })).to.have.length(1);
   });
 
-  it('finds a good upstream that a hint alone keeps from work', () => {
+  it('finds a good upstream that gets no requests because of a hint alone', () => {
     expect(problemsOf('platform-gone', { runShare: 0 })).to.have.length(1);
     expect(problemsOf('fail', { runShare: 0 })).to.deep.equal([]);
   });
--- a/test/fleet/report/load-figures.test.ts
+++ b/test/fleet/report/load-figures.test.ts
@@ -33,7 +33,7 @@
     expect(figures?.unavailableKeySeconds).to.equal(2);
   });
 
-  it('counts a request that was held for long', () => {
+  it('counts a request that was answered late', () => {
     const figures = figuresOf(attempt({ request: 'a', key: 'k', scheduledAt: 1000, at: 2500 }));
     expect(figures?.unavailableKeySeconds).to.equal(1.5);
   });
--- a/test/fleet/report/loss-phases.test.ts
+++ b/test/fleet/report/loss-phases.test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('phasesOf', () => {
-  it('finds the end of the lease and the last grant', () => {
+  it('returns the end of the lease and the last grant', () => {
     const logs = [
       sessionEnd(-5000, 'up-1'),
       at(100, { owned: 5 }),
@@ -35,7 +35,7 @@
     expect(phasesOf(loss, logs)).to.deep.equal({ leaseEndedMillis: 1500, grantedMillis: 1540 });
   });
 
-  it('says so when the logs show neither', () => {
+  it('returns null for phases that the logs do not show', () => {
     expect(phasesOf(loss, [])).to.deep.equal({ leaseEndedMillis: null, grantedMillis: null });
     const onlyEnd = phasesOf(loss, [sessionEnd(1500, 'up-1')]);
     expect(onlyEnd).to.deep.equal({ leaseEndedMillis: 1500, grantedMillis: null });
