--- a/src/dev/standins/answer-body.ts
+++ b/src/dev/standins/answer-body.ts
@@ -1,10 +1,10 @@
-/** Bodies of stand-in answers: they say whose answer they are, and their length and checksum show a missing piece. */
+/** Bodies of stand-in answers: they identify their request, and their length and checksum reveal missing data. */
 import { crc32 } from 'node:zlib';
 
-/** Carries the caller's id of a request whose target must not differ from that of like requests. */
+/** Header with the caller's id of a request whose target must equal that of identical requests. */
 export const CALLER_REQUEST_HEADER = 'x-request-id';
 
-/** What a stand-in upstream puts into each answer. */
+/** Body of each answer of a stand-in upstream. */
 export interface AnswerBody {
   readonly request: string;
   readonly key: string | null;
@@ -16,7 +16,7 @@
 
 const PAYLOAD_PATTERN = 'abcdefghijklmnopqrstuvwxyz0123456789';
 
-/** The answer to `request`, with `payloadLength` characters of payload. */
+/** Returns the answer to `request` with `payloadLength` characters of payload. */
 export function makeAnswerBody(
   request: string,
   key: string | null,
@@ -29,10 +29,10 @@
   return JSON.stringify(body);
 }
 
-/** What a body taken for complete turns out to be. */
+/** Result of checking a body that was received as complete. */
 export type BodyVerdict = 'whole' | 'damaged' | 'foreign';
 
-/** Checks that `text` is the whole answer to `request`, or to any request for `key` if that is `null`. */
+/** Checks whether `text` is the whole answer to `request`, or to any request for `key` if `request` is `null`. */
 export function judgeAnswerBody(text: string, request: string | null, key: string | null): BodyVerdict {
   let body: AnswerBody;
   try {
@@ -50,7 +50,7 @@
   return sameRequest && body.key === key ? 'whole' : 'foreign';
 }
 
-/** Who wrote a whole answer. */
+/** Returns the upstream that wrote a whole answer. */
 export function upstreamOfAnswerBody(text: string): string {
   return (JSON.parse(text) as AnswerBody).upstream;
 }
--- a/src/dev/standins/caller/arrival-schedule.ts
+++ b/src/dev/standins/caller/arrival-schedule.ts
@@ -1,12 +1,12 @@
-/** Open-loop arrivals: a Poisson process whose rate follows a table, fixed before the load starts. */
+/** Open-loop arrivals: a Poisson process whose rate follows a table that is fixed before the load starts. */
 import type { RandomSource } from '../../virtual/random-source.js';
 import type { RatePoint } from './caller-settings.js';
 
 const MILLIS_PER_SECOND = 1000;
-/** Longest step over a stretch without load. */
+/** Length of a step while the rate is 0. */
 const IDLE_STEP_MILLIS = 10;
 
-/** Gives the times of arrivals, in milliseconds from the start of the load. */
+/** Generates arrival times, in milliseconds from the start of the load. */
 export class ArrivalSchedule {
   readonly #rates: readonly RatePoint[];
   readonly #random: RandomSource;
@@ -18,7 +18,7 @@
     this.#advance();
   }
 
-  /** Times of all arrivals up to `elapsedMillis` that weren't given yet. */
+  /** Returns the times of all arrivals up to `elapsedMillis` that weren't returned before. */
   takeDue(elapsedMillis: number): number[] {
     const due: number[] = [];
     while (this.#next <= elapsedMillis) {
--- a/src/dev/standins/caller/caller-settings.ts
+++ b/src/dev/standins/caller/caller-settings.ts
@@ -1,7 +1,7 @@
 /** Settings of a stand-in caller. */
 import { z } from 'zod';
 
-/** A stretch of the load: `requestsPerSecond` from `fromSeconds` on, until the next one starts. */
+/** A period of the load: `requestsPerSecond` from `fromSeconds` until the next period starts. */
 const ratePointSchema = z.strictObject({
   fromSeconds: z.number().min(0),
   requestsPerSecond: z.number().min(0),
@@ -11,20 +11,20 @@
 const streamSchema = z.strictObject({
   service: z.string().min(1),
   method: z.enum(['GET', 'POST']).default('GET'),
-  /** Keys are `<keyPrefix><number>`; 0: the service isn't keyed. */
+  /** Number of keys `<keyPrefix><number>`; 0: the service isn't keyed. */
   keyCount: z.number().int().min(0).default(0),
   keyPrefix: z.string().default(''),
-  /** Keys of the first ranks, in place of numbered ones. */
+  /** Keys of the first ranks, instead of numbered ones. */
   hotKeys: z.array(z.string()).default([]),
-  /** Exponent of the Zipf distribution of keys; 0: all alike. */
+  /** Exponent of the Zipf distribution of keys; 0: uniform. */
   zipfExponent: z.number().min(0).default(1),
   repeatable: z.boolean().default(true),
-  /** Whether one answer may serve several callers; the request's id is then no part of its target. */
+  /** Whether several callers may share an answer; the target then doesn't contain the request's id. */
   coalesced: z.boolean().default(false),
   deadlineMillis: z.number().positive(),
-  /** Attempts at one request; a request that may not be repeated carries the same idempotency key in each. */
+  /** Maximum attempts at one request; a request that must not be repeated has the same idempotency key in each. */
   attempts: z.number().int().min(1).default(1),
-  /** Share of the requests whose caller goes away after `leaveMillis` without an answer. */
+  /** Share of the requests whose caller disconnects after `leaveMillis` without an answer. */
   leaveShare: z.number().min(0).max(1).default(0),
   leaveMillis: z.number().positive().default(20),
   retryDelayMillis: z.number().min(0).default(200),
@@ -33,19 +33,19 @@
 
 export const callerSettingsSchema = z.strictObject({
   name: z.string().min(1),
-  /** Own IP number, from which connections go out. */
+  /** Local IP address of outgoing connections. */
   host: z.string().min(1),
   seed: z.number().int(),
-  /** `host:port` of an endpoint; the load then begins with `POST /start`. Left out: at once. */
+  /** `host:port` of an endpoint whose `POST /start` begins the load. Without it the load begins at once. */
   control: z.string().min(1).optional(),
   seconds: z.number().positive(),
   connectionsPerRouter: z.number().int().min(1).default(64),
-  /** Reads that may be sent behind one another on a connection; 1: each waits for the answer before it. */
+  /** Maximum number of reads pipelined on a connection; 1: each waits for the preceding answer. */
   pipelining: z.number().int().min(1).default(1),
   routers: z.array(z.strictObject({ name: z.string(), address: z.string() })).min(1),
   streams: z.array(streamSchema).min(1),
   journal: z.string().min(1),
-  /** File for the JSON summary, written at the end. */
+  /** File of the JSON summary, written at the end. */
   summary: z.string().min(1),
 });
 
--- a/src/dev/standins/caller/caller-standin.ts
+++ b/src/dev/standins/caller/caller-standin.ts
@@ -1,4 +1,4 @@
-/** A stand-in for tablets, fans and shops: open-loop load, answers checked, every attempt recorded. */
+/** A stand-in for tablets, fans and shops: sends open-loop load, checks the answers and records every attempt. */
 
 import { writeFileSync } from 'node:fs';
 import type { RequestListener } from 'node:http';
@@ -25,7 +25,7 @@
   readonly keys: ZipfKeys | null;
 }
 
-/** What the summary file holds. */
+/** Content of the summary file. */
 export interface CallerReport {
   readonly caller: string;
   readonly services: readonly ServiceSummary[];
@@ -54,7 +54,7 @@
     this.#streams = settings.streams.map((stream, index) => this.#startStream(stream, index));
   }
 
-  /** As `run`, but begins when its control endpoint is told to, if the settings name one. */
+  /** Like `run`, but first waits for the start command if the settings have a control endpoint. */
   async serve(): Promise<CallerReport> {
     const { control } = this.#settings;
     if (control !== undefined) {
@@ -79,7 +79,7 @@
     return report;
   }
 
-  /** No new requests; `run` ends when those under way have. */
+  /** Stops sending new requests; `run` ends when the pending ones have ended. */
   stop(): void {
     this.#stopped = true;
   }
@@ -101,12 +101,12 @@
     }
   }
 
-  #track(work: Promise<void>): void {
-    this.#pending.add(work);
-    void work.finally(() => this.#pending.delete(work));
+  #track(request: Promise<void>): void {
+    this.#pending.add(request);
+    void request.finally(() => this.#pending.delete(request));
   }
 
-  /** One request with all its attempts; each goes to another router than the one before. */
+  /** Sends one request with all its attempts, each to a different router than the preceding one. */
   async #request(state: StreamState, scheduledAt: number): Promise<void> {
     const { stream } = state;
     this.#requestCount += 1;
@@ -126,8 +126,7 @@
       const router = this.#routers[(firstRouter + number - 1) % this.#routers.length] as RouterClient;
       const sentAt = machineMillis();
       answer = await router.send(attempt);
-      const last =
-        number === stream.attempts || !isWorthResending(stream, answer, machineMillis() - scheduledAt);
+      const last = number === stream.attempts || !shouldResend(stream, answer, machineMillis() - scheduledAt);
       this.#record(stream, attempt, answer, { number, last, router: router.name, scheduledAt, sentAt });
       if (last) {
         break;
@@ -137,7 +136,7 @@
     this.#finish(attempt, answer as AttemptAnswer, scheduledAt);
   }
 
-  #record(stream: CallerStream, attempt: Attempt, answer: AttemptAnswer, at: AttemptPlace): void {
+  #record(stream: CallerStream, attempt: Attempt, answer: AttemptAnswer, context: AttemptContext): void {
     this.#journal.write({
       type: 'attempt',
       at: machineMillis(),
@@ -145,20 +144,20 @@
       caller: this.#settings.name,
       service: attempt.service,
       request: attempt.request,
-      attempt: at.number,
-      router: at.router,
+      attempt: context.number,
+      router: context.router,
       key: attempt.key,
       idempotencyKey: attempt.idempotencyKey,
       repeatable: stream.repeatable,
       pipelined: this.#settings.pipelining > 1,
-      scheduledAt: at.scheduledAt,
-      sentAt: at.sentAt,
+      scheduledAt: context.scheduledAt,
+      sentAt: context.sentAt,
       verdict: answer.verdict,
       status: answer.status,
       outcome: answer.outcome,
       reason: answer.reason,
       routerRequest: answer.routerRequest,
-      last: at.last,
+      last: context.last,
     });
   }
 
@@ -188,7 +187,7 @@
   void server?.close();
 }
 
-interface AttemptPlace {
+interface AttemptContext {
   readonly number: number;
   readonly last: boolean;
   readonly router: string;
@@ -197,10 +196,10 @@
 }
 
 /**
- * A request with an idempotency key can't run twice, so it is sent again whether it was refused or lost. A read is sent
- * again while there is time if its connection failed; its caller has no use for an answer that comes too late.
+ * A request with an idempotency key can't run twice, so it is resent whether it was refused or lost. A read is resent
+ * only if its connection failed and its deadline hasn't passed: a late answer is of no use to its caller.
  */
-function isWorthResending(stream: CallerStream, answer: AttemptAnswer, elapsedMillis: number): boolean {
+function shouldResend(stream: CallerStream, answer: AttemptAnswer, elapsedMillis: number): boolean {
   if (stream.repeatable) {
     return answer.verdict === 'lost' && elapsedMillis < stream.deadlineMillis;
   }
--- a/src/dev/standins/caller/caller-summary.ts
+++ b/src/dev/standins/caller/caller-summary.ts
@@ -1,4 +1,4 @@
-/** Counts and latencies of one caller's requests, a service at a time. */
+/** Counts and latencies of one caller's requests by service. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import type { Outcome } from '../../../model/outcome.js';
 import type { AnswerVerdict } from '../../journal/records.js';
@@ -6,7 +6,7 @@
 const HIGHEST_LATENCY_MICROS = 120_000_000;
 const MICROS_PER_MILLI = 1000;
 
-/** How a request ended, after all its attempts. */
+/** The result of a request after all its attempts. */
 export interface RequestEnd {
   readonly service: string;
   readonly verdict: AnswerVerdict;
@@ -15,7 +15,7 @@
   readonly latencyMillis: number;
 }
 
-/** Requests of one service. Latencies in milliseconds, of answered requests only, from their scheduled times. */
+/** Requests of one service. Latencies cover answered requests only and count from their scheduled times. */
 export interface ServiceSummary {
   readonly service: string;
   readonly requests: number;
--- a/src/dev/standins/caller/router-client.ts
+++ b/src/dev/standins/caller/router-client.ts
@@ -1,24 +1,24 @@
-/** Sends one attempt to one router and says how it ended. */
+/** Sends attempts to one router and returns their results. */
 import { Pool } from 'undici';
 import { HEADERS, type Outcome } from '../../../model/outcome.js';
 import type { AnswerVerdict } from '../../journal/records.js';
 import { CALLER_REQUEST_HEADER, judgeAnswerBody, upstreamOfAnswerBody } from '../answer-body.js';
 
-/** One attempt as it goes out. */
+/** One attempt at a request. */
 export interface Attempt {
   readonly service: string;
   readonly method: 'GET' | 'POST';
   readonly request: string;
   readonly key: string | null;
   readonly idempotencyKey: string | null;
-  /** Whether it may be given the answer to a like request for the same key. */
+  /** Whether the answer to an identical request for the same key is acceptable. */
   readonly coalesced: boolean;
   readonly deadlineMillis: number;
-  /** The caller goes away then if there is no answer; `null`: it waits. */
+  /** Time after which the caller disconnects if there is no answer; `null`: it waits. */
   readonly leaveMillis: number | null;
 }
 
-/** What came back. */
+/** The result of one attempt. */
 export interface AttemptAnswer {
   readonly verdict: AnswerVerdict;
   readonly status: number | null;
@@ -26,11 +26,11 @@
   readonly reason: string | null;
   readonly routerRequest: string | null;
   readonly retryAfterMillis: number | null;
-  /** Who wrote a whole answer. */
+  /** The upstream that wrote a complete answer. */
   readonly upstream: string | null;
 }
 
-const NOTHING: Omit<AttemptAnswer, 'verdict'> = {
+const NO_RESPONSE: Omit<AttemptAnswer, 'verdict'> = {
   status: null,
   outcome: null,
   reason: null,
@@ -38,11 +38,11 @@
   retryAfterMillis: null,
   upstream: null,
 };
-/** The caller waits this much longer than its deadline for the router to keep it. */
-const PATIENCE_MILLIS = 2000;
+/** Time that the caller waits beyond its deadline, so that the router can answer at the deadline. */
+const DEADLINE_GRACE_MILLIS = 2000;
 const MILLIS_PER_SECOND = 1000;
-const LOST: AttemptAnswer = { verdict: 'lost', ...NOTHING };
-const LEFT: AttemptAnswer = { verdict: 'left', ...NOTHING };
+const LOST_ATTEMPT: AttemptAnswer = { verdict: 'lost', ...NO_RESPONSE };
+const DISCONNECTED_ATTEMPT: AttemptAnswer = { verdict: 'left', ...NO_RESPONSE };
 
 type HeaderValues = Record<string, string | string[] | undefined>;
 
@@ -57,7 +57,7 @@
   return text === null || Number.isNaN(seconds) ? null : seconds * MILLIS_PER_SECOND;
 }
 
-/** Path of a request; the same for each resend. */
+/** Returns the path of a request, which is the same for each resend. */
 function pathOf(attempt: Attempt): string {
   const key = attempt.key === null ? '' : `/${encodeURIComponent(attempt.key)}`;
   const query = attempt.coalesced ? '' : `?request=${encodeURIComponent(attempt.request)}`;
@@ -78,7 +78,7 @@
   return headers;
 }
 
-/** Connections to one router, and requests sent behind one another on each. */
+/** Number of connections to one router, and of requests pipelined on each. */
 export interface ConnectionLimits {
   readonly connections: number;
   readonly pipelining: number;
@@ -93,26 +93,28 @@
     this.name = name;
     this.#pool = new Pool(`http://${address}`, {
       ...limits,
-      connect: { timeout: PATIENCE_MILLIS },
+      connect: { timeout: DEADLINE_GRACE_MILLIS },
       localAddress,
     });
   }
 
   async send(attempt: Attempt): Promise<AttemptAnswer> {
-    const isLeaving = attempt.leaveMillis !== null;
-    const patience = AbortSignal.timeout(attempt.leaveMillis ?? attempt.deadlineMillis + PATIENCE_MILLIS);
+    const mayDisconnect = attempt.leaveMillis !== null;
+    const timeout = AbortSignal.timeout(
+      attempt.leaveMillis ?? attempt.deadlineMillis + DEADLINE_GRACE_MILLIS,
+    );
     try {
       const response = await this.#pool.request({
         path: pathOf(attempt),
         method: attempt.method,
         headers: headersOf(attempt),
         body: attempt.method === 'POST' ? JSON.stringify({ request: attempt.request }) : null,
-        signal: patience,
+        signal: timeout,
       });
       const text = await response.body.text();
       return this.#judge(attempt, response.statusCode, response.headers, text);
     } catch {
-      return isLeaving && patience.aborted ? LEFT : LOST;
+      return mayDisconnect && timeout.aborted ? DISCONNECTED_ATTEMPT : LOST_ATTEMPT;
     }
   }
 
--- a/src/dev/standins/caller/uuid-v7.ts
+++ b/src/dev/standins/caller/uuid-v7.ts
@@ -1,9 +1,9 @@
-/** UUIDs of version 7 (RFC 9562): the first 48 bits are the time, so a receiver can tell a key's age. */
+/** UUIDs of version 7 (RFC 9562): the first 48 bits are the time, so a receiver can determine a key's age. */
 import { randomBytes } from 'node:crypto';
 
 const TIME_BYTES = 6;
 
-/** A new UUIDv7 made at `wall` milliseconds since the Unix epoch. */
+/** Returns a new UUIDv7 with the time `wall`, in milliseconds since the Unix epoch. */
 export function makeUuidV7(wall: number): string {
   const bytes = randomBytes(16);
   bytes.writeUIntBE(wall, 0, TIME_BYTES);
--- a/src/dev/standins/caller/zipf-keys.ts
+++ b/src/dev/standins/caller/zipf-keys.ts
@@ -1,4 +1,4 @@
-/** Picks keys by a Zipf distribution: the key of rank n is asked for in proportion to 1 / n^exponent. */
+/** Picks keys by a Zipf distribution: the key of rank n is picked in proportion to 1 / n^exponent. */
 import { type RandomSource, ZipfDistribution } from '../../virtual/random-source.js';
 
 export class ZipfKeys {
@@ -8,7 +8,7 @@
   readonly #hotKeys: readonly string[];
   readonly #random: RandomSource;
 
-  /** Keys are `hotKeys`, then `<prefix><rank>`; `count` in all. */
+  /** The `count` keys are `hotKeys`, then `<prefix><rank>`. */
   constructor(
     prefix: string,
     count: number,
@@ -23,12 +23,12 @@
     this.#random = random;
   }
 
-  /** A key as one request names it. */
+  /** Draws the key of one request. */
   pick(): string {
     return this.#keyOf(this.#ranks.draw(this.#random));
   }
 
-  /** Every key, most popular first. */
+  /** Returns all keys, most popular first. */
   all(): string[] {
     return Array.from({ length: this.#count }, (_, rank) => this.#keyOf(rank));
   }
--- a/src/dev/standins/http-endpoint.ts
+++ b/src/dev/standins/http-endpoint.ts
@@ -4,13 +4,13 @@
 import { parseAddress } from '../../wire/address.js';
 
 export interface RunningServer {
-  /** `host:port` that it really listens on. */
+  /** The actual `host:port`, also if port 0 was requested. */
   readonly address: string;
-  /** Stops accepting, ends idle connections and waits for the others. */
+  /** Stops accepting connections, closes idle ones and waits for the others. */
   close(): Promise<void>;
 }
 
-/** Serves `listener` at `address`; port 0 takes any free one. */
+/** Serves `listener` at `address`; port 0 selects a free port. */
 export async function listenHttp(listener: RequestListener, address: string): Promise<RunningServer> {
   const { host, port } = parseAddress(address);
   const server = createServer(listener);
--- a/src/dev/standins/json-body.ts
+++ b/src/dev/standins/json-body.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from 'node:http';
 import { json } from 'node:stream/consumers';
 
-/** The body as JSON; throws a `SyntaxError` if it isn't. */
+/** Returns the parsed body; throws a `SyntaxError` if it isn't JSON. */
 export async function readJsonBody(request: IncomingMessage): Promise<unknown> {
   return json(request);
 }
--- a/src/dev/standins/link/link-connection.ts
+++ b/src/dev/standins/link/link-connection.ts
@@ -1,14 +1,14 @@
-/** One forwarded TCP connection: two directions, each delayed, held or refused by the rules of the moment. */
+/** One forwarded TCP connection: two directions, each delayed, held or refused by the current rules. */
 import { connect, type Socket } from 'node:net';
 import type { ZoneRules } from './zone-rules.js';
 
-/** The ends of a connection. */
+/** Source and target of a connection. */
 export interface ConnectionEnds {
   readonly sourceZone: string;
   readonly targetZone: string;
   readonly targetHost: string;
   readonly targetPort: number;
-  /** One-way delay; none within a zone. */
+  /** One-way delay between zones; ignored within a zone. */
   readonly delayMillis: number;
 }
 
@@ -17,7 +17,7 @@
   readonly action: () => void;
 }
 
-/** One direction: carries out steps in order, each after the delay and none while the direction is held. */
+/** One direction: runs actions in order, each after the delay and none while the direction is held. */
 class Direction {
   readonly #delayMillis: number;
   readonly #isHeld: () => boolean;
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Carries out what is due, as a network does that works again. */
+  /** Runs the due actions, as a network that has recovered delivers retransmissions. */
   flush(): void {
     while (!this.#isHeld()) {
       const [next] = this.#steps;
@@ -55,7 +55,7 @@
   }
 }
 
-/** Passes bytes, the end of the stream and the end of the connection from one socket on to another. */
+/** Forwards bytes, the end of the stream and the end of the connection from one socket to another. */
 function forward(from: Socket, to: Socket, direction: Direction): void {
   from.setNoDelay(true);
   const whileOpen = (action: () => void): void => direction.pass(() => !to.destroyed && action());
@@ -67,13 +67,13 @@
 
 /**
  * Forwards between `inbound` and a new connection to the target until either ends or the rules refuse it; calls
- * `refused` if nothing listens at the target.
+ * `onRefused` if the target refuses the connection.
  */
 export function forwardConnection(
   inbound: Socket,
   ends: ConnectionEnds,
   rules: ZoneRules,
-  refused: () => void,
+  onRefused: () => void,
 ): void {
   const { sourceZone, targetZone } = ends;
   const isRefused = (): boolean =>
@@ -86,27 +86,27 @@
   const outbound = connect({ host: ends.targetHost, port: ends.targetPort, allowHalfOpen: true });
   outbound.once('error', (error: NodeJS.ErrnoException) => {
     if (error.code === 'ECONNREFUSED') {
-      refused();
+      onRefused();
     }
   });
   const delayMillis = sourceZone === targetZone ? 0 : ends.delayMillis;
-  const there = new Direction(delayMillis, () => rules.stateOf(sourceZone, targetZone) === 'hold');
-  const back = new Direction(delayMillis, () => rules.stateOf(targetZone, sourceZone) === 'hold');
-  forward(inbound, outbound, there);
-  forward(outbound, inbound, back);
+  const toTarget = new Direction(delayMillis, () => rules.stateOf(sourceZone, targetZone) === 'hold');
+  const toSource = new Direction(delayMillis, () => rules.stateOf(targetZone, sourceZone) === 'hold');
+  forward(inbound, outbound, toTarget);
+  forward(outbound, inbound, toSource);
   const applyRules = (): void => {
     if (isRefused()) {
       inbound.resetAndDestroy();
       outbound.resetAndDestroy();
     }
-    there.flush();
-    back.flush();
+    toTarget.flush();
+    toSource.flush();
   };
   rules.on('changed', applyRules);
-  let open = 2;
+  let openSockets = 2;
   const closeOne = (): void => {
-    open -= 1;
-    if (open === 0) {
+    openSockets -= 1;
+    if (openSockets === 0) {
       rules.off('changed', applyRules);
     }
   };
--- a/src/dev/standins/link/link-route.ts
+++ b/src/dev/standins/link/link-route.ts
@@ -1,17 +1,17 @@
 /**
- * One address that the link listens on. It refuses connections while the process behind it does, so that a caller can
- * tell "never reached it" from "lost on the way" as it could without the link.
+ * One address that the link listens on. It refuses connections while its target does, so that a caller can distinguish
+ * a request that never reached the target from one that was lost on the way, as it could without the link.
  */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 import { formatAddress, type HostAndPort, parseAddress } from '../../../wire/address.js';
 
 const PROBE_MILLIS = 50;
 
-/** Takes a connection that came in; calls `refused` if the process behind doesn't accept one. */
-export type AcceptConnection = (inbound: Socket, refused: () => void) => void;
+/** Handles an incoming connection; calls `onRefused` if the target doesn't accept connections. */
+export type AcceptConnection = (inbound: Socket, onRefused: () => void) => void;
 
 export class LinkRouteListener {
-  /** With the real port once it was open. */
+  /** Has the actual port once the listener was open. */
   #listen: HostAndPort;
   readonly #target: HostAndPort;
   readonly #accept: AcceptConnection;
@@ -47,7 +47,7 @@
     this.#server?.close();
   }
 
-  /** Refuses new connections until the process behind accepts one again. */
+  /** Refuses new connections until the target accepts one again. */
   #refuse(): void {
     if (this.#probeTimer === undefined && !this.#stopped) {
       this.#server?.close();
--- a/src/dev/standins/link/link-settings.ts
+++ b/src/dev/standins/link/link-settings.ts
@@ -1,7 +1,7 @@
 /** Settings and commands of a stand-in link. */
 import { z } from 'zod';
 
-/** One address that the link listens on and the process behind it. */
+/** An address that the link listens on, and the target process. */
 const routeSchema = z.strictObject({
   listen: z.string().min(1),
   target: z.string().min(1),
@@ -9,24 +9,24 @@
 });
 
 export const linkSettingsSchema = z.strictObject({
-  /** `host:port` of the HTTP endpoint that takes commands. */
+  /** `host:port` of the HTTP endpoint for commands. */
   control: z.string().min(1),
-  /** Own IP numbers of processes, by which the link tells where a connection comes from. */
+  /** IP addresses of processes, which identify the zone that a connection comes from. */
   zones: z.record(z.string(), z.array(z.string())),
   routes: z.array(routeSchema),
   /** One-way delay between different zones, in milliseconds. */
   delayMillis: z.number().min(0).default(0),
-  /** Where callers are; the delay of their connections. */
+  /** The zone of callers and the delay of their connections. */
   clients: z.strictObject({ zone: z.string().min(1), delayMillis: z.number().min(0) }).optional(),
 });
 
-/** How the link treats traffic from one zone to another. */
+/** Rule for traffic from one zone to another. */
 export const linkRuleSchema = z.strictObject({
   from: z.string().min(1),
   to: z.string().min(1),
   /**
-   * `open`: forward. `hold`: bytes from `from` to `to` wait until the direction opens again, as TCP's retransmissions
-   * do, so connections hang half-open; the other way they pass. `refuse`: connections are reset and new ones refused.
+   * `open`: forward. `hold`: bytes from `from` to `to` wait until the direction opens again, like TCP retransmissions,
+   * so connections hang half-open; the opposite direction is open. `refuse`: connections are reset and new ones refused.
    */
   state: z.enum(['open', 'hold', 'refuse']),
 });
--- a/src/dev/standins/link/link-standin.ts
+++ b/src/dev/standins/link/link-standin.ts
@@ -25,7 +25,7 @@
     this.#control = await listenHttp(this.#controlApp().callback(), this.#settings.control);
   }
 
-  /** Addresses that routes listen on, in the order of the settings. */
+  /** Returns the addresses of the routes, in the order of the settings. */
   addresses(): string[] {
     return this.#routes.map(({ address }) => address);
   }
@@ -39,7 +39,7 @@
 
   async #listen(route: LinkRoute): Promise<void> {
     const target = parseAddress(route.target);
-    const listener = new LinkRouteListener(route.listen, route.target, (inbound, refused) => {
+    const listener = new LinkRouteListener(route.listen, route.target, (inbound, onRefused) => {
       const sourceZone = this.rules.zoneOf(inbound.remoteAddress ?? '');
       const ends = {
         sourceZone,
@@ -48,7 +48,7 @@
         targetPort: target.port,
         delayMillis: this.#delayFrom(sourceZone),
       };
-      forwardConnection(inbound, ends, this.rules, refused);
+      forwardConnection(inbound, ends, this.rules, onRefused);
     });
     this.#routes.push(listener);
     await listener.open();
--- a/src/dev/standins/link/zone-rules.ts
+++ b/src/dev/standins/link/zone-rules.ts
@@ -1,4 +1,4 @@
-/** What a link does with traffic from one zone to another at the moment. */
+/** The current rules of a link for traffic from one zone to another. */
 import { EventEmitter } from 'node:events';
 import type { LinkRule } from './link-settings.js';
 
@@ -10,7 +10,7 @@
   readonly #zoneByHost = new Map<string, string>();
   readonly #states = new Map<string, LinkState>();
 
-  /** `zones` lists the IP numbers of the processes of each zone. */
+  /** `zones` lists the IP addresses of the processes in each zone. */
   constructor(zones: Readonly<Record<string, readonly string[]>>) {
     super();
     this.setMaxListeners(0);
@@ -21,7 +21,7 @@
     }
   }
 
-  /** Zone of the process at this IP number; '' if it isn't known, and then nothing is ever cut. */
+  /** Returns the zone of the process at this IP address; '' if unknown, whose traffic is never cut. */
   zoneOf(host: string): string {
     return this.#zoneByHost.get(host) ?? UNKNOWN_ZONE;
   }
--- a/src/dev/standins/platform/platform-standin.ts
+++ b/src/dev/standins/platform/platform-standin.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in for the platform's list of machines: `GET /machines` gives what was true `lagMillis` ago.
- * `PUT /machines/<id>` with `{"state": "live" | "leaving" | "gone"}` says what is true now; with `"listed": true` the list
- * says so at once, true or not.
+ * A stand-in for the platform's list of machines: `GET /machines` returns the state of `lagMillis` ago.
+ * `PUT /machines/<id>` with `{"state": "live" | "leaving" | "gone"}` sets the current state; with `"listed": true` the list
+ * shows it at once, whether or not it is true.
  */
 import Router from '@koa/router';
 import Koa from 'koa';
@@ -14,19 +14,19 @@
   /** `host:port` to listen on. */
   listen: z.string().min(1),
   lagMillis: z.number().min(0),
-  /** Machines live from the start. */
+  /** Machines that are live at the start. */
   machines: z.array(z.string()),
 });
 export type PlatformSettings = z.infer<typeof platformSettingsSchema>;
 
 const machineStateSchema = z.strictObject({
   state: z.enum(['live', 'leaving', 'gone']),
-  /** The list takes it up without its lag. */
+  /** Whether the list shows the state at once, without the lag. */
   listed: z.boolean().default(false),
 });
 export type MachineState = z.infer<typeof machineStateSchema>['state'];
 
-/** What callers of `GET /machines` get. */
+/** Response body of `GET /machines`. */
 export interface MachineList {
   readonly live: readonly string[];
   readonly leaving: readonly string[];
@@ -56,7 +56,7 @@
     await this.#server?.close();
   }
 
-  /** The list as it was `lagMillis` before `now`. */
+  /** Returns the list as of `lagMillis` before `now`. */
   list(now: number): MachineList {
     const states = new Map<string, MachineState>(this.#settings.machines.map((machine) => [machine, 'live']));
     for (const change of this.#changes) {
--- a/src/dev/standins/upstream/answer-writer.ts
+++ b/src/dev/standins/upstream/answer-writer.ts
@@ -1,4 +1,4 @@
-/** Writes answers of a stand-in upstream, whole or spoiled by a fault. */
+/** Writes answers of a stand-in upstream, complete or damaged by a fault. */
 import type { ServerResponse } from 'node:http';
 import { HEADERS } from '../../../model/outcome.js';
 import type { AnswerFaultKind } from './fault-switchboard.js';
@@ -6,18 +6,18 @@
 const OK = 200;
 const INTERNAL_SERVER_ERROR = 500;
 const MISDIRECTED_REQUEST = 421;
-/** Bytes that a too large Content-Length promises and nobody sends. */
+/** Bytes by which a wrong Content-Length exceeds the body. */
 const MISSING_BYTES = 64;
-/** Longer than any caller waits. */
+/** Exceeds the time that any caller waits. */
 const LATE_MILLIS = 5000;
 
-/** An answer and the id of the request that it belongs to; `null`: the request had none. */
+/** An answer and the id of its request; `null` if the request had none. */
 export interface IdentifiedAnswer {
   readonly requestId: string | null;
   readonly body: string;
 }
 
-/** Answers whose status tells the router that the request ran. `previous` is the answer to the request before. */
+/** Writes an answer whose status means that the request ran. `previous` is the answer to the preceding request. */
 export function writeAnswer(
   response: ServerResponse,
   body: string,
@@ -67,7 +67,7 @@
   response.end(body);
 }
 
-/** The fence said at the point of effect that the request must not take effect. */
+/** Writes the rejection of a request that the fence did not allow to take effect. */
 export function writeFenced(response: ServerResponse): void {
   if (response.headersSent || response.destroyed) {
     return;
--- a/src/dev/standins/upstream/fault-switchboard.ts
+++ b/src/dev/standins/upstream/fault-switchboard.ts
@@ -1,41 +1,41 @@
-/** Faults that a stand-in upstream commits on command. Its health endpoint stays well unless it is the fault. */
+/** Faults that a stand-in upstream injects on command. Its health endpoint reports healthy unless it is the fault itself. */
 import { z } from 'zod';
 import type { RandomSource } from '../../virtual/random-source.js';
 
 export const ANSWER_FAULT_KINDS = [
   /** The connection ends in the middle of the answer. */
   'truncate',
-  /** The answer's Content-Length is larger than what is sent. */
+  /** The answer's Content-Length exceeds the body that is sent. */
   'wrong-length',
   /** A second answer follows on the same connection. */
   'answer-twice',
-  /** The request is worked on and never answered. */
+  /** The request is processed and never answered. */
   'stall',
-  /** The request is worked on and answered long after any deadline. */
+  /** The request is processed and answered long after any deadline. */
   'late',
-  /** What is sent is the answer to the request before, with that one's id. */
+  /** The answer and the id are those of the preceding request. */
   'foreign',
-  /** The answer is 500. */
+  /** The answer has status 500. */
   'fail',
 ] as const;
 export type AnswerFaultKind = (typeof ANSWER_FAULT_KINDS)[number];
 
 export const HINT_FAULT_KINDS = [
-  /** The health endpoint says ill; requests are served well. */
+  /** The health endpoint reports unhealthy, while requests are served normally. */
   'health-ill',
-  /** The reported load stays what it was. */
+  /** The reported load doesn't change. */
   'load-frozen',
-  /** The reported load jumps between none and far too much. */
+  /** The reported load alternates between zero and an impossibly high value. */
   'load-wild',
 ] as const;
 export type HintFaultKind = (typeof HINT_FAULT_KINDS)[number];
 
 export const NEED_KINDS = [
-  /** Each answer names how many requests a second it takes from all routers together. */
+  /** Each answer states a limit: the requests per second that the upstream accepts from all routers together. */
   'names-limit',
-  /** Each request is turned away, and the router asked for rest. */
+  /** Each request is rejected with a back-off for the router. */
   'asks-rest',
-  /** Each answer says that it leaves. */
+  /** Each answer states that the upstream is draining. */
   'says-leaving',
 ] as const;
 export type NeedKind = (typeof NEED_KINDS)[number];
@@ -45,7 +45,7 @@
 
 export const faultSchema = z.strictObject({
   kind: z.enum(FAULT_KINDS),
-  /** Share of requests that meet it, 0 to 1; 0 takes the fault away. */
+  /** Share of affected requests, 0 to 1; 0 removes the fault. */
   share: z.number().min(0).max(1),
 });
 export type Fault = z.infer<typeof faultSchema>;
@@ -62,17 +62,17 @@
     this.#shares.set(fault.kind, fault.share);
   }
 
-  /** Whether a hint is falsified now. */
-  lies(kind: HintFaultKind): boolean {
+  /** Whether the hint is currently falsified. */
+  falsifies(kind: HintFaultKind): boolean {
     return (this.#shares.get(kind) ?? 0) > 0;
   }
 
-  /** Whether it is in this need now. */
+  /** Whether the upstream currently sends this notice. */
   needs(kind: NeedKind): boolean {
     return (this.#shares.get(kind) ?? 0) > 0;
   }
 
-  /** The fault that the next request meets. */
+  /** Draws the fault that affects the next request. */
   draw(): AnswerFaultKind | null {
     for (const kind of ANSWER_FAULT_KINDS) {
       const share = this.#shares.get(kind) ?? 0;
--- a/src/dev/standins/upstream/run-recorder.ts
+++ b/src/dev/standins/upstream/run-recorder.ts
@@ -7,7 +7,7 @@
 import type { RunEndRecord } from '../../journal/records.js';
 import { CALLER_REQUEST_HEADER } from '../answer-body.js';
 
-/** Facts that stand in every record of one upstream. */
+/** Fields common to all records of one upstream. */
 export interface UpstreamIdentity {
   readonly process: string;
   readonly upstream: string;
@@ -22,7 +22,7 @@
   return typeof value === 'string' ? value : null;
 }
 
-/** The caller's own id of a request: part of its target, or a header where the target must not differ. */
+/** Returns the caller's own id of a request: from its target, or from a header where targets must be identical. */
 export function callerRequestOf(request: IncomingMessage): string {
   const query = new URL(request.url ?? '/', 'http://upstream').searchParams;
   return query.get('request') ?? headerOf(request, CALLER_REQUEST_HEADER) ?? '';
@@ -39,7 +39,7 @@
     this.#journal = journal;
   }
 
-  /** The fence let the request in. Gives the number of the run. */
+  /** Records that the fence admitted the request. Returns the number of the run. */
   start(request: IncomingMessage, guarded: GuardedRequest, callerRequest: string): number {
     this.#runCount += 1;
     const epoch = headerOf(request, HEADERS.epoch);
@@ -57,7 +57,7 @@
     return this.#runCount;
   }
 
-  /** The run took effect at `at`, a time taken before the fence was asked. */
+  /** Records that the run took effect at `at`, a time read before the fence confirmed the effect. */
   effect(run: number, at: number): void {
     this.#journal.write({ type: 'run-effect', ...this.#base(run, at) });
   }
--- a/src/dev/standins/upstream/slot-queue.ts
+++ b/src/dev/standins/upstream/slot-queue.ts
@@ -1,11 +1,11 @@
-/** The slots of a stand-in upstream: so many requests at once, so many more waiting, the rest is shed. */
+/** The concurrency slots of a stand-in upstream, with a bounded queue; requests beyond both are shed. */
 
-/** Someone who waits for a slot. */
+/** A request that waits for a slot. */
 interface Waiter {
   readonly grant: () => void;
 }
 
-/** Gives a slot back; calling it again does nothing. */
+/** Releases a slot. Idempotent. */
 export type ReleaseSlot = () => void;
 
 export class SlotQueue {
@@ -27,13 +27,13 @@
     return this.#waiting.length;
   }
 
-  /** Whether one more request would be shed. */
+  /** Whether another request would be shed. */
   isFull(): boolean {
     return this.#busy >= this.#slots && this.#waiting.length >= this.#queueLimit;
   }
 
-  /** A slot, or `undefined` if `signal` was aborted before there was one. */
-  async take(signal: AbortSignal): Promise<ReleaseSlot | undefined> {
+  /** Resolves to the release of a slot, or to `undefined` if `signal` is aborted before a slot is free. */
+  async acquire(signal: AbortSignal): Promise<ReleaseSlot | undefined> {
     if (signal.aborted) {
       return undefined;
     }
@@ -42,18 +42,18 @@
       return this.#makeRelease();
     }
     return new Promise((resolve) => {
-      const giveUp = (): void => {
+      const onAbort = (): void => {
         this.#waiting.splice(this.#waiting.indexOf(waiter), 1);
         resolve(undefined);
       };
       const waiter: Waiter = {
         grant: () => {
-          signal.removeEventListener('abort', giveUp);
+          signal.removeEventListener('abort', onAbort);
           resolve(this.#makeRelease());
         },
       };
       this.#waiting.push(waiter);
-      signal.addEventListener('abort', giveUp, { once: true });
+      signal.addEventListener('abort', onAbort, { once: true });
     });
   }
 
@@ -62,13 +62,13 @@
     return () => {
       if (!released) {
         released = true;
-        this.#passOn();
+        this.#grantNext();
       }
     };
   }
 
-  /** The slot goes to the one that waited longest. */
-  #passOn(): void {
+  /** Grants the freed slot to the request that has waited longest. */
+  #grantNext(): void {
     const next = this.#waiting.shift();
     if (next) {
       next.grant();
--- a/src/dev/standins/upstream/standin-need.ts
+++ b/src/dev/standins/upstream/standin-need.ts
@@ -1,4 +1,4 @@
-/** What a stand-in upstream in need says in the head of each answer, and the records of what comes to it meanwhile. */
+/** Writes the notices of a stand-in upstream into its response headers, and records the requests that arrive while it has any. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { DEFAULT_HEADER_NAMES } from '../../../model/header-names.js';
 import { HEADERS } from '../../../model/outcome.js';
@@ -8,18 +8,18 @@
 import type { FaultSwitchboard } from './fault-switchboard.js';
 import { callerRequestOf, type UpstreamIdentity } from './run-recorder.js';
 
-/** Far below what the loads of the deployments ask of one upstream. */
+/** Far below the load that the deployments put on one upstream. */
 const LIMIT_PER_SECOND = 2;
-const REST_SECONDS = 2;
+const BACKOFF_SECONDS = 2;
 const MILLIS_PER_SECOND = 1000;
 const SERVICE_UNAVAILABLE = 503;
 
-export class StandinNeed {
+export class StandinNotices {
   readonly #faults: FaultSwitchboard;
   readonly #journal: JournalWriter;
   readonly #identity: UpstreamIdentity;
-  #wasInNeed = false;
-  /** One that leaves goes on leaving until its process ends. */
+  #hadNotices = false;
+  /** Once draining, an upstream keeps draining until its process ends. */
   #isLeaving = false;
 
   constructor(faults: FaultSwitchboard, journal: JournalWriter, identity: UpstreamIdentity) {
@@ -28,28 +28,28 @@
     this.#identity = identity;
   }
 
-  /** Writes what is to be said; `true`: the request is turned away, and answered. */
-  say(request: IncomingMessage, response: ServerResponse): boolean {
-    const said = this.#said();
-    const isInNeed = said.limitPerSecond !== null || said.restMillis !== null || said.isLeaving;
-    this.#wasInNeed ||= isInNeed;
-    if (!this.#wasInNeed) {
+  /** Sets the notice headers. Returns `true` if the request was rejected and the response is complete. */
+  write(request: IncomingMessage, response: ServerResponse): boolean {
+    const notices = this.#currentNotices();
+    const hasNotices = notices.limitPerSecond !== null || notices.restMillis !== null || notices.isLeaving;
+    this.#hadNotices ||= hasNotices;
+    if (!this.#hadNotices) {
       return false;
     }
-    this.#record('needy-arrival', request, said);
-    if (isInNeed) {
-      response.on('finish', () => this.#record('need-said', request, said));
+    this.#record('needy-arrival', request, notices);
+    if (hasNotices) {
+      response.on('finish', () => this.#record('need-said', request, notices));
     }
-    if (said.limitPerSecond !== null) {
-      response.setHeader(DEFAULT_HEADER_NAMES.limit, said.limitPerSecond);
+    if (notices.limitPerSecond !== null) {
+      response.setHeader(DEFAULT_HEADER_NAMES.limit, notices.limitPerSecond);
     }
-    if (said.isLeaving) {
+    if (notices.isLeaving) {
       response.setHeader(DEFAULT_HEADER_NAMES.leaving, '1');
     }
-    if (said.restMillis !== null) {
-      this.#turnAway(request, response);
+    if (notices.restMillis !== null) {
+      this.#reject(request, response);
     }
-    return said.restMillis !== null;
+    return notices.restMillis !== null;
   }
 
   get isLeaving(): boolean {
@@ -57,31 +57,31 @@
     return this.#isLeaving;
   }
 
-  #said(): SaidNeed {
+  #currentNotices(): SaidNeed {
     return {
       limitPerSecond: this.#faults.needs('names-limit') ? LIMIT_PER_SECOND : null,
-      restMillis: this.#faults.needs('asks-rest') ? REST_SECONDS * MILLIS_PER_SECOND : null,
+      restMillis: this.#faults.needs('asks-rest') ? BACKOFF_SECONDS * MILLIS_PER_SECOND : null,
       isLeaving: this.isLeaving,
     };
   }
 
-  #turnAway(request: IncomingMessage, response: ServerResponse): void {
+  #reject(request: IncomingMessage, response: ServerResponse): void {
     const id = request.headers[HEADERS.requestId];
     response.writeHead(SERVICE_UNAVAILABLE, {
       [HEADERS.requestId]: String(id ?? ''),
       [HEADERS.outcome]: 'not-run',
       [HEADERS.reason]: 'overloaded',
-      'retry-after': String(REST_SECONDS),
+      'retry-after': String(BACKOFF_SECONDS),
       'content-length': '0',
     });
     response.end();
   }
 
-  #record(type: 'needy-arrival' | 'need-said', request: IncomingMessage, said: SaidNeed): void {
+  #record(type: 'needy-arrival' | 'need-said', request: IncomingMessage, notices: SaidNeed): void {
     const { upstream, incarnation } = this.#identity;
     const id = request.headers[HEADERS.requestId];
     const routerRequest = typeof id === 'string' ? id : null;
-    const base = { at: machineMillis(), wall: Date.now(), upstream, incarnation, routerRequest, ...said };
+    const base = { at: machineMillis(), wall: Date.now(), upstream, incarnation, routerRequest, ...notices };
     this.#journal.write(
       type === 'need-said' ? { type, ...base } : { type, ...base, request: callerRequestOf(request) },
     );
--- a/src/dev/standins/upstream/upstream-process.ts
+++ b/src/dev/standins/upstream/upstream-process.ts
@@ -1,4 +1,4 @@
-/** A process of stand-in upstreams, with an HTTP endpoint that takes faults: `PUT /upstreams/<id>/faults`. */
+/** A process of stand-in upstreams, with an HTTP endpoint that sets faults: `PUT /upstreams/<id>/faults`. */
 import Router from '@koa/router';
 import Koa from 'koa';
 import { readSecret } from '../../../security/secret-file.js';
@@ -37,7 +37,7 @@
     this.#control = await listenHttp(this.#controlApp().callback(), this.#settings.control);
   }
 
-  /** Planned stop of all its upstreams. */
+  /** Shuts down all upstreams of the process gracefully. */
   async stop(): Promise<void> {
     await Promise.all([...this.#standins.values()].map((standin) => standin.stop()));
     await this.#control?.close();
--- a/src/dev/standins/upstream/upstream-standin.ts
+++ b/src/dev/standins/upstream/upstream-standin.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for one server that owns keys: embeds the fence, works with so many slots, starts cold, sheds, reports a
- * load that may lag or lie, honours deadlines and cancellation, and commits faults on command.
+ * A stand-in for one server that owns keys: embeds the fence, has a limited number of slots, starts cold, sheds load,
+ * reports a load that may be delayed or false, honours deadlines and cancellation, and injects faults on command.
  */
 import {
   createServer,
@@ -28,21 +28,21 @@
 import { FaultSwitchboard } from './fault-switchboard.js';
 import { callerRequestOf, RunRecorder } from './run-recorder.js';
 import { SlotQueue } from './slot-queue.js';
-import { StandinNeed } from './standin-need.js';
+import { StandinNotices } from './standin-need.js';
 import type { UpstreamSettings } from './upstream-settings.js';
 import { LoadReporter, WorkModel } from './work-model.js';
 
-/** Path that platforms probe; the same as the fence's own. */
+/** Path that platforms probe; equivalent to the fence's own health path. */
 const PLAIN_HEALTH_PATH = '/health';
 const SERVICE_UNAVAILABLE = 503;
-/** A load that no upstream can have. */
-const WILD_LOAD = 10_000;
+/** Higher than the load of any upstream. */
+const EXCESSIVE_LOAD = 10_000;
 
 /** The process that a stand-in runs in. */
 export interface StandinProcess {
   readonly name: string;
   readonly cluster: ClusterId;
-  /** Empty: control need not prove it. */
+  /** Empty: control isn't authenticated. */
   readonly secret: string;
 }
 
@@ -54,11 +54,11 @@
   readonly #model: WorkModel;
   readonly #reporter: LoadReporter;
   readonly #recorder: RunRecorder;
-  readonly #need: StandinNeed;
+  readonly #notices: StandinNotices;
   readonly #server: Server;
   #previousAnswer: IdentifiedAnswer = { requestId: null, body: '' };
   #reportedLoad = 0;
-  /** When a connection that is still being set up can carry its first request. */
+  /** Time at which a connection that is still being set up can transfer its first request. */
   readonly #openAt = new WeakMap<Socket, number>();
 
   constructor(
@@ -86,7 +86,7 @@
     const { incarnation } = this.fence;
     const identity = { process: process.name, upstream, incarnation, service };
     this.#recorder = new RunRecorder(identity, journal);
-    this.#need = new StandinNeed(this.faults, journal, identity);
+    this.#notices = new StandinNotices(this.faults, journal, identity);
     this.#server = this.#createServer();
   }
 
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Planned stop: gives the shards up, finishes what runs, then closes. */
+  /** Graceful shutdown: releases the shards, completes running requests, then closes. */
   async stop(): Promise<void> {
     await this.fence.drain();
     await new Promise<void>((resolve) => {
@@ -109,7 +109,7 @@
 
   #createServer(): Server {
     const guarded = createNodeHandler(this.fence, (request, response, guard) =>
-      this.#work(request, response, guard),
+      this.#handle(request, response, guard),
     );
     const server = createServer((request, response) => void this.#route(request, response, guarded));
     server.maxConnections = this.#settings.connections;
@@ -123,18 +123,18 @@
     await this.#waitForConnection(request.socket);
     if (request.url === PLAIN_HEALTH_PATH || request.url === HEALTH_PATH) {
       request.url = HEALTH_PATH;
-      await this.#payForProbe();
-      if (this.faults.lies('health-ill') || this.#need.isLeaving) {
+      await this.#occupySlotForProbe();
+      if (this.faults.falsifies('health-ill') || this.#notices.isLeaving) {
         response.writeHead(SERVICE_UNAVAILABLE, { 'content-length': 0 }).end();
         return;
       }
-    } else if (!isForFence(request) && this.#need.say(request, response)) {
+    } else if (!isControlMessage(request) && this.#notices.write(request, response)) {
       return;
     }
     guarded(request, response);
   }
 
-  /** The first request of a connection waits until the connection is set up. */
+  /** Delays the first request of a connection until the connection is set up. */
   async #waitForConnection(socket: Socket): Promise<void> {
     const openAt = this.#openAt.get(socket);
     if (openAt !== undefined) {
@@ -143,24 +143,24 @@
     }
   }
 
-  /** A probe takes a slot, if one is free, for as long as it costs. */
-  async #payForProbe(): Promise<void> {
+  /** Occupies a slot, if one is free, for the duration of a probe. */
+  async #occupySlotForProbe(): Promise<void> {
     if (this.#slots.busy >= this.#settings.slots) {
       return;
     }
-    const release = await this.#slots.take(new AbortController().signal);
+    const release = await this.#slots.acquire(new AbortController().signal);
     await delay(this.#settings.probeMillis);
     release?.();
   }
 
-  async #work(request: IncomingMessage, response: ServerResponse, guard: GuardedRequest): Promise<void> {
+  async #handle(request: IncomingMessage, response: ServerResponse, guard: GuardedRequest): Promise<void> {
     const callerRequest = callerRequestOf(request);
     const run = this.#recorder.start(request, guard, callerRequest);
     request.resume();
-    const release = await this.#slots.take(guard.signal);
+    const release = await this.#slots.acquire(guard.signal);
     const startedAt = machineMillis();
     try {
-      if (release && (await this.#spend(guard.signal, startedAt))) {
+      if (release && (await this.#simulateWork(guard.signal, startedAt))) {
         this.#takeEffect(run, response, guard, callerRequest, startedAt);
       } else {
         this.#recorder.end(run, 'cancelled', machineMillis() - startedAt);
@@ -170,8 +170,8 @@
     }
   }
 
-  /** Works for the drawn time; `false` if the request was given up meanwhile. */
-  async #spend(signal: AbortSignal, startedAt: number): Promise<boolean> {
+  /** Waits for the drawn service time. Returns `false` if the request is aborted meanwhile. */
+  async #simulateWork(signal: AbortSignal, startedAt: number): Promise<boolean> {
     try {
       await delay(this.#model.drawServiceMillis(startedAt), undefined, { signal });
       return true;
@@ -180,7 +180,7 @@
     }
   }
 
-  /** No waiting between the fence's word and the record of the effect. */
+  /** Synchronous, so that nothing happens between the fence's confirmation and the record of the effect. */
   #takeEffect(
     run: number,
     response: ServerResponse,
@@ -207,19 +207,21 @@
   #reportLoad(): number {
     const now = machineMillis();
     this.#reporter.observe(this.#slots.busy + this.#slots.waiting, now);
-    if (this.faults.lies('load-wild')) {
-      return this.#reportedLoad === 0 ? this.#say(WILD_LOAD) : this.#say(0);
+    if (this.faults.falsifies('load-wild')) {
+      return this.#reportedLoad === 0 ? this.#setReportedLoad(EXCESSIVE_LOAD) : this.#setReportedLoad(0);
     }
-    return this.faults.lies('load-frozen') ? this.#reportedLoad : this.#say(this.#reporter.report(now));
+    return this.faults.falsifies('load-frozen')
+      ? this.#reportedLoad
+      : this.#setReportedLoad(this.#reporter.report(now));
   }
 
-  #say(load: number): number {
+  #setReportedLoad(load: number): number {
     this.#reportedLoad = load;
     return load;
   }
 }
 
-/** Messages of the control leader aren't requests of routers. */
-function isForFence({ url = '' }: IncomingMessage): boolean {
+/** Whether the request is a message of the control leader, not a router's request. */
+function isControlMessage({ url = '' }: IncomingMessage): boolean {
   return url.startsWith('/ternmount/');
 }
--- a/src/dev/standins/upstream/work-model.ts
+++ b/src/dev/standins/upstream/work-model.ts
@@ -1,4 +1,4 @@
-/** How long requests take on a stand-in upstream, and what load it reports. */
+/** Models the service times and the reported load of a stand-in upstream. */
 import type { RandomSource } from '../../virtual/random-source.js';
 import type { UpstreamSettings } from './upstream-settings.js';
 
@@ -14,7 +14,7 @@
     this.#startedAt = startedAt;
   }
 
-  /** Time that a request started at `now` takes. */
+  /** Draws the service time of a request started at `now`. */
   drawServiceMillis(now: number): number {
     return this.#drawWarm() * this.#coldFactor(now);
   }
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Falls in a straight line from the setting's factor to 1. */
+  /** Falls linearly from the factor in the settings to 1. */
   #coldFactor(now: number): number {
     const { millis, factor } = this.#settings.coldStart;
     const age = now - this.#startedAt;
@@ -44,7 +44,7 @@
   readonly load: number;
 }
 
-/** Load reports that lag behind and may lie. */
+/** Load reports that are delayed and may be false. */
 export class LoadReporter {
   readonly #lagMillis: number;
   readonly #factor: number;
@@ -55,20 +55,20 @@
     this.#factor = factor;
   }
 
-  /** Takes the true load at `now`. */
+  /** Records the true load at `now`. */
   observe(load: number, now: number): void {
     if (this.#lagMillis === 0) {
       this.#samples = [{ at: now, load }];
       return;
     }
     this.#samples.push({ at: now, load });
-    const lastOld = this.#samples.findLastIndex((sample) => sample.at <= now - this.#lagMillis);
-    this.#samples.splice(0, Math.max(0, lastOld));
+    const lastReportable = this.#samples.findLastIndex((sample) => sample.at <= now - this.#lagMillis);
+    this.#samples.splice(0, Math.max(0, lastReportable));
   }
 
-  /** What the upstream says its load is. */
+  /** Returns the load that the upstream reports at `now`. */
   report(now: number): number {
-    const known = this.#samples.findLast((sample) => sample.at <= now - this.#lagMillis);
-    return (known?.load ?? 0) * this.#factor;
+    const latest = this.#samples.findLast((sample) => sample.at <= now - this.#lagMillis);
+    return (latest?.load ?? 0) * this.#factor;
   }
 }
--- a/test/dev/standins/link-standin.test.ts
+++ b/test/dev/standins/link-standin.test.ts
@@ -54,7 +54,7 @@
     return socket;
   }
 
-  /** How a dial ends: `connect`, or the code of its error. */
+  /** Returns `connect`, or the code of the connection error. */
   async function dialResult(): Promise<string> {
     const socket = dial();
     return new Promise((resolve) => {
@@ -63,7 +63,7 @@
     });
   }
 
-  /** `once` of `node:events` would throw on the reset before the close. */
+  /** Unlike `once` of `node:events`, doesn't throw on the reset that precedes the close. */
   function closeOf(socket: Socket): Promise<void> {
     return new Promise((resolve) => socket.once('close', () => resolve()));
   }
@@ -94,7 +94,7 @@
     expect(await exchange(dial(), 'again')).to.equal('again');
   });
 
-  it('holds one way: requests arrive and answers wait until it opens again', async () => {
+  it('holds one direction: requests arrive, and answers wait until it opens again', async () => {
     const socket = dial();
     await exchange(socket, 'a');
     link.rules.apply({ from: 'far', to: 'near', state: 'hold' });
@@ -115,7 +115,7 @@
     expect(bytes.toString()).to.equal('b');
   });
 
-  it('refuses connections while the process behind it does', async () => {
+  it('refuses connections while the target does', async () => {
     const { port } = echo.address() as AddressInfo;
     const closed = once(echo, 'close');
     echo.close();
--- a/test/dev/standins/models.test.ts
+++ b/test/dev/standins/models.test.ts
@@ -31,12 +31,12 @@
     });
   }
 
-  it('any request for the key will do where answers are shared', () => {
+  it('accepts the answer to any request for the key where answers are shared', () => {
     expect(judgeAnswerBody(body, null, 'sheet/7')).to.equal('whole');
     expect(judgeAnswerBody(body, null, 'sheet/8')).to.equal('foreign');
   });
 
-  it('no prefix of an answer is taken for the whole', () => {
+  it('takes no prefix of an answer for the whole', () => {
     fc.assert(
       fc.property(fc.nat(body.length - 1), (length) => {
         expect(judgeAnswerBody(body.slice(0, length), 'caller-1-7', 'sheet/7')).to.equal('damaged');
@@ -46,7 +46,7 @@
 });
 
 describe('ArrivalSchedule', () => {
-  it('keeps to its rates and gives each arrival once', () => {
+  it('follows its rates and returns each arrival once', () => {
     const rates = [
       { fromSeconds: 0, requestsPerSecond: 0 },
       { fromSeconds: 1, requestsPerSecond: 1000 },
@@ -78,7 +78,7 @@
 });
 
 describe('ZipfKeys', () => {
-  it('asks for the first rank most and gives hot keys the first ranks', () => {
+  it('picks the first rank most often and assigns the first ranks to hot keys', () => {
     const keys = new ZipfKeys('map/', 5, 1.2, new StandinRandomSource(3), ['final']);
     const counts = new Map<string, number>();
     for (let draw = 0; draw < 2000; draw += 1) {
@@ -117,7 +117,7 @@
 });
 
 describe('FaultSwitchboard', () => {
-  it('commits a fault until it is taken away', () => {
+  it('injects a fault until its share is 0', () => {
     const faults = new FaultSwitchboard(new StandinRandomSource(1));
     expect(faults.draw()).to.equal(null);
     faults.set({ kind: 'stall', share: 1 });
@@ -136,7 +136,7 @@
     expect(platform.list(1100)).to.deep.equal({ live: [], leaving: ['a'] });
   });
 
-  it('shows what it is told to list at once', async () => {
+  it('shows a change with `listed` at once', async () => {
     const platform = new PlatformStandin({ listen: '127.0.0.1:0', lagMillis: 30_000, machines: ['a', 'b'] });
     const address = await platform.start();
     await got.put(`http://${address}/machines/a`, { json: { state: 'gone', listed: true } });
--- a/test/dev/standins/upstream-standin.test.ts
+++ b/test/dev/standins/upstream-standin.test.ts
@@ -16,7 +16,7 @@
 import { UpstreamStandin } from '../../../src/dev/standins/upstream/upstream-standin.js';
 import { HEADERS } from '../../../src/model/outcome.js';
 
-/** An address of this test process alone, so that runs side by side don't meet. */
+/** An address unique to this test process, so that parallel runs don't collide. */
 const HOST = `127.63.${Math.floor(process.pid / 250) % 250}.${(process.pid % 250) + 1}`;
 const ORIGIN = `${HOST}:8000`;
 const upstreamSchema = upstreamProcessSettingsSchema.shape.upstreams.element;
@@ -119,7 +119,7 @@
     expect(broken.map((result) => result.promise)).to.deep.equal(['at-most-once']);
   });
 
-  it('sheds what it has neither slot nor queue for, and says that it has not run', async () => {
+  it('sheds requests beyond slots and queue, and answers that they have not run', async () => {
     await start({ queueLimit: 0, serviceTime: { kind: 'constant', meanMillis: 300 } });
     const first = request(`http://${ORIGIN}/?request=a`);
     while (records('run-start').length === 0) {
@@ -132,7 +132,7 @@
     expect(records('run-start').map((record) => record.request)).to.deep.equal(['a']);
   });
 
-  it('foreign: a request is answered with the answer and the id of the one before', async () => {
+  it('foreign: a request is answered with the answer and the id of the preceding one', async () => {
     await start({}, { kind: 'foreign', share: 1 });
     const send = (id: string) =>
       request(`http://${ORIGIN}/?request=${id}`, { headers: { [HEADERS.requestId]: `router.${id}` } });
@@ -147,7 +147,7 @@
     { fault: 'health-ill', status: 503 },
   ] as const;
   for (const { fault, status } of HEALTH) {
-    it(`${fault}: health says ${status}, requests the contrary`, async () => {
+    it(`${fault}: health returns ${status}, requests the contrary`, async () => {
       await start({}, { kind: fault, share: 1 });
       expect((await request(`http://${ORIGIN}/health`)).statusCode).to.equal(status);
       const answer = await request(`http://${ORIGIN}/?request=a`);
@@ -166,7 +166,7 @@
     expect(new Set(loads)).to.deep.equal(new Set(['0', '10000']));
   });
 
-  it('a request given up on has no effect', async () => {
+  it('an aborted request has no effect', async () => {
     await start({ serviceTime: { kind: 'constant', meanMillis: 60_000 } });
     const aborter = new AbortController();
     const cancelled = request(`http://${ORIGIN}/?request=a`, { signal: aborter.signal }).catch(() => 'gone');
