--- a/src/dev/checker/answer-rule.ts
+++ b/src/dev/checker/answer-rule.ts
@@ -1,4 +1,4 @@
-/** Answers: each caller gets the whole answer to its own request, exactly once, and isn't left without one. */
+/** Answers: each caller receives the whole answer to its own request exactly once, and always receives one. */
 import type {
   AnswerReceived,
   HistoryEvent,
@@ -19,13 +19,13 @@
         this.sent.set(event.send, event);
         return NO_VIOLATIONS;
       case 'answer-received':
-        return [...this.judgeAnswer(event), ...this.end(event.send, event.at)];
+        return [...this.checkAnswer(event), ...this.end(event.send, event.at)];
       case 'refusal-received':
         return this.end(event.send, event.at);
       case 'request-cut':
-        return [...judgeCut(event), ...this.end(event.send, event.at)];
+        return [...checkCut(event), ...this.end(event.send, event.at)];
       case 'planned-stop-cut':
-        return judgePlannedStop(event);
+        return checkPlannedStop(event);
       default:
         return NO_VIOLATIONS;
     }
@@ -50,7 +50,7 @@
     return [{ promise: 'own-whole-answer', at, message: `${send} was answered twice` }];
   }
 
-  private judgeAnswer(event: AnswerReceived): readonly Violation[] {
+  private checkAnswer(event: AnswerReceived): readonly Violation[] {
     const request = this.sent.get(event.send);
     const wrong = (message: string): readonly Violation[] => [
       { promise: 'own-whole-answer', at: event.at, message: `${event.send} ${message}` },
@@ -59,10 +59,10 @@
       return wrong('was answered but never sent');
     }
     if (!event.whole) {
-      return wrong('got a piece of an answer as a whole one');
+      return wrong('got a partial answer as a whole one');
     }
     if (event.content !== request.content) {
-      return wrong(`asked for ${request.content} and got ${event.content}`);
+      return wrong(`requested ${request.content} and got ${event.content}`);
     }
     if (event.ranFor !== request.send && !this.mayShare(request, event.ranFor)) {
       return wrong(`got the answer to ${event.ranFor}`);
@@ -75,12 +75,13 @@
     if (other === undefined) {
       return false;
     }
-    const sameOrder = request.idempotencyKey !== null && request.idempotencyKey === other.idempotencyKey;
-    return sameOrder || (request.mayShareAnswer && request.content === other.content);
+    const sameIdempotencyKey =
+      request.idempotencyKey !== null && request.idempotencyKey === other.idempotencyKey;
+    return sameIdempotencyKey || (request.mayShareAnswer && request.content === other.content);
   }
 }
 
-function judgeCut(event: RequestCut): readonly Violation[] {
+function checkCut(event: RequestCut): readonly Violation[] {
   if (event.excused) {
     return NO_VIOLATIONS;
   }
@@ -88,7 +89,7 @@
   return [{ promise: 'planned-stop-cuts-nothing', at: event.at, message }];
 }
 
-function judgePlannedStop(event: PlannedStopCut): readonly Violation[] {
+function checkPlannedStop(event: PlannedStopCut): readonly Violation[] {
   const message = `the planned stop of ${event.process} cut off ${event.send}`;
   return [{ promise: 'planned-stop-cuts-nothing', at: event.at, message }];
 }
--- a/src/dev/checker/change-rule.ts
+++ b/src/dev/checker/change-rule.ts
@@ -1,6 +1,6 @@
 /**
- * Operators' changes: what was accepted is in every later read unless a later change took its place, each change is
- * applied at most once, a race has one winner, and what was turned down never shows up.
+ * Operators' changes: every later read contains an accepted change unless a later one replaced it, each change is
+ * applied at most once, a race has one winner, and a rejected change is never applied.
  */
 import type { ChangeAnswered, ChangeAsked, HistoryEvent, ThingsRead } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
@@ -12,11 +12,11 @@
   readonly removed: boolean;
   readonly expected: number | null;
   answer: ChangeAnswered | null;
-  /** Revision at which a read showed its marker. */
+  /** Revision at which a read contained its marker. */
   seenAt: number | null;
 }
 
-/** A revision that is certain from some time on. */
+/** A revision that every read requested later than `since` must have reached. */
 interface Floor {
   readonly since: number;
   readonly revision: number;
@@ -35,11 +35,11 @@
   take(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'change-asked':
-        return this.noteAsked(event);
+        return this.recordRequest(event);
       case 'change-answered':
-        return this.judgeAnswer(event);
+        return this.checkAnswer(event);
       case 'things-read':
-        return this.judgeRead(event);
+        return this.checkRead(event);
       default:
         return NO_VIOLATIONS;
     }
@@ -49,7 +49,7 @@
     return NO_VIOLATIONS;
   }
 
-  private noteAsked(event: ChangeAsked): readonly Violation[] {
+  private recordRequest(event: ChangeAsked): readonly Violation[] {
     if (this.changes.has(event.requestId)) {
       return NO_VIOLATIONS;
     }
@@ -69,10 +69,10 @@
     return NO_VIOLATIONS;
   }
 
-  private judgeAnswer(event: ChangeAnswered): readonly Violation[] {
+  private checkAnswer(event: ChangeAnswered): readonly Violation[] {
     const change = this.changes.get(event.requestId);
     if (change === undefined) {
-      return violation(event.at, `${event.requestId} was answered but never asked`);
+      return violation(event.at, `${event.requestId} was answered but never requested`);
     }
     const first = change.answer;
     change.answer ??= event;
@@ -86,10 +86,10 @@
         ? NO_VIOLATIONS
         : violation(event.at, `${event.requestId} was answered ${describe(event)} but is applied`);
     }
-    return this.judgeAccepted(change, event);
+    return this.checkAccepted(change, event);
   }
 
-  private judgeAccepted(change: Change, event: ChangeAnswered): readonly Violation[] {
+  private checkAccepted(change: Change, event: ChangeAnswered): readonly Violation[] {
     const facts = this.factsOf(change.thing);
     const violations: Violation[] = [];
     for (const other of facts.changes) {
@@ -98,12 +98,12 @@
       }
       if (other.answer.revision === event.revision) {
         violations.push(
-          ...violation(event.at, `${change.requestId} and ${other.requestId} have one revision`),
+          ...violation(event.at, `${change.requestId} and ${other.requestId} have the same revision`),
         );
       }
       const isSameExpected = change.expected !== null && change.expected === other.expected;
-      if (isSameExpected && !isRemovedBetween(facts, event.revision, other.answer.revision)) {
-        const message = `${change.requestId} and ${other.requestId} both won against revision ${change.expected}`;
+      if (isSameExpected && !mayBeRemovedBetween(facts, event.revision, other.answer.revision)) {
+        const message = `${change.requestId} and ${other.requestId} were both accepted against revision ${change.expected}`;
         violations.push(...violation(event.at, message));
       }
     }
@@ -115,22 +115,22 @@
     return violations;
   }
 
-  private judgeRead(event: ThingsRead): readonly Violation[] {
+  private checkRead(event: ThingsRead): readonly Violation[] {
     const violations: Violation[] = [];
     const present = new Set<string>();
     for (const { thing, marker, revision } of event.things) {
       present.add(thing);
-      violations.push(...this.judgeValue(event, thing, marker, revision));
+      violations.push(...this.checkValue(event, thing, marker, revision));
     }
     for (const [thing, facts] of this.things) {
       if (thing.startsWith(`${event.kind}/`) && !present.has(thing)) {
-        violations.push(...judgeAbsence(event, thing, facts));
+        violations.push(...checkAbsence(event, thing, facts));
       }
     }
     return violations;
   }
 
-  private judgeValue(
+  private checkValue(
     event: ThingsRead,
     thing: string,
     marker: string,
@@ -138,7 +138,7 @@
   ): readonly Violation[] {
     const change = this.byMarker.get(marker);
     if (change === undefined || change.thing !== thing) {
-      return violation(event.at, `${thing} has the value ${marker}, which nobody asked for`);
+      return violation(event.at, `${thing} has the value ${marker}, which no change requested`);
     }
     const violations: Violation[] = [];
     const { answer } = change;
@@ -173,16 +173,16 @@
   }
 }
 
-/** Whether the thing may have been removed between two revisions, so that both could find it missing. */
-function isRemovedBetween(facts: ThingFacts, one: number, other: number): boolean {
+/** Whether the thing may have been removed between two revisions, so that both changes could expect it to be missing. */
+function mayBeRemovedBetween(facts: ThingFacts, one: number, other: number): boolean {
   const [low, high] = one < other ? [one, other] : [other, one];
   const isBetween = ({ result, revision }: ChangeAnswered): boolean =>
     result === 'accepted' && revision > low && revision < high;
   return facts.changes.some(({ removed, answer }) => removed && (answer === null || isBetween(answer)));
 }
 
-/** A thing may be missing only if a removal may have come after the last value that is certain. */
-function judgeAbsence(event: ThingsRead, thing: string, facts: ThingFacts): readonly Violation[] {
+/** A thing may be missing only if it may have been removed after the last acknowledged value. */
+function checkAbsence(event: ThingsRead, thing: string, facts: ThingFacts): readonly Violation[] {
   const floor = floorAt(facts, event.askedAt);
   const removable = facts.changes.some(
     (change) => change.removed && (change.answer === null || change.answer.revision >= floor),
--- a/src/dev/checker/checker.ts
+++ b/src/dev/checker/checker.ts
@@ -1,4 +1,4 @@
-/** Judges a history by all rules, event by event. It shares no code with the system that it judges. */
+/** Checks a history against all rules, event by event. It shares no code with the system under test. */
 import { AnswerRule } from './answer-rule.js';
 import { ChangeRule } from './change-rule.js';
 import { ConfigurationRule } from './configuration-rule.js';
@@ -29,27 +29,27 @@
     new RestRule(),
     new ToldLeavingRule(),
   ];
-  private readonly found: Violation[] = [];
+  private readonly allViolations: Violation[] = [];
 
   /** All violations so far, oldest first. */
   get violations(): readonly Violation[] {
-    return this.found;
+    return this.allViolations;
   }
 
-  /** Takes the next event; gives the violations that it brought to light. */
+  /** Checks the next event and returns the violations that it reveals. */
   take(event: HistoryEvent): readonly Violation[] {
-    const before = this.found.length;
+    const before = this.allViolations.length;
     for (const rule of this.rules) {
-      this.found.push(...rule.take(event));
+      this.allViolations.push(...rule.take(event));
     }
-    return this.found.slice(before);
+    return this.allViolations.slice(before);
   }
 
-  /** The history ends at this true time. */
+  /** Ends the history at this true time and returns all violations. */
   finish(at: number): readonly Violation[] {
     for (const rule of this.rules) {
-      this.found.push(...rule.finish(at));
+      this.allViolations.push(...rule.finish(at));
     }
-    return this.found;
+    return this.allViolations;
   }
 }
--- a/src/dev/checker/configuration-rule.ts
+++ b/src/dev/checker/configuration-rule.ts
@@ -1,6 +1,7 @@
 /**
- * Accepted configuration is in force: no router decides by an older revision once an operator was told so (or soon after
- * a plain acceptance), none goes back, and none sends work to a server that an accepted change marks as leaving.
+ * Accepted configuration is in force: no router uses an older revision once an operator received the confirmation (or
+ * soon after an acceptance without one), none goes back to one, and none sends requests to a server that an accepted
+ * change marks as leaving.
  */
 import type {
   ChangeAnswered,
@@ -11,9 +12,9 @@
 } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
-/** Time within which an accepted change holds everywhere, also when nobody waited for it. */
+/** Time within which an accepted change is in force everywhere, also without a request that waits for it. */
 export const IN_FORCE_MILLIS = 3000;
-/** Time after which a server that an accepted change marks as leaving gets no new work. */
+/** Time after which a server that an accepted change marks as leaving receives no new requests. */
 export const LEAVING_MILLIS = 2000;
 
 interface Requirement {
@@ -28,7 +29,7 @@
 }
 
 export class ConfigurationRule implements Rule {
-  /** Ascending by revision; later ones imply earlier ones. */
+  /** Ascending by revision; later requirements imply earlier ones. */
   private requirements: Requirement[] = [];
   private readonly routers = new Map<string, number>();
   private readonly upstreams = new Map<string, LeavingChange[]>();
@@ -37,13 +38,13 @@
   take(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'change-asked':
-        return this.noteAsked(event);
+        return this.recordRequest(event);
       case 'change-answered':
-        return this.noteAnswered(event);
+        return this.recordAnswer(event);
       case 'router-revision':
-        return this.judgeRevision(event);
+        return this.checkRevision(event);
       case 'request-dispatched':
-        return [...this.judgeDispatch(event), ...this.judgeLeaving(event)];
+        return [...this.checkDispatch(event), ...this.checkLeaving(event)];
       default:
         return NO_VIOLATIONS;
     }
@@ -53,7 +54,7 @@
     return NO_VIOLATIONS;
   }
 
-  private noteAsked(event: ChangeAsked): readonly Violation[] {
+  private recordRequest(event: ChangeAsked): readonly Violation[] {
     const { thing, leaving, removed } = event.value;
     if (this.asked.has(event.requestId) || leaving === null) {
       return NO_VIOLATIONS;
@@ -66,7 +67,7 @@
     return NO_VIOLATIONS;
   }
 
-  private noteAnswered(event: ChangeAnswered): readonly Violation[] {
+  private recordAnswer(event: ChangeAnswered): readonly Violation[] {
     const change = this.asked.get(event.requestId);
     if (change !== undefined) {
       change.answer ??= event;
@@ -78,7 +79,7 @@
     return NO_VIOLATIONS;
   }
 
-  private judgeRevision(event: RouterRevision): readonly Violation[] {
+  private checkRevision(event: RouterRevision): readonly Violation[] {
     const last = this.routers.get(event.router) ?? 0;
     this.routers.set(event.router, event.revision);
     if (event.revision >= last) {
@@ -88,7 +89,7 @@
     return [{ promise: 'accepted-in-force', at: event.at, message }];
   }
 
-  private judgeDispatch(event: RequestDispatched): readonly Violation[] {
+  private checkDispatch(event: RequestDispatched): readonly Violation[] {
     let required = 0;
     for (const requirement of this.requirements) {
       if (requirement.from < event.at) {
@@ -105,7 +106,7 @@
     return [{ promise: 'accepted-in-force', at: event.at, message }];
   }
 
-  private judgeLeaving(event: RequestDispatched): readonly Violation[] {
+  private checkLeaving(event: RequestDispatched): readonly Violation[] {
     const changes = this.upstreams.get(`upstream/${event.upstream}`) ?? [];
     let latest: LeavingChange | undefined;
     for (const change of changes) {
--- a/src/dev/checker/crash-rule.ts
+++ b/src/dev/checker/crash-rule.ts
@@ -1,22 +1,22 @@
 /**
- * Requests that end the run of each upstream that begins to work on them: three runs are lost before anybody can know.
- * Those who are in touch know it a few seconds later and send such a request on a few times more at most.
+ * Requests that crash each upstream that processes them: three runs are lost before such a request can be detected. A few
+ * seconds later, routers that are connected to control forward it at most a few more times.
  */
 import type { HistoryEvent, SendId } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
-/** Runs that a request may end before it must be known. */
-const CRASHES_UNTIL_KNOWN = 3;
-/** Time for those in touch to learn of it. */
-const LEARNING_MILLIS = 3000;
-/** Arrivals at upstreams that are allowed after that. */
-const MOST_LATE_ARRIVALS = 3;
+/** Number of runs that a request ends before it must be detected. */
+const CRASHES_UNTIL_DETECTED = 3;
+/** Time within which connected routers learn of a detected request. */
+const PROPAGATION_MILLIS = 3000;
+/** Allowed arrivals at upstreams after that time. */
+const MAX_LATE_ARRIVALS = 3;
 
-/** What is known of one request, however often it was sent. */
+/** The state of one request over all its sendings. */
 interface RequestFacts {
   crashes: number;
-  /** When it ended the run that made it known; `null`: it isn't. */
-  knownAt: number | null;
+  /** Time of the crash by which it must be detected; `null` before. */
+  detectedAt: number | null;
   lateArrivals: number;
 }
 
@@ -30,10 +30,10 @@
         this.#contents.set(event.send, event.content);
         return NO_VIOLATIONS;
       case 'upstream-crashed':
-        this.#noteCrash(event.send, event.at);
+        this.#recordCrash(event.send, event.at);
         return NO_VIOLATIONS;
       case 'request-reached':
-        return event.isInTouch ? this.#judgeArrival(event.send, event.upstream, event.at) : NO_VIOLATIONS;
+        return event.isInTouch ? this.#checkArrival(event.send, event.upstream, event.at) : NO_VIOLATIONS;
       default:
         return NO_VIOLATIONS;
     }
@@ -43,27 +43,27 @@
     return NO_VIOLATIONS;
   }
 
-  #noteCrash(send: SendId, at: number): void {
+  #recordCrash(send: SendId, at: number): void {
     const content = this.#contents.get(send) ?? send;
-    const facts = this.#facts.get(content) ?? { crashes: 0, knownAt: null, lateArrivals: 0 };
+    const facts = this.#facts.get(content) ?? { crashes: 0, detectedAt: null, lateArrivals: 0 };
     this.#facts.set(content, facts);
     facts.crashes += 1;
-    if (facts.crashes === CRASHES_UNTIL_KNOWN) {
-      facts.knownAt = at;
+    if (facts.crashes === CRASHES_UNTIL_DETECTED) {
+      facts.detectedAt = at;
     }
   }
 
-  #judgeArrival(send: SendId, upstream: string, at: number): readonly Violation[] {
+  #checkArrival(send: SendId, upstream: string, at: number): readonly Violation[] {
     const content = this.#contents.get(send) ?? send;
     const facts = this.#facts.get(content);
-    if (facts === undefined || facts.knownAt === null || at <= facts.knownAt + LEARNING_MILLIS) {
+    if (facts === undefined || facts.detectedAt === null || at <= facts.detectedAt + PROPAGATION_MILLIS) {
       return NO_VIOLATIONS;
     }
     facts.lateArrivals += 1;
-    if (facts.lateArrivals <= MOST_LATE_ARRIVALS) {
+    if (facts.lateArrivals <= MAX_LATE_ARRIVALS) {
       return NO_VIOLATIONS;
     }
-    const message = `${content}, which had ended ${facts.crashes} runs, reached ${upstream}, the ${facts.lateArrivals}th time since it was known`;
+    const message = `${content}, which had ended ${facts.crashes} runs, reached ${upstream} for the ${facts.lateArrivals}th time since it was detected`;
     return [{ promise: 'crashes-bounded', at, message }];
   }
 }
--- a/src/dev/checker/evacuation-rule.ts
+++ b/src/dev/checker/evacuation-rule.ts
@@ -1,13 +1,13 @@
-/** A zone that is out of use: no router sends new work to its upstreams once the operator's order has had time to reach all. */
+/** Zones out of use: no router sends new requests to their upstreams once the operator's order has had time to reach all. */
 import type { EvacuationAnswered, HistoryEvent, RequestDispatched } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
-/** Time within which an acknowledged order holds everywhere: routers that hear nothing for so long serve nothing. */
+/** Time within which an acknowledged order is in force everywhere: routers without contact for this long serve nothing. */
 export const EVACUATED_MILLIS = 3000;
 
 export class EvacuationRule implements Rule {
-  /** When the order stands for each upstream of a zone that is out of use. */
-  private readonly holdsFrom = new Map<string, number>();
+  /** Time from which the order is in force, by upstream of a zone out of use. */
+  private readonly inForceFrom = new Map<string, number>();
 
   take(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
@@ -15,7 +15,7 @@
         this.note(event);
         return NO_VIOLATIONS;
       case 'request-dispatched':
-        return this.judge(event);
+        return this.checkDispatch(event);
       default:
         return NO_VIOLATIONS;
     }
@@ -28,15 +28,15 @@
   private note({ at, isOut, upstreams }: EvacuationAnswered): void {
     for (const upstream of upstreams) {
       if (isOut) {
-        this.holdsFrom.set(upstream, at + EVACUATED_MILLIS);
+        this.inForceFrom.set(upstream, at + EVACUATED_MILLIS);
       } else {
-        this.holdsFrom.delete(upstream);
+        this.inForceFrom.delete(upstream);
       }
     }
   }
 
-  private judge({ at, router, send, upstream }: RequestDispatched): readonly Violation[] {
-    if (at <= (this.holdsFrom.get(upstream) ?? Number.POSITIVE_INFINITY)) {
+  private checkDispatch({ at, router, send, upstream }: RequestDispatched): readonly Violation[] {
+    if (at <= (this.inForceFrom.get(upstream) ?? Number.POSITIVE_INFINITY)) {
       return NO_VIOLATIONS;
     }
     const message = `${router} sent ${send} to ${upstream}, whose zone is out of use`;
--- a/src/dev/checker/execution-rule.ts
+++ b/src/dev/checker/execution-rule.ts
@@ -1,6 +1,6 @@
 /**
- * What ran: nothing whose caller was told that it did not run, before or after; and what must not be repeated at most
- * once an idempotency key.
+ * Execution: a request whose caller received `not-run` runs neither before nor after that, and a request that must not
+ * be repeated runs at most once per idempotency key.
  */
 import type { HistoryEvent, RefusalReceived, RequestRan, RequestSent, SendId } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
@@ -11,15 +11,15 @@
   readonly idempotencyKey: string | null;
   readonly repeatable: boolean;
   runs: number;
-  toldNotRun: boolean;
+  receivedNotRun: boolean;
 }
 
-/** What is known of all sendings under one idempotency key. */
+/** The state of all sendings under one idempotency key. */
 interface KeyFacts {
   runs: number;
-  /** What ran under the key. */
+  /** Content that ran under the key. */
   ranContent: string | null;
-  /** Last time at which a caller was told that what it asked for under the key did not run. */
+  /** Last time at which a caller received `not-run` for the key. */
   notRunAt: number | null;
 }
 
@@ -30,11 +30,11 @@
   take(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'request-sent':
-        return this.noteSent(event);
+        return this.recordSent(event);
       case 'request-ran':
-        return this.judgeRun(event);
+        return this.checkRun(event);
       case 'refusal-received':
-        return this.judgeRefusal(event);
+        return this.checkRefusal(event);
       default:
         return NO_VIOLATIONS;
     }
@@ -44,41 +44,41 @@
     return NO_VIOLATIONS;
   }
 
-  private noteSent(event: RequestSent): readonly Violation[] {
+  private recordSent(event: RequestSent): readonly Violation[] {
     const { at, content, idempotencyKey, repeatable } = event;
-    this.sent.set(event.send, { at, content, idempotencyKey, repeatable, runs: 0, toldNotRun: false });
+    this.sent.set(event.send, { at, content, idempotencyKey, repeatable, runs: 0, receivedNotRun: false });
     if (idempotencyKey !== null && !this.keys.has(idempotencyKey)) {
       this.keys.set(idempotencyKey, { runs: 0, ranContent: null, notRunAt: null });
     }
     return NO_VIOLATIONS;
   }
 
-  private judgeRun(event: RequestRan): readonly Violation[] {
+  private checkRun(event: RequestRan): readonly Violation[] {
     const request = this.sent.get(event.send);
     if (request === undefined) {
       return [{ promise: 'own-whole-answer', at: event.at, message: `${event.send} ran but was never sent` }];
     }
     const violations: Violation[] = [];
     request.runs += 1;
-    if (request.toldNotRun) {
-      const message = `${event.send} ran on ${event.upstream} after its caller was told not-run`;
+    if (request.receivedNotRun) {
+      const message = `${event.send} ran on ${event.upstream} after its caller received not-run`;
       violations.push({ promise: 'not-run-is-true', at: event.at, message });
     }
-    violations.push(...this.judgeRepetition(event, request), ...this.judgeEarlierWord(event, request));
+    violations.push(...this.checkRepetition(event, request), ...this.checkEarlierRefusal(event, request));
     return violations;
   }
 
-  /** A caller which was told `not-run` may order again, but what it had sent before must not run any more. */
-  private judgeEarlierWord(event: RequestRan, request: SentRequest): readonly Violation[] {
+  /** After `not-run` a caller may send again, but its earlier sendings must not run any more. */
+  private checkEarlierRefusal(event: RequestRan, request: SentRequest): readonly Violation[] {
     const facts = this.factsOf(request);
     if (facts === undefined) {
       return NO_VIOLATIONS;
     }
     facts.ranContent = request.content;
-    if (facts.notRunAt === null || request.at >= facts.notRunAt || request.toldNotRun) {
+    if (facts.notRunAt === null || request.at >= facts.notRunAt || request.receivedNotRun) {
       return NO_VIOLATIONS;
     }
-    const message = `${event.send} ran after its caller was told that ${request.idempotencyKey} did not run`;
+    const message = `${event.send} ran after its caller received not-run for ${request.idempotencyKey}`;
     return [{ promise: 'not-run-is-true', at: event.at, message }];
   }
 
@@ -86,7 +86,7 @@
     return idempotencyKey === null ? undefined : this.keys.get(idempotencyKey);
   }
 
-  private judgeRepetition(event: RequestRan, request: SentRequest): readonly Violation[] {
+  private checkRepetition(event: RequestRan, request: SentRequest): readonly Violation[] {
     if (request.repeatable) {
       return NO_VIOLATIONS;
     }
@@ -103,12 +103,12 @@
     return [{ promise: 'at-most-once', at: event.at, message }];
   }
 
-  private judgeRefusal(event: RefusalReceived): readonly Violation[] {
+  private checkRefusal(event: RefusalReceived): readonly Violation[] {
     const request = this.sent.get(event.send);
     if (request === undefined || event.outcome !== 'not-run') {
       return NO_VIOLATIONS;
     }
-    request.toldNotRun = true;
+    request.receivedNotRun = true;
     const facts = this.factsOf(request);
     if (facts !== undefined) {
       facts.notRunAt = event.at;
@@ -117,7 +117,7 @@
     if (request.runs === 0 && !ranUnderKey) {
       return NO_VIOLATIONS;
     }
-    const message = `${event.send} was told not-run (${event.reason}) after it ran`;
+    const message = `${event.send} received not-run (${event.reason}) after it ran`;
     return [{ promise: 'not-run-is-true', at: event.at, message }];
   }
 }
--- a/src/dev/checker/history.ts
+++ b/src/dev/checker/history.ts
@@ -1,19 +1,19 @@
 /**
- * What a run of the system is judged by: facts seen from outside, in the order in which they happened. The simulator
- * records them, and so can any other harness. Times are true (not any process's own) milliseconds.
+ * The history of a run of the system: externally observed events in the order in which they happened, recorded by the
+ * simulator or any other harness. Times are true milliseconds, not those of any process's own clock.
  */
 
-/** Names one sending of a request by a caller; a resend is another one. */
+/** Identifies one sending of a request by a caller; a resend has its own id. */
 export type SendId = string;
 
-/** A process which, asked at this very moment, would take a request for the key or let one take effect. */
+/** A process that, at the moment of observation, would accept a request for the key or let one take effect. */
 export interface KeyHolder {
   readonly upstream: string;
   readonly incarnation: string;
   readonly epoch: number;
 }
 
-/** The holders of one key, all asked at the same moment. */
+/** The holders of one key, all observed at the same moment. */
 export interface HoldersObserved {
   readonly type: 'holders-observed';
   readonly at: number;
@@ -22,14 +22,14 @@
   readonly holders: readonly KeyHolder[];
 }
 
-/** A request changed the state of its key or did the work that it asked for. */
+/** A request took effect: it changed the state of its key or completed its work. */
 export interface RequestRan {
   readonly type: 'request-ran';
   readonly at: number;
   readonly send: SendId;
   readonly upstream: string;
   readonly incarnation: string;
-  /** Keyed services: service and key, and the epoch under which the request was let in. */
+  /** Keyed services: service and key, and the epoch under which the request was admitted. */
   readonly key: string | null;
   readonly epoch: number | null;
 }
@@ -40,29 +40,29 @@
   readonly at: number;
   readonly send: SendId;
   readonly service: string;
-  /** What the answer must be about. */
+  /** The content that the answer must refer to. */
   readonly content: string;
   readonly idempotencyKey: string | null;
   readonly repeatable: boolean;
-  /** Whether the answer of another sending with the same content will do. */
+  /** Whether the answer to another sending with the same content is acceptable. */
   readonly mayShareAnswer: boolean;
-  /** True time by which some answer is owed, unless a process on the way is lost. */
+  /** True time by which some answer must arrive, unless a process on the path is lost. */
   readonly answerDueAt: number;
 }
 
-/** A caller got an answer that a server made. */
+/** A caller received an answer written by a server. */
 export interface AnswerReceived {
   readonly type: 'answer-received';
   readonly at: number;
   readonly send: SendId;
-  /** The sending that made the server run, as the answer itself says. */
+  /** The sending that the server ran, as stated in the answer. */
   readonly ranFor: SendId;
   readonly content: string;
-  /** Whether every byte came. */
+  /** Whether the answer is complete. */
   readonly whole: boolean;
 }
 
-/** A caller got a router's own answer. */
+/** A caller received an answer written by a router. */
 export interface RefusalReceived {
   readonly type: 'refusal-received';
   readonly at: number;
@@ -71,7 +71,7 @@
   readonly reason: string;
 }
 
-/** A caller's connection ended without an answer. `excused`: a process crashed, or the caller gave up. */
+/** A caller's connection ended without an answer. `excused`: a process crashed, or the caller cancelled. */
 export interface RequestCut {
   readonly type: 'request-cut';
   readonly at: number;
@@ -80,7 +80,7 @@
   readonly by: string;
 }
 
-/** A planned stop ended work of others that was under way. */
+/** The planned stop of a process aborted a request in progress. */
 export interface PlannedStopCut {
   readonly type: 'planned-stop-cut';
   readonly at: number;
@@ -94,22 +94,22 @@
   readonly at: number;
   readonly send: SendId;
   readonly router: string;
-  /** Revision of the configuration by which the router decided. */
+  /** Revision of the configuration that the decision is based on. */
   readonly revision: number;
   readonly upstream: string;
 }
 
-/** A request of a router came to a running upstream, whatever that made of it. */
+/** A router's request arrived at a running upstream, whatever its result. */
 export interface RequestReached {
   readonly type: 'request-reached';
   readonly at: number;
   readonly send: SendId;
   readonly upstream: string;
-  /** Neither the router nor control was disturbed lately. */
+  /** Neither the router nor control was disturbed recently. */
   readonly isInTouch: boolean;
 }
 
-/** An upstream's run ended because of the request that it worked on. */
+/** A run of an upstream ended because of the request that it processed. */
 export interface UpstreamCrashed {
   readonly type: 'upstream-crashed';
   readonly at: number;
@@ -118,7 +118,7 @@
   readonly incarnation: string;
 }
 
-/** The revision that a run of a router works by. */
+/** The revision that a run of a router uses. */
 export interface RouterRevision {
   readonly type: 'router-revision';
   readonly at: number;
@@ -127,18 +127,18 @@
   readonly revision: number;
 }
 
-/** The value that a change gives to a thing; each change has another `marker`. */
+/** The value that a change assigns to a thing; each change has a different `marker`. */
 export interface ThingValue {
   /** E.g. `service/menuboard`. */
   readonly thing: string;
   readonly marker: string;
   /** Set for upstreams. */
   readonly leaving: boolean | null;
-  /** The change removes the thing. */
+  /** Whether the change removes the thing. */
   readonly removed: boolean;
 }
 
-/** An operator asked for a change, for the first time or again. */
+/** An operator requested a change, for the first time or again. */
 export interface ChangeAsked {
   readonly type: 'change-asked';
   readonly at: number;
@@ -155,7 +155,7 @@
   readonly result: 'accepted' | 'conflict' | 'invalid';
   /** Accepted: its revision; conflict: the current one. */
   readonly revision: number;
-  /** The system said that it is in force on every router. */
+  /** Whether the answer confirms that the change is in force on every router. */
   readonly inForce: boolean;
 }
 
@@ -164,12 +164,12 @@
   readonly type: 'things-read';
   readonly askedAt: number;
   readonly at: number;
-  /** `service` or `upstream`: what every `thing` name of this read begins with. */
+  /** `service` or `upstream`: the prefix of every `thing` name in this read. */
   readonly kind: 'service' | 'upstream';
   readonly things: readonly { readonly thing: string; readonly marker: string; readonly revision: number }[];
 }
 
-/** A replica learned that an entry of the log is committed. */
+/** A replica committed an entry of the log. */
 export interface EntryCommitted {
   readonly type: 'entry-committed';
   readonly at: number;
@@ -179,7 +179,7 @@
   readonly digest: string;
 }
 
-/** After all faults ended and time to recover passed: whether a key has an owner and a request for it succeeds. */
+/** Whether a key has an owner and a request for it succeeds, after all faults ended and the time to recover passed. */
 export interface RecoveryObserved {
   readonly type: 'recovery-observed';
   readonly at: number;
@@ -187,7 +187,7 @@
   readonly recovered: boolean;
 }
 
-/** An operator was told that a zone is out of use, or asked for its use again. */
+/** An operator received the confirmation that a zone is out of use, or requested its use again. */
 export interface EvacuationAnswered {
   readonly type: 'evacuation-answered';
   readonly at: number;
@@ -196,7 +196,7 @@
   readonly upstreams: readonly string[];
 }
 
-/** An answer whose head says something of its upstream reached a router. */
+/** An answer with notices of its upstream in the headers reached a router. */
 export interface NoticeGiven {
   readonly type: 'notice-given';
   readonly at: number;
@@ -204,28 +204,28 @@
   readonly router: string;
   /** Run of the upstream. */
   readonly upstream: string;
-  /** When the upstream sent it. */
+  /** Time at which the upstream sent the answer. */
   readonly answeredAt: number;
-  /** Requests a second that it takes from all routers together. */
+  /** Requests per second that the upstream accepts from all routers together. */
   readonly limitPerSecond: number | null;
-  /** Rest that it asks the router for. */
+  /** Back-off that the upstream requests of the router. */
   readonly restMillis: number | null;
-  /** It says that it leaves. */
+  /** Whether the upstream is draining. */
   readonly isLeaving: boolean;
 }
 
-/** A request came to an upstream that says something of itself, or no longer does. */
+/** A request arrived at an upstream that sends notices, or sent some before. */
 export interface NeedyUpstreamReached {
   readonly type: 'needy-upstream-reached';
   readonly at: number;
   readonly router: string;
   readonly upstream: string;
   readonly send: SendId;
-  /** Since when the router's process has run without a pause; it may have started later. */
+  /** Time since which the router's process has run without a pause; it may have started later. */
   readonly runningSince: number;
-  /** What it names now. */
+  /** The limit that the upstream currently states. */
   readonly limitPerSecond: number | null;
-  /** The router, or the network, was disturbed lately. */
+  /** Whether the router or the network was disturbed recently. */
   readonly isExcused: boolean;
 }
 
--- a/src/dev/checker/limit-rule.ts
+++ b/src/dev/checker/limit-rule.ts
@@ -1,18 +1,18 @@
 /**
- * Upstreams that name a limit: some time after they began to, they get in any window little more than that from routers that heard it. A
- * router that was disturbed itself lately is excused.
+ * Upstreams with a limit: some time after its first notice, they receive in any window little more than the limit from
+ * the routers that received it. A router that was disturbed recently is excused.
  */
 import type { HistoryEvent, NeedyUpstreamReached, NoticeGiven } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
 const WINDOW_MILLIS = 4000;
-/** Requests in a window beyond the allowed factor on what the limit lets through. */
-const MARGIN = 5;
+/** Requests allowed in a window in addition to the limit times the factor. */
+const MARGIN_REQUESTS = 5;
 const OVERRUN_FACTOR = 1.5;
-/** Time for routers to share a limit that was just named. */
+/** Time for routers to divide a newly stated limit among them. */
 const SHARING_MILLIS = 3000;
-/** An answer counts as heard by a router this long after it reached it. */
-const HEARD_MILLIS = 500;
+/** Time after the arrival of an answer at which its router must apply the limit. */
+const APPLY_MILLIS = 500;
 const MILLIS_PER_SECOND = 1000;
 
 interface Arrival {
@@ -20,23 +20,23 @@
   readonly limitPerSecond: number;
 }
 
-interface NeedyRun {
-  /** When an answer first named a limit, since it last named none. */
-  namedAt: number | null;
-  readonly heardAt: Map<string, number>;
+interface LimitedRun {
+  /** Time of the first answer with a limit since the upstream last had none. */
+  firstStatedAt: number | null;
+  readonly receivedAt: Map<string, number>;
   arrivals: Arrival[];
 }
 
 export class LimitRule implements Rule {
-  readonly #runs = new Map<string, NeedyRun>();
+  readonly #runs = new Map<string, LimitedRun>();
 
   take(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'notice-given':
-        this.#hear(event);
+        this.#recordNotice(event);
         return NO_VIOLATIONS;
       case 'needy-upstream-reached':
-        return this.#judge(event);
+        return this.#checkArrival(event);
       default:
         return NO_VIOLATIONS;
     }
@@ -46,42 +46,44 @@
     return NO_VIOLATIONS;
   }
 
-  #hear({ at, router, upstream, limitPerSecond }: NoticeGiven): void {
+  #recordNotice({ at, router, upstream, limitPerSecond }: NoticeGiven): void {
     const run = this.#runOf(upstream);
     if (limitPerSecond !== null) {
-      run.namedAt ??= at;
-      run.heardAt.set(router, run.heardAt.get(router) ?? at);
+      run.firstStatedAt ??= at;
+      run.receivedAt.set(router, run.receivedAt.get(router) ?? at);
     }
   }
 
-  #judge(event: NeedyUpstreamReached): readonly Violation[] {
+  #checkArrival(event: NeedyUpstreamReached): readonly Violation[] {
     const { at, router, upstream, limitPerSecond, isExcused } = event;
     const run = this.#runOf(upstream);
     if (limitPerSecond === null) {
-      run.namedAt = null;
-      run.heardAt.clear();
+      run.firstStatedAt = null;
+      run.receivedAt.clear();
       run.arrivals = [];
       return NO_VIOLATIONS;
     }
-    const heardAt = run.heardAt.get(router) ?? Number.POSITIVE_INFINITY;
-    const isShared = run.namedAt !== null && at >= run.namedAt + SHARING_MILLIS;
-    if (isExcused || !isShared || at < heardAt + HEARD_MILLIS) {
+    const receivedAt = run.receivedAt.get(router) ?? Number.POSITIVE_INFINITY;
+    const isShared = run.firstStatedAt !== null && at >= run.firstStatedAt + SHARING_MILLIS;
+    if (isExcused || !isShared || at < receivedAt + APPLY_MILLIS) {
       return NO_VIOLATIONS;
     }
-    run.arrivals = [...run.arrivals, { at, limitPerSecond }].filter((one) => one.at > at - WINDOW_MILLIS);
+    run.arrivals = [...run.arrivals, { at, limitPerSecond }].filter(
+      (arrival) => arrival.at > at - WINDOW_MILLIS,
+    );
     const largest = Math.max(...run.arrivals.map((arrival) => arrival.limitPerSecond));
-    const most = (OVERRUN_FACTOR * largest * WINDOW_MILLIS) / MILLIS_PER_SECOND + MARGIN;
-    if (run.arrivals.length <= most) {
+    const maxArrivals = (OVERRUN_FACTOR * largest * WINDOW_MILLIS) / MILLIS_PER_SECOND + MARGIN_REQUESTS;
+    if (run.arrivals.length <= maxArrivals) {
       return NO_VIOLATIONS;
     }
-    const message = `${upstream}, which names ${largest} a second, got ${run.arrivals.length} in ${WINDOW_MILLIS} ms, ${most} allowed`;
+    const message = `${upstream}, with a limit of ${largest} requests per second, received ${run.arrivals.length} in ${WINDOW_MILLIS} ms; ${maxArrivals} are allowed`;
     return [{ promise: 'needs-heeded', at, message }];
   }
 
-  #runOf(upstream: string): NeedyRun {
+  #runOf(upstream: string): LimitedRun {
     const run = this.#runs.get(upstream) ?? {
-      namedAt: null,
-      heardAt: new Map<string, number>(),
+      firstStatedAt: null,
+      receivedAt: new Map<string, number>(),
       arrivals: [],
     };
     this.#runs.set(upstream, run);
--- a/src/dev/checker/log-rule.ts
+++ b/src/dev/checker/log-rule.ts
@@ -1,4 +1,4 @@
-/** The log: every replica commits the same entry at an index, for ever. */
+/** The log: all replicas always commit the same entry at an index. */
 import type { EntryCommitted, HistoryEvent } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
@@ -9,15 +9,15 @@
     if (event.type !== 'entry-committed') {
       return NO_VIOLATIONS;
     }
-    const known = this.committed.get(event.index);
-    if (known === undefined) {
+    const first = this.committed.get(event.index);
+    if (first === undefined) {
       this.committed.set(event.index, event);
       return NO_VIOLATIONS;
     }
-    if (known.digest === event.digest) {
+    if (first.digest === event.digest) {
       return NO_VIOLATIONS;
     }
-    const message = `entry ${event.index}: ${event.replica} committed another one than ${known.replica} did`;
+    const message = `entry ${event.index}: ${event.replica} committed a different entry than ${first.replica}`;
     return [{ promise: 'acknowledged-survives', at: event.at, message }];
   }
 
--- a/src/dev/checker/ownership-rule.ts
+++ b/src/dev/checker/ownership-rule.ts
@@ -1,4 +1,4 @@
-/** One owner a key: never two holders at one moment, and effects on a key never go back to a lower epoch. */
+/** One owner per key: never two holders at the same moment, and the epochs of the effects on a key never decrease. */
 import type { HistoryEvent, HoldersObserved, RequestRan } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
@@ -13,9 +13,9 @@
   take(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'holders-observed':
-        return judgeHolders(event);
+        return checkHolders(event);
       case 'request-ran':
-        return this.judgeEffect(event);
+        return this.checkEffect(event);
       default:
         return NO_VIOLATIONS;
     }
@@ -25,7 +25,7 @@
     return NO_VIOLATIONS;
   }
 
-  private judgeEffect(event: RequestRan): readonly Violation[] {
+  private checkEffect(event: RequestRan): readonly Violation[] {
     if (event.key === null || event.epoch === null) {
       return NO_VIOLATIONS;
     }
@@ -46,7 +46,7 @@
   }
 }
 
-function judgeHolders(event: HoldersObserved): readonly Violation[] {
+function checkHolders(event: HoldersObserved): readonly Violation[] {
   const incarnations = new Set(event.holders.map((holder) => holder.incarnation));
   if (incarnations.size <= 1) {
     return NO_VIOLATIONS;
--- a/src/dev/checker/recovery-rule.ts
+++ b/src/dev/checker/recovery-rule.ts
@@ -1,4 +1,4 @@
-/** Recovery: once the faults are over, every key has an owner again and requests and changes succeed. */
+/** Recovery: after the faults end, every key has an owner again, and requests and changes succeed. */
 import type { HistoryEvent } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
--- a/src/dev/checker/rest-rule.ts
+++ b/src/dev/checker/rest-rule.ts
@@ -1,15 +1,15 @@
 /**
- * Upstreams that turn a router away and ask it for rest: from a moment later to the end of that time a router that wasn't disturbed itself sends
- * next to nothing there.
+ * Upstreams that reject a router's request with a back-off: shortly after that, and until the back-off ends, the router
+ * sends hardly any requests there. A router that was disturbed recently is excused.
  */
 import type { HistoryEvent, NeedyUpstreamReached, NoticeGiven } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
-/** What was under way may still arrive for so long. */
+/** Time during which requests in transit may still arrive. */
 const GRACE_MILLIS = 500;
-const MOST_IN_REST = 2;
+const MAX_REQUESTS_IN_BACKOFF = 2;
 
-interface AskedRest {
+interface Backoff {
   readonly from: number;
   readonly until: number;
   arrivals: number;
@@ -17,15 +17,15 @@
 
 export class RestRule implements Rule {
   /** By router and run of the upstream. */
-  readonly #rests = new Map<string, AskedRest[]>();
+  readonly #backoffs = new Map<string, Backoff[]>();
 
   take(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'notice-given':
-        this.#ask(event);
+        this.#recordNotice(event);
         return NO_VIOLATIONS;
       case 'needy-upstream-reached':
-        return this.#judge(event);
+        return this.#checkArrival(event);
       default:
         return NO_VIOLATIONS;
     }
@@ -35,25 +35,25 @@
     return NO_VIOLATIONS;
   }
 
-  #ask({ at, answeredAt, router, upstream, restMillis }: NoticeGiven): void {
+  #recordNotice({ at, answeredAt, router, upstream, restMillis }: NoticeGiven): void {
     if (restMillis === null) {
       return;
     }
     const name = nameOf(router, upstream);
-    const open = (this.#rests.get(name) ?? []).filter(({ until }) => until > at);
-    // It counts from when the upstream answered.
-    const rest = { from: at + GRACE_MILLIS, until: answeredAt + restMillis, arrivals: 0 };
-    this.#rests.set(name, [...open, rest]);
+    const open = (this.#backoffs.get(name) ?? []).filter(({ until }) => until > at);
+    // The back-off begins when the upstream answers.
+    const backoff = { from: at + GRACE_MILLIS, until: answeredAt + restMillis, arrivals: 0 };
+    this.#backoffs.set(name, [...open, backoff]);
   }
 
-  #judge({ at, router, upstream, isExcused }: NeedyUpstreamReached): readonly Violation[] {
+  #checkArrival({ at, router, upstream, isExcused }: NeedyUpstreamReached): readonly Violation[] {
     if (isExcused) {
       return NO_VIOLATIONS;
     }
-    for (const rest of this.#rests.get(nameOf(router, upstream)) ?? []) {
-      rest.arrivals += at >= rest.from && at < rest.until ? 1 : 0;
-      if (rest.arrivals > MOST_IN_REST) {
-        const message = `${router} sent ${upstream} ${rest.arrivals} requests while that wanted rest`;
+    for (const backoff of this.#backoffs.get(nameOf(router, upstream)) ?? []) {
+      backoff.arrivals += at >= backoff.from && at < backoff.until ? 1 : 0;
+      if (backoff.arrivals > MAX_REQUESTS_IN_BACKOFF) {
+        const message = `${router} sent ${upstream} ${backoff.arrivals} requests during its back-off`;
         return [{ promise: 'needs-heeded', at, message }];
       }
     }
--- a/src/dev/checker/rule.ts
+++ b/src/dev/checker/rule.ts
@@ -1,7 +1,7 @@
-/** What each rule of the checker is. */
+/** The interface of the checker's rules, and the promises that they check. */
 import type { HistoryEvent } from './history.js';
 
-/** The promises that the rules stand for. */
+/** The promises that the rules check. */
 export const PROMISES = [
   'one-owner',
   'acknowledged-survives',
@@ -17,17 +17,17 @@
 ] as const;
 export type PromiseName = (typeof PROMISES)[number];
 
-/** A promise that the history breaks. */
+/** A violation of a promise by the history. */
 export interface Violation {
   readonly promise: PromiseName;
   readonly at: number;
   readonly message: string;
 }
 
-/** Takes the events in order and says which promises they break, as soon as it can be known. */
+/** Checks events in order and returns each violation as soon as it is certain. */
 export interface Rule {
   take(event: HistoryEvent): readonly Violation[];
-  /** The history is over. */
+  /** Ends the history and returns the violations that are certain only then. */
   finish(at: number): readonly Violation[];
 }
 
--- a/src/dev/checker/told-leaving-rule.ts
+++ b/src/dev/checker/told-leaving-rule.ts
@@ -1,6 +1,7 @@
 /**
- * An upstream said in an answer that it leaves: what a caller sends some time later doesn't reach that run from the router that passed on the
- * answer, in touch or not. A restart or a freeze of the router since then excuses it.
+ * Upstreams that report draining in an answer: requests that callers send some time later don't reach that run through
+ * the router that received the answer, whether or not the router is connected to control. A restart or a freeze of the
+ * router since then excuses it.
  */
 import type { HistoryEvent, NeedyUpstreamReached, SendId } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
@@ -10,7 +11,7 @@
 export class ToldLeavingRule implements Rule {
   readonly #sentAt = new Map<SendId, number>();
   /** By router and run of the upstream. */
-  readonly #toldAt = new Map<string, number>();
+  readonly #reportedAt = new Map<string, number>();
 
   take(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
@@ -19,13 +20,13 @@
         return NO_VIOLATIONS;
       case 'notice-given': {
         const name = nameOf(event.router, event.upstream);
-        if (event.isLeaving && !this.#toldAt.has(name)) {
-          this.#toldAt.set(name, event.at);
+        if (event.isLeaving && !this.#reportedAt.has(name)) {
+          this.#reportedAt.set(name, event.at);
         }
         return NO_VIOLATIONS;
       }
       case 'needy-upstream-reached':
-        return this.#judge(event);
+        return this.#checkArrival(event);
       default:
         return NO_VIOLATIONS;
     }
@@ -35,13 +36,13 @@
     return NO_VIOLATIONS;
   }
 
-  #judge({ at, router, upstream, send, runningSince }: NeedyUpstreamReached): readonly Violation[] {
-    const toldAt = this.#toldAt.get(nameOf(router, upstream));
+  #checkArrival({ at, router, upstream, send, runningSince }: NeedyUpstreamReached): readonly Violation[] {
+    const reportedAt = this.#reportedAt.get(nameOf(router, upstream));
     const sentAt = this.#sentAt.get(send) ?? at;
-    if (toldAt === undefined || runningSince >= toldAt || sentAt <= toldAt + DRAIN_MILLIS) {
+    if (reportedAt === undefined || runningSince >= reportedAt || sentAt <= reportedAt + DRAIN_MILLIS) {
       return NO_VIOLATIONS;
     }
-    const message = `${router} sent ${upstream} ${send}, ${Math.round(sentAt - toldAt)} ms after that said that it leaves`;
+    const message = `${router} sent ${upstream} ${send} ${Math.round(sentAt - reportedAt)} ms after it reported draining`;
     return [{ promise: 'leaving-gets-no-work', at, message }];
   }
 }
--- a/test/dev/checker/execution-rule.test.ts
+++ b/test/dev/checker/execution-rule.test.ts
@@ -33,43 +33,43 @@
   readonly broken: readonly PromiseName[];
 }[] = [
   {
-    name: 'takes an order that runs once and is then in doubt',
+    name: 'accepts an order that runs once and whose outcome is then unknown',
     events: [sent('a', 1), ran('a', 2), refused('a', 3, 'unknown')],
     broken: [],
   },
   {
-    name: 'takes an order that runs after an earlier one was refused',
+    name: 'accepts an order that runs after an earlier sending was refused',
     events: [sent('a', 1), refused('a', 2, 'not-run'), sent('b', 3), ran('b', 4)],
     broken: [],
   },
   {
-    name: 'finds not-run told after the run',
+    name: 'detects not-run after the run',
     events: [sent('a', 1), ran('a', 2), refused('a', 3, 'not-run')],
     broken: ['not-run-is-true'],
   },
   {
-    name: 'finds a run after not-run was told',
+    name: 'detects a run after not-run',
     events: [sent('a', 1), refused('a', 2, 'not-run'), ran('a', 3)],
     broken: ['not-run-is-true'],
   },
   {
-    name: 'finds not-run told of a resend although the first sending ran',
+    name: 'detects not-run for a resend although the first sending ran',
     events: [sent('a', 1), ran('a', 2), sent('b', 3), refused('b', 4, 'not-run')],
     broken: ['not-run-is-true'],
   },
   {
-    name: 'finds the first sending run after not-run was told of a resend',
+    name: 'detects a run of the first sending after not-run for a resend',
     events: [sent('a', 1), sent('b', 2), refused('b', 3, 'not-run'), ran('a', 4)],
     broken: ['not-run-is-true'],
   },
   {
-    name: 'finds an order that runs twice',
+    name: 'detects an order that runs twice',
     events: [sent('a', 1), ran('a', 2), sent('b', 3), ran('b', 4)],
     broken: ['at-most-once'],
   },
 ];
 
-describe('the checker on what ran', () => {
+describe('ExecutionRule', () => {
   for (const { name, events, broken } of CASES) {
     it(name, () => {
       const checker = new Checker();
