--- a/src/dev/scale/counting-core.ts
+++ b/src/dev/scale/counting-core.ts
@@ -1,6 +1,6 @@
-/** Wraps a deterministic core and counts what goes in and out and how long each step holds its process up. */
+/** Wraps a deterministic core, counts its messages and measures how long each step blocks the process. */
 
-/** The part that the cores of control members and routers have in common. */
+/** The interface that the cores of control members and routers have in common. */
 export interface SteppedCore<Input, Effect, Status> {
   step(input: Input, now: number, wall: number): Effect[];
   nextDeadline(): number;
@@ -12,7 +12,7 @@
   readonly messagesOut: number;
   readonly steps: number;
   readonly stepMillis: number;
-  /** Longest step since the last `takeLongest`. */
+  /** Longest step since the last `read`. */
   readonly longestStepMillis: number;
 }
 
@@ -56,7 +56,7 @@
     return this.core.status();
   }
 
-  /** Counts since the start; the longest step starts anew. */
+  /** Returns the counts since the start, and resets the longest step. */
   read(): StepCounts {
     const { messagesIn, messagesOut, steps, stepMillis, longest } = this;
     this.longest = 0;
--- a/src/dev/scale/hollow-router.ts
+++ b/src/dev/scale/hollow-router.ts
@@ -1,6 +1,6 @@
 /**
- * A router without requests and without a configuration of its own: its connections, syncs, lease and reports are
- * those of the daemon; what it is sent goes into a copy that all hollow routers of the process share.
+ * A simulated router without requests and without its own configuration: its connections, syncs, lease and reports are
+ * those of the daemon; received configuration goes into a copy that all simulated routers of the process share.
  */
 import type { ControlToRouter, LoadReport, SyncResponse } from '../../control/messages.js';
 import { DEFAULT_CONFIG_LEASE_TIMINGS } from '../../control/messages.js';
@@ -17,21 +17,21 @@
 const REPORT_MILLIS = 1000;
 const MIN_TICK_MILLIS = 1;
 
-export interface HollowRouterOptions {
+export interface SimulatedRouterOptions {
   readonly identity: RunIdentity;
   readonly router: string;
   readonly zone: string;
-  /** Spreads routers over the control members. */
+  /** Position among the routers, which distributes them over the control members. */
   readonly position: number;
   readonly shared: SharedConfiguration;
   readonly decoder: SharedDecoder;
   readonly report: () => LoadReport;
-  /** The router holds a later revision than before. */
-  readonly advanced: (revision: Revision) => void;
-  readonly counted: (direction: 'in' | 'out') => void;
+  /** Called when the router holds a later revision than before. */
+  readonly onAdvanced: (revision: Revision) => void;
+  readonly onMessage: (direction: 'in' | 'out') => void;
 }
 
-export class HollowRouter {
+export class SimulatedRouter {
   /** Revision held; 0 before the first snapshot. */
   revision: Revision = 0;
   private readonly lease: ConfigurationLease;
@@ -41,7 +41,7 @@
   private reportedAt = performance.now();
   private stopped = false;
 
-  constructor(private readonly options: HollowRouterOptions) {
+  constructor(private readonly options: SimulatedRouterOptions) {
     const { identity, router, position } = options;
     this.lease = new ConfigurationLease(identity.control, DEFAULT_CONFIG_LEASE_TIMINGS, position);
     this.leader = new LeaderGuess(identity.control, position);
@@ -67,7 +67,7 @@
     this.pump();
   }
 
-  /** Whether requests could be served now. */
+  /** Whether the router could currently serve requests. */
   get serving(): boolean {
     return this.lease.isValid(performance.now());
   }
@@ -79,31 +79,31 @@
   }
 
   private receive(message: ControlToRouter): void {
-    this.options.counted('in');
+    this.options.onMessage('in');
     const now = performance.now();
     if (message.type === 'change-notice') {
       this.lease.notice(message.revision, this.revision, now);
     } else if (message.type === 'sync-news') {
-      const gap = this.take({ snapshot: null, delta: message.delta });
+      const gap = this.applyUpdate({ snapshot: null, delta: message.delta });
       this.lease.newsApplied(this.revision, gap, now);
     } else if (message.type === 'sync-response') {
-      const gap = this.take(message);
+      const gap = this.applyUpdate(message);
       this.lease.answered(message, this.revision, gap, now);
       this.leader.learn(message.leader);
     }
     this.pump();
   }
 
-  /** Gives whether a delta didn't join on. */
-  private take({ snapshot, delta }: Pick<SyncResponse, 'snapshot' | 'delta'>): boolean {
+  /** Applies a snapshot or a delta. Returns whether there is a gap between the held revision and the delta. */
+  private applyUpdate({ snapshot, delta }: Pick<SyncResponse, 'snapshot' | 'delta'>): boolean {
     if (snapshot !== null && snapshot.revision > this.revision) {
-      this.options.shared.takeSnapshot(snapshot);
+      this.options.shared.applySnapshot(snapshot);
       this.advance(snapshot.revision);
     } else if (delta !== null && delta.to > this.revision) {
       if (delta.from > this.revision || this.revision === 0) {
         return true;
       }
-      this.options.shared.takeDelta(delta);
+      this.options.shared.applyDelta(delta);
       this.advance(delta.to);
     }
     return false;
@@ -111,7 +111,7 @@
 
   private advance(revision: Revision): void {
     this.revision = revision;
-    this.options.advanced(revision);
+    this.options.onAdvanced(revision);
   }
 
   private pump(): void {
@@ -121,7 +121,7 @@
     const now = performance.now();
     const attempt = this.lease.takeSync(now);
     if (attempt !== undefined) {
-      this.options.counted('out');
+      this.options.onMessage('out');
       const { router, zone } = this.options;
       this.links.send(attempt.to, {
         type: 'sync-request',
--- a/src/dev/scale/revision-watch.ts
+++ b/src/dev/scale/revision-watch.ts
@@ -1,4 +1,4 @@
-/** Notes when the last of a set of routers reached a revision. */
+/** Determines when the last of a set of routers reaches a revision. */
 import type { Revision } from '../../model/identifiers.js';
 import { machineMillis } from '../journal/machine-clock.js';
 
@@ -10,23 +10,23 @@
 export class RevisionWatch {
   private watches: Watch[] = [];
 
-  /** `lowest` gives the lowest revision that any router holds. */
-  constructor(private readonly lowest: () => Revision) {}
+  /** `lowestRevision` returns the lowest revision that any router holds. */
+  constructor(private readonly lowestRevision: () => Revision) {}
 
-  /** When all routers held `revision` or a later one, on the machine's clock. */
-  reached(revision: Revision): Promise<number> {
+  /** Resolves when all routers hold `revision` or a later one, to that time on the machine's clock. */
+  whenReached(revision: Revision): Promise<number> {
     return new Promise((resolve) => {
       this.watches.push({ revision, resolve });
-      this.advanced();
+      this.onAdvanced();
     });
   }
 
-  /** Some router advanced. */
-  advanced(): void {
+  /** Handles the advance of a router to a later revision. */
+  onAdvanced(): void {
     if (this.watches.length === 0) {
       return;
     }
-    const lowest = this.lowest();
+    const lowest = this.lowestRevision();
     const now = machineMillis();
     for (const { revision, resolve } of this.watches) {
       if (revision <= lowest) {
--- a/src/dev/scale/roles/control-role.ts
+++ b/src/dev/scale/roles/control-role.ts
@@ -1,4 +1,4 @@
-/** A real control member: the daemon with its own sockets; its core is counted. */
+/** A real control member: the daemon with its own sockets and a `CountingCore`. */
 import type { Membership, RaftStatus, RaftTimings } from '../../../consensus/types.js';
 import { createControlNode } from '../../../control/control-node.js';
 import { ControlDaemon } from '../../../control/daemon/control-daemon.js';
@@ -26,13 +26,13 @@
 
 export interface ControlStart extends ControlFolder {
   readonly raft: RaftTimings;
-  /** All members of the run; each starts from it, as its log is empty. */
+  /** All members of the run; the initial membership of each, because its log is empty. */
   readonly membership: Membership;
 }
 
 /** Methods of a control member's process. */
 export interface ControlMethods {
-  /** Makes the data folder; gives the id of its replica. */
+  /** Creates the data folder; returns the id of its replica. */
   prepare(folder: ControlFolder): Promise<ReplicaId>;
   start(start: ControlStart): Promise<void>;
   status(): RaftStatus;
--- a/src/dev/scale/roles/hollow-router-role.ts
+++ b/src/dev/scale/roles/hollow-router-role.ts
@@ -1,9 +1,9 @@
-/** Many hollow routers in one process. */
+/** Many simulated routers in one process. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Revision } from '../../../model/identifiers.js';
 import { machineMillis } from '../../journal/machine-clock.js';
-import { hollowReport } from '../hollow-report.js';
-import { HollowRouter } from '../hollow-router.js';
+import { simulateReport } from '../hollow-report.js';
+import { SimulatedRouter } from '../hollow-router.js';
 import { RevisionWatch } from '../revision-watch.js';
 import { SharedConfiguration } from '../shared-configuration.js';
 import { SharedDecoder } from '../shared-decoder.js';
@@ -11,91 +11,91 @@
 import { sampleUsage, type UsageSample } from '../usage.js';
 import type { RunIdentity } from '../worker-calls.js';
 
-const SERVING_CHECK_MILLIS = 10;
+const SERVING_POLL_MILLIS = 10;
 
-export interface HollowRouterStart {
+export interface SimulatedRouterStart {
   readonly identity: RunIdentity;
   readonly routers: readonly string[];
   readonly zone: string;
-  /** Pause between two starts. */
+  /** Pause between the starts of two routers. */
   readonly pauseMillis: number;
 }
 
 export interface RestartResult {
   /** From the first start until every router held a lease. */
   readonly millis: number;
-  /** Bytes each router was sent meanwhile, on average. */
+  /** Mean number of bytes that each router received meanwhile. */
   readonly bytesPerRouter: number;
 }
 
-/** Methods of a process of hollow routers. */
-export interface HollowRouterMethods {
-  start(start: HollowRouterStart): Promise<void>;
-  /** Resolves when every router held this revision; gives when, on the machine's clock. */
-  reached(revision: Revision): Promise<number>;
-  /** Resolves when all shards are owned, none of them by this upstream; gives the revision. */
-  replaced(upstream: string): Promise<Revision>;
+/** Methods of a process of simulated routers. */
+export interface SimulatedRouterMethods {
+  start(start: SimulatedRouterStart): Promise<void>;
+  /** Resolves when every router holds this revision, to that time on the machine's clock. */
+  whenReached(revision: Revision): Promise<number>;
+  /** Resolves to the revision when all shards are owned, none of them by this upstream. */
+  whenReplaced(upstream: string): Promise<Revision>;
   /** Number of shards by owner. */
   owned(): Readonly<Record<string, number>>;
-  /** Stops and starts all routers at once, with nothing held. */
+  /** Restarts all routers at once, without a configuration. */
   restart(): Promise<RestartResult>;
-  /** Routers that hold no lease now. */
-  withoutLease(): number;
+  /** Returns the number of routers that currently have no lease. */
+  countWithoutLease(): number;
   sample(): UsageSample;
 }
 
-export function createHollowRouterRole(): HollowRouterMethods {
+export function createSimulatedRouterRole(): SimulatedRouterMethods {
   const meter = new SocketMeter();
   const shared = new SharedConfiguration();
   const decoder = new SharedDecoder();
-  let routers: HollowRouter[] = [];
+  let routers: SimulatedRouter[] = [];
   let messagesIn = 0;
   let messagesOut = 0;
-  let started: HollowRouterStart;
-  const lowest = (): Revision =>
+  let startOptions: SimulatedRouterStart;
+  const lowestRevision = (): Revision =>
     routers.reduce((least, router) => Math.min(least, router.revision), Infinity);
-  const watch = new RevisionWatch(lowest);
+  const watch = new RevisionWatch(lowestRevision);
 
-  const make = (router: string, position: number): HollowRouter =>
-    new HollowRouter({
-      identity: started.identity,
+  const createRouter = (router: string, position: number): SimulatedRouter =>
+    new SimulatedRouter({
+      identity: startOptions.identity,
       router,
-      zone: started.zone,
+      zone: startOptions.zone,
       position,
       shared,
       decoder,
-      report: () => hollowReport(shared, position),
-      advanced: () => watch.advanced(),
-      counted: (direction) => {
+      report: () => simulateReport(shared, position),
+      onAdvanced: () => watch.onAdvanced(),
+      onMessage: (direction) => {
         messagesIn += direction === 'in' ? 1 : 0;
         messagesOut += direction === 'out' ? 1 : 0;
       },
     });
 
-  const allServing = async (): Promise<void> => {
+  const waitUntilServing = async (): Promise<void> => {
     while (routers.some((router) => !router.serving)) {
-      await sleep(SERVING_CHECK_MILLIS);
+      await sleep(SERVING_POLL_MILLIS);
     }
   };
 
   return {
     async start(start) {
       meter.start();
-      started = start;
+      startOptions = start;
       for (const [position, name] of start.routers.entries()) {
-        const router = make(name, position);
+        const router = createRouter(name, position);
         routers.push(router);
         router.start();
         await sleep(start.pauseMillis);
       }
-      await allServing();
+      await waitUntilServing();
     },
-    reached: (revision) => watch.reached(revision),
-    async replaced(upstream) {
+    whenReached: (revision) => watch.whenReached(revision),
+    async whenReplaced(upstream) {
       const isReplaced = (): boolean =>
         [...shared.owners.values()].every((owner) => owner !== null && owner !== upstream);
       while (!isReplaced()) {
-        await sleep(SERVING_CHECK_MILLIS);
+        await sleep(SERVING_POLL_MILLIS);
       }
       return shared.revision;
     },
@@ -107,21 +107,21 @@
       return counts;
     },
     async restart() {
-      const names = started.routers;
+      const names = startOptions.routers;
       for (const router of routers) {
         router.stop();
       }
       const bytesBefore = meter.read().bytesIn;
       const startedAt = machineMillis();
-      routers = names.map(make);
+      routers = names.map(createRouter);
       for (const router of routers) {
         router.start();
       }
-      await allServing();
+      await waitUntilServing();
       const millis = machineMillis() - startedAt;
       return { millis, bytesPerRouter: (meter.read().bytesIn - bytesBefore) / names.length };
     },
-    withoutLease: () => routers.filter((router) => !router.serving).length,
+    countWithoutLease: () => routers.filter((router) => !router.serving).length,
     sample: () =>
       sampleUsage(meter, { messagesIn, messagesOut, steps: messagesIn, stepMillis: 0, longestStepMillis: 0 }),
   };
--- a/src/dev/scale/roles/hollow-upstream-role.ts
+++ b/src/dev/scale/roles/hollow-upstream-role.ts
@@ -1,4 +1,4 @@
-/** Many hollow upstreams in one process: the real fence behind a real HTTP server each, and no requests. */
+/** Many simulated upstreams in one process: each is the real fence behind a real HTTP server, without requests. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { createFence, createNodeHandler } from '../../../upstream/index.js';
@@ -6,41 +6,45 @@
 import { SocketMeter } from '../socket-meter.js';
 import { sampleUsage, type UsageSample } from '../usage.js';
 
-export interface HollowUpstreamStart {
+export interface SimulatedUpstreamStart {
   readonly cluster: string;
   readonly secret: string;
   readonly upstreams: readonly { readonly id: string; readonly service: string }[];
 }
 
 export interface GrantCount {
-  /** Grants taken by the upstreams of this process since the last call of `resetGrants`. */
+  /** Grants to the upstreams of this process since the last call of `resetGrants`. */
   readonly grants: number;
-  /** When the last of them came, on the machine's clock. */
-  readonly lastMillis: number;
+  /** Time of the last grant, on the machine's clock. */
+  readonly lastGrantedAt: number;
 }
 
-/** Methods of a process of hollow upstreams. */
-export interface HollowUpstreamMethods {
-  /** Starts them and gives their addresses by name. */
-  start(start: HollowUpstreamStart): Promise<Readonly<Record<string, string>>>;
-  /** Takes a server away at once, as a crash does. Gives when, on the machine's clock. */
+/** Methods of a process of simulated upstreams. */
+export interface SimulatedUpstreamMethods {
+  /** Starts the upstreams and returns their addresses by name. */
+  start(start: SimulatedUpstreamStart): Promise<Readonly<Record<string, string>>>;
+  /** Ends a server abruptly, as a crash does. Returns the time on the machine's clock. */
   kill(id: string): number;
   resetGrants(): void;
   grants(): GrantCount;
   sample(): UsageSample;
 }
 
-export function createHollowUpstreamRole(): HollowUpstreamMethods {
+export function createSimulatedUpstreamRole(): SimulatedUpstreamMethods {
   const meter = new SocketMeter();
   const servers = new Map<string, Server>();
   let grants = 0;
-  let lastMillis = 0;
+  let lastGrantedAt = 0;
   let messages = 0;
 
-  const startOne = async (start: HollowUpstreamStart, upstream: string, service: string): Promise<string> => {
+  const startOne = async (
+    start: SimulatedUpstreamStart,
+    upstream: string,
+    service: string,
+  ): Promise<string> => {
     const onGranted = (): void => {
       grants += 1;
-      lastMillis = machineMillis();
+      lastGrantedAt = machineMillis();
     };
     const fence = createFence({ cluster: start.cluster, secret: start.secret, upstream, service, onGranted });
     const handler = createNodeHandler(fence, (_request, response) => {
@@ -73,7 +77,7 @@
     resetGrants() {
       grants = 0;
     },
-    grants: () => ({ grants, lastMillis }),
+    grants: () => ({ grants, lastGrantedAt }),
     sample: () =>
       sampleUsage(meter, {
         messagesIn: messages,
--- a/src/dev/scale/roles/real-router-role.ts
+++ b/src/dev/scale/roles/real-router-role.ts
@@ -1,4 +1,4 @@
-/** A real router daemon without callers; its core is counted. */
+/** A real router daemon without callers, with a `CountingCore`. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { RouterDaemon } from '../../../router/router-daemon.js';
 import { createRouterNode } from '../../../routing/index.js';
@@ -11,7 +11,7 @@
 
 const INPUTS = new Set(['control-message', 'probe-result', 'platform-list']);
 const EFFECTS = new Set(['send-control']);
-const CHECK_MILLIS = 2;
+const SERVING_POLL_MILLIS = 2;
 
 export interface RealRouterStart {
   readonly identity: RunIdentity;
@@ -20,10 +20,10 @@
 }
 
 export interface RouterStartResult {
-  /** From the start of the daemon until it served. */
+  /** From the start of the daemon until it serves. */
   readonly millis: number;
   readonly bytesIn: number;
-  /** Processor time until it served. */
+  /** Processor time until it serves. */
   readonly cpuMillis: number;
   readonly longestStepMillis: number;
 }
@@ -56,7 +56,7 @@
       const before = sampleUsage(meter, core.read());
       await daemon.start();
       while (!daemon.status().serving) {
-        await sleep(CHECK_MILLIS);
+        await sleep(SERVING_POLL_MILLIS);
       }
       const after = sampleUsage(meter, core.read());
       return {
--- a/src/dev/scale/scale-fleet.ts
+++ b/src/dev/scale/scale-fleet.ts
@@ -1,4 +1,4 @@
-/** The processes of a scale run and the first steps that bring them up. */
+/** The processes of a scale run and their startup. */
 import { createServer } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { RaftStatus, RaftTimings } from '../../consensus/types.js';
@@ -6,8 +6,8 @@
 import type { ReplicaId, Revision } from '../../model/identifiers.js';
 import type { OperatorCommand } from '../../registry/types.js';
 import type { ControlMethods } from './roles/control-role.js';
-import type { HollowRouterMethods } from './roles/hollow-router-role.js';
-import type { HollowUpstreamMethods } from './roles/hollow-upstream-role.js';
+import type { SimulatedRouterMethods } from './roles/hollow-router-role.js';
+import type { SimulatedUpstreamMethods } from './roles/hollow-upstream-role.js';
 import type { RealRouterMethods } from './roles/real-router-role.js';
 import {
   CONTROL_MEMBERS,
@@ -20,9 +20,9 @@
 import { WorkerFailedError, WorkerProcess } from './worker-process.js';
 
 const POLL_MILLIS = 50;
-/** The leader is asked seldom how far it is: its answer names every upstream. */
-const STATUS_MILLIS = 500;
-const COMMANDS_AT_ONCE = 64;
+/** The leader's status is polled rarely, because it lists every upstream. */
+const STATUS_POLL_MILLIS = 500;
+const COMMAND_BATCH_SIZE = 64;
 /** Pause between the starts of two routers of one process. */
 const ROUTER_PAUSE_MILLIS = 30;
 
@@ -36,11 +36,11 @@
 
 export class ScaleFleet {
   readonly control: WorkerProcess<ControlMethods>[] = [];
-  readonly upstreams: WorkerProcess<HollowUpstreamMethods>[] = [];
-  readonly routers: WorkerProcess<HollowRouterMethods>[] = [];
+  readonly upstreams: WorkerProcess<SimulatedUpstreamMethods>[] = [];
+  readonly routers: WorkerProcess<SimulatedRouterMethods>[] = [];
   readonly realRouters: WorkerProcess<RealRouterMethods>[] = [];
   private identity: RunIdentity = { cluster: 'scale', secret: 'secret of a scale run', control: [] };
-  /** Changes sent again because their outcome was unknown. */
+  /** Number of changes that were resent because their outcome was unknown. */
   resends = 0;
   private requests = 0;
 
@@ -73,7 +73,7 @@
     await this.leader();
   }
 
-  /** The control member that leads; waits until there is one. */
+  /** Waits until a control member leads, and returns it. */
   async leader(): Promise<WorkerProcess<ControlMethods>> {
     for (;;) {
       const statuses = await Promise.all(this.control.map(({ methods }) => methods.status()));
@@ -96,19 +96,19 @@
       const definition = upstreamDefinition(plan, id, indexOf(id), addresses.get(id) as string);
       return { type: 'upstream-apply', definition, expected: 0 };
     });
-    for (let start = 0; start < commands.length; start += COMMANDS_AT_ONCE) {
-      const batch = commands.slice(start, start + COMMANDS_AT_ONCE);
+    for (let start = 0; start < commands.length; start += COMMAND_BATCH_SIZE) {
+      const batch = commands.slice(start, start + COMMAND_BATCH_SIZE);
       await Promise.all(batch.map((command) => this.change(command)));
     }
   }
 
-  /** Starts the routers, hollow ones first. Gives what the starts of the real ones took. */
+  /** Starts the routers, simulated ones first. Returns the startup results of the real ones. */
   async startRouters() {
     const { plan } = this.options;
     const { identity } = this;
     await Promise.all(
       plan.routerProcesses.map(async (routers, index) => {
-        const worker = new WorkerProcess<HollowRouterMethods>('hollow-routers');
+        const worker = new WorkerProcess<SimulatedRouterMethods>('simulated-routers');
         this.routers.push(worker);
         const zone = ZONES[index % ZONES.length] as string;
         await worker.methods.start({ identity, routers, zone, pauseMillis: ROUTER_PAUSE_MILLIS });
@@ -123,7 +123,7 @@
     return worker.methods.start({ identity: this.identity, router, zone: ZONES[0] as string });
   }
 
-  /** Makes a change, resent under the same id until its outcome is known; fails unless it was accepted. */
+  /** Makes a change, which is resent under the same id until its outcome is known; fails unless it is accepted. */
   async change(command: OperatorCommand): Promise<Revision> {
     this.requests += 1;
     const requestId = `scale-${this.requests}`;
@@ -151,21 +151,21 @@
     return leader.methods.operate(request);
   }
 
-  /** Waits until no shard is without owner. */
-  async allOwned(): Promise<void> {
+  /** Waits until every shard has an owner. */
+  async waitUntilOwned(): Promise<void> {
     for (;;) {
       const status = await this.operate({ type: 'get-status' });
       if (status.type === 'status' && status.unownedShards === 0) {
         return;
       }
-      await sleep(STATUS_MILLIS);
+      await sleep(STATUS_POLL_MILLIS);
     }
   }
 
-  /** The process of a hollow upstream. */
-  processOf(upstream: string): WorkerProcess<HollowUpstreamMethods> {
+  /** Returns the process of a simulated upstream. */
+  processOf(upstream: string): WorkerProcess<SimulatedUpstreamMethods> {
     const index = this.options.plan.upstreamProcesses.findIndex((names) => names.includes(upstream));
-    return this.upstreams[index] as WorkerProcess<HollowUpstreamMethods>;
+    return this.upstreams[index] as WorkerProcess<SimulatedUpstreamMethods>;
   }
 
   async stop(): Promise<void> {
@@ -180,22 +180,22 @@
     const { cluster, secret } = this.identity;
     const addresses = await Promise.all(
       plan.upstreamProcesses.map((names) => {
-        const worker = new WorkerProcess<HollowUpstreamMethods>('hollow-upstreams');
+        const worker = new WorkerProcess<SimulatedUpstreamMethods>('simulated-upstreams');
         this.upstreams.push(worker);
         const upstreams = names.map((id) => ({ id, service: serviceOfUpstream(plan, indexOf(id)) }));
         return worker.methods.start({ cluster, secret, upstreams });
       }),
     );
-    return new Map(addresses.flatMap((some) => Object.entries(some)));
+    return new Map(addresses.flatMap((byName) => Object.entries(byName)));
   }
 }
 
-/** Position of an upstream in the plan, from its name. */
+/** Returns the position of an upstream in the plan, from its name. */
 function indexOf(id: string): number {
   return Number(id.slice(id.lastIndexOf('-') + 1)) - 1;
 }
 
-/** An address that was free a moment ago: members must know each other's before they start. */
+/** Returns a currently free address, because members need each other's addresses before they start. */
 async function freeAddress(): Promise<string> {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
--- a/src/dev/scale/scale-plan.ts
+++ b/src/dev/scale/scale-plan.ts
@@ -1,20 +1,20 @@
-/** How many processes of each kind a scale run has, and what they are called. */
+/** Numbers and names of the processes of a scale run. */
 import type { ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
 import type { ServiceDefinition, UpstreamDefinition } from '../../model/service.js';
 
 export const CONTROL_MEMBERS = 3;
-/** Routers that run as the real daemon, each in a process of its own. */
+/** Number of routers that run as the real daemon, each in its own process. */
 export const REAL_ROUTERS = 2;
 export const ZONES: readonly Zone[] = ['zone-a', 'zone-b', 'zone-c'];
-/** Shards of one server at the target's size. */
+/** Number of shards per server at the target size. */
 export const SHARDS_PER_UPSTREAM = 75;
 const SHARDS_PER_SERVICE = 7500;
-const HOLLOW_ROUTERS_PER_PROCESS = 150;
-const HOLLOW_UPSTREAMS_PER_PROCESS = 200;
+const SIMULATED_ROUTERS_PER_PROCESS = 150;
+const SIMULATED_UPSTREAMS_PER_PROCESS = 200;
 const MIN_UPSTREAMS = 3;
 const KEYSPACE = 'all';
 
-/** Sizes as they are asked for. `daemons` counts control members and routers; upstream servers stand beside them. */
+/** Requested sizes. `daemons` counts control members and routers; upstream servers come in addition. */
 export interface ScaleSize {
   readonly daemons: number;
   readonly shards: number;
@@ -22,9 +22,9 @@
 
 export interface ScalePlan extends ScaleSize {
   readonly services: readonly ServiceDefinition[];
-  /** Names of the hollow upstreams of each process. */
+  /** Names of the simulated upstreams of each process. */
   readonly upstreamProcesses: readonly (readonly UpstreamId[])[];
-  /** Names of the hollow routers of each process. */
+  /** Names of the simulated routers of each process. */
   readonly routerProcesses: readonly (readonly string[])[];
   readonly realRouters: readonly string[];
 }
@@ -32,19 +32,19 @@
 /** Divides a size into processes. */
 export function planScale(size: ScaleSize): ScalePlan {
   const upstreams = Math.max(MIN_UPSTREAMS, Math.ceil(size.shards / SHARDS_PER_UPSTREAM));
-  const hollowRouters = Math.max(1, size.daemons - CONTROL_MEMBERS - REAL_ROUTERS);
-  const routerProcesses = Math.max(ZONES.length, Math.ceil(hollowRouters / HOLLOW_ROUTERS_PER_PROCESS));
-  const upstreamProcesses = Math.ceil(upstreams / HOLLOW_UPSTREAMS_PER_PROCESS);
+  const simulatedRouters = Math.max(1, size.daemons - CONTROL_MEMBERS - REAL_ROUTERS);
+  const routerProcesses = Math.max(ZONES.length, Math.ceil(simulatedRouters / SIMULATED_ROUTERS_PER_PROCESS));
+  const upstreamProcesses = Math.ceil(upstreams / SIMULATED_UPSTREAMS_PER_PROCESS);
   return {
     ...size,
     services: planServices(size.shards, upstreams),
     upstreamProcesses: divide(namesOf('upstream', upstreams), upstreamProcesses),
-    routerProcesses: divide(namesOf('router', hollowRouters), routerProcesses),
+    routerProcesses: divide(namesOf('router', simulatedRouters), routerProcesses),
     realRouters: namesOf('real-router', REAL_ROUTERS),
   };
 }
 
-/** The definition of one hollow upstream; upstreams take turns over the services. */
+/** Returns the definition of one simulated upstream; services are assigned to upstreams round-robin. */
 export function upstreamDefinition(
   plan: ScalePlan,
   id: UpstreamId,
@@ -56,7 +56,7 @@
   return { id, service, address, zone, mayHold: [], leaving: false };
 }
 
-/** The service that the upstream with this position serves. */
+/** Returns the service of the upstream with this position. */
 export function serviceOfUpstream({ services }: ScalePlan, index: number): ServiceName {
   return (services[index % services.length] as ServiceDefinition).name;
 }
@@ -94,7 +94,7 @@
   return Array.from({ length: count }, (_, index) => `${kind}-${index + 1}`);
 }
 
-/** Deals names out one by one, so that groups differ by one at most. */
+/** Divides names into groups round-robin, so that group sizes differ by at most one. */
 function divide(names: readonly string[], groups: number): string[][] {
   return Array.from({ length: groups }, (_, group) =>
     names.filter((_name, index) => index % groups === group),
--- a/src/dev/scale/scale-result.ts
+++ b/src/dev/scale/scale-result.ts
@@ -1,10 +1,10 @@
-/** What a scale run measured. */
+/** The result of a scale run. */
 import type { UsageRates } from './usage.js';
 
-/** Rates of one process, or one hollow one, of a role. */
+/** Mean rates of one process, or of one simulated process, of a role. */
 export interface RoleRow {
   readonly role: string;
-  /** Processes, or hollow ones, that the means are over. */
+  /** Number of processes, or simulated processes, in the mean. */
   readonly count: number;
   readonly rates: UsageRates;
 }
@@ -15,9 +15,9 @@
   readonly shards: number;
   readonly upstreams: number;
   readonly hollowRouters: number;
-  /** Load average of the machine at the start and at the end; other processes may have had a part in it. */
+  /** Load average of the machine at the start and at the end, which includes other processes. */
   readonly machineLoad: readonly [number, number];
-  /** Changes sent again because their outcome was unknown: the leader was lost meanwhile. */
+  /** Changes that were resent because their outcome was unknown after the loss of the leader. */
   readonly resends: number;
   /** From the first declaration until each shard had an owner. */
   readonly firstGrantsMillis: number;
@@ -32,7 +32,7 @@
     readonly shards: number;
     /** Until the last of its shards was granted elsewhere. */
     readonly grantedMillis: number;
-    /** Until every router knew. */
+    /** Until every router received the new owners. */
     readonly knownMillis: number;
   };
   readonly routerRestart: {
@@ -45,9 +45,9 @@
     readonly routers: number;
     readonly millis: number;
     readonly bytesPerRouter: number;
-    /** Longest that any control member was held up by one step meanwhile. */
+    /** Longest time that a single step blocked any control member meanwhile. */
     readonly longestStepMillis: number;
-    /** Routers elsewhere that lost their configuration lease meanwhile. */
+    /** Number of routers in other zones that lost their configuration lease meanwhile. */
     readonly othersWithoutLease: number;
   };
   /** Resident bytes of all processes of the run at the end of the steady state. */
--- a/src/dev/scale/scale-run.ts
+++ b/src/dev/scale/scale-run.ts
@@ -1,4 +1,4 @@
-/** A scale run: brings the processes up, measures a steady state, then what changes and losses cost. */
+/** A scale run: starts the processes, measures a steady state, then the cost of changes and losses. */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { loadavg, tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -19,12 +19,12 @@
 const GRANT_POLL_MILLIS = 20;
 
 export interface ScaleOptions extends ScaleSize {
-  /** Length of the steady state that rates are measured over. */
+  /** Length of the steady state over which rates are measured. */
   readonly seconds?: number;
-  /** Election timeout of the control members; heartbeats take a fifth of it. Default: the daemon's own. */
+  /** Election timeout of the control members; the heartbeat interval is a fifth of it. Default: the daemon's own. */
   readonly electionMillis?: number | undefined;
   readonly controlFlags?: readonly string[];
-  /** Told of each phase as it begins. */
+  /** Called at the start of each phase. */
   readonly progress?: (phase: string) => void;
 }
 
@@ -36,7 +36,7 @@
   readonly upstreams: readonly UsageSample[];
 }
 
-/** Runs at one size and gives what was measured. */
+/** Runs at one size and returns the measurements. */
 export async function runScale(options: ScaleOptions): Promise<ScaleResult> {
   const plan = planScale(options);
   const dataFolder = await mkdtemp(join(tmpdir(), 'ternmount-scale-'));
@@ -68,7 +68,7 @@
   progress('declarations and first grants');
   const declaredAt = machineMillis();
   await fleet.declare();
-  await fleet.allOwned();
+  await fleet.waitUntilOwned();
   const firstGrantsMillis = machineMillis() - declaredAt;
   progress('routers');
   await fleet.startRouters();
@@ -77,7 +77,7 @@
   const before = await sampleFleet(fleet);
   await sleep((options.seconds ?? DEFAULT_SECONDS) * 1000);
   const after = await sampleFleet(fleet);
-  const rows = await rowsOf(plan, fleet, before, after);
+  const rows = await roleRowsOf(plan, fleet, before, after);
   progress('configuration changes');
   const configurationChange = await measureChanges(plan, fleet);
   progress('loss of a server');
@@ -115,7 +115,7 @@
   return { control, routers, realRouters, upstreams };
 }
 
-async function rowsOf(
+async function roleRowsOf(
   plan: ScalePlan,
   fleet: ScaleFleet,
   before: FleetSample,
@@ -131,7 +131,7 @@
     fleet.control.map(() => 1),
   );
   const followers = control.filter((_, index) => index !== leader);
-  const hollow = rates(
+  const simulated = rates(
     'routers',
     plan.routerProcesses.map((names) => names.length),
   );
@@ -147,7 +147,7 @@
     { role: 'control leader', count: 1, rates: meanOf(control.slice(leader, leader + 1)) },
     { role: 'control follower', count: followers.length, rates: meanOf(followers) },
     { role: 'router (real)', count: real.length, rates: meanOf(real) },
-    { role: 'router (hollow)', count: plan.routerProcesses.flat().length, rates: meanOf(hollow) },
+    { role: 'router (hollow)', count: plan.routerProcesses.flat().length, rates: meanOf(simulated) },
     {
       role: "upstream's fence (hollow)",
       count: plan.upstreamProcesses.flat().length,
@@ -156,7 +156,7 @@
   ];
 }
 
-/** Changes of services, one after the other; each is timed until the last hollow router holds it. */
+/** Changes services one after the other and times each change until the last simulated router holds it. */
 async function measureChanges(
   plan: ScalePlan,
   fleet: ScaleFleet,
@@ -169,7 +169,7 @@
     const startedAt = machineMillis();
     const revision = await fleet.change({ type: 'service-apply', definition, expected: null });
     accepted.push(machineMillis() - startedAt);
-    inForce.push((await allReached(fleet, revision)) - startedAt);
+    inForce.push((await waitUntilReached(fleet, revision)) - startedAt);
     await sleep(CHANGE_PAUSE_MILLIS);
   }
   return {
@@ -180,33 +180,35 @@
   };
 }
 
-async function allReached(fleet: ScaleFleet, revision: number): Promise<number> {
-  return Math.max(...(await Promise.all(fleet.routers.map(({ methods }) => methods.reached(revision)))));
+async function waitUntilReached(fleet: ScaleFleet, revision: number): Promise<number> {
+  return Math.max(...(await Promise.all(fleet.routers.map(({ methods }) => methods.whenReached(revision)))));
 }
 
-/** Takes one server away without notice. */
+/** Kills one server and measures the time until its shards have new owners. */
 async function measureLoss(fleet: ScaleFleet): Promise<ScaleResult['lostServer']> {
   const { lost, shards } = await typicalOwner(fleet);
   await Promise.all(fleet.upstreams.map(({ methods }) => methods.resetGrants()));
   const lostAt = await fleet.processOf(lost).methods.kill(lost);
-  const revisions = await Promise.all(fleet.routers.map(({ methods }) => methods.replaced(lost)));
-  const knownAt = await allReached(fleet, Math.max(...revisions));
-  const grantedAt = await allGranted(fleet, shards);
+  const revisions = await Promise.all(fleet.routers.map(({ methods }) => methods.whenReplaced(lost)));
+  const knownAt = await waitUntilReached(fleet, Math.max(...revisions));
+  const grantedAt = await waitForGrants(fleet, shards);
   return { shards, grantedMillis: grantedAt - lostAt, knownMillis: knownAt - lostAt };
 }
 
-/** Waits until so many grants were taken; gives when the last of them was. */
-async function allGranted(fleet: ScaleFleet, shards: number): Promise<number> {
+/** Waits until `shards` grants were made; returns the time of the last one. */
+async function waitForGrants(fleet: ScaleFleet, shards: number): Promise<number> {
   for (;;) {
     const grants = await Promise.all(fleet.upstreams.map(({ methods }) => methods.grants()));
-    if (grants.reduce((sum, some) => sum + some.grants, 0) >= shards) {
-      return Math.max(...grants.filter((some) => some.grants > 0).map(({ lastMillis }) => lastMillis));
+    if (grants.reduce((sum, count) => sum + count.grants, 0) >= shards) {
+      return Math.max(
+        ...grants.filter((count) => count.grants > 0).map(({ lastGrantedAt }) => lastGrantedAt),
+      );
     }
     await sleep(GRANT_POLL_MILLIS);
   }
 }
 
-/** The server whose number of shards is nearest to that of an even spread, and that number. */
+/** Returns the server whose number of shards is nearest to that of an even distribution, and that number. */
 async function typicalOwner(fleet: ScaleFleet): Promise<{ readonly lost: string; readonly shards: number }> {
   const owned = Object.entries((await fleet.routers[0]?.methods.owned()) ?? {});
   const counts = owned.filter(([owner]) => owner !== '');
@@ -223,14 +225,14 @@
   return { millis, bytes: bytesIn, cpuMillis, longestStepMillis };
 }
 
-/** All hollow routers of one zone start anew at the same moment. */
+/** Restarts all simulated routers of one zone at the same moment. */
 async function measureZoneRestart(plan: ScalePlan, fleet: ScaleFleet): Promise<ScaleResult['zoneRestart']> {
   const zone = fleet.routers.filter((_, index) => index % 3 === 0);
   const others = fleet.routers.filter((_, index) => index % 3 !== 0);
   const routers = plan.routerProcesses.filter((_, index) => index % 3 === 0).flat().length;
   await sampleFleet(fleet);
   const results = await Promise.all(zone.map(({ methods }) => methods.restart()));
-  const withoutLease = await Promise.all(others.map(({ methods }) => methods.withoutLease()));
+  const withoutLease = await Promise.all(others.map(({ methods }) => methods.countWithoutLease()));
   const { control } = await sampleFleet(fleet);
   return {
     routers,
--- a/src/dev/scale/scale-table.ts
+++ b/src/dev/scale/scale-table.ts
@@ -1,4 +1,4 @@
-/** Prints what a scale run measured. */
+/** Formats the result of a scale run. */
 import { alignColumns, namesThenNumbers } from '../../text/columns.js';
 import type { RoleRow, ScaleResult } from './scale-result.js';
 
@@ -14,7 +14,7 @@
   'longest step ms',
 ];
 
-/** The result as text of several lines. */
+/** Returns the result as text of several lines. */
 export function formatResult(result: ScaleResult): string {
   const { configurationChange: change, lostServer: lost, routerRestart: restart, zoneRestart: zone } = result;
   const [before, after] = result.machineLoad;
--- a/src/dev/scale/shared-configuration.ts
+++ b/src/dev/scale/shared-configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration that the hollow routers of one process share: the latest that any of them was sent. */
+/** The configuration that the simulated routers of one process share: the latest that any of them received. */
 import type { Revision, ShardId, UpstreamId } from '../../model/identifiers.js';
 import type { RegistryChange, RoutingDelta, RoutingSnapshot } from '../../registry/types.js';
 
@@ -15,7 +15,7 @@
     return this.names;
   }
 
-  takeSnapshot(snapshot: RoutingSnapshot): void {
+  applySnapshot(snapshot: RoutingSnapshot): void {
     if (snapshot.revision <= this.revision) {
       return;
     }
@@ -31,7 +31,7 @@
     }
   }
 
-  takeDelta(delta: RoutingDelta): void {
+  applyDelta(delta: RoutingDelta): void {
     if (delta.to <= this.revision || delta.from > this.revision) {
       return;
     }
--- a/src/dev/scale/socket-meter.ts
+++ b/src/dev/scale/socket-meter.ts
@@ -1,4 +1,4 @@
-/** Counts the bytes of every TCP socket of this process, without touching the code that owns the sockets. */
+/** Counts the bytes of every TCP socket of this process without changes to the code that owns the sockets. */
 import diagnostics from 'node:diagnostics_channel';
 import type { Socket } from 'node:net';
 
@@ -13,9 +13,9 @@
   private readonly open = new Set<Socket>();
   private closedIn = 0;
   private closedOut = 0;
-  private readonly listener = (message: unknown): void => this.follow((message as { socket: Socket }).socket);
+  private readonly listener = (message: unknown): void => this.track((message as { socket: Socket }).socket);
 
-  /** Counts sockets made from now on. */
+  /** Starts to count; includes only sockets that are created later. */
   start(): void {
     for (const channel of CHANNELS) {
       diagnostics.subscribe(channel, this.listener);
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Bytes of payload since the start, closed sockets included. */
+  /** Returns the payload bytes since the start, including closed sockets. */
   read(): ByteCount {
     let bytesIn = this.closedIn;
     let bytesOut = this.closedOut;
@@ -39,7 +39,7 @@
     return { bytesIn, bytesOut };
   }
 
-  private follow(socket: Socket): void {
+  private track(socket: Socket): void {
     this.open.add(socket);
     socket.once('close', () => {
       this.open.delete(socket);
--- a/src/dev/scale/usage.ts
+++ b/src/dev/scale/usage.ts
@@ -1,4 +1,4 @@
-/** What a process has used, as one sample; two samples give rates. */
+/** Samples of a process's resource usage, and rates between two samples. */
 import { machineMillis } from '../journal/machine-clock.js';
 import type { StepCounts } from './counting-core.js';
 import type { SocketMeter } from './socket-meter.js';
@@ -17,7 +17,7 @@
   readonly bytesInPerSecond: number;
   readonly bytesOutPerSecond: number;
   readonly messagesPerSecond: number;
-  /** Share of one core, 0 to 1 and above. */
+  /** Share of one core, from 0; above 1 if the process uses several cores. */
   readonly processorShare: number;
   readonly residentBytes: number;
   readonly heapBytes: number;
@@ -42,7 +42,7 @@
   };
 }
 
-/** Rates from `before` to `after`, divided among `members` that share the process. */
+/** Returns the rates from `before` to `after`, divided by the `members` that share the process. */
 export function ratesBetween(before: UsageSample, after: UsageSample, members = 1): UsageRates {
   const millis = after.atMillis - before.atMillis;
   const perSecond = (from: number, to: number): number =>
@@ -60,7 +60,7 @@
   };
 }
 
-/** The mean of several processes of one role; the longest step is that of all. */
+/** Returns the mean over several processes of one role; the longest step is the maximum. */
 export function meanOf(rates: readonly UsageRates[]): UsageRates {
   const mean = (read: (rate: UsageRates) => number): number =>
     rates.reduce((sum, rate) => sum + read(rate), 0) / Math.max(1, rates.length);
--- a/src/dev/scale/worker-calls.ts
+++ b/src/dev/scale/worker-calls.ts
@@ -1,6 +1,6 @@
-/** Calls from the scale run to the processes it started, over their IPC channel. */
+/** Calls from the scale run to its processes over their IPC channel. */
 
-/** What the processes of a run need to find and trust one another. */
+/** Data that the processes of a run need to connect to and authenticate each other. */
 export interface RunIdentity {
   readonly cluster: string;
   readonly secret: string;
@@ -8,8 +8,8 @@
   readonly control: readonly string[];
 }
 
-/** Names of the roles; each is one kind of process. */
-export type RoleName = 'control' | 'hollow-routers' | 'hollow-upstreams' | 'real-router';
+/** Names of the roles, one for each kind of process. */
+export type RoleName = 'control' | 'simulated-routers' | 'simulated-upstreams' | 'real-router';
 
 export interface WorkerCall {
   readonly call: number;
@@ -21,13 +21,13 @@
   | { readonly call: number; readonly result: unknown }
   | { readonly call: number; readonly error: string };
 
-/** Methods of a role, each with one argument that travels as JSON. */
+/** Methods of a role, each with one argument that is sent as JSON. */
 export type RoleMethods = {
   // biome-ignore lint/suspicious/noExplicitAny: arguments are typed by each role; JSON carries them
   readonly [method: string]: (argument: any) => unknown;
 };
 
-/** The type that a caller sees of a method. */
+/** Methods of a role as seen by the scale run, which return promises. */
 export type RemoteMethods<Methods extends object> = {
   readonly [Name in keyof Methods]: Methods[Name] extends () => infer Result
     ? () => Promise<Awaited<Result>>
--- a/src/dev/scale/worker-process.ts
+++ b/src/dev/scale/worker-process.ts
@@ -1,4 +1,4 @@
-/** One process of a scale run, as the run sees it. */
+/** A process of a scale run, as seen by the run. */
 import { type ChildProcess, fork } from 'node:child_process';
 import { TernmountError } from '../../errors/ternmount-error.js';
 import type { RemoteMethods, RoleName, WorkerReply } from './worker-calls.js';
@@ -23,7 +23,7 @@
   private readonly pending = new Map<number, PendingCall>();
   private calls = 0;
 
-  /** `flags` go to the process's Node, e.g. `--cpu-prof`. */
+  /** `flags` are passed to the process's Node.js, e.g. `--cpu-prof`. */
   constructor(
     readonly role: RoleName,
     flags: readonly string[] = [],
@@ -36,14 +36,14 @@
     });
   }
 
-  /** Ends the process; resolves when it is gone. */
+  /** Ends the process; resolves when it has exited. */
   async stop(): Promise<void> {
     if (this.child.exitCode !== null) {
       return;
     }
-    const gone = new Promise<void>((resolve) => this.child.once('exit', () => resolve()));
+    const exited = new Promise<void>((resolve) => this.child.once('exit', () => resolve()));
     this.child.disconnect();
-    await gone;
+    await exited;
   }
 
   private call(method: string, argument: unknown): Promise<unknown> {
--- a/test/dev/scale/hollow-daemons.test.ts
+++ b/test/dev/scale/hollow-daemons.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import type { ControlToRouter } from '../../../src/control/messages.js';
-import { hollowReport } from '../../../src/dev/scale/hollow-report.js';
+import { simulateReport } from '../../../src/dev/scale/hollow-report.js';
 import { RevisionWatch } from '../../../src/dev/scale/revision-watch.js';
-import { createHollowUpstreamRole } from '../../../src/dev/scale/roles/hollow-upstream-role.js';
+import { createSimulatedUpstreamRole } from '../../../src/dev/scale/roles/hollow-upstream-role.js';
 import { SharedConfiguration } from '../../../src/dev/scale/shared-configuration.js';
 import { SharedDecoder } from '../../../src/dev/scale/shared-decoder.js';
 import type { SessionAnswer } from '../../../src/lease/types.js';
@@ -41,8 +41,8 @@
   return { correlation: 0, ...controlToRouterCodecs.encode(message) };
 }
 
-describe('hollow routers', () => {
-  it('read the same snapshot once, each with a stamp and confirmation of its own', () => {
+describe('simulated routers', () => {
+  it('decode the same snapshot once, each with its own stamp and confirmation', () => {
     const decoder = new SharedDecoder();
     const snapshot = snapshotOf(2000, 'u1');
     const first = decoder.decode(frameOf(snapshot, 1.5, true));
@@ -53,20 +53,20 @@
     expect(decoder.decode(frameOf(other, 3.5, true))).to.deep.include({ stamp: 3.5, snapshot: other });
   });
 
-  it('share a configuration that never goes back', () => {
+  it('share a configuration whose revision never decreases', () => {
     const shared = new SharedConfiguration();
-    shared.takeSnapshot(snapshotOf(2, 'u1'));
+    shared.applySnapshot(snapshotOf(2, 'u1'));
     const record = { ...snapshotOf(1, 'u2').shards[0], owner: 'u2' } as RoutingSnapshot['shards'][number];
-    shared.takeDelta({ from: 9, to: 12, changes: [{ type: 'shard', shard: record.shard, record }] });
-    shared.takeSnapshot(snapshotOf(2, 'u1'));
+    shared.applyDelta({ from: 9, to: 12, changes: [{ type: 'shard', shard: record.shard, record }] });
+    shared.applySnapshot(snapshotOf(2, 'u1'));
     expect([...shared.owners.values()]).to.deep.equal(['u2', 'u1']);
     expect(shared.revision).to.equal(12);
   });
 
   it('report bounded numbers of shards with all of the work', () => {
     const shared = new SharedConfiguration();
-    shared.takeSnapshot(snapshotOf(1000, 'u1'));
-    const { shards } = hollowReport(shared, 3);
+    shared.applySnapshot(snapshotOf(1000, 'u1'));
+    const { shards } = simulateReport(shared, 3);
     expect(shards.length).to.be.at.most(64);
     expect(shards.reduce((sum, { workMillis }) => sum + workMillis, 0)).to.be.closeTo(2333 * 3.25, 1);
   });
@@ -75,23 +75,23 @@
     const held = [9, 9];
     const watch = new RevisionWatch(() => Math.min(...held));
     let isReached = false;
-    const reached = watch.reached(10).then(() => {
+    const reached = watch.whenReached(10).then(() => {
       isReached = true;
     });
     held[0] = 11;
-    watch.advanced();
+    watch.onAdvanced();
     await Promise.resolve();
     expect(isReached).to.equal(false);
     held[1] = 10;
-    watch.advanced();
+    watch.onAdvanced();
     await reached;
     expect(isReached).to.equal(true);
   });
 });
 
-describe('hollow upstreams', () => {
-  it('answer sessions as the real fence does, count grants, and are gone once killed', async () => {
-    const role = createHollowUpstreamRole();
+describe('simulated upstreams', () => {
+  it('answer sessions as the real fence does, count grants, and are unreachable once killed', async () => {
+    const role = createSimulatedUpstreamRole();
     const upstreams = [{ id: 'u1', service: 's' }];
     const { u1: address } = await role.start({ cluster: 'c1', secret: SECRET, upstreams });
     const ask = async (incarnation: string | null, sequence: number): Promise<SessionAnswer> => {
--- a/test/dev/scale/scale-plan.test.ts
+++ b/test/dev/scale/scale-plan.test.ts
@@ -30,9 +30,9 @@
   ]) {
     it(`divides ${daemons} daemons and ${shards} shards without loss`, () => {
       const plan = planScale({ daemons, shards });
-      const hollow = plan.routerProcesses.flat();
-      expect(hollow.length + CONTROL_MEMBERS + REAL_ROUTERS).to.equal(daemons);
-      expect(new Set(hollow).size).to.equal(hollow.length);
+      const simulated = plan.routerProcesses.flat();
+      expect(simulated.length + CONTROL_MEMBERS + REAL_ROUTERS).to.equal(daemons);
+      expect(new Set(simulated).size).to.equal(simulated.length);
       expect(plan.upstreamProcesses.flat().length).to.equal(shards / SHARDS_PER_UPSTREAM);
       const declared = plan.services.flatMap(({ keyspaces }) => keyspaces.map((keyspace) => keyspace.shards));
       expect(declared.reduce((sum, count) => sum + count, 0)).to.equal(shards);
@@ -53,7 +53,7 @@
     longestStepMillis: 7,
   };
 
-  it('are by second and by member of a shared process', () => {
+  it('are per second and per member of a shared process', () => {
     const rates = ratesBetween(SAMPLE, later, 10);
     expect(rates.bytesInPerSecond).to.equal(100);
     expect(rates.bytesOutPerSecond).to.equal(20);
@@ -62,7 +62,7 @@
     expect(rates.residentBytes).to.equal(400_000);
   });
 
-  it('of several processes are averaged, and the longest step is that of all', () => {
+  it('of several processes are averaged, and the longest step is the maximum', () => {
     const mean = meanOf([
       ratesBetween(SAMPLE, later),
       ratesBetween(SAMPLE, { ...later, longestStepMillis: 9 }),
@@ -71,7 +71,7 @@
     expect(mean.longestStepMillis).to.equal(9);
   });
 
-  it('stand in a table with one line a role', () => {
+  it('are formatted as a table with one line per role', () => {
     const rates = ratesBetween(SAMPLE, later);
     const text = formatResult({
       daemons: 20,
