--- a/src/dev/bench/arms.ts
+++ b/src/dev/bench/arms.ts
@@ -1,4 +1,4 @@
-/** Runs the arms of an experiment over all seeds and gathers what they measured. */
+/** Runs the arms of an experiment over all seeds and collects their readings. */
 import type { ArmResult, ExperimentContext, Measure, TargetResult } from './experiment.js';
 import { formatSpread } from './report/table.js';
 import { spreadOf } from './statistics.js';
@@ -10,7 +10,7 @@
   readonly value: number;
 }
 
-/** One way of doing the thing, run once for each seed. */
+/** One variant that an experiment compares, run once for each seed. */
 export interface Arm {
   readonly name: string;
   readonly baseline: boolean;
@@ -21,7 +21,7 @@
   return { name, unit, value };
 }
 
-/** Readings of several runs, put together by their names. */
+/** Groups the readings of several runs by name. */
 export function gather(runs: readonly Reading[][]): Measure[] {
   const measures = new Map<string, { name: string; unit: string; values: number[] }>();
   for (const { name, unit, value } of runs.flat()) {
@@ -44,13 +44,13 @@
   });
 }
 
-/** Values of a measure of an arm, one for each seed; empty if it has none. */
+/** Returns the values of a measure of an arm, one for each seed; empty if the arm lacks the measure. */
 export function valuesOf(results: readonly ArmResult[], arm: string, measure: string): readonly number[] {
   const found = results.find((result) => result.arm === arm);
   return found?.measures.find(({ name }) => name === measure)?.values ?? [];
 }
 
-/** Seed by seed, one measure of an arm as a multiple of the same of another. */
+/** Returns, for each seed, a measure of `arm` divided by the same measure of `toArm`. */
 export function ratiosOf(
   results: readonly ArmResult[],
   measure: string,
@@ -61,7 +61,7 @@
   return valuesOf(results, arm, measure).map((value, index) => value / (below[index] ?? Number.NaN));
 }
 
-/** A target that the median has to reach. */
+/** Evaluates a target for the median of the values. */
 export function target(
   name: string,
   values: readonly number[],
@@ -78,7 +78,7 @@
   };
 }
 
-/** A target that every seed has to reach: the highest value is at most `bound`. */
+/** Evaluates a target for every seed: the highest value must be at most `bound`. */
 export function targetForAll(name: string, values: readonly number[], bound: number): TargetResult {
   const { highest } = spreadOf(values);
   return {
--- a/src/dev/bench/experiment.ts
+++ b/src/dev/bench/experiment.ts
@@ -1,20 +1,20 @@
 /**
- * What the bench runs. Every file of `experiments/` that exports an `experiment` is one; `ternmount-dev bench NAME`
- * finds it by its name, prints the result as a table and writes it as JSON and SVG.
+ * Types of the bench's experiments. Every file in `experiments/` that exports an `experiment` defines one;
+ * `ternmount-dev bench NAME` runs it, prints the result as a table and writes it as text, JSON and SVG.
  */
 import type { Deployment } from '../../settings/deployment.js';
 
-/** What one call of the bench asked for. */
+/** Inputs of one bench invocation. */
 export interface ExperimentContext {
-  /** The installation that sizes, network times and load come from. */
+  /** The installation that defines sizes, network delays and load. */
   readonly deployment: Deployment;
-  /** One run of each arm for each seed; five or more for figures that are published. */
+  /** Each arm runs once for each seed; published figures need five or more. */
   readonly seeds: readonly number[];
-  /** Tells the person who waits how far the run is. */
+  /** Reports the progress of the run to the user. */
   readonly progress: (message: string) => void;
 }
 
-/** One quantity that an arm measured. */
+/** One quantity measured by an arm. */
 export interface Measure {
   readonly name: string;
   /** Unit as the table shows it: `ms`, `1/s`, `%`, `key-s`, or `` for a bare number. */
@@ -23,15 +23,15 @@
   readonly values: readonly number[];
 }
 
-/** One way of doing the thing that the experiment compares. */
+/** Results of one variant that the experiment compares. */
 export interface ArmResult {
   readonly arm: string;
-  /** Set for the arms that ours is compared with. */
+  /** Set for the arms that the product's own variant is compared with. */
   readonly baseline: boolean;
   readonly measures: readonly Measure[];
 }
 
-/** A number that was to be reached, and whether it was. */
+/** A target value and whether it was reached. */
 export interface TargetResult {
   /** For example `goodput of the critical class, share of that without the rush`. */
   readonly target: string;
@@ -42,7 +42,7 @@
   readonly met: boolean;
 }
 
-/** A line chart over time or over a parameter. Charts of plain bars are made from `arms` by themselves. */
+/** A line chart over time or over a parameter. Bar charts are generated from `arms`. */
 export interface LineChart {
   readonly title: string;
   readonly xTitle: string;
@@ -50,14 +50,14 @@
   readonly points: readonly { readonly series: string; readonly x: number; readonly y: number }[];
 }
 
-/** What an experiment found. */
+/** Results of an experiment. */
 export interface ExperimentResult {
   readonly arms: readonly ArmResult[];
-  /** Names of measures that the plot shows as bars, one panel each; all if left out. */
+  /** Names of the measures that the plot shows as bars, one panel each; all measures if omitted. */
   readonly plotted?: readonly string[];
   readonly charts?: readonly LineChart[];
   readonly targets: readonly TargetResult[];
-  /** What a reader of the figures has to know: sizes, assumptions, what was not run. */
+  /** Notes needed to interpret the figures: sizes, assumptions, and omitted runs. */
   readonly notes: readonly string[];
 }
 
@@ -65,10 +65,10 @@
 export interface Experiment {
   /** As given on the command line. */
   readonly name: string;
-  /** One line for the list of experiments. */
+  /** One-line description for the list of experiments. */
   readonly summary: string;
   /** Name of the deployment used when none is given, a file of `deployments/`. */
   readonly defaultDeployment: string;
-  /** Runs every arm with every seed. Experiments in virtual time may answer at once. */
+  /** Runs every arm with every seed. Experiments in virtual time may return synchronously. */
   run(context: ExperimentContext): Promise<ExperimentResult> | ExperimentResult;
 }
--- a/src/dev/bench/experiments/bracket-drop.ts
+++ b/src/dev/bench/experiments/bracket-drop.ts
@@ -1,4 +1,4 @@
-/** The rush at a set minute: seat maps and listings are read at once while checkouts go on. */
+/** A rush at a scheduled minute: concurrent reads of seat maps and listings alongside checkouts. */
 import type { Experiment } from '../experiment.js';
 import { runRushExperiment } from '../models/rush.js';
 
--- a/src/dev/bench/experiments/breakfast.ts
+++ b/src/dev/bench/experiments/breakfast.ts
@@ -1,4 +1,4 @@
-/** The rush before dawn: menu sheets and diet cards are read at once while orders go on. */
+/** A rush before dawn: concurrent reads of menu sheets and diet cards alongside orders. */
 import type { Experiment } from '../experiment.js';
 import { runRushExperiment } from '../models/rush.js';
 
--- a/src/dev/bench/experiments/hot-key.ts
+++ b/src/dev/bench/experiments/hot-key.ts
@@ -1,4 +1,4 @@
-/** One key draws a third of the reads of a keyed service: what isolation on a shard of its own and coalescing do. */
+/** One key receives a third of a keyed service's reads: the effect of isolation on its own shard and of coalescing. */
 import type { KeyspaceDefinition, ServiceDefinition } from '../../../model/service.js';
 import type { Deployment } from '../../../settings/deployment.js';
 import { type Arm, type Reading, reading, runArms, target, valuesOf } from '../arms.js';
@@ -14,7 +14,7 @@
 const MEASURED_MILLIS = 3000;
 const MILLIS_PER_SECOND = 1000;
 const PERCENT = 100;
-/** Reads as a share of what the upstreams can work off; the hottest key alone is above what one of them can. */
+/** Reads as a share of the upstreams' capacity; the hottest key alone exceeds the capacity of one upstream. */
 const LOAD_SHARE = 0.3;
 const OTHERS_SHARE_WANTED = 99;
 
@@ -33,7 +33,7 @@
   { name: BOTH, isolated: true, coalesce: true },
 ];
 
-/** The keyspaces that match prefixes, and one more for the hottest key if it is isolated. */
+/** Returns the prefix keyspaces, and an exact one for the hottest key if it is isolated. */
 function keyspacesOf(service: ServiceDefinition, hotKey: string, isolated: boolean): KeyspaceDefinition[] {
   const prefixes = service.keyspaces.filter(({ kind }) => kind === 'prefix');
   return isolated ? [{ name: 'hot', kind: 'exact', match: hotKey, shards: 1 }, ...prefixes] : prefixes;
@@ -74,7 +74,7 @@
   const measuredFrom = from + WARM_UP_MILLIS;
   const to = measuredFrom + MEASURED_MILLIS;
   const tally = new RequestTally(measuredFrom, to);
-  // Names of keys are those without isolation, so that every arm has the same.
+  // Key names are generated without the isolated keyspace, so that they are the same in every arm.
   const stream = streamOf(deployment, { ...service, keyspaces: prefixes }, from, to);
   const load = world.load(tally, [stream]);
   world.run(WARM_UP_MILLIS);
--- a/src/dev/bench/experiments/ledger.ts
+++ b/src/dev/bench/experiments/ledger.ts
@@ -1,4 +1,4 @@
-/** What a claim in the replicated ledger adds to a request that must not be repeated, and how many it can carry. */
+/** Measures the latency that a claim in the replicated ledger adds to a non-repeatable request, and claim throughput. */
 import { loadavg } from 'node:os';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { gather, type Reading, reading, targetForAll, valuesOf } from '../arms.js';
@@ -12,7 +12,7 @@
 const ANSWER_BYTES = 1024;
 const PACED_PER_SECOND = 200;
 const PACED_CONNECTIONS = 64;
-/** Connections of the closed loops, each of which waits for its claim. */
+/** Connection counts of the closed loops; each connection waits for its claim. */
 const CLOSED_CONNECTIONS = [1, 16, 64, 256] as const;
 const WARM_UP_MILLIS = 2000;
 const MEASURED_MILLIS = 3000;
--- a/src/dev/bench/experiments/picker.ts
+++ b/src/dev/bench/experiments/picker.ts
@@ -1,4 +1,4 @@
-/** Ways to pick an upstream, with upstreams of unequal speed, true and stale reports of load, and one that starts cold. */
+/** Compares upstream pickers with upstreams of unequal speed, current and stale load reports, and cold starts. */
 import type { PickerName } from '../../../routing/index.js';
 import { type Arm, type Reading, ratiosOf, reading, runArms, target } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -8,7 +8,7 @@
 const WARM_UP_MILLIS = 1000;
 const MEASURED_MILLIS = 3000;
 const LOAD_SHARE = 0.7;
-/** Lower while upstreams are cold, so that the rest can carry the load. */
+/** Lower while upstreams are cold, so that the remaining ones have enough capacity. */
 const COLD_LOAD_SHARE = 0.5;
 const SLOW_EVERY = 3;
 const SLOWNESS = 3;
@@ -18,7 +18,7 @@
 
 interface Surroundings {
   readonly label: string;
-  /** A third is killed in the warm-up and comes back cold when the measuring begins. */
+  /** Whether a third is killed during the warm-up and restarts cold when measuring starts. */
   readonly restarts?: boolean;
   readonly slowness: number;
   readonly loadLagMillis: number;
@@ -102,7 +102,7 @@
       `Virtual time; the largest service of reads as one that is not keyed, six routers, ${LOAD_SHARE * PERCENT} % of what the upstreams can do together.`,
       'No rule was set for these ratios; at most 1 means that least-work is no worse.',
       `In the last surroundings the load is ${COLD_LOAD_SHARE * PERCENT} %; requests of a cold upstream take up to 3 times as long for 2 s (assumed).`,
-      'Load reports come with answers and probes; in one of the surroundings they tell the load of one second ago.',
+      'Load reports come with answers and probes; in one of the surroundings they report the load of one second ago.',
     ],
   };
 }
--- a/src/dev/bench/experiments/placement-scale.ts
+++ b/src/dev/bench/experiments/placement-scale.ts
@@ -1,4 +1,4 @@
-/** Time that placement and the leader's coordination take on one core, by the number of shards. */
+/** Measures the time of placement and of the leader's coordination on one core, by number of shards. */
 import type { ServiceDefinition, UpstreamDefinition } from '../../../model/service.js';
 import { createPlanner, type PlacementPlanner } from '../../../placement/index.js';
 import { RandomSource } from '../../virtual/random-source.js';
@@ -12,7 +12,7 @@
 const SERVICE = 'menuboard';
 const SETTINGS = { weights: { unavailability: 10, imbalance: 2, churn: 3 }, movesPerMinute: 60 };
 const GREATEST_LOAD = 1000;
-/** Answers of servers over which the time of one is averaged. */
+/** Steps of the leader over which the time of one server answer is averaged. */
 const ANSWER_STEPS = 800;
 const MICROS_PER_MILLI = 1000;
 
@@ -30,7 +30,7 @@
   return performance.now() - startedAt;
 }
 
-/** The planner alone. */
+/** Runs the planner alone. */
 class PlannerRig {
   readonly planner: PlacementPlanner = createPlanner(SETTINGS);
   readonly owners = new Map<string, string>();
@@ -61,7 +61,7 @@
     this.planner.setShard({ shard, keyspace: 'all', load: this.loads[number] ?? 0, owner, target: null });
   }
 
-  /** Plans and takes the moves as made; gives the time of planning. */
+  /** Plans and applies the moves immediately; returns the planning time. */
   plan(): number {
     this.now += 10;
     let planned: ReturnType<PlacementPlanner['plan']> = [];
@@ -75,7 +75,7 @@
     return millis;
   }
 
-  /** Time from the end of the servers' leases to new owners for all their shards. */
+  /** Returns the time from the end of the servers' leases to new owners for all their shards. */
   lose(numbers: readonly number[]): number {
     const lost = new Set(numbers.map(idOf));
     const shards = [...this.owners].filter(([, owner]) => lost.has(owner)).map(([shard]) => Number(shard));
--- a/src/dev/bench/experiments/placement.ts
+++ b/src/dev/bench/experiments/placement.ts
@@ -1,4 +1,4 @@
-/** Placement of a keyed service's shards: the weighted planner against three baselines, over a rush and a rolling restart. */
+/** Compares the weighted planner with three baselines for a keyed service, over a rush and a rolling restart. */
 import type { ServiceDefinition } from '../../../model/service.js';
 import {
   createBoundedLoadPlanner,
@@ -33,7 +33,7 @@
 const CHURN_WANTED = 0.333;
 const UNAVAILABLE_WANTED = 5;
 const CHART_SAMPLES = 10;
-/** A leader hears of loads for this long before it balances by them, as in control. */
+/** Time for which a leader collects load reports before it balances by them, as in control. */
 const LISTEN_MILLIS = 10_000;
 
 const TO_BOUND = 'rush: most loaded / lower bound, mean';
@@ -79,7 +79,7 @@
   };
 }
 
-/** What the service's operators weigh most: an even load, or keys that are always served. */
+/** Returns the targets for what the service's weights favour: balanced load, or availability of keys. */
 function targetsOf({ definition }: PlacedService, arms: readonly ArmResult[]): TargetResult[] {
   const { imbalance, unavailability } = definition.placement;
   if (unavailability > imbalance) {
--- a/src/dev/bench/experiments/policy-change.ts
+++ b/src/dev/bench/experiments/policy-change.ts
@@ -1,4 +1,4 @@
-/** Operators change a policy under load: when it is in force on all routers, and what callers notice. */
+/** Changes a policy under load and measures when it is in force on all routers and how callers are affected. */
 import type { PolicyRule, ServiceDefinition } from '../../../model/service.js';
 import { type Arm, type Reading, reading, runArms, target, targetForAll, valuesOf } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -31,13 +31,13 @@
 }
 
 interface ChangeTimes {
-  /** Until the last router that serves held the new policy. */
+  /** Milliseconds until the last serving router held the new policy. */
   readonly applied: number;
-  /** Until the operator was told that it is in force. */
+  /** Milliseconds until the operator's command was answered. */
   readonly answered: number;
 }
 
-/** Routers that hold the change, or serve nothing. */
+/** Whether every router holds the change or isn't serving. */
 function isOnAllRouters({ world }: LoadedWorld, definition: ServiceDefinition): boolean {
   const [rule] = definition.policy;
   return world.routers.every((router) => {
--- a/src/dev/bench/experiments/proxy.ts
+++ b/src/dev/bench/experiments/proxy.ts
@@ -1,4 +1,4 @@
-/** One router on one core, in real processes: throughput, added latency, memory, and what HTTP libraries cost. */
+/** Measures one router on one core in real processes: throughput, added latency, memory, cost of HTTP libraries. */
 import { loadavg } from 'node:os';
 import { gather, type Reading, reading, target, targetForAll, valuesOf } from '../arms.js';
 import type { ArmResult, Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -58,7 +58,7 @@
   ];
 }
 
-/** Rounds of one arm, put together. */
+/** Combines the rounds of one arm. */
 function resultOf(arm: ProxyArm, rounds: readonly ProxyMeasurement[][]): ArmResult {
   const name = armName(arm);
   const readings = rounds.map((round) => {
--- a/src/dev/bench/experiments/retry-storm.ts
+++ b/src/dev/bench/experiments/retry-storm.ts
@@ -1,4 +1,4 @@
-/** A third of the upstreams fails: how many attempts each request becomes, and what callers still get. */
+/** A third of the upstreams fails: measures attempts per request and the good share that remains for callers. */
 import type { ServiceDefinition } from '../../../model/service.js';
 import { type Arm, type Reading, reading, runArms, target, valuesOf } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -19,7 +19,7 @@
 
 interface Failure {
   readonly label: string;
-  /** Every upstream fails, in place of every third. */
+  /** Whether every upstream fails, instead of every third. */
   readonly everywhere?: boolean;
   readonly loadShare: number;
   readonly fail: (upstream: ModelUpstream) => void;
--- a/src/dev/bench/experiments/rolling-restart.ts
+++ b/src/dev/bench/experiments/rolling-restart.ts
@@ -1,4 +1,4 @@
-/** Every server of a keyed service is restarted in turn under load: how long keys are unavailable. */
+/** Restarts every server of a keyed service in turn under load and measures how long keys are unavailable. */
 import {
   type Arm,
   type Reading,
@@ -20,7 +20,7 @@
 } from '../models/loaded-world.js';
 import type { ModelUpstream } from '../world/model-upstream.js';
 
-/** Load goes on longer than any arm takes. */
+/** The load lasts longer than any arm. */
 const LOAD_MILLIS = 40_000;
 const LOAD_FACTOR = 1;
 const RETURNS = 5;
--- a/src/dev/bench/experiments/server-loss.ts
+++ b/src/dev/bench/experiments/server-loss.ts
@@ -1,4 +1,4 @@
-/** A server that owns keys is lost under load: how long its keys are without an owner, and what callers see of it. */
+/** Loses a server that owns keys under load; measures the unowned period of its keys and the effect on callers. */
 import type { ShardId } from '../../../model/identifiers.js';
 import { type Arm, type Reading, reading, runArms, target, targetForAll, valuesOf } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -41,7 +41,7 @@
   { name: 'killed, no holding', lose: (server) => server.kill(), holdLimitMillis: 50 },
 ];
 
-/** The server that owns the most keys. */
+/** Returns the server that owns the most shards. */
 function largestOwner({ world, probe }: LoadedWorld, service: string): ModelUpstream {
   return world
     .upstreamsOf(service)
--- a/src/dev/bench/experiments/zone-cut.ts
+++ b/src/dev/bench/experiments/zone-cut.ts
@@ -1,4 +1,4 @@
-/** A zone is cut off from the others under load, and comes back: what callers and keys lose. */
+/** Cuts a zone off from the others under load, then heals it; measures failed requests and unavailable keys. */
 import type { Zone } from '../../../model/identifiers.js';
 import { type Arm, type Reading, reading, runArms, target, targetForAll, valuesOf } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult, LineChart } from '../experiment.js';
@@ -56,7 +56,7 @@
   const zone = zoneToCut(loaded, arm.ofLeader);
   const cutAt = world.now;
   world.network.cut(zone);
-  // Routers and servers of the cut zone go on until their leases end; what the others reach is what counts.
+  // Routers and servers in the cut zone keep serving until their leases end; only the view from outside the zone counts.
   loaded.probe.stop();
   const outside = world.routers.filter((router) => router.zone !== zone);
   const rest = world.watchFrom(outside, watched, loaded.keys);
--- a/src/dev/bench/ledger/ledger-cluster.ts
+++ b/src/dev/bench/ledger/ledger-cluster.ts
@@ -1,4 +1,4 @@
-/** A real control group that syncs to disk, one real router, and an upstream for each service. */
+/** Starts a real control group that syncs to disk, one real router, and an upstream for each service. */
 import { execFile } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -44,12 +44,12 @@
     return `${this.host(ROUTER_NUMBER)}:${CALLERS_PORT}`;
   }
 
-  /** Admin ports of the control members. */
+  /** Admin addresses of the control members. */
   get admins(): Address[] {
     return MEMBER_NUMBERS.map((number) => `${this.host(number)}:${ADMIN_PORT}`);
   }
 
-  /** Brings everything up until the router serves every service. */
+  /** Starts all processes, declares the services, and resolves once the router is ready. */
   async start(): Promise<void> {
     for (const number of MEMBER_NUMBERS) {
       await this.startMember(number);
@@ -73,7 +73,7 @@
     rmSync(this.folder, { recursive: true, force: true });
   }
 
-  /** Addresses of a run's own, so that two runs on one machine don't meet. */
+  /** Returns an address derived from the process id, so that concurrent runs on one machine don't collide. */
   private host(number: number): string {
     return `127.71.${process.pid % 250}.${number}`;
   }
@@ -146,7 +146,7 @@
     });
   }
 
-  /** Runs an operator's command and gives what it printed. */
+  /** Runs an operator command and returns its output. */
   private async operate(...words: readonly string[]): Promise<string> {
     try {
       const options = { timeout: COMMAND_MILLIS };
--- a/src/dev/bench/load-experiments.ts
+++ b/src/dev/bench/load-experiments.ts
@@ -1,10 +1,10 @@
-/** Finds the experiments: each file of `experiments/` that exports an `experiment`. */
+/** Loads the experiments: each file in `experiments/` that exports an `experiment`. */
 import { readdirSync } from 'node:fs';
 import type { Experiment } from './experiment.js';
 
 const FOLDER = new URL('./experiments/', import.meta.url);
 
-/** All experiments by name, in the order of their names. */
+/** Returns all experiments by name, sorted by name. */
 export async function loadExperiments(): Promise<ReadonlyMap<string, Experiment>> {
   const files = readdirSync(FOLDER).filter((name) => name.endsWith('.js'));
   const found: Experiment[] = [];
--- a/src/dev/bench/models/loaded-world.ts
+++ b/src/dev/bench/models/loaded-world.ts
@@ -1,4 +1,4 @@
-/** A world under the rush of its deployment, in which something is made to happen. */
+/** A world under the rush load of its deployment, into which experiments inject events. */
 import type { ServiceName } from '../../../model/identifiers.js';
 import type { ServiceDefinition } from '../../../model/service.js';
 import type { Deployment } from '../../../settings/deployment.js';
@@ -16,16 +16,16 @@
 export interface LoadedWorldOptions {
   /** Service whose keys are watched; its keys are those of the rush. */
   readonly watched: ServiceName;
-  /** Longest virtual time that the load goes on. */
+  /** Maximum virtual duration of the load. */
   readonly loadMillis: number;
-  /** How often a refused caller comes again after Retry-After. */
+  /** Maximum number of retries of a refused request after Retry-After. */
   readonly returns: number;
-  /** Rates as a multiple of the rush's own. */
+  /** Factor on the rates of the rush. */
   readonly loadFactor?: number;
   readonly change?: WorldChange;
 }
 
-/** A world whose load has run for a moment; what is measured begins now. */
+/** A world whose load has settled; measuring starts now. */
 export interface LoadedWorld {
   readonly world: BenchWorld;
   readonly tally: RequestTally;
@@ -34,7 +34,7 @@
   readonly keys: number;
 }
 
-/** The first service of a deployment that is keyed. */
+/** Returns the first keyed service of a deployment. */
 export function keyedService(deployment: Deployment): ServiceDefinition {
   return deployment.services.find(({ keyed }) => keyed) as ServiceDefinition;
 }
@@ -65,13 +65,13 @@
   return { world, tally, probe, load, keys };
 }
 
-/** Lets the load end, unless it was stopped, and every call be answered. */
+/** Runs until the load has ended or is stopped and every call is answered. */
 export function finish({ world, load, tally }: LoadedWorld): void {
   world.runUntil(() => load.isStopped || world.now >= tally.to);
   world.runUntil(() => load.open === 0);
 }
 
-/** What callers of a service got. */
+/** Readings of the requests of a service as its callers see them. */
 export function serviceReadings(tally: RequestTally, service: ServiceName): Reading[] {
   return [
     reading(`${service} good share`, '%', tally.goodShare(service) * PERCENT),
--- a/src/dev/bench/models/placement/coordinator-rig.ts
+++ b/src/dev/bench/models/placement/coordinator-rig.ts
@@ -1,5 +1,5 @@
 /**
- * The leader's coordination without network, log or disk: coordinator, granter and registry as in the product, real
+ * Runs the leader's coordination without network, log or disk: the product's coordinator, granter and registry, real
  * grant holders for the servers, and commands that are applied as soon as they are proposed.
  */
 import { LeaderProposals } from '../../../../control/leader-proposals.js';
@@ -28,25 +28,25 @@
   readonly settle: SettleProposal;
 }
 
-/** What one leader has beside the registry. */
+/** The state of one leader beside the registry. */
 interface Leadership {
   readonly granter: LeaseGranter;
   readonly proposals: LeaderProposals;
   readonly coordinator: ShardCoordinator;
 }
 
-/** Real time that something took. */
+/** Elapsed real time of an operation. */
 export interface RealTime {
   readonly millis: number;
-  /** Longest time for which the coordinator kept the leader from anything else. */
+  /** Longest uninterrupted run of the coordinator, during which the leader does nothing else. */
   readonly longestRunMillis: number;
 }
 
 export class CoordinatorRig {
   readonly registry: Registry = createRegistry();
-  /** Virtual time; every server's clock shows it. */
+  /** Virtual time, which is also the clock of every server. */
   now = 0;
-  /** Answers of servers taken so far. */
+  /** Number of server answers processed. */
   answers = 0;
   readonly #holders = new Map<UpstreamId, GrantHolder>();
   readonly #lost = new Set<UpstreamId>();
@@ -68,7 +68,7 @@
     this.#apply({ type: 'session-open', upstream: id, incarnation, previous: null });
   }
 
-  /** Another leader takes over from the registry. */
+  /** Starts a new leader from the state of the registry. */
   changeLeader(): RealTime {
     this.#term += 1;
     this.#queue = [];
@@ -89,12 +89,12 @@
     });
   }
 
-  /** Runs until `isDone`; servers answer at once. */
+  /** Runs until `isDone` returns true; servers answer immediately. */
   runUntil(isDone: () => boolean): RealTime {
     return this.#timed(() => {
       for (let step = 0; !isDone(); step += 1) {
         if (step === MOST_STEPS) {
-          throw new Error(`not done after ${MOST_STEPS} steps`);
+          throw new Error(`the condition was not met within ${MOST_STEPS} steps`);
         }
         this.now += STEP_MILLIS;
         this.step();
@@ -102,7 +102,7 @@
     });
   }
 
-  /** One step of the leader: coordination, commands, calls and their answers, a quorum round. */
+  /** Runs one step of the leader: coordination, commands, calls and their answers, a quorum round. */
   step(): void {
     const { granter } = this.#leader();
     this.#settle();
@@ -123,7 +123,7 @@
     });
   }
 
-  /** What the leader measures of each service. */
+  /** Returns the leader's measurements of each service. */
   measures(): ServiceMeasures[] {
     return this.#leader().coordinator.measures(this.now);
   }
@@ -132,14 +132,14 @@
     return this.registry.unownedShards(service).size;
   }
 
-  /** Number of shards that a server itself takes to be its own. */
+  /** Returns the number of shards that a server holds according to its own grant holder. */
   heldBy(upstream: UpstreamId): number {
     return this.#holders.get(upstream)?.status(this.now).held ?? 0;
   }
 
   #leader(): Leadership {
     if (this.#leadership === undefined) {
-      throw new Error('changeLeader comes first');
+      throw new Error('changeLeader must be called first');
     }
     return this.#leadership;
   }
@@ -165,7 +165,7 @@
     this.#settle();
   }
 
-  /** Lets the coordinator run, and applies what it proposes, until neither has anything left to do now. */
+  /** Runs the coordinator and applies its proposals until no deadline is due. */
   #settle(): void {
     const { coordinator, proposals } = this.#leader();
     do {
--- a/src/dev/bench/models/placement/imbalance-probe.ts
+++ b/src/dev/bench/models/placement/imbalance-probe.ts
@@ -1,4 +1,4 @@
-/** Samples how evenly the expected load lies on the servers that take part. */
+/** Samples the imbalance of the expected load over the ready servers. */
 import type { UpstreamId } from '../../../../model/identifiers.js';
 import { quantile } from '../../statistics.js';
 import type { KeyLoads } from './key-loads.js';
@@ -9,9 +9,9 @@
 /** One sample of the loads. */
 export interface ImbalanceSample {
   readonly at: number;
-  /** Load of the most loaded server against the lower bound, the larger of the mean and the hottest key's load. */
+  /** Load of the most loaded server divided by the lower bound: the larger of the mean and the hottest key's load. */
   readonly toBound: number;
-  /** Load of the most loaded server against the mean. */
+  /** Load of the most loaded server divided by the mean. */
   readonly toMean: number;
 }
 
--- a/src/dev/bench/models/placement/key-loads.ts
+++ b/src/dev/bench/models/placement/key-loads.ts
@@ -1,10 +1,10 @@
-/** Keys of a service, how popular each is at a time, and the work that follows for each shard. */
+/** The keys of a service, their current popularity, and the resulting work of each shard. */
 import type { KeyMap } from '../../../../lease/types.js';
 import type { ShardId } from '../../../../model/identifiers.js';
 import { shardOfKey } from '../../../../model/key-map.js';
 import { type RandomSource, ZipfDistribution } from '../../../virtual/random-source.js';
 
-/** Requests a second and how they spread over the keys. */
+/** Request rate and its Zipf skew over the keys. */
 export interface KeyTraffic {
   readonly requestsPerSecond: number;
   readonly skew: number;
@@ -23,7 +23,7 @@
   /** Shard of each key. */
   readonly shardOfKeys: readonly ShardId[];
   readonly #options: KeyLoadsOptions;
-  /** Keys, the most popular first. */
+  /** Keys in order of popularity, the most popular first. */
   readonly #order: number[];
   #traffic: KeyTraffic;
   #popularity: ZipfDistribution;
@@ -41,7 +41,7 @@
     this.#popularity = new ZipfDistribution(this.#options.keys, traffic.skew);
   }
 
-  /** Gives the places of the first `count` keys to others, which take theirs. */
+  /** Swaps the `count` most popular keys with randomly chosen less popular ones. */
   changeHotKeys(count: number, random: RandomSource): void {
     const order = this.#order;
     for (let rank = 0; rank < count; rank += 1) {
@@ -52,7 +52,7 @@
     }
   }
 
-  /** A key as one request names it. */
+  /** Draws the key of one request. */
   draw(random: RandomSource): number {
     return this.#order[this.#popularity.draw(random)] as number;
   }
@@ -61,7 +61,7 @@
     return this.#traffic.requestsPerSecond;
   }
 
-  /** Expected work of each key, in milliseconds a second; `coalesced`: reads that join one under way cost nothing. */
+  /** Returns the expected work of each key in ms per second; `coalesced`: reads that join a running one are free. */
   keyWork(coalesced: boolean): number[] {
     const work = new Array<number>(this.#order.length).fill(0);
     this.#order.forEach((key, rank) => {
@@ -83,7 +83,7 @@
     return this.shardWork(this.shardOfKeys.map(() => 1));
   }
 
-  /** Attempts a second: each router has one under way at most, and the next begins with the first read after it. */
+  /** Returns attempts per second: a router runs at most one at a time; the next starts with the first read after it. */
   #coalescedRate(rate: number): number {
     const { routers, serviceMillis } = this.#options;
     const perRouter = rate / routers;
@@ -91,7 +91,7 @@
   }
 }
 
-/** Keys of exact keyspaces first, since those are the ones that operators isolate; then keys of the first prefix. */
+/** Lists keys of exact keyspaces first, since operators isolate hot keys there; then keys of the first prefix. */
 function keyNames({ keyMap, keys }: KeyLoadsOptions): string[] {
   const exact = keyMap.keyspaces.filter(({ kind }) => kind === 'exact').map(({ match }) => match);
   const prefix = keyMap.keyspaces.find(({ kind }) => kind === 'prefix')?.match ?? '';
--- a/src/dev/bench/models/placement/move-model.ts
+++ b/src/dev/bench/models/placement/move-model.ts
@@ -1,31 +1,31 @@
-/** How long the keys of a shard are unavailable when it changes its owner, from the times of the network and the log. */
+/** Models how long the keys of a shard are unavailable during an owner change, from network and log delays. */
 import { DEFAULT_LEASE_TIMINGS, longestLeaseMillis } from '../../../../lease/index.js';
 
-/** Whether the new owner loads the shard's state before or after the old one stops serving it. */
+/** Whether the new owner loads the shard's state before or after the previous owner stops serving it. */
 export type Handover = 'warmed' | 'revoke-then-grant';
 
 export interface MoveTimes {
-  /** The target loads the state while the source serves. */
+  /** Time in which the target loads the state while the source still serves. */
   readonly warmMillis: number;
-  /** Nobody serves the shard. */
+  /** Unowned period of the shard. */
   readonly gapMillis: number;
 }
 
 export interface MoveModelOptions {
   readonly betweenZonesMillis: number;
-  /** Mean time of one request: what runs on the source is finished first. */
+  /** Mean time of one request: the source finishes its running requests before the move. */
   readonly serviceMillis: number;
   /** Time to load the state of one shard. */
   readonly shardLoadMillis: number;
 }
 
-/** One synced write of a control member's disk. */
+/** Duration of one synced write to a control member's disk. */
 const SYNC_MILLIS = 0.2;
 
-/** Messages one after another, all between zones: a commit is one there and one back. */
+/** Numbers of sequential messages, all between zones: a commit takes one in each direction. */
 const REVOKE_MESSAGES = 2;
 const COMMIT_MESSAGES = 2;
-/** Notice to the router, its sync, the quorum round for that, and the answer. The grant arrives meanwhile. */
+/** Change notice to the router, its sync request, the quorum round and the response. The grant arrives meanwhile. */
 const PUBLICATION_MESSAGES = 5;
 
 export class MoveModel {
@@ -35,7 +35,7 @@
     this.#options = options;
   }
 
-  /** A planned move. */
+  /** Returns the times of a planned move. */
   planned(handover: Handover): MoveTimes {
     const { serviceMillis, shardLoadMillis, betweenZonesMillis } = this.#options;
     const messages = REVOKE_MESSAGES + COMMIT_MESSAGES + PUBLICATION_MESSAGES;
@@ -45,12 +45,12 @@
       : { warmMillis: 0, gapMillis: gapMillis + shardLoadMillis };
   }
 
-  /** From the loss of a server to the end of its lease as the leader counts it, at the longest. */
+  /** Returns the maximum time from the loss of a server to the end of its lease on the leader's clock. */
   leaseMillis(): number {
     return longestLeaseMillis(DEFAULT_LEASE_TIMINGS);
   }
 
-  /** From the end of a lease until a new owner serves: commits of the session's end and of the grant, then loading. */
+  /** Returns the time from the end of a lease until a new owner serves: two commits (session end, grant), then loading. */
   grantMillis(): number {
     const { shardLoadMillis, betweenZonesMillis } = this.#options;
     const messages = 2 * COMMIT_MESSAGES + PUBLICATION_MESSAGES;
--- a/src/dev/bench/models/placement/placement-runs.ts
+++ b/src/dev/bench/models/placement/placement-runs.ts
@@ -18,13 +18,13 @@
 
 /** Routers of the installation. */
 const ROUTERS_PER_ZONE = 2;
-/** Time in which arms may put right a placement that was made before any load was known; not part of the figures. */
+/** Time in which arms may correct a placement made before any load is reported; excluded from the figures. */
 const WARM_UP_MILLIS = 30_000;
 const PERCENT = 100;
 /** Servers that join during the rush. */
 const JOINING = 2;
 
-/** The keyed service that is looked at, with what the deployment says of it. */
+/** The keyed service under test, with its settings from the deployment. */
 export interface PlacedService {
   readonly definition: ServiceDefinition;
   readonly template: UpstreamTemplate;
@@ -37,7 +37,7 @@
   readonly betweenZonesMillis: number;
 }
 
-/** How one arm places shards and moves them. */
+/** Placement and handover of one arm. */
 export interface PlacementArm {
   readonly createPlanner: (service: ServiceDefinition) => PlacementPlanner;
   readonly handover: Handover;
@@ -50,7 +50,7 @@
   readonly random: RandomSource;
 }
 
-/** The first keyed service of a deployment. */
+/** Returns the first keyed service of a deployment. */
 export function placedServiceOf(deployment: Deployment): PlacedService {
   const definition = deployment.services.find(({ keyed }) => keyed) as ServiceDefinition;
   const { name } = definition;
@@ -110,7 +110,7 @@
   return { world, loads, random };
 }
 
-/** What a rush showed, with the samples for a chart. */
+/** Readings of a rush, with the samples for a chart. */
 export interface RushRun {
   readonly readings: Reading[];
   readonly samples: readonly ImbalanceSample[];
@@ -142,7 +142,7 @@
   return { readings: [...readings, ...coalescing], samples: probe.samples };
 }
 
-/** What coalescing of identical reads takes off in the rush. */
+/** Returns the work that coalescing of identical reads saves in the rush. */
 function coalescingReadings(loads: KeyLoads): Reading[] {
   const [all, coalesced] = [loads.keyWork(false), loads.keyWork(true)];
   const takenOff = (of: (work: readonly number[]) => number): number =>
--- a/src/dev/bench/models/placement/placement-world.ts
+++ b/src/dev/bench/models/placement/placement-world.ts
@@ -1,6 +1,6 @@
 /**
- * Servers and shards of one service in virtual time, with a planner that decides and a model of how moves go. Routers'
- * load reports come from drawn requests through the same reporter and tracker as in the product.
+ * Servers and shards of one service in virtual time, with a placement planner and a model of move times. Load reports of
+ * routers are computed from drawn requests with the product's own reporter and tracker.
  */
 import type { ShardId, UpstreamId } from '../../../../model/identifiers.js';
 import {
@@ -17,18 +17,18 @@
 
 const PLAN_MILLIS = 20;
 const SECOND_MILLIS = 1000;
-/** Load below which shards count as idle, in milliseconds of work a second, as in control. */
+/** Load below which shards count as idle, in milliseconds of work per second, as in control. */
 const LEAST_LOAD = 1;
 const SERVICE_SIGMA = 0.5;
 
-/** Where a shard is. */
+/** Owner and pending move of a shard. */
 export interface ShardPlace {
   readonly shard: ShardId;
   readonly keyspace: string;
   owner: UpstreamId | null;
-  /** Server that it moves to; `null`: none. */
+  /** Server that the shard moves to; `null`: none. */
   target: UpstreamId | null;
-  /** Number of the move that is under way; older ones have been called off. */
+  /** Number of the latest move; moves with lower numbers are complete or cancelled. */
   move: number;
 }
 
@@ -40,7 +40,7 @@
   readonly random: RandomSource;
   readonly serviceMillis: number;
   readonly routers: number;
-  /** Reads that join one under way aren't seen as work. */
+  /** Whether identical reads are coalesced; a read that joins a running one adds no work. */
   readonly coalesced: boolean;
 }
 
@@ -48,11 +48,11 @@
   readonly queue = new EventQueue();
   readonly servers = new Map<UpstreamId, PlacementServer>();
   readonly shards = new Map<ShardId, ShardPlace>();
-  /** Changes of owner since the start. */
+  /** Owner changes since counting started. */
   ownerChanges = 0;
-  /** Those of them which the planner made for the sake of balance. */
+  /** Moves that the planner started for balance. */
   balancingMoves = 0;
-  /** Sums over keys of the seconds in which nobody served them: during planned moves, and after losses. */
+  /** Sums of the unavailable seconds of all keys, during planned moves and after losses. */
   plannedKeySeconds = 0;
   lostKeySeconds = 0;
   readonly #parts: PlacementWorldParts;
@@ -79,7 +79,7 @@
     this.setServer({ ...(this.servers.get(id) as PlacementServer), state });
   }
 
-  /** Places every shard without counting, then lets time run. */
+  /** Places every shard without counting the changes, then schedules planning and load reports. */
   start(): void {
     for (const place of this.shards.values()) {
       this.#tellPlanner(place);
@@ -93,7 +93,7 @@
     this.queue.after(SECOND_MILLIS, () => this.#takeReports());
   }
 
-  /** Forgets what was counted so far. */
+  /** Resets the counts. */
   startCounting(): void {
     this.ownerChanges = 0;
     this.balancingMoves = 0;
@@ -101,7 +101,7 @@
     this.lostKeySeconds = 0;
   }
 
-  /** A server is gone at once; its shards are unowned once its lease has ended. */
+  /** Removes a server without a drain; its shards become unowned once its lease has ended. */
   lose(id: UpstreamId): void {
     this.setState(id, 'lost');
     const lostAt = this.queue.now;
@@ -162,7 +162,7 @@
     });
   }
 
-  /** Does nothing and returns `false` if the move was called off. */
+  /** Completes a move; does nothing and returns `false` if the move was cancelled. */
   #arrive(place: ShardPlace, move: number): boolean {
     if (place.move !== move || place.target === null) {
       return false;
@@ -178,7 +178,7 @@
     return ((this.#keysOfShards.get(shard) ?? 0) * millis) / SECOND_MILLIS;
   }
 
-  /** Draws the requests of the last second and hands the routers' reports to the planner. */
+  /** Draws the requests of the last second and passes the routers' reports to the planner. */
   #takeReports(): void {
     const { now } = this.queue;
     const { planner } = this.#parts;
@@ -208,7 +208,7 @@
   }
 }
 
-/** Share of the reads of each key that join one under way. */
+/** Returns, for each key, the share of its reads that join a running one. */
 function joinedShares(loads: KeyLoads): number[] {
   const all = loads.keyWork(false);
   return loads.keyWork(true).map((work, key) => 1 - work / Math.max(all[key] ?? 0, Number.MIN_VALUE));
--- a/src/dev/bench/models/placement/time-line.ts
+++ b/src/dev/bench/models/placement/time-line.ts
@@ -1,4 +1,4 @@
-/** What happens to the service: a rush, hot keys that change, servers that join, leave and are lost; and a rolling restart. */
+/** Scenarios: a rush with changing hot keys and with servers that join, drain and are lost; a rolling restart. */
 import type { UpstreamId } from '../../../../model/identifiers.js';
 import type { PlacementServer } from '../../../../placement/index.js';
 import type { RandomSource } from '../../../virtual/random-source.js';
@@ -6,7 +6,7 @@
 import type { PlacementWorld } from './placement-world.js';
 
 const SECOND = 1000;
-/** Length of the time line with the rush. */
+/** Length of the rush scenario. */
 export const RUSH_LINE_MILLIS = 480 * SECOND;
 const RUSH_AT = 60 * SECOND;
 const HOT_KEYS_CHANGE_AT = [130 * SECOND, 210 * SECOND, 290 * SECOND];
@@ -16,7 +16,7 @@
 const LOSS_AT = 260 * SECOND;
 const BACK_AT = 310 * SECOND;
 const AFTER_AT = 360 * SECOND;
-/** A restarted server is back after this. */
+/** Duration of a server restart. */
 const RESTART_MILLIS = 2 * SECOND;
 const DRAIN_LOOK_MILLIS = 20;
 
@@ -29,7 +29,7 @@
   readonly after: KeyTraffic;
 }
 
-/** A rush with everything that may happen in it; ends at `RUSH_LINE_MILLIS`. */
+/** Runs the rush scenario with all its events; ends at `RUSH_LINE_MILLIS`. */
 export function runRush({ world, loads, random, newServers, rush, after }: TimeLineParts): void {
   const [first, second, third] = [...world.servers.keys()] as [UpstreamId, UpstreamId, UpstreamId];
   const { queue } = world;
@@ -55,7 +55,7 @@
   queue.runUntil(RUSH_LINE_MILLIS);
 }
 
-/** Drains and restarts every server, one after the other, and waits until things are quiet again. */
+/** Drains and restarts every server, one after another, then runs for a settling period. */
 export function runRollingRestart(world: PlacementWorld): void {
   const { queue } = world;
   queue.runUntil(RUSH_AT);
--- a/src/dev/bench/models/rush.ts
+++ b/src/dev/bench/models/rush.ts
@@ -1,4 +1,4 @@
-/** A rush on reads while orders go on: what each class gets, below and above what the upstreams can do. */
+/** A rush of reads alongside orders: goodput of each priority class below and above the capacity of the upstreams. */
 import { PRIORITY_CLASSES, type PriorityClass, type ServiceDefinition } from '../../../model/service.js';
 import type { Deployment } from '../../../settings/deployment.js';
 import {
@@ -27,20 +27,20 @@
 const MEASURED_MILLIS = 2000;
 const MILLIS_PER_SECOND = 1000;
 const PERCENT = 100;
-/** Load of services of the highest class, as a share of their upstreams' capacity. */
+/** Load of services of the highest priority class, as a share of their upstreams' capacity. */
 const ORDERS_LOAD = 0.6;
 const QUIET_LOAD = 0.3;
 const GOODPUT_SHARE_WANTED = 95;
 const REFUSAL_MILLIS_WANTED = 5;
 
 export interface RushLoad {
-  /** Reads, as a multiple of what the upstreams can work off. */
+  /** Read load as a multiple of the upstreams' capacity. */
   readonly reads: number;
-  /** Orders, as a multiple of the same for theirs. */
+  /** Order load as a multiple of the capacity of the orders' upstreams. */
   readonly orders: number;
 }
 
-/** Requests a second of each read service at which the first of them is at its capacity, in the rush's mix. */
+/** Returns the rate of each read service, in the rush's mix, at which the first of them reaches its capacity. */
 function readRates(deployment: Deployment, classes: ReadonlyMap<string, PriorityClass>): Map<string, number> {
   const reads = rushOf(deployment).mix.filter(({ service }) => classes.get(service) !== PRIORITY_CLASSES[0]);
   const perShare = Math.min(
@@ -70,14 +70,14 @@
   ];
 }
 
-/** One run at one load. */
+/** Runs a deployment once at one load. */
 export function runRush(
   deployment: Deployment,
   seed: number,
   rush: RushLoad,
   change: WorldChange = {},
 ): Reading[] {
-  // Without coalescing, so that the load is what it says; the hot-key experiment shows what coalescing takes off.
+  // Coalescing is off, so that the load is as configured; the hot-key experiment measures what coalescing saves.
   const services = deployment.services.map((service) => ({ ...service, coalesce: false }));
   const world = new BenchWorld({ ...worldOptions(deployment, seed), services, ...change });
   world.start();
@@ -119,7 +119,7 @@
   ];
 }
 
-/** The rush of a deployment at 1x and 3x of its capacity. */
+/** Runs the rush of a deployment at 1x and 3x of its capacity. */
 export function runRushExperiment(context: ExperimentContext): ExperimentResult {
   const { deployment } = context;
   const arms = runArms(context, armsOf(deployment));
@@ -152,7 +152,7 @@
     notes: [
       'Virtual time: the real cores of routers and control, modelled upstreams, network and callers.',
       `Reads are a multiple of the rate at which the first read service is at its capacity; orders run at ${ORDERS_LOAD} of theirs (3 in the last arm).`,
-      'Coalescing is off in every arm, so that the load on the upstreams is what the arm says.',
+      'Coalescing is off in every arm, so that the load on the upstreams is that of the arm.',
       'Goodput counts answers within the measured time, the good share the requests sent within it.',
       'Callers are an open stream and do not come back after a refusal.',
       'Router time of a refusal: from arrival at the router to its answer, without the cost of the computation itself.',
--- a/src/dev/bench/models/unkeyed-world.ts
+++ b/src/dev/bench/models/unkeyed-world.ts
@@ -1,4 +1,4 @@
-/** One service that isn't keyed, alone in a world, so that its load and the speed of its upstreams are all that counts. */
+/** A world with a single unkeyed service, so that results depend only on its load and the speed of its upstreams. */
 import type { ServiceDefinition } from '../../../model/service.js';
 import type { Deployment } from '../../../settings/deployment.js';
 import { BenchWorld } from '../world/bench-world.js';
@@ -28,7 +28,7 @@
   readonly upstreams: readonly ModelUpstream[];
 }
 
-/** The service with the most upstreams, taken as not keyed. */
+/** Returns the repeatable service with the most upstreams as an unkeyed one; prefers services without keys. */
 export function largestService(deployment: Deployment): ServiceDefinition {
   const countOf = ({ name }: ServiceDefinition): number =>
     deployment.upstreams.filter(({ service }) => service === name).reduce((sum, { count }) => sum + count, 0);
@@ -39,7 +39,7 @@
   return { ...largest, keyed: false, keyspaces: [], coalesce: false };
 }
 
-/** Requests a second that upstreams work off at their present speeds. */
+/** Returns the requests per second that the upstreams can process at their current speeds. */
 export function capacityNow(upstreams: readonly ModelUpstream[]): number {
   return upstreams.reduce(
     (sum, { traits, slowness }) =>
@@ -48,7 +48,7 @@
   );
 }
 
-/** Starts the world and its load; what is measured begins after the warm-up. */
+/** Starts the world and its load; measuring starts after the warm-up. */
 export function startUnkeyedWorld(
   deployment: Deployment,
   seed: number,
@@ -83,7 +83,7 @@
   return { world, tally, load, service, upstreams };
 }
 
-/** Lets the load end and every call be answered. */
+/** Runs until the load has ended and every call is answered. */
 export function finishUnkeyed({ world, tally, load }: UnkeyedWorld): void {
   world.run(Math.max(0, tally.to - world.now));
   world.runUntil(() => load.open === 0);
--- a/src/dev/bench/proxy/bare-proxy.ts
+++ b/src/dev/bench/proxy/bare-proxy.ts
@@ -1,4 +1,4 @@
-/** A proxy without any decisions: what HTTP libraries alone cost on both sides. Requests go to upstreams in turn. */
+/** A proxy without routing decisions, to measure the cost of HTTP libraries alone. It picks upstreams round-robin. */
 import type { RequestListener, ServerResponse } from 'node:http';
 import Koa from 'koa';
 import type { Address } from '../../../model/identifiers.js';
@@ -14,14 +14,14 @@
     private readonly upstreams: readonly Address[],
   ) {}
 
-  /** On `node:http` alone. */
+  /** Returns a listener on `node:http` alone. */
   nodeListener(): RequestListener {
     return (request, response) => {
       this.forward(request.url ?? '/', (answer) => writeAnswer(response, answer));
     };
   }
 
-  /** On koa, answered through its context as its applications do. */
+  /** Returns a listener on koa that answers through the koa context, as koa applications do. */
   koaListener(): RequestListener {
     const app = new Koa();
     app.use(async (context) => {
--- a/src/dev/bench/proxy/bench-identity.ts
+++ b/src/dev/bench/proxy/bench-identity.ts
@@ -1,4 +1,4 @@
-/** What the processes of one bench run share. */
+/** Cluster name and secret shared by the processes of a bench run. */
 export const BENCH_IDENTITY = { cluster: 'bench', secret: 'only-for-the-bench' } as const;
-/** The one service that the bench declares. */
+/** The only service that the bench declares. */
 export const BENCH_SERVICE = 'bench';
--- a/src/dev/bench/proxy/bench-snapshot.ts
+++ b/src/dev/bench/proxy/bench-snapshot.ts
@@ -1,4 +1,4 @@
-/** The configuration that the bench's routers work with. */
+/** The configuration of the bench's routers. */
 import { type Address, formatShardId } from '../../../model/identifiers.js';
 import type { ServiceDefinition } from '../../../model/service.js';
 import type { RoutingSnapshot, ShardRecord, UpstreamRecord } from '../../../registry/types.js';
@@ -14,7 +14,7 @@
 const GENERATION = 10;
 const KEYSPACE = 'all';
 
-/** One keyed, repeatable service whose shards lie on the upstreams in turn. */
+/** Returns a snapshot of one keyed, repeatable service whose shards are assigned to the upstreams round-robin. */
 export function benchSnapshot(options: BenchSnapshotOptions): RoutingSnapshot {
   const { upstreams, shards } = options;
   return {
@@ -74,7 +74,7 @@
   return `bench-${index}`;
 }
 
-/** As long as the real ones, which are UUIDs. */
+/** Returns an incarnation of the same length as real ones, which are UUIDs. */
 function incarnationOf(index: number): string {
   return `00000000-0000-4000-8000-${String(index).padStart(12, '0')}`;
 }
--- a/src/dev/bench/proxy/child-messages.ts
+++ b/src/dev/bench/proxy/child-messages.ts
@@ -1,34 +1,34 @@
-/** What the bench and the processes it starts say to each other over the channel of `child_process.fork`. */
+/** Messages between the bench and its child processes over the channel of `child_process.fork`. */
 import type { Address } from '../../../model/identifiers.js';
 import type { LoadResult, LoadRun } from './load-run.js';
 
-/** From the bench. */
+/** Requests from the bench. */
 export type BenchRequest = { readonly type: 'usage' } | { readonly type: 'load'; readonly run: LoadRun };
 
-/** Processor time in milliseconds since the process began, and memory in bytes. */
+/** Processor time in milliseconds since the process started, and memory in bytes. */
 export interface ProcessUsage {
   readonly cpuMillis: number;
-  /** Time that the main thread was ready to run and had no processor; `null` where the system doesn't tell. */
+  /** Time in which the main thread was runnable without a processor; `null` where the system doesn't report it. */
   readonly starvedMillis: number | null;
   readonly residentBytes: number;
   readonly peakResidentBytes: number;
 }
 
-/** From a process. */
+/** Answers from a child process. */
 export type BenchAnswer =
-  /** It is up and listens at these addresses. */
+  /** The process is ready and listens on these addresses. */
   | { readonly type: 'ready'; readonly addresses: readonly Address[] }
   | { readonly type: 'usage'; readonly usage: ProcessUsage }
   | { readonly type: 'load'; readonly result: LoadResult };
 
-/** Kinds of processes and what each needs to start. */
+/** Kinds of child processes and their start options. */
 export type ChildTask =
   | { readonly kind: 'load' }
   | {
       readonly kind: 'upstream';
       readonly count: number;
       readonly answerBytes: number;
-      /** Services whose fence stands before the upstreams, one upstream each; `null`: no fence. */
+      /** Services whose fence guards the upstreams, one upstream each; `null`: no fence. */
       readonly fencedServices: readonly string[] | null;
     }
   | {
--- a/src/dev/bench/proxy/child-process.ts
+++ b/src/dev/bench/proxy/child-process.ts
@@ -1,4 +1,4 @@
-/** One process that the bench started. It ends with the bench: its channel closes then. */
+/** A child process of the bench. It exits with the bench, when its channel closes. */
 import { type ChildProcess, fork } from 'node:child_process';
 import { TernmountError } from '../../../errors/ternmount-error.js';
 import type { Address } from '../../../model/identifiers.js';
@@ -7,11 +7,11 @@
 
 const ENTRY = new URL('./child.js', import.meta.url);
 
-/** A process of the bench ended before its time. */
+/** Thrown when a child process of the bench exits unexpectedly. */
 export class BenchProcessError extends TernmountError {
   constructor(kind: string) {
     const options = { code: 'TERNMOUNT_BENCH_PROCESS_ENDED', retriable: false, info: { kind } };
-    super(options, `the ${kind} process of the bench ended by itself`);
+    super(options, `the ${kind} process of the bench exited unexpectedly`);
   }
 }
 
@@ -19,11 +19,11 @@
   private constructor(
     private readonly child: ChildProcess,
     private readonly kind: string,
-    /** Where it listens. */
+    /** Addresses on which the process listens. */
     readonly addresses: readonly Address[],
   ) {}
 
-  /** Starts a process and waits until it is up. `nodeOptions` go to its Node, for example to profile it. */
+  /** Starts a process and waits until it is ready. `nodeOptions` are passed to its Node, for example to profile it. */
   static async start(task: ChildTask, nodeOptions: readonly string[] = []): Promise<BenchChild> {
     const child = fork(ENTRY, [JSON.stringify(task)], { execArgv: [...nodeOptions] });
     const ready = await nextAnswer(child, task.kind, 'ready');
@@ -40,7 +40,7 @@
     return (await nextAnswer(this.child, this.kind, 'load')).result;
   }
 
-  /** Ends the process. */
+  /** Closes the channel and waits for the process to exit. */
   async stop(): Promise<void> {
     const exited = new Promise<void>((resolve) => this.child.once('exit', () => resolve()));
     this.child.disconnect();
--- a/src/dev/bench/proxy/child.ts
+++ b/src/dev/bench/proxy/child.ts
@@ -1,4 +1,4 @@
-/** Entry of the processes that the proxy bench starts. Its only argument is a `ChildTask` as JSON. */
+/** Entry point of the proxy bench's child processes. Its only argument is a `ChildTask` as JSON. */
 import { readFileSync } from 'node:fs';
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import type { Address } from '../../../model/identifiers.js';
@@ -33,7 +33,7 @@
   };
 }
 
-/** From Linux's statistics of the scheduler for the main thread: time on a processor, time waiting for one, turns. */
+/** Reads Linux scheduler statistics of the main thread: time on a processor, time waiting for one, time slices. */
 function starvedMillis(): number | null {
   try {
     const [, waited] = readFileSync('/proc/self/schedstat', 'utf8').split(' ');
@@ -61,7 +61,7 @@
   return (await Promise.all(servers)).map((server) => server.address);
 }
 
-/** Puts the fence of a service that isn't keyed before a listener. */
+/** Wraps a listener in the fence of an unkeyed service. */
 function fenced(listener: RequestListener, service: string): RequestListener {
   const { cluster } = BENCH_IDENTITY;
   const fence = createFence({ cluster, upstream: service, service, keyed: false });
--- a/src/dev/bench/proxy/control-standin.ts
+++ b/src/dev/bench/proxy/control-standin.ts
@@ -1,6 +1,6 @@
 /**
- * The control member of the proxy bench: gives routers one configuration, confirms it as often as they ask, and
- * grants every claim at once. It agrees with nobody and keeps nothing.
+ * Control member of the proxy bench: serves one configuration to routers, confirms it on every sync request, and grants
+ * every claim immediately. It has no peers and stores nothing.
  */
 import type {
   ControlToRouter,
@@ -25,13 +25,13 @@
   private server: FrameServer | undefined;
   private reportBytes = 0;
 
-  /** Reports of requests under which upstreams ended, which have no answer here. */
+  /** Reports of requests during which upstreams terminated; they aren't answered. */
   readonly crashReports: CrashReport[] = [];
   private readonly routers = new Set<FrameConnection>();
 
   constructor(private snapshot: RoutingSnapshot) {}
 
-  /** Listens on any free port and gives its address. */
+  /** Listens on any free port and returns its address. */
   async start(): Promise<Address> {
     const { cluster, secret } = BENCH_IDENTITY;
     this.server = await FrameServer.listen({
@@ -60,7 +60,7 @@
     return this.server.address;
   }
 
-  /** Gives out a later configuration, and says so to the routers that are connected. */
+  /** Publishes a later configuration and sends a change notice to connected routers. */
   publish(snapshot: RoutingSnapshot): void {
     this.snapshot = snapshot;
     for (const router of this.routers) {
@@ -68,14 +68,14 @@
     }
   }
 
-  /** Tells the routers that are connected what changed, unasked. */
+  /** Pushes a delta to connected routers without a sync request. */
   tell(delta: RoutingDelta): void {
     for (const router of this.routers) {
       this.reply(router, { type: 'sync-news', delta });
     }
   }
 
-  /** Size of the largest load report. */
+  /** Size of the largest load report received, in bytes. */
   get largestReportBytes(): number {
     return this.reportBytes;
   }
@@ -84,7 +84,7 @@
     await this.server?.stop();
   }
 
-  /** Reports have no answer here. */
+  /** Returns the answer to a message; reports aren't answered. */
   private answerTo(
     message: Exclude<RouterToControl, LoadReport | CrashReport | UpstreamReport>,
   ): ControlToRouter {
--- a/src/dev/bench/proxy/load-generator.ts
+++ b/src/dev/bench/proxy/load-generator.ts
@@ -1,4 +1,4 @@
-/** Sends requests over a fixed number of connections and takes down how long the answers take. */
+/** Sends requests over a fixed number of connections and records the latencies of the answers. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { Client, type Dispatcher } from 'undici';
 import { makeUuidV7 } from '../../standins/caller/uuid-v7.js';
@@ -6,7 +6,7 @@
 
 const OK = 200;
 const MICROS_PER_MILLI = 1000;
-/** Multiplier of a full-period sequence over the keys (a prime above any number of keys used). */
+/** Multiplier of a full-period sequence over the keys: a prime above any number of keys in use. */
 const KEY_STEP = 1_000_003;
 
 export class LoadGenerator {
@@ -25,7 +25,7 @@
     this.clients = Array.from({ length: run.connections }, () => new Client(`http://${run.target}`, options));
   }
 
-  /** Runs for the time asked for; requests under way at its end are counted out. */
+  /** Runs for the configured duration; requests in flight at its end aren't counted. */
   async start(): Promise<LoadResult> {
     const startedAt = performance.now();
     if (this.run.requestsPerSecond === null) {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Polls the clock on every turn of the event loop, since timers are too coarse for the gaps. */
+  /** Polls the clock on every iteration of the event loop, since timers are too coarse for the gaps. */
   private openLoop(startedAt: number, requestsPerSecond: number): Promise<void> {
     const idle = [...this.clients];
     const gap = 1000 / requestsPerSecond;
@@ -133,7 +133,7 @@
   }
 }
 
-/** Reads one answer and says whether it is as it should be. */
+/** Reads one answer and checks its status and length. */
 class AnswerCheck implements Dispatcher.DispatchHandlers {
   private status = 0;
   private size = 0;
--- a/src/dev/bench/proxy/load-run.ts
+++ b/src/dev/bench/proxy/load-run.ts
@@ -1,4 +1,4 @@
-/** What the load-generating process is asked to do, and what it found. */
+/** Options and result of a load run in the load-generating process. */
 import type { Address } from '../../../model/identifiers.js';
 
 /** One run of requests against one address. */
@@ -10,20 +10,20 @@
   readonly requestsPerSecond: number | null;
   /** First segment of the path. */
   readonly service: string;
-  /** Requests ask for keys `0` to this, in a mixed order. */
+  /** Number of keys; requests use keys from `0` up to, not including, this number in a mixed order. */
   readonly keys: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly method: 'GET' | 'POST';
-  /** Each request carries an `Idempotency-Key` of its own. */
+  /** Whether each request has its own `Idempotency-Key`. */
   readonly claimed: boolean;
-  /** Bytes that each answer must have. */
+  /** Required length of each answer in bytes. */
   readonly answerBytes: number;
 }
 
-/** Latencies in milliseconds; of an open loop from the time at which the request was due. */
+/** Latencies in milliseconds; in an open loop they count from the time at which the request was due. */
 export interface LoadResult {
   readonly requests: number;
-  /** Answers with another status or length than asked for, and broken connections. */
+  /** Answers with an unexpected status or length, and broken connections. */
   readonly failures: number;
   readonly perSecond: number;
   readonly p50: number;
--- a/src/dev/bench/proxy/plain-upstream.ts
+++ b/src/dev/bench/proxy/plain-upstream.ts
@@ -1,4 +1,4 @@
-/** The least that an upstream does: answers each request at once with so many bytes and the router's request id. */
+/** A minimal upstream: answers each request immediately with a fixed number of bytes and the router's request id. */
 import type { RequestListener } from 'node:http';
 import { HEADERS } from '../../../model/outcome.js';
 
--- a/src/dev/bench/proxy/proxy-bench.ts
+++ b/src/dev/bench/proxy/proxy-bench.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the arms of the proxy bench: the same load on upstreams called directly, on bare proxies of different HTTP
- * libraries, and on the router. Every process is real; a round starts each arm anew and measures one after the other.
+ * Runs the arms of the proxy bench: the same load on upstreams called directly, on bare proxies with different HTTP
+ * libraries, and on the router. All processes are real; a round starts and measures the arms one after another.
  */
 import type { Address } from '../../../model/identifiers.js';
 import { BENCH_SERVICE } from './bench-identity.js';
@@ -12,7 +12,7 @@
 
 export type FrontEnd = 'koa' | 'node';
 
-/** What stands between the load and the upstreams. */
+/** The component between the load and the upstreams. */
 export type ProxyArm =
   | { readonly kind: 'direct' }
   | { readonly kind: 'bare-proxy'; readonly frontEnd: FrontEnd; readonly client: UpstreamClientName }
@@ -40,10 +40,10 @@
   readonly throughput: LoadResult;
   /** Open loop at the fixed rate. */
   readonly paced: LoadResult;
-  /** Cores that the process under test was busy on during the closed loop, and during the open loop. */
+  /** Mean number of cores in use by the process under test during the closed loop and during the open loop. */
   readonly throughputCores: number;
   readonly pacedCores: number;
-  /** Share of the open loop during which the process waited for a processor; 0 where the system doesn't tell. */
+  /** Share of the open loop during which the process waited for a processor; 0 where the system doesn't report it. */
   readonly pacedStarved: number;
   readonly peakResidentBytes: number;
 }
--- a/src/dev/bench/proxy/upstream-clients.ts
+++ b/src/dev/bench/proxy/upstream-clients.ts
@@ -1,4 +1,4 @@
-/** The HTTP clients weighed for the path to upstreams, each doing the least that a router needs: one whole answer. */
+/** The HTTP clients compared for the path to upstreams; each does only what a router needs: read a whole answer. */
 import { Agent, type IncomingMessage, request as nodeRequest } from 'node:http';
 import got, { type Got } from 'got';
 import { type Dispatcher, Pool } from 'undici';
@@ -11,7 +11,7 @@
   readonly body: Buffer;
 }
 
-/** `null`: the upstream gave no whole answer. */
+/** The answer is `null` if the upstream sent no complete one. */
 export type AnswerCallback = (answer: WholeAnswer | null) => void;
 
 export interface UpstreamClient {
--- a/src/dev/bench/report/plot.ts
+++ b/src/dev/bench/report/plot.ts
@@ -1,4 +1,4 @@
-/** Results as an SVG: a panel of bars for each measure, then the line charts. */
+/** Renders results as an SVG: a panel of bars for each measure, followed by the line charts. */
 import { parse, View } from 'vega';
 import { compile, type TopLevelSpec } from 'vega-lite';
 import type { ExperimentResult, LineChart, Measure } from '../experiment.js';
@@ -69,7 +69,7 @@
   return rows;
 }
 
-/** Draws a result. */
+/** Renders a result as SVG text. */
 export async function renderPlot(title: string, result: ExperimentResult): Promise<string> {
   const bars = rowsOf(plottedMeasures(result).map((measure) => barPanel(measure, result)));
   const lines = (result.charts ?? []).map(linePanel);
--- a/src/dev/bench/report/table.ts
+++ b/src/dev/bench/report/table.ts
@@ -1,11 +1,11 @@
-/** Results as text: one row for each measure, one column for each arm. */
+/** Renders results as text: one row for each measure, one column for each arm. */
 import { alignColumns, namesThenNumbers } from '../../../text/columns.js';
 import type { ExperimentResult, Measure } from '../experiment.js';
 import { spreadOf } from '../statistics.js';
 
 const BASELINE_MARK = ' (baseline)';
 
-/** A number with three or so significant digits. */
+/** Formats a number with about three significant digits. */
 export function formatNumber(value: number): string {
   if (!Number.isFinite(value)) {
     return '-';
@@ -17,7 +17,7 @@
   return value.toFixed(size >= 10 ? 1 : size >= 1 ? 2 : 3);
 }
 
-/** Median and range of a measure, for example `12.3 [11.8-14.0]`. */
+/** Formats the median and range of a measure, for example `12.3 [11.8-14.0]`. */
 export function formatSpread(values: readonly number[]): string {
   if (values.length === 0) {
     return '-';
@@ -33,7 +33,7 @@
   return measure.unit === '' ? measure.name : `${measure.name}, ${measure.unit}`;
 }
 
-/** The measures of all arms, in the order in which they first appear. */
+/** Returns the measures of all arms in the order in which they first appear. */
 function measureRows({ arms }: ExperimentResult): string[][] {
   const titles = [...new Set(arms.flatMap(({ measures }) => measures.map(measureTitle)))];
   return titles.map((title) => [
@@ -45,7 +45,7 @@
   ]);
 }
 
-/** The whole result as it is printed. */
+/** Renders the whole result as it is printed. */
 export function renderTable(title: string, result: ExperimentResult): string {
   const head = ['', ...result.arms.map(({ arm, baseline }) => `${arm}${baseline ? BASELINE_MARK : ''}`)];
   const lines = [title, '', ...alignColumns([head, ...measureRows(result)], namesThenNumbers)];
--- a/src/dev/bench/report/write-report.ts
+++ b/src/dev/bench/report/write-report.ts
@@ -5,7 +5,7 @@
 import { renderPlot } from './plot.js';
 import { renderTable } from './table.js';
 
-/** What was run. */
+/** Describes the run that a report covers. */
 export interface ReportHead {
   readonly experiment: string;
   readonly summary: string;
@@ -13,7 +13,7 @@
   readonly seeds: readonly number[];
 }
 
-/** Writes `EXPERIMENT-DEPLOYMENT.txt`, `.json` and `.svg` below `folder`; gives the table. */
+/** Writes `EXPERIMENT-DEPLOYMENT.txt`, `.json` and `.svg` to `folder`; returns the table. */
 export async function writeReport(
   folder: string,
   head: ReportHead,
--- a/src/dev/bench/statistics.ts
+++ b/src/dev/bench/statistics.ts
@@ -8,7 +8,7 @@
   readonly runs: number;
 }
 
-/** The value below which `share` (0 to 1) of the values lie; 0 for no values. */
+/** Returns the nearest-rank quantile for `share` (0 to 1); 0 for no values. */
 export function quantile(values: readonly number[], share: number): number {
   if (values.length === 0) {
     return 0;
@@ -27,7 +27,7 @@
   };
 }
 
-/** A least-squares line through points, for slopes of cost by size. */
+/** A least-squares line through points, such as cost by size. */
 export interface LineFit {
   readonly intercept: number;
   readonly slope: number;
--- a/src/dev/bench/world/availability-probe.ts
+++ b/src/dev/bench/world/availability-probe.ts
@@ -16,16 +16,16 @@
   readonly routers: readonly ModelRouter[];
   readonly upstreams: ReadonlyMap<UpstreamId, ModelUpstream>;
   readonly network: ModelNetwork;
-  /** Keys of each shard that is watched. */
+  /** Number of keys of each watched shard. */
   readonly keysOfShard: ReadonlyMap<ShardId, number>;
 }
 
 export class AvailabilityProbe {
-  /** Sum over keys of the seconds in which they were unavailable. */
+  /** Sum of the unavailable seconds of all keys. */
   unavailableKeySeconds = 0;
-  /** Changes of owner, counted by shards. */
+  /** Number of owner changes of single shards. */
   ownerChanges = 0;
-  /** Longest time without an owner of any shard. */
+  /** Longest unowned period of any shard. */
   longestGapMillis = 0;
   private readonly owners = new Map<ShardId, UpstreamId>();
   private readonly gapStarts = new Map<ShardId, number>();
@@ -41,13 +41,13 @@
     this.running = false;
   }
 
-  /** Who serves a shard now; `undefined` if nobody does. */
+  /** Returns the upstream that can serve a shard now, or `undefined`. */
   ownerOf(shard: ShardId): UpstreamId | undefined {
     const owner = this.routedOwner(shard);
     return owner !== undefined && this.parts.upstreams.get(owner)?.serves(shard) ? owner : undefined;
   }
 
-  /** Keys that can be served now, as a share of all. */
+  /** Returns the share of keys that can be served now. */
   availableShare(shards: Iterable<ShardId> = this.parts.keysOfShard.keys()): number {
     let all = 0;
     let available = 0;
@@ -59,7 +59,7 @@
     return all === 0 ? 1 : available / all;
   }
 
-  /** Shards that a server owns now. */
+  /** Returns the shards that a server owns now. */
   shardsOf(upstream: UpstreamId): ShardId[] {
     return [...this.parts.keysOfShard.keys()].filter((shard) => this.ownerOf(shard) === upstream);
   }
--- a/src/dev/bench/world/bench-world.ts
+++ b/src/dev/bench/world/bench-world.ts
@@ -17,7 +17,7 @@
 import type { RequestTally } from './request-tally.js';
 import type { UpstreamSpec } from './world-from-deployment.js';
 
-/** Longest virtual time until everything is up. */
+/** Maximum virtual time until everything is up. */
 const START_LIMIT_MILLIS = 20_000;
 const STEP_MILLIS = 10;
 const WAIT_LIMIT_MILLIS = 60_000;
@@ -76,7 +76,7 @@
     this.queue.runUntil(this.queue.now + millis);
   }
 
-  /** Runs until `isDone`, looked at often; returns the time that took, or the limit. */
+  /** Runs until `isDone` returns true, checked after each step, or until the limit; returns the elapsed time. */
   runUntil(isDone: () => boolean, limitMillis = WAIT_LIMIT_MILLIS, stepMillis = STEP_MILLIS): number {
     const start = this.queue.now;
     while (!isDone() && this.queue.now - start < limitMillis) {
@@ -85,7 +85,7 @@
     return this.queue.now - start;
   }
 
-  /** Starts everything and runs until every router serves and every shard is served. */
+  /** Starts everything and runs until every router is serving and every shard is available. */
   start(): void {
     this.control.start();
     for (const router of this.routers) {
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Makes a change and runs until it is answered; returns the time that took. */
+  /** Submits a command and runs until it is answered; returns the elapsed time. */
   change(command: OperatorCommand, wait: boolean): number {
     let answered = false;
     this.control.command(command, wait, () => {
@@ -114,7 +114,7 @@
     return this.runUntil(() => answered, WAIT_LIMIT_MILLIS, 1);
   }
 
-  /** Sends the streams' requests from now on. */
+  /** Starts to send the requests of the streams. */
   load(tally: RequestTally, streams: readonly LoadStream[]): LoadGenerator {
     const { queue, network, routers } = this;
     const { seed } = this.options;
@@ -125,12 +125,12 @@
     return generator;
   }
 
-  /** A probe of the keys 0 to `count` of one service, or of one key of each shard of all keyed services. */
+  /** Returns a probe of the first `count` keys of a service, or of one key per shard of all keyed services. */
   watch(service?: ServiceName, count = 0): AvailabilityProbe {
     return this.watchFrom(this.routers, service, count);
   }
 
-  /** The same as some of the routers see it. */
+  /** Like `watch`, from the view of the given routers only. */
   watchFrom(routers: readonly ModelRouter[], service?: ServiceName, count = 0): AvailabilityProbe {
     const { queue, upstreams, network } = this;
     const keysOfShard =
@@ -138,7 +138,7 @@
     return new AvailabilityProbe({ queue, routers, upstreams, network, keysOfShard });
   }
 
-  /** Attempts of all routers on upstreams of a service. */
+  /** Counts the attempts of all routers on upstreams of a service. */
   attempts(service: ServiceName): AttemptCounts {
     const counts = this.routers.map((router) => router.attemptsOn(service));
     return {
--- a/src/dev/bench/world/core-timer.ts
+++ b/src/dev/bench/world/core-timer.ts
@@ -1,7 +1,7 @@
-/** Ticks a deterministic core when it asks for it, as the daemons' shells do. */
+/** Ticks a deterministic core at its deadlines, as the I/O layer of the daemons does. */
 import type { EventQueue } from '../../virtual/event-queue.js';
 
-/** Shortest wait for a tick, the same as in the daemons. */
+/** Minimum delay before a tick, the same as in the daemons. */
 const LEAST_TICK_MILLIS = 1;
 
 export class CoreTimer {
@@ -13,7 +13,7 @@
     private readonly tick: () => void,
   ) {}
 
-  /** To be called after each step: sets the timer if the core wants its tick earlier than before. */
+  /** Must be called after each step; resets the timer if the core's deadline is earlier than before. */
   schedule(): void {
     const deadline = this.nextDeadline();
     if (deadline >= this.dueAt) {
@@ -24,7 +24,7 @@
     this.queue.at(dueAt, () => this.fire(dueAt));
   }
 
-  /** A timer that a sooner one replaced does nothing. */
+  /** Does nothing for a timer that an earlier one has replaced. */
   private fire(setFor: number): void {
     if (setFor !== this.dueAt) {
       return;
--- a/src/dev/bench/world/load-generator.ts
+++ b/src/dev/bench/world/load-generator.ts
@@ -1,4 +1,4 @@
-/** Callers in virtual time: open streams of requests, which come back after Retry-After if they are told to. */
+/** Callers in virtual time: open-loop streams of requests, retried after the Retry-After of a refusal. */
 import type { ServiceDefinition } from '../../../model/service.js';
 import type { EventQueue } from '../../virtual/event-queue.js';
 import { RandomSource, ZipfDistribution } from '../../virtual/random-source.js';
@@ -21,20 +21,20 @@
   readonly keys: number;
   readonly skew: number;
   readonly method: 'GET' | 'POST';
-  /** How often a caller that was refused as `not-run` with Retry-After comes again. */
+  /** Maximum number of retries of a request that is refused as `not-run` with Retry-After. */
   readonly returns: number;
 }
 
 export interface LoadParts {
   readonly queue: EventQueue;
-  /** Each stream draws from a source of its own, so that one stream's rate changes nothing about another. */
+  /** Each stream draws from its own source, so that the rate of one stream doesn't affect the others. */
   readonly seed: number;
   readonly network: ModelNetwork;
   readonly routers: readonly ModelRouter[];
   readonly tally: RequestTally;
 }
 
-/** A stream under way. */
+/** A running stream. */
 interface OpenStream {
   readonly stream: LoadStream;
   readonly zipf: ZipfDistribution | null;
@@ -50,7 +50,7 @@
   returnsLeft: number;
 }
 
-/** Names of a service's keys by popularity: exact matches first. */
+/** Returns the name of the key at a popularity rank; the keys of exact keyspaces come first. */
 export function keyName(service: ServiceDefinition, rank: number): string {
   const exact = service.keyspaces.filter((keyspace) => keyspace.kind === 'exact');
   const named = service.keyspaces.find((keyspace) => keyspace.kind === 'prefix' && keyspace.match !== '');
@@ -64,7 +64,7 @@
 
   constructor(private readonly parts: LoadParts) {}
 
-  /** Calls that wait for their final answer. */
+  /** Number of calls without a final answer. */
   get open(): number {
     return this.openCalls;
   }
@@ -79,7 +79,7 @@
     this.parts.queue.at(stream.from, () => this.scheduleNext({ stream, zipf, random }));
   }
 
-  /** No new calls; those that are open go on. */
+  /** Starts no new calls; open calls continue. */
   stop(): void {
     this.stopped = true;
   }
@@ -137,7 +137,7 @@
     const { service } = call.stream;
     if (answer.type === 'refuse') {
       tally.noteRefusal(service.name, answer, call.sentAt);
-      // An order may come again whatever was said of it: its idempotency key keeps it from running twice.
+      // A request with an idempotency key may be retried after any outcome: the key prevents a second run.
       const mayReturn = answer.outcome === 'not-run' || call.id !== null;
       if (call.returnsLeft > 0 && mayReturn && answer.retryAfterMillis !== null) {
         call.returnsLeft -= 1;
--- a/src/dev/bench/world/model-control.ts
+++ b/src/dev/bench/world/model-control.ts
@@ -1,4 +1,4 @@
-/** A group of control members in virtual time: the real core of each, an ideal disk, and the network between them. */
+/** A control group in virtual time: the real core of each member, an ideal disk, and the network between members. */
 import type { RestoredState } from '../../../consensus/types.js';
 import { createControlNode } from '../../../control/control-node.js';
 import {
@@ -43,7 +43,7 @@
 export interface RouterLink {
   readonly zone: Zone;
   receive(from: Address, message: ControlToRouter): void;
-  /** The connection to a member broke. */
+  /** Handles a broken connection to a member. */
   lost(from: Address): void;
 }
 
@@ -51,7 +51,7 @@
   readonly seed: number;
   readonly zones: readonly Zone[];
   readonly members: number;
-  /** Changes to the configuration of every member. */
+  /** Overrides of the configuration of every member. */
   readonly config: Partial<ControlConfig>;
 }
 
@@ -88,7 +88,7 @@
     this.routers.set(router, link);
   }
 
-  /** A message of a router to the member at `to`; lost if the member is dead or cut off. */
+  /** Sends a router's message to the member at `to`; it is lost if the member is dead or cut off. */
   fromRouter(router: string, to: Address, message: RouterToControl): void {
     const member = this.members.get(to);
     const link = this.routers.get(router);
@@ -99,7 +99,7 @@
     this.network.send(link.zone, member.zone, () => this.step(member, input));
   }
 
-  /** Makes a change, sent again until a leader takes it. */
+  /** Submits a command and retries it until a leader accepts it. */
   command(command: OperatorCommand, wait: boolean, done: (response: OperatorResponse) => void): void {
     this.operationCount += 1;
     const requestId = `bench-${this.operationCount}`;
--- a/src/dev/bench/world/model-network.ts
+++ b/src/dev/bench/world/model-network.ts
@@ -1,11 +1,11 @@
-/** Message times between zones, and cuts. What crosses a cut is lost; what is under way when it begins still arrives. */
+/** Message delays between zones, and partitions. Messages sent across a cut are lost; those already in flight arrive. */
 import type { Zone } from '../../../model/identifiers.js';
 import type { EventQueue } from '../../virtual/event-queue.js';
 import type { RandomSource } from '../../virtual/random-source.js';
 
-/** One-way time within a zone. */
+/** One-way delay within a zone. */
 const WITHIN_ZONE_MILLIS = 0.1;
-/** One-way times vary by this share either way. */
+/** One-way delays vary by up to this share in both directions. */
 const JITTER_SHARE = 0.1;
 
 export interface NetworkTimes {
@@ -14,7 +14,7 @@
 }
 
 export class ModelNetwork {
-  /** Zones that hear nothing from other zones and are not heard there. Clients reach every zone. */
+  /** Zones cut off from all other zones in both directions. Clients reach every zone. */
   private readonly cutZones = new Set<Zone>();
 
   constructor(
@@ -35,7 +35,7 @@
     return from !== to && (this.cutZones.has(from) || this.cutZones.has(to));
   }
 
-  /** Delivers a message between processes; `false` if it is lost. */
+  /** Delivers a message between processes; returns `false` if it is lost. */
   send(from: Zone, to: Zone, deliver: () => void): boolean {
     if (this.isCut(from, to)) {
       return false;
@@ -49,7 +49,7 @@
     this.queue.after(this.jittered(this.times.clientMillis), deliver);
   }
 
-  /** Drawn one-way time between two zones. */
+  /** Draws a one-way delay between two zones. */
   oneWay(from: Zone, to: Zone): number {
     return this.jittered(from === to ? WITHIN_ZONE_MILLIS : this.times.betweenZonesMillis);
   }
--- a/src/dev/bench/world/model-router.ts
+++ b/src/dev/bench/world/model-router.ts
@@ -1,4 +1,4 @@
-/** A router in virtual time: the real core, its connections to upstreams, its probes, and its links to control. */
+/** A router in virtual time: the real core, its upstream connections, its probes, and its connections to control. */
 import type { ControlToRouter } from '../../../control/messages.js';
 import { DEFAULT_CONFIG_LEASE_TIMINGS } from '../../../control/messages.js';
 import type { Address, RouterId, ServiceName, UpstreamId, Zone } from '../../../model/identifiers.js';
@@ -23,7 +23,7 @@
 const CONNECT_TIMEOUT_MILLIS = 500;
 const PROBE_INTERVAL_MILLIS = 1000;
 
-/** The final answer that a caller gets. */
+/** The final answer to a caller. */
 export type FinalAnswer =
   | { readonly type: 'delivered' }
   | (Extract<RouterEffect, { type: 'refuse' }> & { readonly arrivedAt: number; readonly answeredAt: number });
@@ -32,19 +32,19 @@
 
 interface OpenAttempt {
   readonly upstream: ModelUpstream;
-  /** `null` until it is sent. */
+  /** `null` until the request is sent. */
   sent: ServerRequest | null;
-  /** Whether it holds a connection. */
+  /** Whether the attempt holds a connection. */
   connected: boolean;
   ended: boolean;
 }
 
-/** Attempts of a router on upstreams of one service. */
+/** Numbers of attempts of a router on upstreams of one service. */
 export interface AttemptCounts {
   all: number;
-  /** The first of their requests. */
+  /** First attempts of requests. */
   first: number;
-  /** On upstreams of the router's own zone. */
+  /** Attempts on upstreams in the router's own zone. */
   local: number;
 }
 
@@ -119,7 +119,7 @@
     return this.attemptCounts.get(service) ?? { all: 0, first: 0, local: 0 };
   }
 
-  /** A caller's request; `answer` is called once, when the final answer leaves the router. */
+  /** Handles a caller's request; `answer` is called once, when the final answer leaves the router. */
   arrive(request: Omit<ArrivedRequest, 'request'>, answer: (answer: FinalAnswer) => void): void {
     this.requestCount += 1;
     const number = this.requestCount;
@@ -175,7 +175,7 @@
         }));
         return;
       case 'check-run': {
-        // Servers of the model don't end under requests.
+        // Modelled servers never terminate because of a request.
         const { run } = effect;
         this.parts.queue.after(0, () => this.step({ type: 'run-checked', run, check: 'there' }));
         return;
@@ -216,7 +216,7 @@
     }
   }
 
-  /** A new connection costs a round trip and the server's own time. */
+  /** Opens a connection, which takes a round trip and the server's connect time. */
   private connect(effect: DispatchEffect, attempt: OpenAttempt): void {
     const { network, queue } = this.parts;
     const { upstream } = attempt;
@@ -265,7 +265,7 @@
     });
   }
 
-  /** The upstream sees its connection close one message time later. */
+  /** Cancels an attempt; the upstream observes the closed connection one message delay later. */
   private cancel(number: AttemptNumber): void {
     const attempt = this.attempts.get(number);
     if (attempt === undefined) {
@@ -282,7 +282,7 @@
     this.endLater(number, { type: 'cancelled' });
   }
 
-  /** Never during a step of the core. */
+  /** Ends an attempt in a later event, never during a step of the core. */
   private endLater(number: AttemptNumber, result: AttemptResult): void {
     this.parts.queue.after(0, () => this.end(number, result, 'close'));
   }
--- a/src/dev/bench/world/model-upstream.ts
+++ b/src/dev/bench/world/model-upstream.ts
@@ -1,6 +1,6 @@
 /**
- * An upstream server in virtual time: slots and a short queue before them, connection and probe cost, cold start,
- * shedding, and the real holder of grants as its fence.
+ * An upstream server in virtual time: slots with a bounded queue, connection and probe cost, cold start, load shedding,
+ * and the real grant holder as its fence.
  */
 import { createGrantHolder, type GrantHolder, type Ticket } from '../../../lease/index.js';
 import type { FenceCredentials, SessionAnswer, SessionRequest } from '../../../lease/types.js';
@@ -15,37 +15,37 @@
 /** One attempt as it reaches the server. */
 export interface ServerRequest {
   readonly credentials: FenceCredentials | null;
-  /** Virtual time after which nobody waits for the answer. */
+  /** Virtual time after which the answer is no longer needed. */
   readonly deadlineAt: number;
   /** Called at most once, when the answer leaves the server. */
   readonly respond: (result: AttemptResult) => void;
-  /** Set when the caller went away. */
+  /** Set when the caller has disconnected. */
   cancelled: boolean;
 }
 
-/** `frozen`: takes connections, does nothing. `dead`: refuses them. */
+/** `frozen`: accepts connections but processes nothing. `dead`: refuses connections. */
 export type ServerState = 'up' | 'frozen' | 'dead';
 
 interface Running {
   readonly request: ServerRequest;
   readonly ticket: Ticket | null;
-  /** Answered, given up or lost with the process: timers that are still set find nothing to do. */
+  /** Answered, abandoned or lost with the process; timers that are still pending then do nothing. */
   done: boolean;
 }
 
 export class ModelUpstream {
   holder: GrantHolder;
   state: ServerState = 'up';
-  /** Share of its usual speed; 2: requests take twice as long. */
+  /** Factor on request times; 2: requests take twice as long. */
   slowness = 1;
-  /** Share of requests that break after they began. */
+  /** Share of requests whose connection breaks after processing. */
   failureShare = 0;
   /** Open connections of all routers. */
   connectionCount = 0;
-  /** Requests answered, and requests begun. */
+  /** Numbers of requests answered and of requests started. */
   answered = 0;
   begun = 0;
-  /** Asks control to move its shards away, as a planned stop does. */
+  /** Set to request that control move the shards away, as a planned shutdown does. */
   leaving = false;
   private drained = false;
   private run = 1;
@@ -78,7 +78,7 @@
     return this.open.size;
   }
 
-  /** Whether a request of this shard that came now would be let in and find the shard's state loaded. */
+  /** Whether a request for this shard would be admitted now and the shard's state is loaded. */
   serves(shard: ShardId): boolean {
     const { now } = this.queue;
     const isUp = this.state === 'up' && this.served.has(shard);
@@ -89,14 +89,14 @@
     return this.served.get(shard);
   }
 
-  /** A control leader's session request. */
+  /** Handles a session request of a control leader. */
   handleSession(request: SessionRequest): SessionAnswer {
     const answer = this.holder.handleSession(request, this.queue.now);
     this.takeHolderEvents();
     return this.leaving ? { ...answer, leaving: true } : answer;
   }
 
-  /** Runs `action` now, or when a frozen server thaws; `false` if the server is dead. */
+  /** Runs `action` now, or once a frozen server thaws; returns `false` if the server is dead. */
   whenAwake(action: () => void): boolean {
     if (this.state === 'frozen') {
       this.frozenWork.push(action);
@@ -108,12 +108,12 @@
     return this.state === 'up';
   }
 
-  /** Takes a request that arrived over an open connection. */
+  /** Handles a request received on an open connection. */
   serve(request: ServerRequest): void {
     this.whenAwake(() => this.admit(request));
   }
 
-  /** A probe: takes a slot for its cost if one is free, then answers. */
+  /** Answers a probe after it has occupied a slot for its cost; at once if no slot is free. */
   probe(respond: (load: number) => void): void {
     if (this.busy >= this.traits.slots) {
       respond(this.load());
@@ -130,7 +130,7 @@
     });
   }
 
-  /** The process dies: connections break, nothing is answered. */
+  /** Kills the process: connections break and open requests aren't answered. */
   kill(): void {
     this.state = 'dead';
     for (const running of this.open) {
@@ -142,7 +142,7 @@
     this.reset();
   }
 
-  /** A new run of the process, cold and without grants. */
+  /** Starts a new run of the process, cold and without grants. */
   restart(): void {
     this.run += 1;
     this.startedAt = this.queue.now;
@@ -154,18 +154,18 @@
     this.reporter = new LoadReporter(this.traits.loadLagMillis, 1);
   }
 
-  /** Lets in nothing more, as the end of a planned stop does. */
+  /** Rejects all further requests, as the last phase of a planned shutdown does. */
   drain(): void {
     this.drained = true;
   }
 
-  /** Whether the leader may still take it for the owner of a shard. */
+  /** Whether the leader may still consider this server the owner of a shard. */
   holdsAny(): boolean {
     const { held, unreported } = this.holder.status(this.queue.now);
     return held + unreported > 0;
   }
 
-  /** Does nothing until `thaw`; what comes meanwhile waits. */
+  /** Suspends the process until `thaw`; requests received meanwhile wait. */
   freeze(): void {
     this.state = 'frozen';
   }
@@ -238,7 +238,7 @@
     }
   }
 
-  /** `null` for services that aren't keyed; `undefined` if the request was refused. */
+  /** Returns `null` for services that aren't keyed, and `undefined` if the request was refused. */
   private passFence(request: ServerRequest): Ticket | null | undefined {
     const { now } = this.queue;
     if (!this.keyed || request.credentials === null) {
@@ -256,7 +256,7 @@
     return undefined;
   }
 
-  /** A shard that was granted cold is loaded first; its requests hold no slot meanwhile. */
+  /** Delays a request until its shard, if granted cold, is loaded; the request holds no slot meanwhile. */
   private waitForShard(running: Running): void {
     const loadedAt = running.ticket === null ? 0 : (this.loadedAt.get(running.ticket.shard) ?? 0);
     if (loadedAt > this.queue.now) {
@@ -321,7 +321,7 @@
     }
   }
 
-  /** Skips what nobody waits for any more. */
+  /** Starts waiting requests while slots are free; skips cancelled and expired ones. */
   private startWaiting(): void {
     while (this.busy < this.traits.slots) {
       const next = this.waiting.shift();
--- a/src/dev/bench/world/request-tally.ts
+++ b/src/dev/bench/world/request-tally.ts
@@ -1,6 +1,6 @@
 /**
- * Counts of what callers asked for and got. Requests count if they were sent within a window; goodput is what was
- * answered within it, whenever it was sent.
+ * Counts requests and their outcomes as callers see them. A request counts if it is sent within the measured window;
+ * goodput counts the good answers within the window, regardless of when their requests were sent.
  */
 import type { ServiceName } from '../../../model/identifiers.js';
 import { quantile } from '../statistics.js';
@@ -10,27 +10,27 @@
 
 export interface ServiceCounts {
   offered: number;
-  /** Answered by an upstream within the deadline. */
+  /** Requests answered by an upstream within the deadline. */
   good: number;
-  /** Good answers that came within the window. */
+  /** Good answers within the window. */
   goodInWindow: number;
   late: number;
   notRun: number;
   unknown: number;
   readonly reasons: Map<string, number>;
-  /** From the caller's first sending to the good answer. */
+  /** Milliseconds from the first attempt of the caller to the good answer. */
   readonly latencies: number[];
-  /** Time in the router of requests that it answered itself. */
+  /** Time spent in the router by requests that it refused. */
   readonly refusalMillis: number[];
-  /** Retry-After of refusals. */
+  /** Retry-After values of refusals. */
   readonly retryAfters: number[];
 }
 
-/** One answer, for series over time. */
+/** One answered request, for time series. */
 export interface TallyEntry {
   readonly service: ServiceName;
   readonly key: string | null;
-  /** When the caller first sent it. */
+  /** Time of the first attempt of the caller. */
   readonly sentAt: number;
   readonly answeredAt: number;
   readonly good: boolean;
@@ -72,7 +72,7 @@
     }
   }
 
-  /** The answer that a caller was left with. */
+  /** Records the final answer to a request. */
   answered(entry: TallyEntry, answer: FinalAnswer): void {
     const counts = this.counts(entry.service);
     if (entry.good && this.isWithin(entry.answeredAt)) {
@@ -94,7 +94,7 @@
     }
   }
 
-  /** A refusal after which the caller may come again. */
+  /** Records a refusal, which the caller may retry. */
   noteRefusal(service: ServiceName, answer: Refusal, sentAt: number): void {
     if (!this.isWithin(sentAt)) {
       return;
@@ -110,7 +110,7 @@
     return this.counts(service).goodInWindow / ((this.to - this.from) / 1000);
   }
 
-  /** Share of the requests offered that were good; 1 if none were. */
+  /** Returns the share of good requests among those offered; 1 if none were offered. */
   goodShare(service: ServiceName): number {
     const { good, offered } = this.counts(service);
     return offered === 0 ? 1 : good / offered;
@@ -120,12 +120,12 @@
     return quantile(this.counts(service).latencies, share);
   }
 
-  /** Sum over services of one count. */
+  /** Returns the sum of one count over all services. */
   total(field: 'offered' | 'good' | 'late' | 'notRun' | 'unknown'): number {
     return [...this.services.values()].reduce((sum, counts) => sum + counts[field], 0);
   }
 
-  /** Good share by buckets of the time of sending. */
+  /** Returns the good share for each bucket of the send time. */
   goodShareOverTime(service: ServiceName, bucketMillis: number): { at: number; share: number }[] {
     const buckets = new Map<number, { good: number; all: number }>();
     for (const entry of this.entries) {
--- a/src/dev/bench/world/upstream-connections.ts
+++ b/src/dev/bench/world/upstream-connections.ts
@@ -1,8 +1,8 @@
-/** The connections that one router keeps to upstreams. A connection carries one request at a time. */
+/** The connections from one router to upstreams. A connection serves one request at a time. */
 import type { ModelUpstream } from './model-upstream.js';
 
 interface Link {
-  /** Run of the server that the connections lead to; those to an earlier run are broken. */
+  /** Run of the server that the connections belong to; connections to an earlier run are broken. */
   incarnation: string;
   idle: number;
   total: number;
@@ -11,7 +11,7 @@
 export class UpstreamConnections {
   private readonly links = new Map<ModelUpstream, Link>();
 
-  /** Takes an idle connection, if there is one. */
+  /** Takes an idle connection; returns `false` if there is none. */
   takeIdle(upstream: ModelUpstream): boolean {
     const link = this.linkOf(upstream);
     if (upstream.state === 'dead' || link.idle === 0) {
@@ -21,7 +21,7 @@
     return true;
   }
 
-  /** Opens a connection; `false` if the server takes no more. */
+  /** Opens a connection; returns `false` if the server is at its connection limit. */
   open(upstream: ModelUpstream): boolean {
     const link = this.linkOf(upstream);
     if (upstream.connectionCount >= upstream.traits.connections) {
@@ -32,7 +32,7 @@
     return true;
   }
 
-  /** A request is over: its connection is kept or closed. */
+  /** Keeps or closes the connection of a finished request. */
   release(upstream: ModelUpstream, keeps: boolean): void {
     const link = this.linkOf(upstream);
     if (keeps) {
--- a/src/dev/bench/world/upstream-traits.ts
+++ b/src/dev/bench/world/upstream-traits.ts
@@ -1,29 +1,29 @@
-/** What a model of an upstream is made from. */
+/** Parameters of a modelled upstream. */
 export interface UpstreamTraits {
-  /** Requests worked on at once. */
+  /** Requests processed concurrently. */
   readonly slots: number;
-  /** Requests that may wait for a slot; one more is shed. */
+  /** Maximum number of requests that wait for a slot; further requests are shed. */
   readonly queueLimit: number;
-  /** Connections accepted. */
+  /** Maximum number of open connections. */
   readonly connections: number;
   readonly connectMillis: number;
-  /** A probe takes a slot for this long, if one is free. */
+  /** Time for which a probe occupies a slot, if one is free. */
   readonly probeMillis: number;
-  /** Mean time of one request when warm; log-normal. */
+  /** Mean processing time of a request when warm; log-normal. */
   readonly serviceMillis: number;
-  /** Spread of the logarithm of request times. */
+  /** Standard deviation of the logarithm of request times. */
   readonly sigma: number;
-  /** After a restart request times fall in a straight line to the usual ones over this time. */
+  /** Period after a restart over which request times fall linearly to their usual values. */
   readonly coldMillis: number;
-  /** How many times longer the first request after a restart takes. */
+  /** Factor on the time of the first request after a restart. */
   readonly coldFactor: number;
-  /** Time to load the state of one shard; requests of a shard granted cold wait for it. */
+  /** Time to load the state of one shard; requests for a shard granted cold wait for it. */
   readonly shardLoadMillis: number;
-  /** Age of the load that answers report. */
+  /** Age of the load reported in answers. */
   readonly loadLagMillis: number;
 }
 
-/** Assumed where a deployment says nothing; the same in every arm of an experiment. */
+/** Assumed values of traits that a deployment doesn't define; the same in every arm of an experiment. */
 export const ASSUMED_TRAITS = {
   queueLimit: 32,
   sigma: 0.5,
--- a/src/dev/bench/world/world-from-deployment.ts
+++ b/src/dev/bench/world/world-from-deployment.ts
@@ -1,4 +1,4 @@
-/** Turns a deployment into the options of a world and its workload into streams. */
+/** Converts a deployment into the options of a world, and its workload into streams. */
 import type { ServiceDefinition, UpstreamDefinition } from '../../../model/service.js';
 import type { Deployment, UpstreamTemplate, WorkloadPhase } from '../../../settings/deployment.js';
 import type { WorldOptions } from './bench-world.js';
@@ -31,10 +31,10 @@
   }));
 }
 
-/** What an arm does otherwise than the installation. */
+/** Overrides of the installation's options in one arm. */
 export type WorldChange = Partial<WorldOptions>;
 
-/** The installation of a deployment: two routers a zone, three control members. */
+/** Returns the options of a deployment's installation: two routers per zone, three control members. */
 export function worldOptions(deployment: Deployment, seed: number): WorldOptions {
   const { zones, network, services } = deployment;
   return {
@@ -56,14 +56,14 @@
   return deployment.services.find((service) => service.name === name) as ServiceDefinition;
 }
 
-/** Requests a second that a service's upstreams can work off when warm. */
+/** Returns the requests per second that a service's upstreams can process when warm. */
 export function capacityPerSecond(deployment: Deployment, service: string): number {
   return deployment.upstreams
     .filter((template) => template.service === service)
     .reduce((sum, { count, slots, serviceMillis }) => sum + (count * slots * 1000) / serviceMillis, 0);
 }
 
-/** The phase with the highest rate. */
+/** Returns the phase with the highest rate. */
 export function rushOf(deployment: Deployment): WorkloadPhase {
   return deployment.workload.phases.reduce((rush, phase) =>
     phase.requestsPerSecond > rush.requestsPerSecond ? phase : rush,
@@ -75,7 +75,7 @@
   readonly to: number;
 }
 
-/** Streams of a phase; `rateOf` gives requests a second of a service in place of the phase's own. */
+/** Returns the streams of a phase; `rateOf` may override the requests per second of each service. */
 export function streamsOf(
   deployment: Deployment,
   phase: WorkloadPhase,
--- a/test/dev/bench/model-upstream.test.ts
+++ b/test/dev/bench/model-upstream.test.ts
@@ -43,8 +43,8 @@
 
 const typesOf = (results: readonly AttemptResult[]): string[] => results.map(({ type }) => type);
 
-describe('model of an upstream', () => {
-  it('works on as many requests as it has slots and sheds beyond its queue', () => {
+describe('ModelUpstream', () => {
+  it('processes as many requests as it has slots and sheds requests beyond its queue limit', () => {
     const { queue, results, send } = start();
     for (let count = 0; count < 7; count += 1) {
       send();
@@ -56,7 +56,7 @@
     expect(typesOf(results.slice(2))).to.deep.equal(Array(5).fill('answered'));
   });
 
-  it('does no work for callers that went away', () => {
+  it('does not process requests of callers that have disconnected', () => {
     const { queue, upstream, send } = start();
     const requests = [send(), send(), send()];
     (requests[2] as ServerRequest).cancelled = true;
@@ -64,7 +64,7 @@
     expect(upstream.begun).to.equal(2);
   });
 
-  it('breaks what it works on when it is killed, and is cold after a restart', () => {
+  it('breaks open requests when it is killed, and is cold after a restart', () => {
     const { queue, upstream, results, send } = start();
     send();
     upstream.kill();
--- a/test/dev/bench/report.test.ts
+++ b/test/dev/bench/report.test.ts
@@ -30,7 +30,7 @@
   return { arms, targets, notes: ['a note'] };
 }
 
-describe('report of an experiment', () => {
+describe('experiment report', () => {
   it('shows medians with their ranges, baselines and targets', () => {
     const table = renderTable('title', makeResult());
     expect(table).to.include('20 [10-30]');
@@ -39,7 +39,7 @@
     expect(table).to.match(/short wait, every seed +<= 20 +20 \[10-30\] +NOT MET/);
   });
 
-  it('draws an SVG with a panel for each measure and a chart', async () => {
+  it('renders an SVG with a panel for each measure and a chart', async () => {
     const points = [0, 1, 2].map((x) => ({ series: 'ours', x, y: x * x }));
     const charts = [{ title: 'over time', xTitle: 'x', yTitle: 'y', points }];
     const svg = await renderPlot('title', { ...makeResult(), charts });
@@ -48,7 +48,7 @@
     expect(svg).to.include('over time');
   });
 
-  it('finds each experiment once, by its name', async () => {
+  it('loads each experiment once, by its name', async () => {
     const experiments = await loadExperiments();
     expect([...experiments.keys()]).to.include.members([
       'bracket-drop',
--- a/test/dev/bench/statistics.test.ts
+++ b/test/dev/bench/statistics.test.ts
@@ -14,7 +14,7 @@
     });
   }
 
-  it('gives median and range', () => {
+  it('returns median and range', () => {
     expect(spreadOf([5, 1, 9])).to.deep.equal({ median: 5, lowest: 1, highest: 9, runs: 3 });
   });
 
--- a/test/dev/bench/world.test.ts
+++ b/test/dev/bench/world.test.ts
@@ -6,7 +6,7 @@
 import type { Deployment } from '../../../src/settings/deployment.js';
 import { deploymentSchema } from '../../../src/settings/deployment.js';
 
-/** A small installation, so that a run takes a fraction of a second. */
+/** A small installation that keeps each run below a second. */
 const DEPLOYMENT: Deployment = deploymentSchema.parse({
   name: 'small',
   zones: ['zone-a', 'zone-b', 'zone-c'],
@@ -72,13 +72,13 @@
   return new Map(readings.map(({ name, value }) => [name, value]));
 }
 
-describe('world of the bench', () => {
-  it('gives the same figures for the same seed, others for another', () => {
+describe('BenchWorld', () => {
+  it('produces the same figures for the same seed and different ones for another seed', () => {
     expect([...rush(1, 0.5)]).to.deep.equal([...rush(1, 0.5)]);
     expect([...rush(1, 0.5)]).to.not.deep.equal([...rush(2, 0.5)]);
   });
 
-  it('serves all of a light load and refuses part of a heavy one, orders untouched', () => {
+  it('serves all of a light load and refuses part of a heavy one without affecting orders', () => {
     const light = rush(1, 0.3);
     expect(light.get('sheets good share')).to.equal(100);
     const heavy = rush(1, 3);
