--- a/src/dev/bench/experiments/hot-key.ts
+++ b/src/dev/bench/experiments/hot-key.ts
@@ -78,13 +78,13 @@
   const stream = streamOf(deployment, { ...service, keyspaces: prefixes }, from, to);
   const load = world.load(tally, [stream]);
   world.run(WARM_UP_MILLIS);
-  const before = world.upstreamsOf(service.name).map(({ begun }) => begun);
+  const before = world.upstreamsOf(service.name).map(({ startedCount }) => startedCount);
   world.run(MEASURED_MILLIS);
-  const begun = world
+  const startedCounts = world
     .upstreamsOf(service.name)
-    .map((upstream, index) => upstream.begun - (before[index] ?? 0));
+    .map((upstream, index) => upstream.startedCount - (before[index] ?? 0));
   world.runUntil(() => load.open === 0);
-  const total = begun.reduce((sum, count) => sum + count, 0);
+  const total = startedCounts.reduce((sum, count) => sum + count, 0);
   const hot = tally.entries.filter(({ key }) => key === hotKey);
   const others = tally.entries.filter(({ key }) => key !== hotKey);
   return [
@@ -92,7 +92,7 @@
     ...entryReadings('hottest key', hot),
     ...entryReadings('other keys', others),
     reading('worked on by the upstreams', '1/s', total / (MEASURED_MILLIS / MILLIS_PER_SECOND)),
-    reading('busiest upstream to mean', '', Math.max(...begun) / (total / begun.length)),
+    reading('busiest upstream to mean', '', Math.max(...startedCounts) / (total / startedCounts.length)),
   ];
 }
 
--- a/src/dev/bench/experiments/picker.ts
+++ b/src/dev/bench/experiments/picker.ts
@@ -16,7 +16,7 @@
 const DOWN_MILLIS = 500;
 const PERCENT = 100;
 
-interface Surroundings {
+interface Conditions {
   readonly label: string;
   /** Whether a third is killed during the warm-up and restarts cold when measuring starts. */
   readonly restarts?: boolean;
@@ -24,7 +24,7 @@
   readonly loadLagMillis: number;
 }
 
-const SURROUNDINGS: readonly Surroundings[] = [
+const CONDITIONS: readonly Conditions[] = [
   { label: 'equal', slowness: 1, loadLagMillis: 0 },
   { label: 'a third 3x slower', slowness: SLOWNESS, loadLagMillis: 0 },
   { label: 'the same, load 1 s old', slowness: SLOWNESS, loadLagMillis: STALE_MILLIS },
@@ -38,19 +38,24 @@
   return local / all;
 }
 
-function run(context: ExperimentContext, seed: number, picker: PickerName, around: Surroundings): Reading[] {
+function run(
+  context: ExperimentContext,
+  seed: number,
+  picker: PickerName,
+  conditions: Conditions,
+): Reading[] {
   const started = startUnkeyedWorld(context.deployment, seed, {
-    loadShare: around.restarts === true ? COLD_LOAD_SHARE : LOAD_SHARE,
+    loadShare: conditions.restarts === true ? COLD_LOAD_SHARE : LOAD_SHARE,
     warmUpMillis: WARM_UP_MILLIS,
     measuredMillis: MEASURED_MILLIS,
     change: { picker },
-    traits: { loadLagMillis: around.loadLagMillis },
+    traits: { loadLagMillis: conditions.loadLagMillis },
     prepare: (upstream, index) => {
-      upstream.slowness = index % SLOW_EVERY === 0 ? around.slowness : 1;
+      upstream.slowness = index % SLOW_EVERY === 0 ? conditions.slowness : 1;
     },
   });
   const { world, tally, service, upstreams } = started;
-  if (around.restarts === true) {
+  if (conditions.restarts === true) {
     const restarted = upstreams.filter((_, index) => index % SLOW_EVERY === 0);
     world.run(WARM_UP_MILLIS - DOWN_MILLIS);
     for (const upstream of restarted) {
@@ -62,14 +67,14 @@
     }
   }
   finishUnkeyed(started);
-  const busy = upstreams.map(({ begun, slowness }) => begun * slowness);
+  const busy = upstreams.map(({ startedCount, slowness }) => startedCount * slowness);
   const mean = busy.reduce((sum, work) => sum + work, 0) / busy.length;
   return [
-    reading(`p50, ${around.label}`, 'ms', tally.latency(service.name, 0.5)),
-    reading(`p99, ${around.label}`, 'ms', tally.latency(service.name, 0.99)),
-    reading(`good share, ${around.label}`, '%', tally.goodShare(service.name) * PERCENT),
-    reading(`within the zone, ${around.label}`, '%', localShare(started) * PERCENT),
-    reading(`busiest to mean, ${around.label}`, '', quantile(busy, 1) / mean),
+    reading(`p50, ${conditions.label}`, 'ms', tally.latency(service.name, 0.5)),
+    reading(`p99, ${conditions.label}`, 'ms', tally.latency(service.name, 0.99)),
+    reading(`good share, ${conditions.label}`, '%', tally.goodShare(service.name) * PERCENT),
+    reading(`within the zone, ${conditions.label}`, '%', localShare(started) * PERCENT),
+    reading(`busiest to mean, ${conditions.label}`, '', quantile(busy, 1) / mean),
   ];
 }
 
@@ -80,11 +85,11 @@
       (picker): Arm => ({
         name: picker,
         baseline: picker !== 'least-work',
-        run: (seed) => SURROUNDINGS.flatMap((around) => run(context, seed, picker, around)),
+        run: (seed) => CONDITIONS.flatMap((conditions) => run(context, seed, picker, conditions)),
       }),
     ),
   );
-  const compared = SURROUNDINGS.slice(1).flatMap(({ label }) =>
+  const compared = CONDITIONS.slice(1).flatMap(({ label }) =>
     PICKERS.slice(1).map((picker) =>
       target(
         `p99 of least-work to ${picker}, ${label}`,
--- a/src/dev/bench/experiments/placement-scale.ts
+++ b/src/dev/bench/experiments/placement-scale.ts
@@ -11,7 +11,7 @@
 const ZONES = ['zone-a', 'zone-b', 'zone-c'];
 const SERVICE = 'menuboard';
 const SETTINGS = { weights: { unavailability: 10, imbalance: 2, churn: 3 }, movesPerMinute: 60 };
-const GREATEST_LOAD = 1000;
+const MAX_LOAD = 1000;
 /** Steps of the leader over which the time of one server answer is averaged. */
 const ANSWER_STEPS = 800;
 const MICROS_PER_MILLI = 1000;
@@ -43,7 +43,7 @@
     seed: number,
   ) {
     const random = new RandomSource(seed);
-    this.loads = Array.from({ length: shards }, () => random.below(GREATEST_LOAD));
+    this.loads = Array.from({ length: shards }, () => random.below(MAX_LOAD));
     for (let number = 0; number < servers; number += 1) {
       this.setState(number, 'ready');
     }
@@ -79,7 +79,7 @@
   lose(numbers: readonly number[]): number {
     const lost = new Set(numbers.map(idOf));
     const shards = [...this.owners].filter(([, owner]) => lost.has(owner)).map(([shard]) => Number(shard));
-    const told = timed(() => {
+    const updateMillis = timed(() => {
       for (const number of numbers) {
         this.setState(number, 'lost');
       }
@@ -87,7 +87,7 @@
         this.setOwner(shard, null);
       }
     });
-    return told + this.plan();
+    return updateMillis + this.plan();
   }
 }
 
--- a/src/dev/bench/experiments/placement.ts
+++ b/src/dev/bench/experiments/placement.ts
@@ -34,7 +34,7 @@
 const UNAVAILABLE_WANTED = 5;
 const CHART_SAMPLES = 10;
 /** Time for which a leader collects load reports before it balances by them, as in control. */
-const LISTEN_MILLIS = 10_000;
+const LOAD_COLLECTION_MILLIS = 10_000;
 
 const TO_BOUND = 'rush: most loaded / lower bound, mean';
 const CHURN = 'rush: changes of owner';
@@ -47,7 +47,7 @@
 }
 
 function weighted({ placement, movesPerMinute }: ServiceDefinition): PlacementPlanner {
-  return createPlanner({ weights: placement, movesPerMinute }, LISTEN_MILLIS);
+  return createPlanner({ weights: placement, movesPerMinute }, LOAD_COLLECTION_MILLIS);
 }
 
 function armsFor({ definition }: PlacedService): NamedArm[] {
@@ -69,7 +69,7 @@
   const points = [...samples].flatMap(([series, all]) =>
     all
       .filter((_, index) => index % CHART_SAMPLES === 0)
-      .map(({ at, toBound }) => ({ series, x: at / 1000, y: toBound })),
+      .map(({ at, boundRatio }) => ({ series, x: at / 1000, y: boundRatio })),
   );
   return {
     title: 'Most loaded server against the lower bound, first seed',
--- a/src/dev/bench/experiments/policy-change.ts
+++ b/src/dev/bench/experiments/policy-change.ts
@@ -95,12 +95,12 @@
   }
 }
 
-function run(context: ExperimentContext, seed: number, changes: number, cuts: boolean): Reading[] {
+function run(context: ExperimentContext, seed: number, changes: number, withZoneCut: boolean): Reading[] {
   const { deployment } = context;
   const service = keyedService(deployment);
   const options = { watched: service.name, loadMillis: LOAD_MILLIS, returns: RETURNS };
   const loaded = startLoadedWorld(deployment, seed, options);
-  if (cuts) {
+  if (withZoneCut) {
     cutZone(loaded);
   }
   const times: ChangeTimes[] = [];
@@ -122,10 +122,10 @@
 }
 
 function runExperiment(context: ExperimentContext): ExperimentResult {
-  const arm = (name: string, changes: number, cuts = false): Arm => ({
+  const arm = (name: string, changes: number, withZoneCut = false): Arm => ({
     name,
     baseline: name === UNCHANGED,
-    run: (seed) => run(context, seed, changes, cuts),
+    run: (seed) => run(context, seed, changes, withZoneCut),
   });
   const arms = runArms(context, [arm(UNCHANGED, 0), arm(CHANGED, CHANGES), arm(CUT, CHANGES, true)]);
   const { name } = keyedService(context.deployment);
--- a/src/dev/bench/experiments/retry-storm.ts
+++ b/src/dev/bench/experiments/retry-storm.ts
@@ -10,7 +10,7 @@
 const LOAD_SHARE = 0.5;
 const FAILING_EVERY = 3;
 const FAIL_AFTER_MILLIS = 1500;
-const LARGEST_AMPLIFICATION = 1.1;
+const MAX_AMPLIFICATION = 1.1;
 const PERCENT = 100;
 
 const OURS = 'budget of the service';
@@ -106,7 +106,7 @@
         `attempts per request, ${label}`,
         valuesOf(arms, OURS, `amplification, ${label}`),
         '<=',
-        LARGEST_AMPLIFICATION,
+        MAX_AMPLIFICATION,
       ),
     ),
     notes: [
--- a/src/dev/bench/experiments/rolling-restart.ts
+++ b/src/dev/bench/experiments/rolling-restart.ts
@@ -27,7 +27,7 @@
 const DRAIN_LIMIT_MILLIS = 10_000;
 const DOWN_MILLIS = 500;
 const UP_LIMIT_MILLIS = 5000;
-const LEAST_RATIO = 5;
+const MIN_RATIO = 5;
 
 const OURS = 'drain, warm, move';
 const COLD = 'revoke, then grant';
@@ -49,20 +49,20 @@
   loaded.world.runUntil(() => !server.holdsAny() && server.inFlight === 0, DRAIN_LIMIT_MILLIS);
 }
 
-function restart(loaded: LoadedWorld, server: ModelUpstream, drains: boolean): void {
-  if (drains) {
+function restart(loaded: LoadedWorld, server: ModelUpstream, withDrain: boolean): void {
+  if (withDrain) {
     drain(loaded, server);
   }
   server.kill();
   loaded.world.run(DOWN_MILLIS);
   server.restart();
-  if (drains) {
+  if (withDrain) {
     setLeaving(loaded, server, false);
   }
   loaded.world.runUntil(() => isBack(loaded, server), UP_LIMIT_MILLIS);
 }
 
-function run(context: ExperimentContext, seed: number, drains: boolean, warms: boolean): Reading[] {
+function run(context: ExperimentContext, seed: number, withDrain: boolean, withWarming: boolean): Reading[] {
   const { deployment } = context;
   const watched = keyedService(deployment).name;
   const loaded = startLoadedWorld(deployment, seed, {
@@ -70,33 +70,37 @@
     loadMillis: LOAD_MILLIS,
     loadFactor: LOAD_FACTOR,
     returns: RETURNS,
-    change: { controlConfig: warms ? {} : { warmTimeoutMillis: 0 } },
+    change: { controlConfig: withWarming ? {} : { warmTimeoutMillis: 0 } },
   });
   const { world, probe, tally, load, keys } = loaded;
   const startedAt = world.now;
   for (const server of world.upstreamsOf(watched)) {
-    restart(loaded, server, drains);
+    restart(loaded, server, withDrain);
   }
-  const took = world.now - startedAt;
+  const elapsedMillis = world.now - startedAt;
   load.stop();
   probe.stop();
   finish(loaded);
   return [
     reading(UNAVAILABLE, 'key-s', probe.unavailableKeySeconds),
-    reading('unavailable, of all key-seconds', '%', (probe.unavailableKeySeconds / keys / took) * 100_000),
+    reading(
+      'unavailable, of all key-seconds',
+      '%',
+      (probe.unavailableKeySeconds / keys / elapsedMillis) * 100_000,
+    ),
     reading('longest gap of a key', 'ms', probe.longestGapMillis),
     reading('changes of owner', 'shards', probe.ownerChanges),
-    reading('took', 's', took / 1000),
+    reading('took', 's', elapsedMillis / 1000),
     ...serviceReadings(tally, watched),
     ...outcomeReadings(tally, [watched]),
   ];
 }
 
 function runExperiment(context: ExperimentContext): ExperimentResult {
-  const arm = (name: string, drains: boolean, warms: boolean): Arm => ({
+  const arm = (name: string, withDrain: boolean, withWarming: boolean): Arm => ({
     name,
     baseline: name !== OURS,
-    run: (seed) => run(context, seed, drains, warms),
+    run: (seed) => run(context, seed, withDrain, withWarming),
   });
   const arms = runArms(context, [arm(OURS, true, true), arm(COLD, true, false), arm(KILL, false, true)]);
   const title = 'unavailable key-seconds, revoke-then-grant to ours';
@@ -104,7 +108,7 @@
     arms,
     plotted: [UNAVAILABLE, 'longest gap of a key', 'changes of owner', 'took'],
     targets: [
-      target(title, ratiosOf(arms, UNAVAILABLE, COLD, OURS), '>=', LEAST_RATIO, 'x'),
+      target(title, ratiosOf(arms, UNAVAILABLE, COLD, OURS), '>=', MIN_RATIO, 'x'),
       targetForAll('unknown in a planned restart', valuesOf(arms, OURS, 'unknown'), 0),
     ],
     notes: [
--- a/src/dev/bench/experiments/server-loss.ts
+++ b/src/dev/bench/experiments/server-loss.ts
@@ -70,11 +70,11 @@
   const server = largestOwner(loaded, watched);
   const shards = loaded.probe.shardsOf(server.definition.id);
   arm.lose(server, loaded);
-  const took = newOwnerMillis(loaded, shards);
+  const newOwnerAfterMillis = newOwnerMillis(loaded, shards);
   finish(loaded);
   loaded.probe.stop();
   return [
-    reading('99 % of its keys have a new owner after', 'ms', took),
+    reading('99 % of its keys have a new owner after', 'ms', newOwnerAfterMillis),
     reading('unavailable', 'key-s', loaded.probe.unavailableKeySeconds),
     ...serviceReadings(loaded.tally, watched),
     ...outcomeReadings(loaded.tally, [watched]),
--- a/src/dev/bench/experiments/zone-cut.ts
+++ b/src/dev/bench/experiments/zone-cut.ts
@@ -26,14 +26,14 @@
 
 interface CutArm {
   readonly name: string;
-  readonly ofLeader: boolean;
+  readonly cutsLeaderZone: boolean;
   readonly returns: number;
 }
 
 const CUTS: readonly CutArm[] = [
-  { name: 'zone of a follower', ofLeader: false, returns: IDEMPOTENT_RETURNS },
-  { name: 'zone of the leader', ofLeader: true, returns: IDEMPOTENT_RETURNS },
-  { name: 'follower, callers give up', ofLeader: false, returns: 0 },
+  { name: 'zone of a follower', cutsLeaderZone: false, returns: IDEMPOTENT_RETURNS },
+  { name: 'zone of the leader', cutsLeaderZone: true, returns: IDEMPOTENT_RETURNS },
+  { name: 'follower, callers give up', cutsLeaderZone: false, returns: 0 },
 ];
 
 function zoneToCut({ world }: LoadedWorld, ofLeader: boolean): Zone {
@@ -53,23 +53,27 @@
   const loaded = startLoadedWorld(deployment, seed, options);
   const { world, tally } = loaded;
   world.run(CUT_AFTER_MILLIS);
-  const zone = zoneToCut(loaded, arm.ofLeader);
+  const zone = zoneToCut(loaded, arm.cutsLeaderZone);
   const cutAt = world.now;
   world.network.cut(zone);
   // Routers and servers in the cut zone keep serving until their leases end; only the view from outside the zone counts.
   loaded.probe.stop();
   const outside = world.routers.filter((router) => router.zone !== zone);
-  const rest = world.watchFrom(outside, watched, loaded.keys);
-  rest.start();
-  const took = world.runUntil(() => rest.availableShare() >= RECOVERED_SHARE, WAIT_LIMIT_MILLIS, 1);
+  const outsideProbe = world.watchFrom(outside, watched, loaded.keys);
+  outsideProbe.start();
+  const recoveryMillis = world.runUntil(
+    () => outsideProbe.availableShare() >= RECOVERED_SHARE,
+    WAIT_LIMIT_MILLIS,
+    1,
+  );
   world.run(Math.max(0, cutAt + CUT_MILLIS - world.now));
   world.network.heal(zone);
   finish(loaded);
-  rest.stop();
+  outsideProbe.stop();
   const readings = [
-    reading(RECOVERED, 'ms', took),
-    reading('unavailable', 'key-s', rest.unavailableKeySeconds),
-    reading('changes of owner', 'shards', rest.ownerChanges),
+    reading(RECOVERED, 'ms', recoveryMillis),
+    reading('unavailable', 'key-s', outsideProbe.unavailableKeySeconds),
+    reading('changes of owner', 'shards', outsideProbe.ownerChanges),
     ...rushOf(deployment).mix.flatMap(({ service }) => serviceReadings(tally, service)),
     ...outcomeReadings(
       tally,
--- a/src/dev/bench/load-experiments.ts
+++ b/src/dev/bench/load-experiments.ts
@@ -7,13 +7,13 @@
 /** Returns all experiments by name, sorted by name. */
 export async function loadExperiments(): Promise<ReadonlyMap<string, Experiment>> {
   const files = readdirSync(FOLDER).filter((name) => name.endsWith('.js'));
-  const found: Experiment[] = [];
+  const experiments: Experiment[] = [];
   for (const file of files) {
     const module = (await import(new URL(file, FOLDER).href)) as { experiment?: Experiment };
     if (module.experiment !== undefined) {
-      found.push(module.experiment);
+      experiments.push(module.experiment);
     }
   }
-  found.sort((left, right) => (left.name < right.name ? -1 : 1));
-  return new Map(found.map((experiment) => [experiment.name, experiment]));
+  experiments.sort((left, right) => (left.name < right.name ? -1 : 1));
+  return new Map(experiments.map((experiment) => [experiment.name, experiment]));
 }
--- a/src/dev/bench/models/placement/coordinator-rig.ts
+++ b/src/dev/bench/models/placement/coordinator-rig.ts
@@ -21,7 +21,7 @@
 const CLUSTER = 'bench';
 const STEP_MILLIS = 1;
 const SYSTEM = 'system';
-const MOST_STEPS = 10_000;
+const MAX_STEPS = 10_000;
 
 interface Proposal {
   readonly command: Command;
@@ -93,8 +93,8 @@
   runUntil(isDone: () => boolean): RealTime {
     return this.#timed(() => {
       for (let step = 0; !isDone(); step += 1) {
-        if (step === MOST_STEPS) {
-          throw new Error(`the condition was not met within ${MOST_STEPS} steps`);
+        if (step === MAX_STEPS) {
+          throw new Error(`the condition was not met within ${MAX_STEPS} steps`);
         }
         this.now += STEP_MILLIS;
         this.step();
--- a/src/dev/bench/models/placement/imbalance-probe.ts
+++ b/src/dev/bench/models/placement/imbalance-probe.ts
@@ -10,9 +10,9 @@
 export interface ImbalanceSample {
   readonly at: number;
   /** Load of the most loaded server divided by the lower bound: the larger of the mean and the hottest key's load. */
-  readonly toBound: number;
+  readonly boundRatio: number;
   /** Load of the most loaded server divided by the mean. */
-  readonly toMean: number;
+  readonly meanRatio: number;
 }
 
 export class ImbalanceProbe {
@@ -31,17 +31,17 @@
     });
   }
 
-  meanToBound(): number {
-    return mean(this.samples.map(({ toBound }) => toBound));
+  averageBoundRatio(): number {
+    return mean(this.samples.map(({ boundRatio }) => boundRatio));
   }
 
-  meanToMean(): number {
-    return mean(this.samples.map(({ toMean }) => toMean));
+  averageMeanRatio(): number {
+    return mean(this.samples.map(({ meanRatio }) => meanRatio));
   }
 
-  toBoundQuantile(share: number): number {
+  boundRatioQuantile(share: number): number {
     return quantile(
-      this.samples.map(({ toBound }) => toBound),
+      this.samples.map(({ boundRatio }) => boundRatio),
       share,
     );
   }
@@ -55,11 +55,15 @@
         work.set(owner, (work.get(owner) ?? 0) + (shardWork.get(shard) ?? 0));
       }
     }
-    const taking = [...this.world.servers.values()].filter(({ state }) => state === 'ready');
-    const average = sum(keyWork) / taking.length;
-    const most = Math.max(...taking.map(({ id }) => work.get(id) ?? 0));
+    const readyServers = [...this.world.servers.values()].filter(({ state }) => state === 'ready');
+    const average = sum(keyWork) / readyServers.length;
+    const highest = Math.max(...readyServers.map(({ id }) => work.get(id) ?? 0));
     const bound = Math.max(average, ...keyWork);
-    this.samples.push({ at: this.world.queue.now, toBound: most / bound, toMean: most / average });
+    this.samples.push({
+      at: this.world.queue.now,
+      boundRatio: highest / bound,
+      meanRatio: highest / average,
+    });
   }
 }
 
--- a/src/dev/bench/models/placement/key-loads.ts
+++ b/src/dev/bench/models/placement/key-loads.ts
@@ -46,9 +46,9 @@
     const order = this.#order;
     for (let rank = 0; rank < count; rank += 1) {
       const other = count + random.below(order.length - count);
-      const kept = order[rank] as number;
+      const previous = order[rank] as number;
       order[rank] = order[other] as number;
-      order[other] = kept;
+      order[other] = previous;
     }
   }
 
--- a/src/dev/bench/models/placement/move-model.ts
+++ b/src/dev/bench/models/placement/move-model.ts
@@ -36,7 +36,7 @@
   }
 
   /** Returns the times of a planned move. */
-  planned(handover: Handover): MoveTimes {
+  plannedMove(handover: Handover): MoveTimes {
     const { serviceMillis, shardLoadMillis, betweenZonesMillis } = this.#options;
     const messages = REVOKE_MESSAGES + COMMIT_MESSAGES + PUBLICATION_MESSAGES;
     const gapMillis = serviceMillis + messages * betweenZonesMillis + SYNC_MILLIS;
--- a/src/dev/bench/models/placement/placement-runs.ts
+++ b/src/dev/bench/models/placement/placement-runs.ts
@@ -14,7 +14,7 @@
 import { KeyLoads, type KeyTraffic } from './key-loads.js';
 import { type Handover, MoveModel } from './move-model.js';
 import { PlacementWorld } from './placement-world.js';
-import { runRollingRestart, runRush } from './time-line.js';
+import { runRollingRestart, runRushScenario } from './time-line.js';
 
 /** Routers of the installation. */
 const ROUTERS_PER_ZONE = 2;
@@ -22,7 +22,7 @@
 const WARM_UP_MILLIS = 30_000;
 const PERCENT = 100;
 /** Servers that join during the rush. */
-const JOINING = 2;
+const JOINING_SERVERS = 2;
 
 /** The keyed service under test, with its settings from the deployment. */
 export interface PlacedService {
@@ -75,7 +75,7 @@
   return { requestsPerSecond: (requestsPerSecond * (own?.share ?? 0)) / total, skew: own?.skew ?? 0 };
 }
 
-function serverNumbered({ template, zones }: PlacedService, number: number): PlacementServer {
+function serverAt({ template, zones }: PlacedService, number: number): PlacementServer {
   const zone = zones[number % zones.length] as string;
   const id = `${template.service}-${number + 1}`;
   return { id, capacity: template.slots, mayHold: [], zone, state: 'ready' };
@@ -101,7 +101,7 @@
     coalesced,
   });
   for (let number = 0; number < template.count; number += 1) {
-    world.setServer(serverNumbered(service, number));
+    world.setServer(serverAt(service, number));
   }
   for (const shard of shardsOfKeyMap(keyMap)) {
     world.addShard(shard, parseShardId(shard)?.keyspace ?? '');
@@ -124,14 +124,16 @@
   const probe = new ImbalanceProbe(world, loads, arm.coalesced);
   probe.start();
   const { count } = service.template;
-  const newServers = Array.from({ length: JOINING }, (_, number) => serverNumbered(service, count + number));
+  const newServers = Array.from({ length: JOINING_SERVERS }, (_, number) =>
+    serverAt(service, count + number),
+  );
   const { rush, after } = service;
-  runRush({ world, loads, random, newServers, rush, after });
+  runRushScenario({ world, loads, random, newServers, rush, after });
   loads.setTraffic(rush);
   const readings = [
-    reading('rush: most loaded / lower bound, mean', '', probe.meanToBound()),
-    reading('rush: most loaded / lower bound, p95', '', probe.toBoundQuantile(0.95)),
-    reading('rush: most loaded / mean load, mean', '', probe.meanToMean()),
+    reading('rush: most loaded / lower bound, mean', '', probe.averageBoundRatio()),
+    reading('rush: most loaded / lower bound, p95', '', probe.boundRatioQuantile(0.95)),
+    reading('rush: most loaded / mean load, mean', '', probe.averageMeanRatio()),
     reading('rush: changes of owner', '', world.ownerChanges),
     reading('rush: moves for balance', '', world.balancingMoves),
     reading('warm-up: moves for balance', '', warmUpMoves),
@@ -145,15 +147,15 @@
 /** Returns the work that coalescing of identical reads saves in the rush. */
 function coalescingReadings(loads: KeyLoads): Reading[] {
   const [all, coalesced] = [loads.keyWork(false), loads.keyWork(true)];
-  const takenOff = (of: (work: readonly number[]) => number): number =>
-    PERCENT * (1 - of(coalesced) / of(all));
+  const savedPercent = (aggregate: (work: readonly number[]) => number): number =>
+    PERCENT * (1 - aggregate(coalesced) / aggregate(all));
   const sum = (work: readonly number[]): number => work.reduce((total, one) => total + one, 0);
   return [
-    reading('rush: work taken off by coalescing', '%', takenOff(sum)),
+    reading('rush: work taken off by coalescing', '%', savedPercent(sum)),
     reading(
       'rush: the same, of the hottest key',
       '%',
-      takenOff((work) => Math.max(...work)),
+      savedPercent((work) => Math.max(...work)),
     ),
   ];
 }
--- a/src/dev/bench/models/placement/placement-world.ts
+++ b/src/dev/bench/models/placement/placement-world.ts
@@ -18,11 +18,11 @@
 const PLAN_MILLIS = 20;
 const SECOND_MILLIS = 1000;
 /** Load below which shards count as idle, in milliseconds of work per second, as in control. */
-const LEAST_LOAD = 1;
+const MIN_LOAD = 1;
 const SERVICE_SIGMA = 0.5;
 
 /** Owner and pending move of a shard. */
-export interface ShardPlace {
+export interface ShardPlacement {
   readonly shard: ShardId;
   readonly keyspace: string;
   owner: UpstreamId | null;
@@ -47,7 +47,7 @@
 export class PlacementWorld {
   readonly queue = new EventQueue();
   readonly servers = new Map<UpstreamId, PlacementServer>();
-  readonly shards = new Map<ShardId, ShardPlace>();
+  readonly shards = new Map<ShardId, ShardPlacement>();
   /** Owner changes since counting started. */
   ownerChanges = 0;
   /** Moves that the planner started for balance. */
@@ -81,16 +81,16 @@
 
   /** Places every shard without counting the changes, then schedules planning and load reports. */
   start(): void {
-    for (const place of this.shards.values()) {
-      this.#tellPlanner(place);
+    for (const placement of this.shards.values()) {
+      this.#updatePlanner(placement);
     }
     for (const move of this.#parts.planner.plan(0)) {
-      const place = this.shards.get(move.shard) as ShardPlace;
-      place.owner = move.to;
-      this.#tellPlanner(place);
+      const placement = this.shards.get(move.shard) as ShardPlacement;
+      placement.owner = move.to;
+      this.#updatePlanner(placement);
     }
     this.queue.after(PLAN_MILLIS, () => this.#plan());
-    this.queue.after(SECOND_MILLIS, () => this.#takeReports());
+    this.queue.after(SECOND_MILLIS, () => this.#processReports());
   }
 
   /** Resets the counts. */
@@ -105,92 +105,96 @@
   lose(id: UpstreamId): void {
     this.setState(id, 'lost');
     const lostAt = this.queue.now;
-    for (const place of this.shards.values()) {
-      if (place.target === id) {
-        this.#callOff(place);
+    for (const placement of this.shards.values()) {
+      if (placement.target === id) {
+        this.#cancelMove(placement);
       }
     }
     this.queue.after(this.#parts.moves.leaseMillis(), () => {
-      for (const place of this.ownedBy(id)) {
-        place.owner = null;
-        place.move += 1;
-        place.target = null;
-        this.lostKeySeconds += this.#keySeconds(place, this.queue.now - lostAt);
-        this.#tellPlanner(place);
+      for (const placement of this.ownedBy(id)) {
+        placement.owner = null;
+        placement.move += 1;
+        placement.target = null;
+        this.lostKeySeconds += this.#keySeconds(placement, this.queue.now - lostAt);
+        this.#updatePlanner(placement);
       }
     });
   }
 
-  ownedBy(id: UpstreamId): ShardPlace[] {
+  ownedBy(id: UpstreamId): ShardPlacement[] {
     return [...this.shards.values()].filter(({ owner }) => owner === id);
   }
 
-  #tellPlanner({ shard, keyspace, owner, target }: ShardPlace): void {
+  #updatePlanner({ shard, keyspace, owner, target }: ShardPlacement): void {
     const load = this.#tracker.weight(shard);
     this.#parts.planner.setShard({ shard, keyspace, load, owner, target });
   }
 
-  #callOff(place: ShardPlace): void {
-    place.move += 1;
-    place.target = null;
-    this.#tellPlanner(place);
+  #cancelMove(placement: ShardPlacement): void {
+    placement.move += 1;
+    placement.target = null;
+    this.#updatePlanner(placement);
   }
 
   #plan(): void {
     for (const move of this.#parts.planner.plan(this.queue.now)) {
-      this.#begin(move);
+      this.#startMove(move);
     }
     this.queue.after(PLAN_MILLIS, () => this.#plan());
   }
 
-  #begin({ shard, from, to, reason }: PlacementMove): void {
-    const place = this.shards.get(shard) as ShardPlace;
-    place.target = to;
-    place.move += 1;
+  #startMove({ shard, from, to, reason }: PlacementMove): void {
+    const placement = this.shards.get(shard) as ShardPlacement;
+    placement.target = to;
+    placement.move += 1;
     this.balancingMoves += Number(reason === 'balance');
-    const { move } = place;
+    const { move } = placement;
     if (from === null) {
       const grantMillis = this.#parts.moves.grantMillis();
       this.queue.after(grantMillis, () => {
-        this.lostKeySeconds += this.#arrive(place, move) ? this.#keySeconds(place, grantMillis) : 0;
+        this.lostKeySeconds += this.#completeMove(placement, move)
+          ? this.#keySeconds(placement, grantMillis)
+          : 0;
       });
       return;
     }
-    const { warmMillis, gapMillis } = this.#parts.moves.planned(this.#parts.handover);
+    const { warmMillis, gapMillis } = this.#parts.moves.plannedMove(this.#parts.handover);
     this.queue.after(warmMillis + gapMillis, () => {
-      this.plannedKeySeconds += this.#arrive(place, move) ? this.#keySeconds(place, gapMillis) : 0;
+      this.plannedKeySeconds += this.#completeMove(placement, move)
+        ? this.#keySeconds(placement, gapMillis)
+        : 0;
     });
   }
 
   /** Completes a move; does nothing and returns `false` if the move was cancelled. */
-  #arrive(place: ShardPlace, move: number): boolean {
-    if (place.move !== move || place.target === null) {
+  #completeMove(placement: ShardPlacement, move: number): boolean {
+    if (placement.move !== move || placement.target === null) {
       return false;
     }
-    place.owner = place.target;
-    place.target = null;
+    placement.owner = placement.target;
+    placement.target = null;
     this.ownerChanges += 1;
-    this.#tellPlanner(place);
+    this.#updatePlanner(placement);
     return true;
   }
 
-  #keySeconds({ shard }: ShardPlace, millis: number): number {
+  #keySeconds({ shard }: ShardPlacement, millis: number): number {
     return ((this.#keysOfShards.get(shard) ?? 0) * millis) / SECOND_MILLIS;
   }
 
   /** Draws the requests of the last second and passes the routers' reports to the planner. */
-  #takeReports(): void {
+  #processReports(): void {
     const { now } = this.queue;
     const { planner } = this.#parts;
     this.#drawRequests();
     for (const reporter of this.#reporters) {
       this.#tracker.report(reporter.take(now)?.shards ?? [], now);
     }
-    planner.setLeastLoad(this.#tracker.weightOf(LEAST_LOAD, now));
+    planner.setLeastLoad(this.#tracker.weightOf(MIN_LOAD, now));
     for (const { shard, load } of this.#tracker.takeChanged()) {
       planner.setLoad(shard, load);
     }
-    this.queue.after(SECOND_MILLIS, () => this.#takeReports());
+    this.queue.after(SECOND_MILLIS, () => this.#processReports());
   }
 
   #drawRequests(): void {
--- a/src/dev/bench/models/placement/time-line.ts
+++ b/src/dev/bench/models/placement/time-line.ts
@@ -5,22 +5,22 @@
 import type { KeyLoads, KeyTraffic } from './key-loads.js';
 import type { PlacementWorld } from './placement-world.js';
 
-const SECOND = 1000;
+const SECOND_MILLIS = 1000;
 /** Length of the rush scenario. */
-export const RUSH_LINE_MILLIS = 480 * SECOND;
-const RUSH_AT = 60 * SECOND;
-const HOT_KEYS_CHANGE_AT = [130 * SECOND, 210 * SECOND, 290 * SECOND];
+export const RUSH_SCENARIO_MILLIS = 480 * SECOND_MILLIS;
+const RUSH_AT = 60 * SECOND_MILLIS;
+const HOT_KEYS_CHANGE_AT = [130 * SECOND_MILLIS, 210 * SECOND_MILLIS, 290 * SECOND_MILLIS];
 const HOT_KEYS = 3;
-const JOIN_AT = 160 * SECOND;
-const LEAVE_AT = 240 * SECOND;
-const LOSS_AT = 260 * SECOND;
-const BACK_AT = 310 * SECOND;
-const AFTER_AT = 360 * SECOND;
+const JOIN_AT = 160 * SECOND_MILLIS;
+const LEAVE_AT = 240 * SECOND_MILLIS;
+const LOSS_AT = 260 * SECOND_MILLIS;
+const RETURN_AT = 310 * SECOND_MILLIS;
+const RUSH_END_AT = 360 * SECOND_MILLIS;
 /** Duration of a server restart. */
-const RESTART_MILLIS = 2 * SECOND;
-const DRAIN_LOOK_MILLIS = 20;
+const RESTART_MILLIS = 2 * SECOND_MILLIS;
+const DRAIN_POLL_MILLIS = 20;
 
-export interface TimeLineParts {
+export interface RushScenarioParts {
   readonly world: PlacementWorld;
   readonly loads: KeyLoads;
   readonly random: RandomSource;
@@ -29,8 +29,8 @@
   readonly after: KeyTraffic;
 }
 
-/** Runs the rush scenario with all its events; ends at `RUSH_LINE_MILLIS`. */
-export function runRush({ world, loads, random, newServers, rush, after }: TimeLineParts): void {
+/** Runs the rush scenario with all its events; ends at `RUSH_SCENARIO_MILLIS`. */
+export function runRushScenario({ world, loads, random, newServers, rush, after }: RushScenarioParts): void {
   const [first, second, third] = [...world.servers.keys()] as [UpstreamId, UpstreamId, UpstreamId];
   const { queue } = world;
   queue.at(RUSH_AT, () => loads.setTraffic(rush));
@@ -47,12 +47,12 @@
     world.lose(second);
     world.lose(third);
   });
-  queue.at(BACK_AT, () => {
+  queue.at(RETURN_AT, () => {
     world.setState(second, 'ready');
     world.setState(third, 'ready');
   });
-  queue.at(AFTER_AT, () => loads.setTraffic(after));
-  queue.runUntil(RUSH_LINE_MILLIS);
+  queue.at(RUSH_END_AT, () => loads.setTraffic(after));
+  queue.runUntil(RUSH_SCENARIO_MILLIS);
 }
 
 /** Drains and restarts every server, one after another, then runs for a settling period. */
@@ -62,12 +62,12 @@
   for (const id of [...world.servers.keys()]) {
     world.setState(id, 'draining');
     while (world.ownedBy(id).length > 0) {
-      queue.runUntil(queue.now + DRAIN_LOOK_MILLIS);
+      queue.runUntil(queue.now + DRAIN_POLL_MILLIS);
     }
     world.setState(id, 'lost');
     queue.runUntil(queue.now + RESTART_MILLIS);
     world.setState(id, 'ready');
-    queue.runUntil(queue.now + SECOND);
+    queue.runUntil(queue.now + SECOND_MILLIS);
   }
   queue.runUntil(queue.now + RUSH_AT);
 }
--- a/src/dev/bench/proxy/bare-proxy.ts
+++ b/src/dev/bench/proxy/bare-proxy.ts
@@ -7,7 +7,7 @@
 const BAD_GATEWAY = 502;
 
 export class BareProxy {
-  private turn = 0;
+  private upstreamIndex = 0;
 
   constructor(
     private readonly client: UpstreamClient,
@@ -36,8 +36,8 @@
   }
 
   private forward(path: string, done: (answer: WholeAnswer | null) => void): void {
-    this.turn = (this.turn + 1) % this.upstreams.length;
-    this.client.get(this.upstreams[this.turn] as Address, path, done);
+    this.upstreamIndex = (this.upstreamIndex + 1) % this.upstreams.length;
+    this.client.get(this.upstreams[this.upstreamIndex] as Address, path, done);
   }
 }
 
--- a/src/dev/bench/proxy/child-process.ts
+++ b/src/dev/bench/proxy/child-process.ts
@@ -31,12 +31,12 @@
   }
 
   async usage(): Promise<ProcessUsage> {
-    this.ask({ type: 'usage' });
+    this.send({ type: 'usage' });
     return (await nextAnswer(this.child, this.kind, 'usage')).usage;
   }
 
   async load(run: LoadRun): Promise<LoadResult> {
-    this.ask({ type: 'load', run });
+    this.send({ type: 'load', run });
     return (await nextAnswer(this.child, this.kind, 'load')).result;
   }
 
@@ -47,7 +47,7 @@
     await exited;
   }
 
-  private ask(request: BenchRequest): void {
+  private send(request: BenchRequest): void {
     this.child.send(request);
   }
 }
@@ -58,15 +58,15 @@
   type: Type,
 ): Promise<Extract<BenchAnswer, { type: Type }>> {
   return new Promise((resolve, reject) => {
-    const ended = (): void => reject(new BenchProcessError(kind));
-    const take = (answer: BenchAnswer): void => {
+    const onExit = (): void => reject(new BenchProcessError(kind));
+    const onMessage = (answer: BenchAnswer): void => {
       if (answer.type === type) {
-        child.off('exit', ended);
-        child.off('message', take);
+        child.off('exit', onExit);
+        child.off('message', onMessage);
         resolve(answer as Extract<BenchAnswer, { type: Type }>);
       }
     };
-    child.on('message', take);
-    child.once('exit', ended);
+    child.on('message', onMessage);
+    child.once('exit', onExit);
   });
 }
--- a/src/dev/bench/proxy/child.ts
+++ b/src/dev/bench/proxy/child.ts
@@ -43,7 +43,7 @@
   }
 }
 
-async function take(request: BenchRequest): Promise<void> {
+async function handleRequest(request: BenchRequest): Promise<void> {
   if (request.type === 'usage') {
     send({ type: 'usage', usage: usage() });
   } else {
@@ -100,6 +100,6 @@
 }
 
 const task = JSON.parse(process.argv[2] ?? 'null') as ChildTask;
-process.on('message', (request: BenchRequest) => void take(request));
+process.on('message', (request: BenchRequest) => void handleRequest(request));
 process.on('disconnect', () => process.exit(0));
 send({ type: 'ready', addresses: await start(task) });
--- a/src/dev/bench/proxy/load-generator.ts
+++ b/src/dev/bench/proxy/load-generator.ts
@@ -59,10 +59,10 @@
     const gap = 1000 / requestsPerSecond;
     let due = startedAt;
     const dispatch = (client: Client, dueAt: number): void => {
-      this.send(client, dueAt, () => this.takeNext(client, idle, dispatch));
+      this.send(client, dueAt, () => this.sendNextDue(client, idle, dispatch));
     };
     return new Promise((resolve) => {
-      const turn = (): void => {
+      const poll = (): void => {
         const now = performance.now();
         if (now - startedAt >= this.run.durationMillis) {
           resolve();
@@ -76,13 +76,17 @@
             dispatch(client, due);
           }
         }
-        setImmediate(turn);
+        setImmediate(poll);
       };
-      turn();
+      poll();
     });
   }
 
-  private takeNext(client: Client, idle: Client[], dispatch: (client: Client, dueAt: number) => void): void {
+  private sendNextDue(
+    client: Client,
+    idle: Client[],
+    dispatch: (client: Client, dueAt: number) => void,
+  ): void {
     const dueAt = this.waiting.shift();
     if (dueAt === undefined || !this.running) {
       idle.push(client);
--- a/src/dev/bench/world/availability-probe.ts
+++ b/src/dev/bench/world/availability-probe.ts
@@ -69,19 +69,19 @@
       return;
     }
     for (const [shard, keys] of this.parts.keysOfShard) {
-      this.note(shard, keys);
+      this.recordSample(shard, keys);
     }
     this.parts.queue.after(SAMPLE_MILLIS, () => this.sample());
   }
 
-  private note(shard: ShardId, keys: number): void {
+  private recordSample(shard: ShardId, keys: number): void {
     const { now } = this.parts.queue;
     const owner = this.ownerOf(shard);
     if (owner === undefined) {
       this.unavailableKeySeconds += (keys * SAMPLE_MILLIS) / MILLIS_PER_SECOND;
-      const since = this.gapStarts.get(shard) ?? now;
-      this.gapStarts.set(shard, since);
-      this.longestGapMillis = Math.max(this.longestGapMillis, now - since + SAMPLE_MILLIS);
+      const gapStart = this.gapStarts.get(shard) ?? now;
+      this.gapStarts.set(shard, gapStart);
+      this.longestGapMillis = Math.max(this.longestGapMillis, now - gapStart + SAMPLE_MILLIS);
       return;
     }
     this.gapStarts.delete(shard);
@@ -96,8 +96,9 @@
     for (const router of this.parts.routers) {
       const record = router.serving ? router.view.shard(shard) : undefined;
       const owner = this.parts.upstreams.get(record?.owner ?? '');
-      const isReached = owner !== undefined && !this.parts.network.isCut(router.zone, owner.definition.zone);
-      if (isReached && owner.epochOf(shard) === record?.epoch) {
+      const isReachable =
+        owner !== undefined && !this.parts.network.isCut(router.zone, owner.definition.zone);
+      if (isReachable && owner.epochOf(shard) === record?.epoch) {
         return owner.definition.id;
       }
     }
--- a/src/dev/bench/world/bench-world.ts
+++ b/src/dev/bench/world/bench-world.ts
@@ -98,9 +98,9 @@
     for (const { definition } of this.options.upstreams) {
       this.control.command({ type: 'upstream-apply', definition, expected: null }, false, () => {});
     }
-    const watched = this.watch();
-    this.runUntil(() => this.isUp(watched), START_LIMIT_MILLIS);
-    if (!this.isUp(watched)) {
+    const probe = this.watch();
+    this.runUntil(() => this.isUp(probe), START_LIMIT_MILLIS);
+    if (!this.isUp(probe)) {
       throw new Error(`the model did not come up within ${START_LIMIT_MILLIS} ms of virtual time`);
     }
   }
@@ -148,11 +148,11 @@
     };
   }
 
-  private isUp(watched: AvailabilityProbe): boolean {
+  private isUp(probe: AvailabilityProbe): boolean {
     const isServing = this.routers.every(
       (router) => router.serving && router.view.upstreamsOf(this.lastService()).length > 0,
     );
-    return isServing && watched.availableShare() === 1;
+    return isServing && probe.availableShare() === 1;
   }
 
   private lastService(): ServiceName {
--- a/src/dev/bench/world/core-timer.ts
+++ b/src/dev/bench/world/core-timer.ts
@@ -2,7 +2,7 @@
 import type { EventQueue } from '../../virtual/event-queue.js';
 
 /** Minimum delay before a tick, the same as in the daemons. */
-const LEAST_TICK_MILLIS = 1;
+const MIN_TICK_MILLIS = 1;
 
 export class CoreTimer {
   private dueAt = Number.POSITIVE_INFINITY;
@@ -19,14 +19,14 @@
     if (deadline >= this.dueAt) {
       return;
     }
-    const dueAt = Math.max(deadline, this.queue.now + LEAST_TICK_MILLIS);
+    const dueAt = Math.max(deadline, this.queue.now + MIN_TICK_MILLIS);
     this.dueAt = dueAt;
     this.queue.at(dueAt, () => this.fire(dueAt));
   }
 
   /** Does nothing for a timer that an earlier one has replaced. */
-  private fire(setFor: number): void {
-    if (setFor !== this.dueAt) {
+  private fire(scheduledFor: number): void {
+    if (scheduledFor !== this.dueAt) {
       return;
     }
     this.dueAt = Number.POSITIVE_INFINITY;
--- a/src/dev/bench/world/load-generator.ts
+++ b/src/dev/bench/world/load-generator.ts
@@ -47,7 +47,7 @@
   readonly key: string | null;
   readonly id: string | null;
   readonly sentAt: number;
-  returnsLeft: number;
+  retriesLeft: number;
 }
 
 /** Returns the name of the key at a popularity rank; the keys of exact keyspaces come first. */
@@ -107,10 +107,10 @@
       key: zipf === null ? null : keyName(stream.service, zipf.draw(random)),
       id: stream.service.repeatable ? null : `call-${this.callCount}`,
       sentAt: queue.now,
-      returnsLeft: stream.returns,
+      retriesLeft: stream.returns,
     };
     this.openCalls += 1;
-    tally.sent(stream.service.name, call.sentAt);
+    tally.recordSent(stream.service.name, call.sentAt);
     this.send(call);
   }
 
@@ -128,19 +128,19 @@
       idempotency,
     };
     network.sendClient(() => {
-      router.arrive(request, (answer) => network.sendClient(() => this.answered(call, answer)));
+      router.handleRequest(request, (answer) => network.sendClient(() => this.onAnswer(call, answer)));
     });
   }
 
-  private answered(call: Call, answer: FinalAnswer): void {
+  private onAnswer(call: Call, answer: FinalAnswer): void {
     const { queue, tally } = this.parts;
     const { service } = call.stream;
     if (answer.type === 'refuse') {
-      tally.noteRefusal(service.name, answer, call.sentAt);
+      tally.recordRefusal(service.name, answer, call.sentAt);
       // A request with an idempotency key may be retried after any outcome: the key prevents a second run.
       const mayReturn = answer.outcome === 'not-run' || call.id !== null;
-      if (call.returnsLeft > 0 && mayReturn && answer.retryAfterMillis !== null) {
-        call.returnsLeft -= 1;
+      if (call.retriesLeft > 0 && mayReturn && answer.retryAfterMillis !== null) {
+        call.retriesLeft -= 1;
         queue.after(answer.retryAfterMillis, () => this.send(call));
         return;
       }
@@ -149,7 +149,7 @@
     const good =
       answer.type === 'delivered' &&
       (call.stream.returns > 0 || queue.now - call.sentAt <= service.deadlineMillis);
-    tally.answered(
+    tally.recordAnswer(
       { service: service.name, key: call.key, sentAt: call.sentAt, answeredAt: queue.now, good },
       answer,
     );
--- a/src/dev/bench/world/model-control.ts
+++ b/src/dev/bench/world/model-control.ts
@@ -44,7 +44,7 @@
   readonly zone: Zone;
   receive(from: Address, message: ControlToRouter): void;
   /** Handles a broken connection to a member. */
-  lost(from: Address): void;
+  onConnectionLost(from: Address): void;
 }
 
 export interface ControlOptions {
@@ -89,7 +89,7 @@
   }
 
   /** Sends a router's message to the member at `to`; it is lost if the member is dead or cut off. */
-  fromRouter(router: string, to: Address, message: RouterToControl): void {
+  sendFromRouter(router: string, to: Address, message: RouterToControl): void {
     const member = this.members.get(to);
     const link = this.routers.get(router);
     if (member === undefined || link === undefined) {
@@ -103,7 +103,7 @@
   command(command: OperatorCommand, wait: boolean, done: (response: OperatorResponse) => void): void {
     this.operationCount += 1;
     const requestId = `bench-${this.operationCount}`;
-    this.ask({ type: 'command', requestId, actor: 'bench', command, wait }, done);
+    this.submit({ type: 'command', requestId, actor: 'bench', command, wait }, done);
   }
 
   leader(): Member | undefined {
@@ -119,24 +119,24 @@
     }
     leader.alive = false;
     for (const link of this.routers.values()) {
-      this.network.send(leader.zone, link.zone, () => link.lost(leader.address));
+      this.network.send(leader.zone, link.zone, () => link.onConnectionLost(leader.address));
     }
   }
 
-  private ask(request: OperatorRequest, done: (response: OperatorResponse) => void): void {
+  private submit(request: OperatorRequest, done: (response: OperatorResponse) => void): void {
     const leader = this.leader();
-    const again = (): void => {
-      this.queue.after(OPERATOR_RETRY_MILLIS, () => this.ask(request, done));
+    const retry = (): void => {
+      this.queue.after(OPERATOR_RETRY_MILLIS, () => this.submit(request, done));
     };
     if (leader === undefined) {
-      again();
+      retry();
       return;
     }
     this.operationCount += 1;
     const operation = `operation-${this.operationCount}`;
     this.operations.set(operation, (response) => {
       if (response.type === 'not-leader' || response.type === 'unknown') {
-        again();
+        retry();
       } else {
         done(response);
       }
@@ -181,12 +181,12 @@
     }
     const { now } = this.queue;
     for (const effect of member.core.step(input, now, WALL_START + now)) {
-      this.carryOut(member, effect);
+      this.applyEffect(member, effect);
     }
     member.timer.schedule();
   }
 
-  private carryOut(member: Member, effect: ControlEffect): void {
+  private applyEffect(member: Member, effect: ControlEffect): void {
     switch (effect.type) {
       case 'send-peer':
         this.sendPeer(member, effect);
--- a/src/dev/bench/world/model-router.ts
+++ b/src/dev/bench/world/model-router.ts
@@ -120,7 +120,7 @@
   }
 
   /** Handles a caller's request; `answer` is called once, when the final answer leaves the router. */
-  arrive(request: Omit<ArrivedRequest, 'request'>, answer: (answer: FinalAnswer) => void): void {
+  handleRequest(request: Omit<ArrivedRequest, 'request'>, answer: (answer: FinalAnswer) => void): void {
     this.requestCount += 1;
     const number = this.requestCount;
     this.requests.set(number, { arrivedAt: this.parts.queue.now, attempted: false, answer });
@@ -140,22 +140,22 @@
     this.step({ type: 'control-message', from, message });
   }
 
-  lost(from: Address): void {
+  onConnectionLost(from: Address): void {
     this.step({ type: 'control-lost', from });
   }
 
   private step(input: RouterInput): void {
     const { now } = this.parts.queue;
     for (const effect of this.core.step(input, now, WALL_START + now)) {
-      this.carryOut(effect);
+      this.applyEffect(effect);
     }
     this.timer.schedule();
   }
 
-  private carryOut(effect: RouterEffect): void {
+  private applyEffect(effect: RouterEffect): void {
     switch (effect.type) {
       case 'send-control':
-        this.parts.control.fromRouter(this.identity.id, effect.to, effect.message);
+        this.parts.control.sendFromRouter(this.identity.id, effect.to, effect.message);
         return;
       case 'dispatch':
         this.dispatch(effect);
@@ -294,9 +294,9 @@
     }
     attempt.ended = true;
     this.attempts.delete(number);
-    const keeps = connection === 'keep' && (result.type === 'answered' || result.type === 'refused');
+    const keepAlive = connection === 'keep' && (result.type === 'answered' || result.type === 'refused');
     if (attempt.connected) {
-      this.connections.release(attempt.upstream, keeps);
+      this.connections.release(attempt.upstream, keepAlive);
     }
     this.step({ type: 'attempt-ended', attempt: number, result });
   }
--- a/src/dev/bench/world/model-upstream.ts
+++ b/src/dev/bench/world/model-upstream.ts
@@ -26,7 +26,7 @@
 /** `frozen`: accepts connections but processes nothing. `dead`: refuses connections. */
 export type ServerState = 'up' | 'frozen' | 'dead';
 
-interface Running {
+interface RunningRequest {
   readonly request: ServerRequest;
   readonly ticket: Ticket | null;
   /** Answered, abandoned or lost with the process; timers that are still pending then do nothing. */
@@ -44,17 +44,17 @@
   connectionCount = 0;
   /** Numbers of requests answered and of requests started. */
   answered = 0;
-  begun = 0;
+  startedCount = 0;
   /** Set to request that control move the shards away, as a planned shutdown does. */
   leaving = false;
   private drained = false;
   private run = 1;
   private startedAt = 0;
   private busy = 0;
-  private readonly waiting: Running[] = [];
-  private readonly open = new Set<Running>();
-  private readonly frozenWork: (() => void)[] = [];
-  private readonly served = new Map<ShardId, Epoch>();
+  private readonly waiting: RunningRequest[] = [];
+  private readonly open = new Set<RunningRequest>();
+  private readonly deferredActions: (() => void)[] = [];
+  private readonly grantedEpochs = new Map<ShardId, Epoch>();
   /** Virtual time from which a shard's state is loaded. */
   private readonly loadedAt = new Map<ShardId, number>();
   private reporter: LoadReporter;
@@ -81,25 +81,25 @@
   /** Whether a request for this shard would be admitted now and the shard's state is loaded. */
   serves(shard: ShardId): boolean {
     const { now } = this.queue;
-    const isUp = this.state === 'up' && this.served.has(shard);
+    const isUp = this.state === 'up' && this.grantedEpochs.has(shard);
     return isUp && now >= (this.loadedAt.get(shard) ?? 0) && this.holder.status(now).leased;
   }
 
   epochOf(shard: ShardId): Epoch | undefined {
-    return this.served.get(shard);
+    return this.grantedEpochs.get(shard);
   }
 
   /** Handles a session request of a control leader. */
   handleSession(request: SessionRequest): SessionAnswer {
     const answer = this.holder.handleSession(request, this.queue.now);
-    this.takeHolderEvents();
+    this.applyHolderEvents();
     return this.leaving ? { ...answer, leaving: true } : answer;
   }
 
   /** Runs `action` now, or once a frozen server thaws; returns `false` if the server is dead. */
   whenAwake(action: () => void): boolean {
     if (this.state === 'frozen') {
-      this.frozenWork.push(action);
+      this.deferredActions.push(action);
       return true;
     }
     if (this.state === 'up') {
@@ -172,7 +172,7 @@
 
   thaw(): void {
     this.state = 'up';
-    for (const action of this.frozenWork.splice(0)) {
+    for (const action of this.deferredActions.splice(0)) {
       action();
     }
   }
@@ -182,8 +182,8 @@
     this.connectionCount = 0;
     this.waiting.length = 0;
     this.open.clear();
-    this.frozenWork.length = 0;
-    this.served.clear();
+    this.deferredActions.length = 0;
+    this.grantedEpochs.clear();
     this.loadedAt.clear();
   }
 
@@ -192,16 +192,16 @@
     return createGrantHolder({ cluster: 'bench', upstream: id, incarnation: this.incarnation });
   }
 
-  private takeHolderEvents(): void {
+  private applyHolderEvents(): void {
     for (const event of this.holder.takeEvents()) {
       switch (event.type) {
         case 'granted':
-          this.served.set(event.shard, event.epoch);
+          this.grantedEpochs.set(event.shard, event.epoch);
           this.loadedAt.set(event.shard, this.queue.now + (event.warmed ? 0 : this.traits.shardLoadMillis));
           break;
         case 'revoked':
         case 'released':
-          this.served.delete(event.shard);
+          this.grantedEpochs.delete(event.shard);
           break;
         case 'warm':
           this.warm(event.shard);
@@ -232,7 +232,7 @@
     }
     const ticket = this.passFence(request);
     if (ticket !== undefined) {
-      const running: Running = { request, ticket, done: false };
+      const running: RunningRequest = { request, ticket, done: false };
       this.open.add(running);
       this.waitForShard(running);
     }
@@ -257,7 +257,7 @@
   }
 
   /** Delays a request until its shard, if granted cold, is loaded; the request holds no slot meanwhile. */
-  private waitForShard(running: Running): void {
+  private waitForShard(running: RunningRequest): void {
     const loadedAt = running.ticket === null ? 0 : (this.loadedAt.get(running.ticket.shard) ?? 0);
     if (loadedAt > this.queue.now) {
       this.queue.at(loadedAt, () => this.takeSlot(running));
@@ -266,7 +266,7 @@
     this.takeSlot(running);
   }
 
-  private takeSlot(running: Running): void {
+  private takeSlot(running: RunningRequest): void {
     if (running.done) {
       return;
     }
@@ -277,9 +277,9 @@
     this.start(running);
   }
 
-  private start(running: Running): void {
+  private start(running: RunningRequest): void {
     this.busy += 1;
-    this.begun += 1;
+    this.startedCount += 1;
     const { run } = this;
     this.queue.after(this.drawServiceMillis(), () => {
       if (run === this.run) {
@@ -288,7 +288,7 @@
     });
   }
 
-  private finish(running: Running): void {
+  private finish(running: RunningRequest): void {
     if (running.done) {
       return;
     }
@@ -312,12 +312,12 @@
     request.respond({ type: 'answered', status: 200, load: this.load(), stored: null });
   }
 
-  private close(running: Running): void {
+  private close(running: RunningRequest): void {
     running.done = true;
     this.open.delete(running);
     if (running.ticket !== null) {
       this.holder.finish(running.ticket, this.queue.now);
-      this.takeHolderEvents();
+      this.applyHolderEvents();
     }
   }
 
--- a/src/dev/bench/world/request-tally.ts
+++ b/src/dev/bench/world/request-tally.ts
@@ -66,14 +66,14 @@
     return counts;
   }
 
-  sent(service: ServiceName, sentAt: number): void {
+  recordSent(service: ServiceName, sentAt: number): void {
     if (this.isWithin(sentAt)) {
       this.counts(service).offered += 1;
     }
   }
 
   /** Records the final answer to a request. */
-  answered(entry: TallyEntry, answer: FinalAnswer): void {
+  recordAnswer(entry: TallyEntry, answer: FinalAnswer): void {
     const counts = this.counts(entry.service);
     if (entry.good && this.isWithin(entry.answeredAt)) {
       counts.goodInWindow += 1;
@@ -83,7 +83,7 @@
     }
     this.entries.push(entry);
     if (answer.type === 'refuse') {
-      this.refused(counts, answer);
+      this.countRefusal(counts, answer);
       return;
     }
     if (entry.good) {
@@ -95,7 +95,7 @@
   }
 
   /** Records a refusal, which the caller may retry. */
-  noteRefusal(service: ServiceName, answer: Refusal, sentAt: number): void {
+  recordRefusal(service: ServiceName, answer: Refusal, sentAt: number): void {
     if (!this.isWithin(sentAt)) {
       return;
     }
@@ -146,7 +146,7 @@
     return time >= this.from && time < this.to;
   }
 
-  private refused(counts: ServiceCounts, answer: Refusal): void {
+  private countRefusal(counts: ServiceCounts, answer: Refusal): void {
     if (answer.outcome === 'unknown') {
       counts.unknown += 1;
     } else {
--- a/test/dev/bench/model-upstream.test.ts
+++ b/test/dev/bench/model-upstream.test.ts
@@ -61,7 +61,7 @@
     const requests = [send(), send(), send()];
     (requests[2] as ServerRequest).cancelled = true;
     queue.runUntil(100);
-    expect(upstream.begun).to.equal(2);
+    expect(upstream.startedCount).to.equal(2);
   });
 
   it('breaks open requests when it is killed, and is cold after a restart', () => {
