--- a/src/dev/bench/experiment.ts
+++ b/src/dev/bench/experiment.ts
@@ -63,11 +63,11 @@
 
 /** One experiment of the bench. */
 export interface Experiment {
-  /** As given on the command line. */
+  /** Name of the experiment on the command line. */
   readonly name: string;
   /** One-line description for the list of experiments. */
   readonly summary: string;
-  /** Name of the deployment used when none is given, a file of `deployments/`. */
+  /** Deployment in `deployments/` that is used when none is given. */
   readonly defaultDeployment: string;
   /** Runs every arm with every seed. Experiments in virtual time may return synchronously. */
   run(context: ExperimentContext): Promise<ExperimentResult> | ExperimentResult;
--- a/src/dev/bench/experiments/hot-key.ts
+++ b/src/dev/bench/experiments/hot-key.ts
@@ -126,7 +126,7 @@
       ),
     ],
     notes: [
-      `Virtual time; the first keyed service alone, at ${LOAD_SHARE * PERCENT} % of what its upstreams can do, keys of the rush.`,
+      `Virtual time; the first keyed service alone, at ${LOAD_SHARE * PERCENT} % of the capacity of its upstreams, keys of the rush.`,
       'A key has one owner, so without coalescing no placement serves more of the hottest key than one server can.',
       'Isolated: the operator declares a keyspace that matches the hottest key alone. Placement moves shards by load in every arm.',
     ],
--- a/src/dev/bench/experiments/ledger.ts
+++ b/src/dev/bench/experiments/ledger.ts
@@ -135,7 +135,8 @@
 
 export const experiment: Experiment = {
   name: 'ledger',
-  summary: 'what a claim adds to a POST, and claims a second, with a real control group that syncs to disk',
+  summary:
+    'latency that a claim adds to a POST, and claims a second, with a real control group that syncs to disk',
   defaultDeployment: 'recife',
   run,
 };
--- a/src/dev/bench/experiments/picker.ts
+++ b/src/dev/bench/experiments/picker.ts
@@ -104,10 +104,10 @@
     plotted: arms[0]?.measures.map(({ name }) => name).filter((name) => name.startsWith('p')) ?? [],
     targets: compared,
     notes: [
-      `Virtual time; the largest service of reads as one that is not keyed, six routers, ${LOAD_SHARE * PERCENT} % of what the upstreams can do together.`,
-      'No rule was set for these ratios; at most 1 means that least-work is no worse.',
-      `In the last surroundings the load is ${COLD_LOAD_SHARE * PERCENT} %; requests of a cold upstream take up to 3 times as long for 2 s (assumed).`,
-      'Load reports come with answers and probes; in one of the surroundings they report the load of one second ago.',
+      `Virtual time; the largest read service without its keys, six routers, ${LOAD_SHARE * PERCENT} % of the total capacity of the upstreams.`,
+      'These ratios have no required bound; at most 1 means that least-work is no worse.',
+      `Under the last conditions the load is ${COLD_LOAD_SHARE * PERCENT} %; requests of a cold upstream take up to 3 times as long for 2 s (assumed).`,
+      'Load reports come with answers and probes; under one of the conditions they report the load of one second ago.',
     ],
   };
 }
--- a/src/dev/bench/experiments/placement-scale.ts
+++ b/src/dev/bench/experiments/placement-scale.ts
@@ -188,10 +188,10 @@
     arms: runArms(context, arms),
     targets: [],
     notes: [
-      'real time of one thread on the machine at hand, other work on it included',
+      'real time of one thread on the current machine, including the effect of its other load',
       'planner: from the change of servers and shards to the moves',
       'coordinator: planner, orders, granter, registry and servers that answer at once; no log, disk or network',
-      "one answer of a server: all work of the leader for one answered call, the server's own part included",
+      "one answer of a server: all work of the leader for one answered call, including the server's part",
     ],
   };
 }
--- a/src/dev/bench/experiments/placement.ts
+++ b/src/dev/bench/experiments/placement.ts
@@ -124,8 +124,8 @@
     targets: targetsOf(service, arms),
     notes: [
       `service ${service.definition.name}: ${service.template.count} servers, ${service.keys} keys`,
-      'figures begin after 30 s of quiet traffic, in which every arm puts right its first placement, made without loads',
-      'lower bound: the larger of the mean load and the load of the hottest key, which one server has to carry',
+      'figures begin after 30 s of quiet traffic, in which every arm corrects its first placement, made without loads',
+      'lower bound: the larger of the mean load and the load of the hottest key, which one server has to serve',
       'times of moves are modelled: messages between zones, one synced commit, mean request time, 300 ms to load a shard',
       "loads are drawn requests through the product's reports (6 routers, sampled) and decayed averages",
     ],
--- a/src/dev/bench/experiments/policy-change.ts
+++ b/src/dev/bench/experiments/policy-change.ts
@@ -150,7 +150,7 @@
       targetForAll('unknown while changing', valuesOf(arms, CHANGED, 'unknown'), 0),
     ],
     notes: [
-      `Virtual time; load of the rush; ${CHANGES} changes of the policy of the first keyed service, each once the one before is answered.`,
+      `Virtual time; load of the rush; ${CHANGES} changes of the policy of the first keyed service, each sent once the previous one is answered.`,
       'The operator waits for the answer that the change is in force on every router (the default).',
       'A router that holds no valid configuration serves nothing and counts as changed.',
     ],
@@ -159,7 +159,7 @@
 
 export const experiment: Experiment = {
   name: 'policy-change',
-  summary: 'policies change under load: time until in force on all routers, and what callers notice',
+  summary: 'policies change under load: time until in force on all routers, and the effect on callers',
   defaultDeployment: 'colombo',
   run: runExperiment,
 };
--- a/src/dev/bench/experiments/proxy.ts
+++ b/src/dev/bench/experiments/proxy.ts
@@ -92,7 +92,7 @@
       `Real processes on one machine; ${connections} connections, answers of ${answerBytes} bytes, ${upstreams} upstreams.`,
       `Latency at ${requestsPerSecond} requests a second sent at fixed times, counted from when each was due.`,
       'Added latency is the difference from the direct arm of the same round. Seeds only count rounds.',
-      'Waited for a processor: share of the open loop in which the process under test was ready to run and did not.',
+      'Waited for a processor: share of the open loop in which the process under test was runnable but had no processor.',
       `Load average of the machine before each round: ${loads.join(', ')}.`,
     ],
   };
--- a/src/dev/bench/experiments/retry-storm.ts
+++ b/src/dev/bench/experiments/retry-storm.ts
@@ -110,9 +110,9 @@
       ),
     ),
     notes: [
-      'Virtual time; the largest service of reads as one that is not keyed; every third upstream fails under load, in one case all of them do in part.',
+      'Virtual time; the largest read service without its keys; every third upstream fails under load, in one case all of them do in part.',
       `Load is ${LOAD_SHARE * PERCENT} % of capacity; for shedding 120 %, with upstreams that let only 4 requests wait and a third of which turn 4x slower.`,
-      '`no budget` allows one retry for each first attempt, which is as far as the definition of a service goes.',
+      '`no budget` allows one retry for each first attempt, which is the maximum in a service definition.',
     ],
   };
 }
--- a/src/dev/bench/experiments/server-loss.ts
+++ b/src/dev/bench/experiments/server-loss.ts
@@ -107,7 +107,7 @@
     targets: [...limits, targetForAll('unknown reads after a kill', valuesOf(arms, 'killed', 'unknown'), 0)],
     notes: [
       'Virtual time; load of the rush of the deployment. The server with the most shards is lost.',
-      `Callers come back after Retry-After up to ${RETURNS} times; latency counts from their first sending.`,
+      `Callers retry after Retry-After up to ${RETURNS} times; latency counts from their first attempt.`,
       'An owner counts once a router sends requests there and the shard is loaded.',
     ],
   };
--- a/src/dev/bench/experiments/zone-cut.ts
+++ b/src/dev/bench/experiments/zone-cut.ts
@@ -139,8 +139,8 @@
     ],
     notes: [
       `Virtual time; load of the rush; the zone is cut off from the others for ${CUT_MILLIS / MILLIS_PER_SECOND} s. Callers reach routers of every zone all the time.`,
-      `Callers come back after Retry-After up to ${IDEMPOTENT_RETURNS} times, orders with the same idempotency key; in the last arm they do not.`,
-      'Orders count as good whenever they were answered; the p99 counts from the first sending.',
+      `Callers retry after Retry-After up to ${IDEMPOTENT_RETURNS} times, orders with the same idempotency key; in the last arm they do not.`,
+      'Orders count as good regardless of when they were answered; the p99 counts from the first attempt.',
     ],
   };
 }
--- a/src/dev/bench/models/loaded-world.ts
+++ b/src/dev/bench/models/loaded-world.ts
@@ -14,7 +14,7 @@
 const PERCENT = 100;
 
 export interface LoadedWorldOptions {
-  /** Service whose keys are watched; its keys are those of the rush. */
+  /** Service whose keys are probed; its keys are those of the rush. */
   readonly watched: ServiceName;
   /** Maximum virtual duration of the load. */
   readonly loadMillis: number;
--- a/src/dev/bench/models/placement/placement-runs.ts
+++ b/src/dev/bench/models/placement/placement-runs.ts
@@ -16,12 +16,12 @@
 import { PlacementWorld } from './placement-world.js';
 import { runRollingRestart, runRushScenario } from './time-line.js';
 
-/** Routers of the installation. */
+/** Routers in each zone of the installation. */
 const ROUTERS_PER_ZONE = 2;
 /** Time in which arms may correct a placement made before any load is reported; excluded from the figures. */
 const WARM_UP_MILLIS = 30_000;
 const PERCENT = 100;
-/** Servers that join during the rush. */
+/** Number of servers that join during the rush. */
 const JOINING_SERVERS = 2;
 
 /** The keyed service under test, with its settings from the deployment. */
--- a/src/dev/bench/models/rush.ts
+++ b/src/dev/bench/models/rush.ts
@@ -151,10 +151,10 @@
     ],
     notes: [
       'Virtual time: the real cores of routers and control, modelled upstreams, network and callers.',
-      `Reads are a multiple of the rate at which the first read service is at its capacity; orders run at ${ORDERS_LOAD} of theirs (3 in the last arm).`,
+      `Reads are a multiple of the rate at which the first read service reaches its capacity; orders run at ${ORDERS_LOAD} of their own (3 in the last arm).`,
       'Coalescing is off in every arm, so that the load on the upstreams is that of the arm.',
       'Goodput counts answers within the measured time, the good share the requests sent within it.',
-      'Callers are an open stream and do not come back after a refusal.',
+      'Callers send an open-loop stream and do not retry after a refusal.',
       'Router time of a refusal: from arrival at the router to its answer, without the cost of the computation itself.',
     ],
   };
--- a/src/dev/bench/proxy/control-standin.ts
+++ b/src/dev/bench/proxy/control-standin.ts
@@ -69,7 +69,7 @@
   }
 
   /** Pushes a delta to connected routers without a sync request. */
-  tell(delta: RoutingDelta): void {
+  sendDelta(delta: RoutingDelta): void {
     for (const router of this.routers) {
       this.reply(router, { type: 'sync-news', delta });
     }
--- a/src/dev/bench/world/bench-world.ts
+++ b/src/dev/bench/world/bench-world.ts
@@ -1,4 +1,4 @@
-/** Clients, network, routers, control and upstreams of one installation on one virtual clock. */
+/** Simulates the clients, network, routers, control and upstreams of one installation on one virtual clock. */
 import type { ControlConfig } from '../../../control/types.js';
 import type { KeyMap } from '../../../lease/types.js';
 import type { ServiceName, ShardId, UpstreamId, Zone } from '../../../model/identifiers.js';
