--- a/src/dev/bench/experiments/hot-key.ts
+++ b/src/dev/bench/experiments/hot-key.ts
@@ -1,4 +1,4 @@
-/** One key draws a third of the reads of a keyed service: what isolation on a shard of its own and coalescing do. */
+/** One key receives a third of a keyed service's reads: the effect of isolation on its own shard and of coalescing. */
 import type { KeyspaceDefinition, ServiceDefinition } from '../../../model/service.js';
 import type { Deployment } from '../../../settings/deployment.js';
 import { type Arm, type Reading, reading, runArms, target, valuesOf } from '../arms.js';
@@ -14,7 +14,7 @@
 const MEASURED_MILLIS = 3000;
 const MILLIS_PER_SECOND = 1000;
 const PERCENT = 100;
-/** Reads as a share of what the upstreams can work off; the hottest key alone is above what one of them can. */
+/** Reads as a share of the upstreams' capacity; the hottest key alone exceeds the capacity of one upstream. */
 const LOAD_SHARE = 0.3;
 const OTHERS_SHARE_WANTED = 99;
 
@@ -33,7 +33,7 @@
   { name: BOTH, isolated: true, coalesce: true },
 ];
 
-/** The keyspaces that match prefixes, and one more for the hottest key if it is isolated. */
+/** Returns the prefix keyspaces, and an exact one for the hottest key if it is isolated. */
 function keyspacesOf(service: ServiceDefinition, hotKey: string, isolated: boolean): KeyspaceDefinition[] {
   const prefixes = service.keyspaces.filter(({ kind }) => kind === 'prefix');
   return isolated ? [{ name: 'hot', kind: 'exact', match: hotKey, shards: 1 }, ...prefixes] : prefixes;
@@ -74,17 +74,17 @@
   const measuredFrom = from + WARM_UP_MILLIS;
   const to = measuredFrom + MEASURED_MILLIS;
   const tally = new RequestTally(measuredFrom, to);
-  // Names of keys are those without isolation, so that every arm has the same.
+  // Key names are generated without the isolated keyspace, so that they are the same in every arm.
   const stream = streamOf(deployment, { ...service, keyspaces: prefixes }, from, to);
   const load = world.load(tally, [stream]);
   world.run(WARM_UP_MILLIS);
-  const before = world.upstreamsOf(service.name).map(({ begun }) => begun);
+  const before = world.upstreamsOf(service.name).map(({ startedCount }) => startedCount);
   world.run(MEASURED_MILLIS);
-  const begun = world
+  const startedCounts = world
     .upstreamsOf(service.name)
-    .map((upstream, index) => upstream.begun - (before[index] ?? 0));
+    .map((upstream, index) => upstream.startedCount - (before[index] ?? 0));
   world.runUntil(() => load.open === 0);
-  const total = begun.reduce((sum, count) => sum + count, 0);
+  const total = startedCounts.reduce((sum, count) => sum + count, 0);
   const hot = tally.entries.filter(({ key }) => key === hotKey);
   const others = tally.entries.filter(({ key }) => key !== hotKey);
   return [
@@ -92,7 +92,7 @@
     ...entryReadings('hottest key', hot),
     ...entryReadings('other keys', others),
     reading('worked on by the upstreams', '1/s', total / (MEASURED_MILLIS / MILLIS_PER_SECOND)),
-    reading('busiest upstream to mean', '', Math.max(...begun) / (total / begun.length)),
+    reading('busiest upstream to mean', '', Math.max(...startedCounts) / (total / startedCounts.length)),
   ];
 }
 
@@ -126,7 +126,7 @@
       ),
     ],
     notes: [
-      `Virtual time; the first keyed service alone, at ${LOAD_SHARE * PERCENT} % of what its upstreams can do, keys of the rush.`,
+      `Virtual time; the first keyed service alone, at ${LOAD_SHARE * PERCENT} % of the capacity of its upstreams, keys of the rush.`,
       'A key has one owner, so without coalescing no placement serves more of the hottest key than one server can.',
       'Isolated: the operator declares a keyspace that matches the hottest key alone. Placement moves shards by load in every arm.',
     ],
--- a/src/dev/bench/experiments/picker.ts
+++ b/src/dev/bench/experiments/picker.ts
@@ -1,4 +1,4 @@
-/** Ways to pick an upstream, with upstreams of unequal speed, true and stale reports of load, and one that starts cold. */
+/** Compares upstream pickers with upstreams of unequal speed, current and stale load reports, and cold starts. */
 import type { PickerName } from '../../../routing/index.js';
 import { type Arm, type Reading, ratiosOf, reading, runArms, target } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -8,7 +8,7 @@
 const WARM_UP_MILLIS = 1000;
 const MEASURED_MILLIS = 3000;
 const LOAD_SHARE = 0.7;
-/** Lower while upstreams are cold, so that the rest can carry the load. */
+/** Lower while upstreams are cold, so that the remaining ones have enough capacity. */
 const COLD_LOAD_SHARE = 0.5;
 const SLOW_EVERY = 3;
 const SLOWNESS = 3;
@@ -16,15 +16,15 @@
 const DOWN_MILLIS = 500;
 const PERCENT = 100;
 
-interface Surroundings {
+interface Conditions {
   readonly label: string;
-  /** A third is killed in the warm-up and comes back cold when the measuring begins. */
+  /** Whether a third is killed during the warm-up and restarts cold when measuring starts. */
   readonly restarts?: boolean;
   readonly slowness: number;
   readonly loadLagMillis: number;
 }
 
-const SURROUNDINGS: readonly Surroundings[] = [
+const CONDITIONS: readonly Conditions[] = [
   { label: 'equal', slowness: 1, loadLagMillis: 0 },
   { label: 'a third 3x slower', slowness: SLOWNESS, loadLagMillis: 0 },
   { label: 'the same, load 1 s old', slowness: SLOWNESS, loadLagMillis: STALE_MILLIS },
@@ -38,19 +38,24 @@
   return local / all;
 }
 
-function run(context: ExperimentContext, seed: number, picker: PickerName, around: Surroundings): Reading[] {
+function run(
+  context: ExperimentContext,
+  seed: number,
+  picker: PickerName,
+  conditions: Conditions,
+): Reading[] {
   const started = startUnkeyedWorld(context.deployment, seed, {
-    loadShare: around.restarts === true ? COLD_LOAD_SHARE : LOAD_SHARE,
+    loadShare: conditions.restarts === true ? COLD_LOAD_SHARE : LOAD_SHARE,
     warmUpMillis: WARM_UP_MILLIS,
     measuredMillis: MEASURED_MILLIS,
     change: { picker },
-    traits: { loadLagMillis: around.loadLagMillis },
+    traits: { loadLagMillis: conditions.loadLagMillis },
     prepare: (upstream, index) => {
-      upstream.slowness = index % SLOW_EVERY === 0 ? around.slowness : 1;
+      upstream.slowness = index % SLOW_EVERY === 0 ? conditions.slowness : 1;
     },
   });
   const { world, tally, service, upstreams } = started;
-  if (around.restarts === true) {
+  if (conditions.restarts === true) {
     const restarted = upstreams.filter((_, index) => index % SLOW_EVERY === 0);
     world.run(WARM_UP_MILLIS - DOWN_MILLIS);
     for (const upstream of restarted) {
@@ -62,14 +67,14 @@
     }
   }
   finishUnkeyed(started);
-  const busy = upstreams.map(({ begun, slowness }) => begun * slowness);
+  const busy = upstreams.map(({ startedCount, slowness }) => startedCount * slowness);
   const mean = busy.reduce((sum, work) => sum + work, 0) / busy.length;
   return [
-    reading(`p50, ${around.label}`, 'ms', tally.latency(service.name, 0.5)),
-    reading(`p99, ${around.label}`, 'ms', tally.latency(service.name, 0.99)),
-    reading(`good share, ${around.label}`, '%', tally.goodShare(service.name) * PERCENT),
-    reading(`within the zone, ${around.label}`, '%', localShare(started) * PERCENT),
-    reading(`busiest to mean, ${around.label}`, '', quantile(busy, 1) / mean),
+    reading(`p50, ${conditions.label}`, 'ms', tally.latency(service.name, 0.5)),
+    reading(`p99, ${conditions.label}`, 'ms', tally.latency(service.name, 0.99)),
+    reading(`good share, ${conditions.label}`, '%', tally.goodShare(service.name) * PERCENT),
+    reading(`within the zone, ${conditions.label}`, '%', localShare(started) * PERCENT),
+    reading(`busiest to mean, ${conditions.label}`, '', quantile(busy, 1) / mean),
   ];
 }
 
@@ -80,11 +85,11 @@
       (picker): Arm => ({
         name: picker,
         baseline: picker !== 'least-work',
-        run: (seed) => SURROUNDINGS.flatMap((around) => run(context, seed, picker, around)),
+        run: (seed) => CONDITIONS.flatMap((conditions) => run(context, seed, picker, conditions)),
       }),
     ),
   );
-  const compared = SURROUNDINGS.slice(1).flatMap(({ label }) =>
+  const compared = CONDITIONS.slice(1).flatMap(({ label }) =>
     PICKERS.slice(1).map((picker) =>
       target(
         `p99 of least-work to ${picker}, ${label}`,
@@ -99,10 +104,10 @@
     plotted: arms[0]?.measures.map(({ name }) => name).filter((name) => name.startsWith('p')) ?? [],
     targets: compared,
     notes: [
-      `Virtual time; the largest service of reads as one that is not keyed, six routers, ${LOAD_SHARE * PERCENT} % of what the upstreams can do together.`,
-      'No rule was set for these ratios; at most 1 means that least-work is no worse.',
-      `In the last surroundings the load is ${COLD_LOAD_SHARE * PERCENT} %; requests of a cold upstream take up to 3 times as long for 2 s (assumed).`,
-      'Load reports come with answers and probes; in one of the surroundings they tell the load of one second ago.',
+      `Virtual time; the largest read service without its keys, six routers, ${LOAD_SHARE * PERCENT} % of the total capacity of the upstreams.`,
+      'These ratios have no required bound; at most 1 means that least-work is no worse.',
+      `Under the last conditions the load is ${COLD_LOAD_SHARE * PERCENT} %; requests of a cold upstream take up to 3 times as long for 2 s (assumed).`,
+      'Load reports come with answers and probes; under one of the conditions they report the load of one second ago.',
     ],
   };
 }
--- a/src/dev/bench/experiments/placement.ts
+++ b/src/dev/bench/experiments/placement.ts
@@ -1,4 +1,4 @@
-/** Placement of a keyed service's shards: the weighted planner against three baselines, over a rush and a rolling restart. */
+/** Compares the weighted planner with three baselines for a keyed service, over a rush and a rolling restart. */
 import type { ServiceDefinition } from '../../../model/service.js';
 import {
   createBoundedLoadPlanner,
@@ -33,8 +33,8 @@
 const CHURN_WANTED = 0.333;
 const UNAVAILABLE_WANTED = 5;
 const CHART_SAMPLES = 10;
-/** A leader hears of loads for this long before it balances by them, as in control. */
-const LISTEN_MILLIS = 10_000;
+/** Time for which a leader collects load reports before it balances by them, as in control. */
+const LOAD_COLLECTION_MILLIS = 10_000;
 
 const TO_BOUND = 'rush: most loaded / lower bound, mean';
 const CHURN = 'rush: changes of owner';
@@ -47,7 +47,7 @@
 }
 
 function weighted({ placement, movesPerMinute }: ServiceDefinition): PlacementPlanner {
-  return createPlanner({ weights: placement, movesPerMinute }, LISTEN_MILLIS);
+  return createPlanner({ weights: placement, movesPerMinute }, LOAD_COLLECTION_MILLIS);
 }
 
 function armsFor({ definition }: PlacedService): NamedArm[] {
@@ -69,7 +69,7 @@
   const points = [...samples].flatMap(([series, all]) =>
     all
       .filter((_, index) => index % CHART_SAMPLES === 0)
-      .map(({ at, toBound }) => ({ series, x: at / 1000, y: toBound })),
+      .map(({ at, boundRatio }) => ({ series, x: at / 1000, y: boundRatio })),
   );
   return {
     title: 'Most loaded server against the lower bound, first seed',
@@ -79,7 +79,7 @@
   };
 }
 
-/** What the service's operators weigh most: an even load, or keys that are always served. */
+/** Returns the targets for what the service's weights favour: balanced load, or availability of keys. */
 function targetsOf({ definition }: PlacedService, arms: readonly ArmResult[]): TargetResult[] {
   const { imbalance, unavailability } = definition.placement;
   if (unavailability > imbalance) {
@@ -124,8 +124,8 @@
     targets: targetsOf(service, arms),
     notes: [
       `service ${service.definition.name}: ${service.template.count} servers, ${service.keys} keys`,
-      'figures begin after 30 s of quiet traffic, in which every arm puts right its first placement, made without loads',
-      'lower bound: the larger of the mean load and the load of the hottest key, which one server has to carry',
+      'figures begin after 30 s of quiet traffic, in which every arm corrects its first placement, made without loads',
+      'lower bound: the larger of the mean load and the load of the hottest key, which one server has to serve',
       'times of moves are modelled: messages between zones, one synced commit, mean request time, 300 ms to load a shard',
       "loads are drawn requests through the product's reports (6 routers, sampled) and decayed averages",
     ],
--- a/src/dev/bench/experiments/policy-change.ts
+++ b/src/dev/bench/experiments/policy-change.ts
@@ -1,4 +1,4 @@
-/** Operators change a policy under load: when it is in force on all routers, and what callers notice. */
+/** Changes a policy under load and measures when it is in force on all routers and how callers are affected. */
 import type { PolicyRule, ServiceDefinition } from '../../../model/service.js';
 import { type Arm, type Reading, reading, runArms, target, targetForAll, valuesOf } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -31,13 +31,13 @@
 }
 
 interface ChangeTimes {
-  /** Until the last router that serves held the new policy. */
+  /** Milliseconds until the last serving router held the new policy. */
   readonly applied: number;
-  /** Until the operator was told that it is in force. */
+  /** Milliseconds until the operator's command was answered. */
   readonly answered: number;
 }
 
-/** Routers that hold the change, or serve nothing. */
+/** Whether every router holds the change or isn't serving. */
 function isOnAllRouters({ world }: LoadedWorld, definition: ServiceDefinition): boolean {
   const [rule] = definition.policy;
   return world.routers.every((router) => {
@@ -95,12 +95,12 @@
   }
 }
 
-function run(context: ExperimentContext, seed: number, changes: number, cuts: boolean): Reading[] {
+function run(context: ExperimentContext, seed: number, changes: number, withZoneCut: boolean): Reading[] {
   const { deployment } = context;
   const service = keyedService(deployment);
   const options = { watched: service.name, loadMillis: LOAD_MILLIS, returns: RETURNS };
   const loaded = startLoadedWorld(deployment, seed, options);
-  if (cuts) {
+  if (withZoneCut) {
     cutZone(loaded);
   }
   const times: ChangeTimes[] = [];
@@ -122,10 +122,10 @@
 }
 
 function runExperiment(context: ExperimentContext): ExperimentResult {
-  const arm = (name: string, changes: number, cuts = false): Arm => ({
+  const arm = (name: string, changes: number, withZoneCut = false): Arm => ({
     name,
     baseline: name === UNCHANGED,
-    run: (seed) => run(context, seed, changes, cuts),
+    run: (seed) => run(context, seed, changes, withZoneCut),
   });
   const arms = runArms(context, [arm(UNCHANGED, 0), arm(CHANGED, CHANGES), arm(CUT, CHANGES, true)]);
   const { name } = keyedService(context.deployment);
@@ -150,7 +150,7 @@
       targetForAll('unknown while changing', valuesOf(arms, CHANGED, 'unknown'), 0),
     ],
     notes: [
-      `Virtual time; load of the rush; ${CHANGES} changes of the policy of the first keyed service, each once the one before is answered.`,
+      `Virtual time; load of the rush; ${CHANGES} changes of the policy of the first keyed service, each sent once the previous one is answered.`,
       'The operator waits for the answer that the change is in force on every router (the default).',
       'A router that holds no valid configuration serves nothing and counts as changed.',
     ],
@@ -159,7 +159,7 @@
 
 export const experiment: Experiment = {
   name: 'policy-change',
-  summary: 'policies change under load: time until in force on all routers, and what callers notice',
+  summary: 'policies change under load: time until in force on all routers, and the effect on callers',
   defaultDeployment: 'colombo',
   run: runExperiment,
 };
--- a/src/dev/bench/experiments/proxy.ts
+++ b/src/dev/bench/experiments/proxy.ts
@@ -1,4 +1,4 @@
-/** One router on one core, in real processes: throughput, added latency, memory, and what HTTP libraries cost. */
+/** Measures one router on one core in real processes: throughput, added latency, memory, cost of HTTP libraries. */
 import { loadavg } from 'node:os';
 import { gather, type Reading, reading, target, targetForAll, valuesOf } from '../arms.js';
 import type { ArmResult, Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -58,7 +58,7 @@
   ];
 }
 
-/** Rounds of one arm, put together. */
+/** Combines the rounds of one arm. */
 function resultOf(arm: ProxyArm, rounds: readonly ProxyMeasurement[][]): ArmResult {
   const name = armName(arm);
   const readings = rounds.map((round) => {
@@ -92,7 +92,7 @@
       `Real processes on one machine; ${connections} connections, answers of ${answerBytes} bytes, ${upstreams} upstreams.`,
       `Latency at ${requestsPerSecond} requests a second sent at fixed times, counted from when each was due.`,
       'Added latency is the difference from the direct arm of the same round. Seeds only count rounds.',
-      'Waited for a processor: share of the open loop in which the process under test was ready to run and did not.',
+      'Waited for a processor: share of the open loop in which the process under test was runnable but had no processor.',
       `Load average of the machine before each round: ${loads.join(', ')}.`,
     ],
   };
--- a/src/dev/bench/experiments/retry-storm.ts
+++ b/src/dev/bench/experiments/retry-storm.ts
@@ -1,4 +1,4 @@
-/** A third of the upstreams fails: how many attempts each request becomes, and what callers still get. */
+/** A third of the upstreams fails: measures attempts per request and the good share that remains for callers. */
 import type { ServiceDefinition } from '../../../model/service.js';
 import { type Arm, type Reading, reading, runArms, target, valuesOf } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -10,7 +10,7 @@
 const LOAD_SHARE = 0.5;
 const FAILING_EVERY = 3;
 const FAIL_AFTER_MILLIS = 1500;
-const LARGEST_AMPLIFICATION = 1.1;
+const MAX_AMPLIFICATION = 1.1;
 const PERCENT = 100;
 
 const OURS = 'budget of the service';
@@ -19,7 +19,7 @@
 
 interface Failure {
   readonly label: string;
-  /** Every upstream fails, in place of every third. */
+  /** Whether every upstream fails, instead of every third. */
   readonly everywhere?: boolean;
   readonly loadShare: number;
   readonly fail: (upstream: ModelUpstream) => void;
@@ -106,13 +106,13 @@
         `attempts per request, ${label}`,
         valuesOf(arms, OURS, `amplification, ${label}`),
         '<=',
-        LARGEST_AMPLIFICATION,
+        MAX_AMPLIFICATION,
       ),
     ),
     notes: [
-      'Virtual time; the largest service of reads as one that is not keyed; every third upstream fails under load, in one case all of them do in part.',
+      'Virtual time; the largest read service without its keys; every third upstream fails under load, in one case all of them do in part.',
       `Load is ${LOAD_SHARE * PERCENT} % of capacity; for shedding 120 %, with upstreams that let only 4 requests wait and a third of which turn 4x slower.`,
-      '`no budget` allows one retry for each first attempt, which is as far as the definition of a service goes.',
+      '`no budget` allows one retry for each first attempt, which is the maximum in a service definition.',
     ],
   };
 }
--- a/src/dev/bench/experiments/server-loss.ts
+++ b/src/dev/bench/experiments/server-loss.ts
@@ -1,4 +1,4 @@
-/** A server that owns keys is lost under load: how long its keys are without an owner, and what callers see of it. */
+/** Loses a server that owns keys under load; measures the unowned period of its keys and the effect on callers. */
 import type { ShardId } from '../../../model/identifiers.js';
 import { type Arm, type Reading, reading, runArms, target, targetForAll, valuesOf } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult } from '../experiment.js';
@@ -41,7 +41,7 @@
   { name: 'killed, no holding', lose: (server) => server.kill(), holdLimitMillis: 50 },
 ];
 
-/** The server that owns the most keys. */
+/** Returns the server that owns the most shards. */
 function largestOwner({ world, probe }: LoadedWorld, service: string): ModelUpstream {
   return world
     .upstreamsOf(service)
@@ -70,11 +70,11 @@
   const server = largestOwner(loaded, watched);
   const shards = loaded.probe.shardsOf(server.definition.id);
   arm.lose(server, loaded);
-  const took = newOwnerMillis(loaded, shards);
+  const newOwnerAfterMillis = newOwnerMillis(loaded, shards);
   finish(loaded);
   loaded.probe.stop();
   return [
-    reading('99 % of its keys have a new owner after', 'ms', took),
+    reading('99 % of its keys have a new owner after', 'ms', newOwnerAfterMillis),
     reading('unavailable', 'key-s', loaded.probe.unavailableKeySeconds),
     ...serviceReadings(loaded.tally, watched),
     ...outcomeReadings(loaded.tally, [watched]),
@@ -107,7 +107,7 @@
     targets: [...limits, targetForAll('unknown reads after a kill', valuesOf(arms, 'killed', 'unknown'), 0)],
     notes: [
       'Virtual time; load of the rush of the deployment. The server with the most shards is lost.',
-      `Callers come back after Retry-After up to ${RETURNS} times; latency counts from their first sending.`,
+      `Callers retry after Retry-After up to ${RETURNS} times; latency counts from their first attempt.`,
       'An owner counts once a router sends requests there and the shard is loaded.',
     ],
   };
--- a/src/dev/bench/experiments/zone-cut.ts
+++ b/src/dev/bench/experiments/zone-cut.ts
@@ -1,4 +1,4 @@
-/** A zone is cut off from the others under load, and comes back: what callers and keys lose. */
+/** Cuts a zone off from the others under load, then heals it; measures failed requests and unavailable keys. */
 import type { Zone } from '../../../model/identifiers.js';
 import { type Arm, type Reading, reading, runArms, target, targetForAll, valuesOf } from '../arms.js';
 import type { Experiment, ExperimentContext, ExperimentResult, LineChart } from '../experiment.js';
@@ -26,14 +26,14 @@
 
 interface CutArm {
   readonly name: string;
-  readonly ofLeader: boolean;
+  readonly cutsLeaderZone: boolean;
   readonly returns: number;
 }
 
 const CUTS: readonly CutArm[] = [
-  { name: 'zone of a follower', ofLeader: false, returns: IDEMPOTENT_RETURNS },
-  { name: 'zone of the leader', ofLeader: true, returns: IDEMPOTENT_RETURNS },
-  { name: 'follower, callers give up', ofLeader: false, returns: 0 },
+  { name: 'zone of a follower', cutsLeaderZone: false, returns: IDEMPOTENT_RETURNS },
+  { name: 'zone of the leader', cutsLeaderZone: true, returns: IDEMPOTENT_RETURNS },
+  { name: 'follower, callers give up', cutsLeaderZone: false, returns: 0 },
 ];
 
 function zoneToCut({ world }: LoadedWorld, ofLeader: boolean): Zone {
@@ -53,23 +53,27 @@
   const loaded = startLoadedWorld(deployment, seed, options);
   const { world, tally } = loaded;
   world.run(CUT_AFTER_MILLIS);
-  const zone = zoneToCut(loaded, arm.ofLeader);
+  const zone = zoneToCut(loaded, arm.cutsLeaderZone);
   const cutAt = world.now;
   world.network.cut(zone);
-  // Routers and servers of the cut zone go on until their leases end; what the others reach is what counts.
+  // Routers and servers in the cut zone keep serving until their leases end; only the view from outside the zone counts.
   loaded.probe.stop();
   const outside = world.routers.filter((router) => router.zone !== zone);
-  const rest = world.watchFrom(outside, watched, loaded.keys);
-  rest.start();
-  const took = world.runUntil(() => rest.availableShare() >= RECOVERED_SHARE, WAIT_LIMIT_MILLIS, 1);
+  const outsideProbe = world.watchFrom(outside, watched, loaded.keys);
+  outsideProbe.start();
+  const recoveryMillis = world.runUntil(
+    () => outsideProbe.availableShare() >= RECOVERED_SHARE,
+    WAIT_LIMIT_MILLIS,
+    1,
+  );
   world.run(Math.max(0, cutAt + CUT_MILLIS - world.now));
   world.network.heal(zone);
   finish(loaded);
-  rest.stop();
+  outsideProbe.stop();
   const readings = [
-    reading(RECOVERED, 'ms', took),
-    reading('unavailable', 'key-s', rest.unavailableKeySeconds),
-    reading('changes of owner', 'shards', rest.ownerChanges),
+    reading(RECOVERED, 'ms', recoveryMillis),
+    reading('unavailable', 'key-s', outsideProbe.unavailableKeySeconds),
+    reading('changes of owner', 'shards', outsideProbe.ownerChanges),
     ...rushOf(deployment).mix.flatMap(({ service }) => serviceReadings(tally, service)),
     ...outcomeReadings(
       tally,
@@ -135,8 +139,8 @@
     ],
     notes: [
       `Virtual time; load of the rush; the zone is cut off from the others for ${CUT_MILLIS / MILLIS_PER_SECOND} s. Callers reach routers of every zone all the time.`,
-      `Callers come back after Retry-After up to ${IDEMPOTENT_RETURNS} times, orders with the same idempotency key; in the last arm they do not.`,
-      'Orders count as good whenever they were answered; the p99 counts from the first sending.',
+      `Callers retry after Retry-After up to ${IDEMPOTENT_RETURNS} times, orders with the same idempotency key; in the last arm they do not.`,
+      'Orders count as good regardless of when they were answered; the p99 counts from the first attempt.',
     ],
   };
 }
--- a/src/dev/bench/models/placement/placement-runs.ts
+++ b/src/dev/bench/models/placement/placement-runs.ts
@@ -14,17 +14,17 @@
 import { KeyLoads, type KeyTraffic } from './key-loads.js';
 import { type Handover, MoveModel } from './move-model.js';
 import { PlacementWorld } from './placement-world.js';
-import { runRollingRestart, runRush } from './time-line.js';
+import { runRollingRestart, runRushScenario } from './time-line.js';
 
-/** Routers of the installation. */
+/** Routers in each zone of the installation. */
 const ROUTERS_PER_ZONE = 2;
-/** Time in which arms may put right a placement that was made before any load was known; not part of the figures. */
+/** Time in which arms may correct a placement made before any load is reported; excluded from the figures. */
 const WARM_UP_MILLIS = 30_000;
 const PERCENT = 100;
-/** Servers that join during the rush. */
-const JOINING = 2;
+/** Number of servers that join during the rush. */
+const JOINING_SERVERS = 2;
 
-/** The keyed service that is looked at, with what the deployment says of it. */
+/** The keyed service under test, with its settings from the deployment. */
 export interface PlacedService {
   readonly definition: ServiceDefinition;
   readonly template: UpstreamTemplate;
@@ -37,7 +37,7 @@
   readonly betweenZonesMillis: number;
 }
 
-/** How one arm places shards and moves them. */
+/** Placement and handover of one arm. */
 export interface PlacementArm {
   readonly createPlanner: (service: ServiceDefinition) => PlacementPlanner;
   readonly handover: Handover;
@@ -50,7 +50,7 @@
   readonly random: RandomSource;
 }
 
-/** The first keyed service of a deployment. */
+/** Returns the first keyed service of a deployment. */
 export function placedServiceOf(deployment: Deployment): PlacedService {
   const definition = deployment.services.find(({ keyed }) => keyed) as ServiceDefinition;
   const { name } = definition;
@@ -75,7 +75,7 @@
   return { requestsPerSecond: (requestsPerSecond * (own?.share ?? 0)) / total, skew: own?.skew ?? 0 };
 }
 
-function serverNumbered({ template, zones }: PlacedService, number: number): PlacementServer {
+function serverAt({ template, zones }: PlacedService, number: number): PlacementServer {
   const zone = zones[number % zones.length] as string;
   const id = `${template.service}-${number + 1}`;
   return { id, capacity: template.slots, mayHold: [], zone, state: 'ready' };
@@ -101,7 +101,7 @@
     coalesced,
   });
   for (let number = 0; number < template.count; number += 1) {
-    world.setServer(serverNumbered(service, number));
+    world.setServer(serverAt(service, number));
   }
   for (const shard of shardsOfKeyMap(keyMap)) {
     world.addShard(shard, parseShardId(shard)?.keyspace ?? '');
@@ -110,7 +110,7 @@
   return { world, loads, random };
 }
 
-/** What a rush showed, with the samples for a chart. */
+/** Readings of a rush, with the samples for a chart. */
 export interface RushRun {
   readonly readings: Reading[];
   readonly samples: readonly ImbalanceSample[];
@@ -124,14 +124,16 @@
   const probe = new ImbalanceProbe(world, loads, arm.coalesced);
   probe.start();
   const { count } = service.template;
-  const newServers = Array.from({ length: JOINING }, (_, number) => serverNumbered(service, count + number));
+  const newServers = Array.from({ length: JOINING_SERVERS }, (_, number) =>
+    serverAt(service, count + number),
+  );
   const { rush, after } = service;
-  runRush({ world, loads, random, newServers, rush, after });
+  runRushScenario({ world, loads, random, newServers, rush, after });
   loads.setTraffic(rush);
   const readings = [
-    reading('rush: most loaded / lower bound, mean', '', probe.meanToBound()),
-    reading('rush: most loaded / lower bound, p95', '', probe.toBoundQuantile(0.95)),
-    reading('rush: most loaded / mean load, mean', '', probe.meanToMean()),
+    reading('rush: most loaded / lower bound, mean', '', probe.averageBoundRatio()),
+    reading('rush: most loaded / lower bound, p95', '', probe.boundRatioQuantile(0.95)),
+    reading('rush: most loaded / mean load, mean', '', probe.averageMeanRatio()),
     reading('rush: changes of owner', '', world.ownerChanges),
     reading('rush: moves for balance', '', world.balancingMoves),
     reading('warm-up: moves for balance', '', warmUpMoves),
@@ -142,18 +144,18 @@
   return { readings: [...readings, ...coalescing], samples: probe.samples };
 }
 
-/** What coalescing of identical reads takes off in the rush. */
+/** Returns the work that coalescing of identical reads saves in the rush. */
 function coalescingReadings(loads: KeyLoads): Reading[] {
   const [all, coalesced] = [loads.keyWork(false), loads.keyWork(true)];
-  const takenOff = (of: (work: readonly number[]) => number): number =>
-    PERCENT * (1 - of(coalesced) / of(all));
+  const savedPercent = (aggregate: (work: readonly number[]) => number): number =>
+    PERCENT * (1 - aggregate(coalesced) / aggregate(all));
   const sum = (work: readonly number[]): number => work.reduce((total, one) => total + one, 0);
   return [
-    reading('rush: work taken off by coalescing', '%', takenOff(sum)),
+    reading('rush: work taken off by coalescing', '%', savedPercent(sum)),
     reading(
       'rush: the same, of the hottest key',
       '%',
-      takenOff((work) => Math.max(...work)),
+      savedPercent((work) => Math.max(...work)),
     ),
   ];
 }
--- a/src/dev/bench/models/placement/placement-world.ts
+++ b/src/dev/bench/models/placement/placement-world.ts
@@ -1,6 +1,6 @@
 /**
- * Servers and shards of one service in virtual time, with a planner that decides and a model of how moves go. Routers'
- * load reports come from drawn requests through the same reporter and tracker as in the product.
+ * Servers and shards of one service in virtual time, with a placement planner and a model of move times. Load reports of
+ * routers are computed from drawn requests with the product's own reporter and tracker.
  */
 import type { ShardId, UpstreamId } from '../../../../model/identifiers.js';
 import {
@@ -17,18 +17,18 @@
 
 const PLAN_MILLIS = 20;
 const SECOND_MILLIS = 1000;
-/** Load below which shards count as idle, in milliseconds of work a second, as in control. */
-const LEAST_LOAD = 1;
+/** Load below which shards count as idle, in milliseconds of work per second, as in control. */
+const MIN_LOAD = 1;
 const SERVICE_SIGMA = 0.5;
 
-/** Where a shard is. */
-export interface ShardPlace {
+/** Owner and pending move of a shard. */
+export interface ShardPlacement {
   readonly shard: ShardId;
   readonly keyspace: string;
   owner: UpstreamId | null;
-  /** Server that it moves to; `null`: none. */
+  /** Server that the shard moves to; `null`: none. */
   target: UpstreamId | null;
-  /** Number of the move that is under way; older ones have been called off. */
+  /** Number of the latest move; moves with lower numbers are complete or cancelled. */
   move: number;
 }
 
@@ -40,19 +40,19 @@
   readonly random: RandomSource;
   readonly serviceMillis: number;
   readonly routers: number;
-  /** Reads that join one under way aren't seen as work. */
+  /** Whether identical reads are coalesced; a read that joins a running one adds no work. */
   readonly coalesced: boolean;
 }
 
 export class PlacementWorld {
   readonly queue = new EventQueue();
   readonly servers = new Map<UpstreamId, PlacementServer>();
-  readonly shards = new Map<ShardId, ShardPlace>();
-  /** Changes of owner since the start. */
+  readonly shards = new Map<ShardId, ShardPlacement>();
+  /** Owner changes since counting started. */
   ownerChanges = 0;
-  /** Those of them which the planner made for the sake of balance. */
+  /** Moves that the planner started for balance. */
   balancingMoves = 0;
-  /** Sums over keys of the seconds in which nobody served them: during planned moves, and after losses. */
+  /** Sums of the unavailable seconds of all keys, during planned moves and after losses. */
   plannedKeySeconds = 0;
   lostKeySeconds = 0;
   readonly #parts: PlacementWorldParts;
@@ -79,21 +79,21 @@
     this.setServer({ ...(this.servers.get(id) as PlacementServer), state });
   }
 
-  /** Places every shard without counting, then lets time run. */
+  /** Places every shard without counting the changes, then schedules planning and load reports. */
   start(): void {
-    for (const place of this.shards.values()) {
-      this.#tellPlanner(place);
+    for (const placement of this.shards.values()) {
+      this.#updatePlanner(placement);
     }
     for (const move of this.#parts.planner.plan(0)) {
-      const place = this.shards.get(move.shard) as ShardPlace;
-      place.owner = move.to;
-      this.#tellPlanner(place);
+      const placement = this.shards.get(move.shard) as ShardPlacement;
+      placement.owner = move.to;
+      this.#updatePlanner(placement);
     }
     this.queue.after(PLAN_MILLIS, () => this.#plan());
-    this.queue.after(SECOND_MILLIS, () => this.#takeReports());
+    this.queue.after(SECOND_MILLIS, () => this.#processReports());
   }
 
-  /** Forgets what was counted so far. */
+  /** Resets the counts. */
   startCounting(): void {
     this.ownerChanges = 0;
     this.balancingMoves = 0;
@@ -101,96 +101,100 @@
     this.lostKeySeconds = 0;
   }
 
-  /** A server is gone at once; its shards are unowned once its lease has ended. */
+  /** Removes a server without a drain; its shards become unowned once its lease has ended. */
   lose(id: UpstreamId): void {
     this.setState(id, 'lost');
     const lostAt = this.queue.now;
-    for (const place of this.shards.values()) {
-      if (place.target === id) {
-        this.#callOff(place);
+    for (const placement of this.shards.values()) {
+      if (placement.target === id) {
+        this.#cancelMove(placement);
       }
     }
     this.queue.after(this.#parts.moves.leaseMillis(), () => {
-      for (const place of this.ownedBy(id)) {
-        place.owner = null;
-        place.move += 1;
-        place.target = null;
-        this.lostKeySeconds += this.#keySeconds(place, this.queue.now - lostAt);
-        this.#tellPlanner(place);
+      for (const placement of this.ownedBy(id)) {
+        placement.owner = null;
+        placement.move += 1;
+        placement.target = null;
+        this.lostKeySeconds += this.#keySeconds(placement, this.queue.now - lostAt);
+        this.#updatePlanner(placement);
       }
     });
   }
 
-  ownedBy(id: UpstreamId): ShardPlace[] {
+  ownedBy(id: UpstreamId): ShardPlacement[] {
     return [...this.shards.values()].filter(({ owner }) => owner === id);
   }
 
-  #tellPlanner({ shard, keyspace, owner, target }: ShardPlace): void {
+  #updatePlanner({ shard, keyspace, owner, target }: ShardPlacement): void {
     const load = this.#tracker.weight(shard);
     this.#parts.planner.setShard({ shard, keyspace, load, owner, target });
   }
 
-  #callOff(place: ShardPlace): void {
-    place.move += 1;
-    place.target = null;
-    this.#tellPlanner(place);
+  #cancelMove(placement: ShardPlacement): void {
+    placement.move += 1;
+    placement.target = null;
+    this.#updatePlanner(placement);
   }
 
   #plan(): void {
     for (const move of this.#parts.planner.plan(this.queue.now)) {
-      this.#begin(move);
+      this.#startMove(move);
     }
     this.queue.after(PLAN_MILLIS, () => this.#plan());
   }
 
-  #begin({ shard, from, to, reason }: PlacementMove): void {
-    const place = this.shards.get(shard) as ShardPlace;
-    place.target = to;
-    place.move += 1;
+  #startMove({ shard, from, to, reason }: PlacementMove): void {
+    const placement = this.shards.get(shard) as ShardPlacement;
+    placement.target = to;
+    placement.move += 1;
     this.balancingMoves += Number(reason === 'balance');
-    const { move } = place;
+    const { move } = placement;
     if (from === null) {
       const grantMillis = this.#parts.moves.grantMillis();
       this.queue.after(grantMillis, () => {
-        this.lostKeySeconds += this.#arrive(place, move) ? this.#keySeconds(place, grantMillis) : 0;
+        this.lostKeySeconds += this.#completeMove(placement, move)
+          ? this.#keySeconds(placement, grantMillis)
+          : 0;
       });
       return;
     }
-    const { warmMillis, gapMillis } = this.#parts.moves.planned(this.#parts.handover);
+    const { warmMillis, gapMillis } = this.#parts.moves.plannedMove(this.#parts.handover);
     this.queue.after(warmMillis + gapMillis, () => {
-      this.plannedKeySeconds += this.#arrive(place, move) ? this.#keySeconds(place, gapMillis) : 0;
+      this.plannedKeySeconds += this.#completeMove(placement, move)
+        ? this.#keySeconds(placement, gapMillis)
+        : 0;
     });
   }
 
-  /** Does nothing and returns `false` if the move was called off. */
-  #arrive(place: ShardPlace, move: number): boolean {
-    if (place.move !== move || place.target === null) {
+  /** Completes a move; does nothing and returns `false` if the move was cancelled. */
+  #completeMove(placement: ShardPlacement, move: number): boolean {
+    if (placement.move !== move || placement.target === null) {
       return false;
     }
-    place.owner = place.target;
-    place.target = null;
+    placement.owner = placement.target;
+    placement.target = null;
     this.ownerChanges += 1;
-    this.#tellPlanner(place);
+    this.#updatePlanner(placement);
     return true;
   }
 
-  #keySeconds({ shard }: ShardPlace, millis: number): number {
+  #keySeconds({ shard }: ShardPlacement, millis: number): number {
     return ((this.#keysOfShards.get(shard) ?? 0) * millis) / SECOND_MILLIS;
   }
 
-  /** Draws the requests of the last second and hands the routers' reports to the planner. */
-  #takeReports(): void {
+  /** Draws the requests of the last second and passes the routers' reports to the planner. */
+  #processReports(): void {
     const { now } = this.queue;
     const { planner } = this.#parts;
     this.#drawRequests();
     for (const reporter of this.#reporters) {
       this.#tracker.report(reporter.take(now)?.shards ?? [], now);
     }
-    planner.setLeastLoad(this.#tracker.weightOf(LEAST_LOAD, now));
+    planner.setLeastLoad(this.#tracker.weightOf(MIN_LOAD, now));
     for (const { shard, load } of this.#tracker.takeChanged()) {
       planner.setLoad(shard, load);
     }
-    this.queue.after(SECOND_MILLIS, () => this.#takeReports());
+    this.queue.after(SECOND_MILLIS, () => this.#processReports());
   }
 
   #drawRequests(): void {
@@ -208,7 +212,7 @@
   }
 }
 
-/** Share of the reads of each key that join one under way. */
+/** Returns, for each key, the share of its reads that join a running one. */
 function joinedShares(loads: KeyLoads): number[] {
   const all = loads.keyWork(false);
   return loads.keyWork(true).map((work, key) => 1 - work / Math.max(all[key] ?? 0, Number.MIN_VALUE));
--- a/src/dev/bench/proxy/bare-proxy.ts
+++ b/src/dev/bench/proxy/bare-proxy.ts
@@ -1,4 +1,4 @@
-/** A proxy without any decisions: what HTTP libraries alone cost on both sides. Requests go to upstreams in turn. */
+/** A proxy without routing decisions, to measure the cost of HTTP libraries alone. It picks upstreams round-robin. */
 import type { RequestListener, ServerResponse } from 'node:http';
 import Koa from 'koa';
 import type { Address } from '../../../model/identifiers.js';
@@ -7,21 +7,21 @@
 const BAD_GATEWAY = 502;
 
 export class BareProxy {
-  private turn = 0;
+  private upstreamIndex = 0;
 
   constructor(
     private readonly client: UpstreamClient,
     private readonly upstreams: readonly Address[],
   ) {}
 
-  /** On `node:http` alone. */
+  /** Returns a listener on `node:http` alone. */
   nodeListener(): RequestListener {
     return (request, response) => {
       this.forward(request.url ?? '/', (answer) => writeAnswer(response, answer));
     };
   }
 
-  /** On koa, answered through its context as its applications do. */
+  /** Returns a listener on koa that answers through the koa context, as koa applications do. */
   koaListener(): RequestListener {
     const app = new Koa();
     app.use(async (context) => {
@@ -36,8 +36,8 @@
   }
 
   private forward(path: string, done: (answer: WholeAnswer | null) => void): void {
-    this.turn = (this.turn + 1) % this.upstreams.length;
-    this.client.get(this.upstreams[this.turn] as Address, path, done);
+    this.upstreamIndex = (this.upstreamIndex + 1) % this.upstreams.length;
+    this.client.get(this.upstreams[this.upstreamIndex] as Address, path, done);
   }
 }
 
--- a/src/dev/bench/world/core-timer.ts
+++ b/src/dev/bench/world/core-timer.ts
@@ -1,8 +1,8 @@
-/** Ticks a deterministic core when it asks for it, as the daemons' shells do. */
+/** Ticks a deterministic core at its deadlines, as the I/O layer of the daemons does. */
 import type { EventQueue } from '../../virtual/event-queue.js';
 
-/** Shortest wait for a tick, the same as in the daemons. */
-const LEAST_TICK_MILLIS = 1;
+/** Minimum delay before a tick, the same as in the daemons. */
+const MIN_TICK_MILLIS = 1;
 
 export class CoreTimer {
   private dueAt = Number.POSITIVE_INFINITY;
@@ -13,20 +13,20 @@
     private readonly tick: () => void,
   ) {}
 
-  /** To be called after each step: sets the timer if the core wants its tick earlier than before. */
+  /** Must be called after each step; resets the timer if the core's deadline is earlier than before. */
   schedule(): void {
     const deadline = this.nextDeadline();
     if (deadline >= this.dueAt) {
       return;
     }
-    const dueAt = Math.max(deadline, this.queue.now + LEAST_TICK_MILLIS);
+    const dueAt = Math.max(deadline, this.queue.now + MIN_TICK_MILLIS);
     this.dueAt = dueAt;
     this.queue.at(dueAt, () => this.fire(dueAt));
   }
 
-  /** A timer that a sooner one replaced does nothing. */
-  private fire(setFor: number): void {
-    if (setFor !== this.dueAt) {
+  /** Does nothing for a timer that an earlier one has replaced. */
+  private fire(scheduledFor: number): void {
+    if (scheduledFor !== this.dueAt) {
       return;
     }
     this.dueAt = Number.POSITIVE_INFINITY;
--- a/src/dev/bench/world/load-generator.ts
+++ b/src/dev/bench/world/load-generator.ts
@@ -1,4 +1,4 @@
-/** Callers in virtual time: open streams of requests, which come back after Retry-After if they are told to. */
+/** Callers in virtual time: open-loop streams of requests, retried after the Retry-After of a refusal. */
 import type { ServiceDefinition } from '../../../model/service.js';
 import type { EventQueue } from '../../virtual/event-queue.js';
 import { RandomSource, ZipfDistribution } from '../../virtual/random-source.js';
@@ -21,20 +21,20 @@
   readonly keys: number;
   readonly skew: number;
   readonly method: 'GET' | 'POST';
-  /** How often a caller that was refused as `not-run` with Retry-After comes again. */
+  /** Maximum number of retries of a request that is refused as `not-run` with Retry-After. */
   readonly returns: number;
 }
 
 export interface LoadParts {
   readonly queue: EventQueue;
-  /** Each stream draws from a source of its own, so that one stream's rate changes nothing about another. */
+  /** Each stream draws from its own source, so that the rate of one stream doesn't affect the others. */
   readonly seed: number;
   readonly network: ModelNetwork;
   readonly routers: readonly ModelRouter[];
   readonly tally: RequestTally;
 }
 
-/** A stream under way. */
+/** A running stream. */
 interface OpenStream {
   readonly stream: LoadStream;
   readonly zipf: ZipfDistribution | null;
@@ -47,10 +47,10 @@
   readonly key: string | null;
   readonly id: string | null;
   readonly sentAt: number;
-  returnsLeft: number;
+  retriesLeft: number;
 }
 
-/** Names of a service's keys by popularity: exact matches first. */
+/** Returns the name of the key at a popularity rank; the keys of exact keyspaces come first. */
 export function keyName(service: ServiceDefinition, rank: number): string {
   const exact = service.keyspaces.filter((keyspace) => keyspace.kind === 'exact');
   const named = service.keyspaces.find((keyspace) => keyspace.kind === 'prefix' && keyspace.match !== '');
@@ -64,7 +64,7 @@
 
   constructor(private readonly parts: LoadParts) {}
 
-  /** Calls that wait for their final answer. */
+  /** Number of calls without a final answer. */
   get open(): number {
     return this.openCalls;
   }
@@ -79,7 +79,7 @@
     this.parts.queue.at(stream.from, () => this.scheduleNext({ stream, zipf, random }));
   }
 
-  /** No new calls; those that are open go on. */
+  /** Starts no new calls; open calls continue. */
   stop(): void {
     this.stopped = true;
   }
@@ -107,10 +107,10 @@
       key: zipf === null ? null : keyName(stream.service, zipf.draw(random)),
       id: stream.service.repeatable ? null : `call-${this.callCount}`,
       sentAt: queue.now,
-      returnsLeft: stream.returns,
+      retriesLeft: stream.returns,
     };
     this.openCalls += 1;
-    tally.sent(stream.service.name, call.sentAt);
+    tally.recordSent(stream.service.name, call.sentAt);
     this.send(call);
   }
 
@@ -128,19 +128,19 @@
       idempotency,
     };
     network.sendClient(() => {
-      router.arrive(request, (answer) => network.sendClient(() => this.answered(call, answer)));
+      router.handleRequest(request, (answer) => network.sendClient(() => this.onAnswer(call, answer)));
     });
   }
 
-  private answered(call: Call, answer: FinalAnswer): void {
+  private onAnswer(call: Call, answer: FinalAnswer): void {
     const { queue, tally } = this.parts;
     const { service } = call.stream;
     if (answer.type === 'refuse') {
-      tally.noteRefusal(service.name, answer, call.sentAt);
-      // An order may come again whatever was said of it: its idempotency key keeps it from running twice.
+      tally.recordRefusal(service.name, answer, call.sentAt);
+      // A request with an idempotency key may be retried after any outcome: the key prevents a second run.
       const mayReturn = answer.outcome === 'not-run' || call.id !== null;
-      if (call.returnsLeft > 0 && mayReturn && answer.retryAfterMillis !== null) {
-        call.returnsLeft -= 1;
+      if (call.retriesLeft > 0 && mayReturn && answer.retryAfterMillis !== null) {
+        call.retriesLeft -= 1;
         queue.after(answer.retryAfterMillis, () => this.send(call));
         return;
       }
@@ -149,7 +149,7 @@
     const good =
       answer.type === 'delivered' &&
       (call.stream.returns > 0 || queue.now - call.sentAt <= service.deadlineMillis);
-    tally.answered(
+    tally.recordAnswer(
       { service: service.name, key: call.key, sentAt: call.sentAt, answeredAt: queue.now, good },
       answer,
     );
--- a/src/dev/bench/world/model-control.ts
+++ b/src/dev/bench/world/model-control.ts
@@ -1,4 +1,4 @@
-/** A group of control members in virtual time: the real core of each, an ideal disk, and the network between them. */
+/** A control group in virtual time: the real core of each member, an ideal disk, and the network between members. */
 import type { RestoredState } from '../../../consensus/types.js';
 import { createControlNode } from '../../../control/control-node.js';
 import {
@@ -43,15 +43,15 @@
 export interface RouterLink {
   readonly zone: Zone;
   receive(from: Address, message: ControlToRouter): void;
-  /** The connection to a member broke. */
-  lost(from: Address): void;
+  /** Handles a broken connection to a member. */
+  onConnectionLost(from: Address): void;
 }
 
 export interface ControlOptions {
   readonly seed: number;
   readonly zones: readonly Zone[];
   readonly members: number;
-  /** Changes to the configuration of every member. */
+  /** Overrides of the configuration of every member. */
   readonly config: Partial<ControlConfig>;
 }
 
@@ -88,8 +88,8 @@
     this.routers.set(router, link);
   }
 
-  /** A message of a router to the member at `to`; lost if the member is dead or cut off. */
-  fromRouter(router: string, to: Address, message: RouterToControl): void {
+  /** Sends a router's message to the member at `to`; it is lost if the member is dead or cut off. */
+  sendFromRouter(router: string, to: Address, message: RouterToControl): void {
     const member = this.members.get(to);
     const link = this.routers.get(router);
     if (member === undefined || link === undefined) {
@@ -99,11 +99,11 @@
     this.network.send(link.zone, member.zone, () => this.step(member, input));
   }
 
-  /** Makes a change, sent again until a leader takes it. */
+  /** Submits a command and retries it until a leader accepts it. */
   command(command: OperatorCommand, wait: boolean, done: (response: OperatorResponse) => void): void {
     this.operationCount += 1;
     const requestId = `bench-${this.operationCount}`;
-    this.ask({ type: 'command', requestId, actor: 'bench', command, wait }, done);
+    this.submit({ type: 'command', requestId, actor: 'bench', command, wait }, done);
   }
 
   leader(): Member | undefined {
@@ -119,24 +119,24 @@
     }
     leader.alive = false;
     for (const link of this.routers.values()) {
-      this.network.send(leader.zone, link.zone, () => link.lost(leader.address));
+      this.network.send(leader.zone, link.zone, () => link.onConnectionLost(leader.address));
     }
   }
 
-  private ask(request: OperatorRequest, done: (response: OperatorResponse) => void): void {
+  private submit(request: OperatorRequest, done: (response: OperatorResponse) => void): void {
     const leader = this.leader();
-    const again = (): void => {
-      this.queue.after(OPERATOR_RETRY_MILLIS, () => this.ask(request, done));
+    const retry = (): void => {
+      this.queue.after(OPERATOR_RETRY_MILLIS, () => this.submit(request, done));
     };
     if (leader === undefined) {
-      again();
+      retry();
       return;
     }
     this.operationCount += 1;
     const operation = `operation-${this.operationCount}`;
     this.operations.set(operation, (response) => {
       if (response.type === 'not-leader' || response.type === 'unknown') {
-        again();
+        retry();
       } else {
         done(response);
       }
@@ -181,12 +181,12 @@
     }
     const { now } = this.queue;
     for (const effect of member.core.step(input, now, WALL_START + now)) {
-      this.carryOut(member, effect);
+      this.applyEffect(member, effect);
     }
     member.timer.schedule();
   }
 
-  private carryOut(member: Member, effect: ControlEffect): void {
+  private applyEffect(member: Member, effect: ControlEffect): void {
     switch (effect.type) {
       case 'send-peer':
         this.sendPeer(member, effect);
--- a/src/dev/bench/world/model-upstream.ts
+++ b/src/dev/bench/world/model-upstream.ts
@@ -1,6 +1,6 @@
 /**
- * An upstream server in virtual time: slots and a short queue before them, connection and probe cost, cold start,
- * shedding, and the real holder of grants as its fence.
+ * An upstream server in virtual time: slots with a bounded queue, connection and probe cost, cold start, load shedding,
+ * and the real grant holder as its fence.
  */
 import { createGrantHolder, type GrantHolder, type Ticket } from '../../../lease/index.js';
 import type { FenceCredentials, SessionAnswer, SessionRequest } from '../../../lease/types.js';
@@ -15,46 +15,46 @@
 /** One attempt as it reaches the server. */
 export interface ServerRequest {
   readonly credentials: FenceCredentials | null;
-  /** Virtual time after which nobody waits for the answer. */
+  /** Virtual time after which the answer is no longer needed. */
   readonly deadlineAt: number;
   /** Called at most once, when the answer leaves the server. */
   readonly respond: (result: AttemptResult) => void;
-  /** Set when the caller went away. */
+  /** Set when the caller has disconnected. */
   cancelled: boolean;
 }
 
-/** `frozen`: takes connections, does nothing. `dead`: refuses them. */
+/** `frozen`: accepts connections but processes nothing. `dead`: refuses connections. */
 export type ServerState = 'up' | 'frozen' | 'dead';
 
-interface Running {
+interface RunningRequest {
   readonly request: ServerRequest;
   readonly ticket: Ticket | null;
-  /** Answered, given up or lost with the process: timers that are still set find nothing to do. */
+  /** Answered, abandoned or lost with the process; timers that are still pending then do nothing. */
   done: boolean;
 }
 
 export class ModelUpstream {
   holder: GrantHolder;
   state: ServerState = 'up';
-  /** Share of its usual speed; 2: requests take twice as long. */
+  /** Factor on request times; 2: requests take twice as long. */
   slowness = 1;
-  /** Share of requests that break after they began. */
+  /** Share of requests whose connection breaks after processing. */
   failureShare = 0;
   /** Open connections of all routers. */
   connectionCount = 0;
-  /** Requests answered, and requests begun. */
+  /** Numbers of requests answered and of requests started. */
   answered = 0;
-  begun = 0;
-  /** Asks control to move its shards away, as a planned stop does. */
+  startedCount = 0;
+  /** Set to request that control move the shards away, as a planned shutdown does. */
   leaving = false;
   private drained = false;
   private run = 1;
   private startedAt = 0;
   private busy = 0;
-  private readonly waiting: Running[] = [];
-  private readonly open = new Set<Running>();
-  private readonly frozenWork: (() => void)[] = [];
-  private readonly served = new Map<ShardId, Epoch>();
+  private readonly waiting: RunningRequest[] = [];
+  private readonly open = new Set<RunningRequest>();
+  private readonly deferredActions: (() => void)[] = [];
+  private readonly grantedEpochs = new Map<ShardId, Epoch>();
   /** Virtual time from which a shard's state is loaded. */
   private readonly loadedAt = new Map<ShardId, number>();
   private reporter: LoadReporter;
@@ -78,28 +78,28 @@
     return this.open.size;
   }
 
-  /** Whether a request of this shard that came now would be let in and find the shard's state loaded. */
+  /** Whether a request for this shard would be admitted now and the shard's state is loaded. */
   serves(shard: ShardId): boolean {
     const { now } = this.queue;
-    const isUp = this.state === 'up' && this.served.has(shard);
+    const isUp = this.state === 'up' && this.grantedEpochs.has(shard);
     return isUp && now >= (this.loadedAt.get(shard) ?? 0) && this.holder.status(now).leased;
   }
 
   epochOf(shard: ShardId): Epoch | undefined {
-    return this.served.get(shard);
+    return this.grantedEpochs.get(shard);
   }
 
-  /** A control leader's session request. */
+  /** Handles a session request of a control leader. */
   handleSession(request: SessionRequest): SessionAnswer {
     const answer = this.holder.handleSession(request, this.queue.now);
-    this.takeHolderEvents();
+    this.applyHolderEvents();
     return this.leaving ? { ...answer, leaving: true } : answer;
   }
 
-  /** Runs `action` now, or when a frozen server thaws; `false` if the server is dead. */
+  /** Runs `action` now, or once a frozen server thaws; returns `false` if the server is dead. */
   whenAwake(action: () => void): boolean {
     if (this.state === 'frozen') {
-      this.frozenWork.push(action);
+      this.deferredActions.push(action);
       return true;
     }
     if (this.state === 'up') {
@@ -108,12 +108,12 @@
     return this.state === 'up';
   }
 
-  /** Takes a request that arrived over an open connection. */
+  /** Handles a request received on an open connection. */
   serve(request: ServerRequest): void {
     this.whenAwake(() => this.admit(request));
   }
 
-  /** A probe: takes a slot for its cost if one is free, then answers. */
+  /** Answers a probe after it has occupied a slot for its cost; at once if no slot is free. */
   probe(respond: (load: number) => void): void {
     if (this.busy >= this.traits.slots) {
       respond(this.load());
@@ -130,7 +130,7 @@
     });
   }
 
-  /** The process dies: connections break, nothing is answered. */
+  /** Kills the process: connections break and open requests aren't answered. */
   kill(): void {
     this.state = 'dead';
     for (const running of this.open) {
@@ -142,7 +142,7 @@
     this.reset();
   }
 
-  /** A new run of the process, cold and without grants. */
+  /** Starts a new run of the process, cold and without grants. */
   restart(): void {
     this.run += 1;
     this.startedAt = this.queue.now;
@@ -154,25 +154,25 @@
     this.reporter = new LoadReporter(this.traits.loadLagMillis, 1);
   }
 
-  /** Lets in nothing more, as the end of a planned stop does. */
+  /** Rejects all further requests, as the last phase of a planned shutdown does. */
   drain(): void {
     this.drained = true;
   }
 
-  /** Whether the leader may still take it for the owner of a shard. */
+  /** Whether the leader may still consider this server the owner of a shard. */
   holdsAny(): boolean {
     const { held, unreported } = this.holder.status(this.queue.now);
     return held + unreported > 0;
   }
 
-  /** Does nothing until `thaw`; what comes meanwhile waits. */
+  /** Suspends the process until `thaw`; requests received meanwhile wait. */
   freeze(): void {
     this.state = 'frozen';
   }
 
   thaw(): void {
     this.state = 'up';
-    for (const action of this.frozenWork.splice(0)) {
+    for (const action of this.deferredActions.splice(0)) {
       action();
     }
   }
@@ -182,8 +182,8 @@
     this.connectionCount = 0;
     this.waiting.length = 0;
     this.open.clear();
-    this.frozenWork.length = 0;
-    this.served.clear();
+    this.deferredActions.length = 0;
+    this.grantedEpochs.clear();
     this.loadedAt.clear();
   }
 
@@ -192,16 +192,16 @@
     return createGrantHolder({ cluster: 'bench', upstream: id, incarnation: this.incarnation });
   }
 
-  private takeHolderEvents(): void {
+  private applyHolderEvents(): void {
     for (const event of this.holder.takeEvents()) {
       switch (event.type) {
         case 'granted':
-          this.served.set(event.shard, event.epoch);
+          this.grantedEpochs.set(event.shard, event.epoch);
           this.loadedAt.set(event.shard, this.queue.now + (event.warmed ? 0 : this.traits.shardLoadMillis));
           break;
         case 'revoked':
         case 'released':
-          this.served.delete(event.shard);
+          this.grantedEpochs.delete(event.shard);
           break;
         case 'warm':
           this.warm(event.shard);
@@ -232,13 +232,13 @@
     }
     const ticket = this.passFence(request);
     if (ticket !== undefined) {
-      const running: Running = { request, ticket, done: false };
+      const running: RunningRequest = { request, ticket, done: false };
       this.open.add(running);
       this.waitForShard(running);
     }
   }
 
-  /** `null` for services that aren't keyed; `undefined` if the request was refused. */
+  /** Returns `null` for services that aren't keyed, and `undefined` if the request was refused. */
   private passFence(request: ServerRequest): Ticket | null | undefined {
     const { now } = this.queue;
     if (!this.keyed || request.credentials === null) {
@@ -256,8 +256,8 @@
     return undefined;
   }
 
-  /** A shard that was granted cold is loaded first; its requests hold no slot meanwhile. */
-  private waitForShard(running: Running): void {
+  /** Delays a request until its shard, if granted cold, is loaded; the request holds no slot meanwhile. */
+  private waitForShard(running: RunningRequest): void {
     const loadedAt = running.ticket === null ? 0 : (this.loadedAt.get(running.ticket.shard) ?? 0);
     if (loadedAt > this.queue.now) {
       this.queue.at(loadedAt, () => this.takeSlot(running));
@@ -266,7 +266,7 @@
     this.takeSlot(running);
   }
 
-  private takeSlot(running: Running): void {
+  private takeSlot(running: RunningRequest): void {
     if (running.done) {
       return;
     }
@@ -277,9 +277,9 @@
     this.start(running);
   }
 
-  private start(running: Running): void {
+  private start(running: RunningRequest): void {
     this.busy += 1;
-    this.begun += 1;
+    this.startedCount += 1;
     const { run } = this;
     this.queue.after(this.drawServiceMillis(), () => {
       if (run === this.run) {
@@ -288,7 +288,7 @@
     });
   }
 
-  private finish(running: Running): void {
+  private finish(running: RunningRequest): void {
     if (running.done) {
       return;
     }
@@ -312,16 +312,16 @@
     request.respond({ type: 'answered', status: 200, load: this.load(), stored: null });
   }
 
-  private close(running: Running): void {
+  private close(running: RunningRequest): void {
     running.done = true;
     this.open.delete(running);
     if (running.ticket !== null) {
       this.holder.finish(running.ticket, this.queue.now);
-      this.takeHolderEvents();
+      this.applyHolderEvents();
     }
   }
 
-  /** Skips what nobody waits for any more. */
+  /** Starts waiting requests while slots are free; skips cancelled and expired ones. */
   private startWaiting(): void {
     while (this.busy < this.traits.slots) {
       const next = this.waiting.shift();
