--- a/src/dev/bench/models/placement/placement-world.ts
+++ b/src/dev/bench/models/placement/placement-world.ts
@@ -188,7 +188,7 @@
     const { planner } = this.#parts;
     this.#drawRequests();
     for (const reporter of this.#reporters) {
-      this.#tracker.report(reporter.take(now)?.shards ?? [], now);
+      this.#tracker.report(reporter.takeReport(now)?.shards ?? [], now);
     }
     planner.setLeastLoad(this.#tracker.weightOf(MIN_LOAD, now));
     for (const { shard, load } of this.#tracker.takeChanged()) {
--- a/src/router/attempts/attempt.ts
+++ b/src/router/attempts/attempt.ts
@@ -210,7 +210,7 @@
     }
     const turnedAway = error instanceof ConnectionRejectedError;
     const refused = (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
-    this.report({ type: 'connect-failed', turnedAway, refused });
+    this.report({ type: 'connect-failed', closedOnAccept: turnedAway, refused });
   }
 
   /** Reports the head of an answer that is too long to read whole, and pauses reading until it is delivered. */
--- a/src/routing/answers.ts
+++ b/src/routing/answers.ts
@@ -4,9 +4,9 @@
 import type { ClaimFlow } from './claim-flow.js';
 import { factsOf } from './decision-facts.js';
 import { type LedgerWord, outcomeOf, statusOf } from './outcome-table.js';
+import type { Attempt, Member, RequestGroup } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { ArrivedRequest, AttemptResult, RefusalReason } from './types.js';
-import type { Attempt, Member, Work } from './work.js';
 
 export class Answers {
   constructor(
@@ -37,19 +37,19 @@
   /** Rejects one request; the others of its group continue. */
   refuse(member: Member, reason: RefusalReason, retryAfterMillis: number | null): void {
     this.emitRefusal(member, reason, retryAfterMillis);
-    member.work.timedOut = member.work.timedOut || reason === 'deadline-passed';
+    member.group.timedOut = member.group.timedOut || reason === 'deadline-passed';
     this.removeMember(member);
   }
 
   /** Rejects all requests of a group. */
-  refuseWork(group: Work, reason: RefusalReason, retryAfterMillis: number | null): void {
+  refuseWork(group: RequestGroup, reason: RefusalReason, retryAfterMillis: number | null): void {
     for (const member of [...group.members]) {
       this.refuse(member, reason, retryAfterMillis);
     }
   }
 
   /** Rejects all requests of a group because its request is quarantined. A request that was never sent has not run. */
-  refuseQuarantined(group: Work): void {
+  refuseQuarantined(group: RequestGroup): void {
     const { fingerprint } = group.request;
     this.refuseWork(
       group,
@@ -62,7 +62,11 @@
    * Delivers the answer of an attempt to every request of the group; a personal answer only to the request that was
    * sent. Returns the members without an answer, which are no longer part of the group.
    */
-  deliver(group: Work, attempt: Attempt, result: AttemptResult & { readonly type: 'answered' }): Member[] {
+  deliver(
+    group: RequestGroup,
+    attempt: Attempt,
+    result: AttemptResult & { readonly type: 'answered' },
+  ): Member[] {
     this.settle(group, { outcome: 'ran', answer: result.stored });
     const isRecipient = ({ request }: Member): boolean =>
       result.personal !== true || request.request === attempt.request.request;
@@ -82,7 +86,7 @@
   }
 
   /** Delivers the answer that the ledger stored for an earlier arrival of the same request. */
-  deliverStored(group: Work, answer: StoredAnswer): void {
+  deliverStored(group: RequestGroup, answer: StoredAnswer): void {
     for (const member of [...group.members]) {
       this.context.emit({ type: 'deliver-stored', request: member.request.request, answer });
       this.removeMember(member);
@@ -95,14 +99,14 @@
   }
 
   /** Settles the claim of a group, if it has one. */
-  settle(group: Work, settlement: Settlement): void {
+  settle(group: RequestGroup, settlement: Settlement): void {
     if (group.claim !== null) {
       this.claims.settle(group.claim, settlement);
     }
   }
 
   private emitRefusal(member: Member, reason: RefusalReason, retryAfterMillis: number | null): void {
-    const { work: group } = member;
+    const { group } = member;
     const mayHaveRun = member.mayHaveRun || group.attempt !== null;
     const outcome = outcomeOf({ ledger: group.ledger, mayHaveRun });
     const status = statusOf(reason, mayHaveRun);
@@ -114,7 +118,7 @@
   }
 
   private removeMember(member: Member): void {
-    const { work: group } = member;
+    const { group } = member;
     this.context.cancelTimer(member.deadlineTimer);
     member.deadlineTimer = null;
     this.context.members.delete(member.request.request);
@@ -125,7 +129,7 @@
   }
 
   /** Cleans up after the last member of a group is gone. */
-  private end(group: Work): void {
+  private end(group: RequestGroup): void {
     group.phase = 'done';
     this.context.link?.ended(group);
     this.context.cancelTimer(group.holdTimer);
@@ -140,7 +144,7 @@
   }
 
   /** Defers the settlement until the attempt's result is known. */
-  private settleWhenAttemptEnds(group: Work): void {
+  private settleWhenAttemptEnds(group: RequestGroup): void {
     if (group.claim !== null) {
       this.claims.awaitEnd(group.claim);
     }
@@ -154,9 +158,9 @@
 }
 
 /** Removes a group from every queue and index where it waits or can be joined. */
-export function detach(group: Work): void {
+export function detach(group: RequestGroup): void {
   const { service } = group;
-  service.lanes.remove(group);
+  service.queues.remove(group);
   service.held.delete(group);
   service.claiming.delete(group);
   if (group.coalesceKey !== null && service.joinable.get(group.coalesceKey) === group) {
--- a/src/routing/attempt-evidence.ts
+++ b/src/routing/attempt-evidence.ts
@@ -1,10 +1,10 @@
 /** Updates the state of upstreams (speed, load, slots, failures) from the results of this router's own attempts. */
 import type { FenceRefusal } from '../lease/types.js';
+import { type Attempt, measurementNameOf, type RequestGroup } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { AttemptResult } from './types.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
 import { runNameOf } from './watched-runs.js';
-import { type Attempt, type Work, workNameOf } from './work.js';
 
 /** Pause of an upstream that refused for overload, in addition to any back-off that the upstream requests itself. */
 const OVERLOAD_PAUSE_MILLIS = 20;
@@ -27,7 +27,7 @@
   /** Updates the state of an attempt's upstream from the result of the attempt. */
   take(attempt: Attempt, result: AttemptResult): void {
     const { now } = this.context;
-    const { upstream, work: group } = attempt;
+    const { upstream, group } = attempt;
     const tookMillis = now - attempt.startedAt;
     this.context.crashes.take(attempt, result);
     if (attempt.run !== null && attempt.run !== runNameOf(upstream)) {
@@ -50,7 +50,7 @@
         if (result.recalled === true) {
           return;
         }
-        if (result.turnedAway === true) {
+        if (result.closedOnAccept === true) {
           // The upstream is alive, but at its limit of connections or requests.
           this.countRefusal(upstream, 'overloaded', Number.POSITIVE_INFINITY);
           return;
@@ -83,7 +83,7 @@
     }
   }
 
-  private recordUnreportedLoad({ service, terms, askedAt }: Work): void {
+  private recordUnreportedLoad({ service, terms, askedAt }: RequestGroup): void {
     const { now } = this.context;
     const isInTime = terms.targetMillis === null || now <= askedAt + terms.targetMillis;
     service.rankRoom.answeredUnreported(terms.priority, isInTime, now);
@@ -91,9 +91,9 @@
 
   private countAnswer(attempt: Attempt, status: number, { tookMillis, load }: AnswerSample): void {
     this.recordForFleet(attempt, status, { tookMillis, load });
-    const { upstream, work: group } = attempt;
-    if (group.loadName !== null) {
-      this.context.reporter.add(group.loadName, tookMillis);
+    const { upstream, group } = attempt;
+    if (group.loadShard !== null) {
+      this.context.reporter.add(group.loadShard, tookMillis);
     }
     if (attempt.foundFreeSlot) {
       upstream.answeredUnhindered(tookMillis);
@@ -111,7 +111,7 @@
    * they don't reflect speed, and cold upstreams because they are slow anyway.
    */
   private recordForFleet(
-    { upstream, work: group, foundFreeSlot }: Attempt,
+    { upstream, group, foundFreeSlot }: Attempt,
     status: number,
     sample: AnswerSample,
   ): void {
@@ -122,9 +122,9 @@
     const { tookMillis, load } = sample;
     if (load !== null) {
       const rounds = Math.max(1, (load + 1) / upstream.slotLimit.most);
-      fleetSums.worked(upstream.id, workNameOf(group), tookMillis / rounds);
+      fleetSums.worked(upstream.id, measurementNameOf(group), tookMillis / rounds);
     } else if (foundFreeSlot) {
-      fleetSums.worked(upstream.id, workNameOf(group), tookMillis);
+      fleetSums.worked(upstream.id, measurementNameOf(group), tookMillis);
     }
   }
 
@@ -146,7 +146,7 @@
   /** Counts a failure; enough consecutive failures eject the upstream. */
   countFailure(attempt: Attempt): void {
     const { now } = this.context;
-    const { upstream, work: group } = attempt;
+    const { upstream, group } = attempt;
     const { service } = group;
     const isEjected = upstream.ejection.failed(now, service.ejectedCount(now), service.upstreams.length);
     if (isEjected) {
@@ -160,7 +160,7 @@
   }
 }
 
-function slowAttemptMillis({ upstream, work: group }: Attempt): number {
+function slowAttemptMillis({ upstream, group }: Attempt): number {
   const minimum = Math.min(MIN_SLOW_MILLIS, group.terms.deadlineMillis / 2);
   return Math.max(minimum, upstream.serviceMillis * SLOW_ATTEMPT_FACTOR);
 }
--- a/src/routing/attempt-results.ts
+++ b/src/routing/attempt-results.ts
@@ -6,12 +6,12 @@
 import type { Dispatcher } from './dispatcher.js';
 import type { NoticeIntake } from './notices/notice-intake.js';
 import type { Admission } from './queue/admission.js';
+import type { Attempt, RequestGroup } from './request-group.js';
 import type { RequestIntake } from './request-intake.js';
 import { isOfHotKey } from './room/hot-keys.js';
 import type { RouterContext } from './router-context.js';
 import type { AttemptNumber, AttemptResult } from './types.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
-import type { Attempt, Work } from './work.js';
 
 /** Pause after a failed connection to a shard's owner. */
 const UNREACHABLE_PAUSE_MILLIS = 50;
@@ -52,19 +52,19 @@
     }
     this.context.attempts.delete(number);
     attempt.upstream.inFlight -= 1;
-    attempt.work.service.inFlight -= 1;
+    attempt.group.service.inFlight -= 1;
     this.notices.ended(attempt, result);
     this.evidence.take(attempt, result);
     if (attempt.abandoned) {
       this.dispatcher.drainUpstream(attempt.upstream);
       return;
     }
-    attempt.work.attempt = null;
+    attempt.group.attempt = null;
     if (result.type === 'answered') {
-      this.context.link?.answered(attempt.work, result.bytes ?? null);
+      this.context.link?.answered(attempt.group, result.bytes ?? null);
     }
-    if (attempt.work.phase === 'done') {
-      this.answers.settle(attempt.work, lateSettlement(attempt.work, result));
+    if (attempt.group.phase === 'done') {
+      this.answers.settle(attempt.group, lateSettlement(attempt.group, result));
     } else {
       this.handleResult(attempt, result);
     }
@@ -79,10 +79,10 @@
 
   /** Gives up an attempt at a slow upstream, counts it as a failure of that upstream, and requeues the group. */
   moveOn(attempt: Attempt): void {
-    const { work: group, upstream } = attempt;
+    const { group, upstream } = attempt;
     this.evidence.countFailure(attempt);
     this.detach(attempt);
-    group.noteMayHaveRun();
+    group.markMayHaveRun();
     group.sentAttempts += 1;
     group.avoid = upstream;
     this.admission.extendWait(group);
@@ -92,15 +92,15 @@
   /** Cancels an attempt; its result no longer affects its group. */
   private detach(attempt: Attempt): void {
     attempt.abandoned = true;
-    attempt.work.attempt = null;
+    attempt.group.attempt = null;
     this.context.emit({ type: 'cancel-attempt', attempt: attempt.number });
   }
 
   private handleResult(attempt: Attempt, result: AttemptResult): void {
-    const { work: group } = attempt;
+    const { group } = attempt;
     switch (result.type) {
       case 'answered':
-        group.service.lanes.find(group.shard)?.resume();
+        group.service.queues.find(group.shard)?.resume();
         this.deliver(attempt, result);
         return;
       case 'refused':
@@ -111,7 +111,7 @@
           this.dispatcher.requeue(group);
           return;
         }
-        this.connectFailed(attempt, result.turnedAway === true);
+        this.connectFailed(attempt, result.closedOnAccept === true);
         return;
       case 'broken':
       case 'cancelled':
@@ -120,14 +120,14 @@
   }
 
   private deliver(attempt: Attempt, result: AttemptResult & { readonly type: 'answered' }): void {
-    for (const member of this.answers.deliver(attempt.work, attempt, result)) {
-      this.intake.arriveAlone(member);
+    for (const member of this.answers.deliver(attempt.group, attempt, result)) {
+      this.intake.receiveUnshared(member);
     }
   }
 
   /** The upstream refused the request before it started. */
   private refused(attempt: Attempt, refusal: FenceRefusal): void {
-    const { work: group, upstream } = attempt;
+    const { group, upstream } = attempt;
     group.avoid = upstream;
     group.sentAttempts += 1;
     if (refusal === 'overloaded') {
@@ -151,7 +151,7 @@
   }
 
   private connectFailed(attempt: Attempt, isAtLimit: boolean): void {
-    const { work: group, upstream } = attempt;
+    const { group, upstream } = attempt;
     group.avoid = upstream;
     if (group.shard === null) {
       this.retryWithinBudget(group);
@@ -165,8 +165,8 @@
   }
 
   private broken(attempt: Attempt): void {
-    const { work: group, upstream } = attempt;
-    group.noteMayHaveRun();
+    const { group, upstream } = attempt;
+    group.markMayHaveRun();
     group.sentAttempts += 1;
     group.avoid = upstream;
     if (!group.isRepeatable) {
@@ -183,7 +183,7 @@
   /** Pauses a shard's queue and requests a configuration sync, unless the owner has changed since the attempt was sent. */
   private holdShard(attempt: Attempt): void {
     const { context } = this;
-    const { shard, service } = attempt.work;
+    const { shard, service } = attempt.group;
     if (shard === null) {
       return;
     }
@@ -191,11 +191,11 @@
     if (owner !== undefined && owner.epoch !== attempt.grant?.epoch) {
       return;
     }
-    service.lanes.obtain(shard, owner?.upstream.id ?? null).pause(context.now);
+    service.queues.obtain(shard, owner?.upstream.id ?? null).pause(context.now);
     context.lease.requestSync(context.now);
   }
 
-  private retryWithinBudget(group: Work): void {
+  private retryWithinBudget(group: RequestGroup): void {
     if (this.admission.refuseHeldBack(group)) {
       return;
     }
@@ -217,7 +217,7 @@
 }
 
 /** Returns the settlement of a group whose last member left before the attempt ended; the ledger still needs the outcome. */
-function lateSettlement(group: Work, result: AttemptResult): Settlement {
+function lateSettlement(group: RequestGroup, result: AttemptResult): Settlement {
   if (result.type === 'answered') {
     return { outcome: 'ran', answer: result.stored };
   }
--- a/src/routing/attempt-starter.ts
+++ b/src/routing/attempt-starter.ts
@@ -1,9 +1,9 @@
 /** Starts attempts: updates all counters that include them, and emits the effect that sends them. */
 import type { FenceCredentials } from '../lease/types.js';
+import { type Attempt, measurementNameOf, type RequestGroup, type SentGrant } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
 import { runNameOf } from './watched-runs.js';
-import { type Attempt, type SentGrant, type Work, workNameOf } from './work.js';
 
 /** Numbers and starts the attempts of one router core. */
 export class AttemptStarter {
@@ -14,7 +14,7 @@
    * fence checks; `null` if it has no fence.
    */
   start(
-    group: Work,
+    group: RequestGroup,
     upstream: UpstreamState,
     grant: SentGrant | null,
     credentials: FenceCredentials | null,
@@ -23,24 +23,24 @@
     const { service } = group;
     const attempt: Attempt = {
       number: context.latestAttempt + 1,
-      work: group,
+      group: group,
       upstream,
       request: group.request,
       startedAt: context.now,
       run: runNameOf(upstream),
       foundFreeSlot: upstream.hasFreeSlot(context.now),
       grant,
-      overSince: null,
+      grantEndedAt: null,
       abandoned: false,
     };
     context.latestAttempt = attempt.number;
-    group.lane?.drainRateOf(group.rank).took(context.now);
-    service.lanes.remove(group);
+    group.shardQueue?.drainRateOf(group.rank).took(context.now);
+    service.queues.remove(group);
     if (group.attempts === 0) {
       service.retryBudget.firstAttempt();
       service.rankRoom.shares.started(group.terms.priority, context.now);
       if (!service.definition.keyed) {
-        context.fleetSums.asked(service.name, workNameOf(group));
+        context.fleetSums.asked(service.name, measurementNameOf(group));
       }
     }
     group.attempts += 1;
--- a/src/routing/claim-flow.ts
+++ b/src/routing/claim-flow.ts
@@ -6,17 +6,17 @@
 import type { ClaimantId, ClaimResult } from '../ledger/types.js';
 import type { Address } from '../model/identifiers.js';
 import type { Claim, Settlement } from './claim.js';
+import type { RequestGroup } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { ArrivedRequest } from './types.js';
-import type { Work } from './work.js';
 
 /** Receives the outcomes of claims. */
 export interface ClaimListener {
-  claimGranted(group: Work): void;
+  claimGranted(group: RequestGroup): void;
   /** Called with any result other than `granted`. */
-  claimDenied(group: Work, result: ClaimResult): void;
+  claimDenied(group: RequestGroup, result: ClaimResult): void;
   /** The ledger did not answer within the limit. The listener must answer the caller, which settles the claim. */
-  claimTimedOut(group: Work): void;
+  claimTimedOut(group: RequestGroup): void;
 }
 
 /** Number of sends within one claim timeout if no member answers. */
@@ -48,7 +48,7 @@
   }
 
   /** Requests a claim, the right to run a group's request, from the ledger. */
-  ask(group: Work, identity: NonNullable<ArrivedRequest['idempotency']>): void {
+  ask(group: RequestGroup, identity: NonNullable<ArrivedRequest['idempotency']>): void {
     const { router, incarnation } = this.context.config;
     const claim: Claim = {
       claimant: `${router}/${incarnation}/${group.request.request}`,
--- a/src/routing/claim.ts
+++ b/src/routing/claim.ts
@@ -1,8 +1,8 @@
 /** A claim on the ledger for one non-repeatable request. */
 import type { ClaimantId, StoredAnswer } from '../ledger/types.js';
 import type { Address, ServiceName, WallMillis } from '../model/identifiers.js';
+import type { RequestGroup } from './request-group.js';
 import type { RouterTimer } from './router-timer.js';
-import type { Work } from './work.js';
 
 export interface Settlement {
   readonly outcome: 'ran' | 'not-run' | 'unknown';
@@ -16,7 +16,7 @@
   readonly fingerprint: string;
   readonly issuedAt: WallMillis;
   /** The request group that waits for the claim; only read while `state` is `asked`. */
-  readonly work: Work;
+  readonly work: RequestGroup;
   readonly startedAt: number;
   /**
    * `asked`: no answer yet. `granted`: the group may be dispatched. `settling`: the group is never dispatched again.
--- a/src/routing/configuration-updates.ts
+++ b/src/routing/configuration-updates.ts
@@ -10,7 +10,7 @@
 import { ServiceState } from './service-state.js';
 import { affinityOf } from './upstream/affinity.js';
 import { UpstreamState } from './upstream/upstream-state.js';
-import { runNameOf, speakerOf } from './watched-runs.js';
+import { noticeSourceOf, runNameOf } from './watched-runs.js';
 
 const DEFAULT_PICKER: PickerName = 'least-work';
 
@@ -61,7 +61,7 @@
     }
     this.firstSnapshot = false;
     if (changes.some(({ type }) => type === 'shard')) {
-      this.lost.noteGrantsOver();
+      this.lost.markEndedGrants();
     }
     for (const service of remapped) {
       this.dispatcher.relocate(service);
@@ -120,7 +120,7 @@
     if (state !== undefined && record?.definition.service === state.record.definition.service) {
       this.recordNextRun(state, record);
       state.update(record, this.context.now);
-      state.useNotices(this.context.notices.of(speakerOf(state.id, runNameOf(state))));
+      state.useNotices(this.context.notices.of(noticeSourceOf(state.id, runNameOf(state))));
       return;
     }
     if (state !== undefined) {
@@ -176,10 +176,10 @@
     state.hearWarmth(now);
     state.useFleetView(this.context.fleet);
     state.evacuated(this.context.view.isEvacuated(state.zone), now);
-    state.useNotices(this.context.notices.resume(speakerOf(state.id, runNameOf(state))));
+    state.useNotices(this.context.notices.resume(noticeSourceOf(state.id, runNameOf(state))));
     upstreams.set(state.id, state);
     if (announced !== undefined) {
-      this.context.crashes.runs.addressTaken(record.definition.address, runNameOf(state) ?? state.id);
+      this.context.crashes.runs.recordRunAt(record.definition.address, runNameOf(state) ?? state.id);
     }
     service.addUpstream(state);
   }
@@ -201,9 +201,9 @@
 
   private applyShard(shard: string, record: ShardRecord | null): void {
     const service = this.context.services.get(shard.slice(0, shard.indexOf('/')));
-    const shardQueue = service?.lanes.find(shard);
+    const shardQueue = service?.queues.find(shard);
     if (service !== undefined && shardQueue !== undefined) {
-      service.lanes.reassign(shardQueue, record?.owner ?? null);
+      service.queues.reassign(shardQueue, record?.owner ?? null);
       shardQueue.resume();
     }
   }
--- a/src/routing/configuration-view.ts
+++ b/src/routing/configuration-view.ts
@@ -201,7 +201,7 @@
     for (const change of changes) {
       this.applyChange(change);
     }
-    this.ranges.settle();
+    this.ranges.commit();
   }
 
   private applyChange(change: RegistryChange): void {
--- a/src/routing/crash-watch.ts
+++ b/src/routing/crash-watch.ts
@@ -14,10 +14,10 @@
 import { isBrokenByUpstream } from './connection-break.js';
 import { QuarantineTrials } from './quarantine-trials.js';
 import { retryAfterMillis } from './queue/retry-after.js';
+import type { Attempt } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { ArrivedRequest, AttemptResult } from './types.js';
-import { type Accusation, WatchedRuns } from './watched-runs.js';
-import type { Attempt } from './work.js';
+import { type SuspectRequest, WatchedRuns } from './watched-runs.js';
 
 /** Reports are resent after this time until control confirms them; a report, its commit and the update together take about 100 ms. */
 const REPORT_RETRY_MILLIS = 250;
@@ -70,7 +70,7 @@
     if (!this.#trials.isDue(fingerprint, this.#context.now)) {
       return true;
     }
-    this.#trials.begin(fingerprint);
+    this.#trials.onSent(fingerprint);
     this.#log('info', 'quarantine-trial', { fingerprint });
     return false;
   }
@@ -106,7 +106,7 @@
     switch (result.type) {
       case 'answered':
         this.runs.answered(attempt);
-        this.runs.livesOn(attempt);
+        this.runs.clearIfAlive(attempt);
         if (result.status < FIRST_SERVER_ERROR) {
           this.#clear(this.suspectOf(attempt.request));
         }
@@ -118,10 +118,10 @@
         this.#recordBroken(attempt, isBrokenByUpstream(result.how));
         return;
       case 'cancelled':
-        this.runs.leftUnanswered(attempt, true);
+        this.runs.recordUnanswered(attempt, true);
         return;
       case 'connect-failed':
-        this.#trials.cameToNobody(this.suspectOf(attempt.request), this.#context.now);
+        this.#trials.onUnsent(this.suspectOf(attempt.request), this.#context.now);
         if (result.refused === true && attempt.run !== null) {
           this.runs.ended(attempt.run, 'connection-refused');
         }
@@ -134,7 +134,7 @@
     if (record === null || record.revision > (this.#cleared.get(fingerprint) ?? Number.POSITIVE_INFINITY)) {
       this.#cleared.delete(fingerprint);
     }
-    const begins = this.#trials.suspectChanged(fingerprint, record, this.#context.now);
+    const begins = this.#trials.applySuspect(fingerprint, record, this.#context.now);
     this.#mayHoldQuarantined ||= record !== null && record.quarantinedAt !== null;
     if (begins && record !== null) {
       const { service, crashes, runs } = record;
@@ -166,13 +166,13 @@
 
   #recordBroken(attempt: Attempt, isByUpstream: boolean): void {
     if (isByUpstream) {
-      this.runs.connectionBroke(attempt);
+      this.runs.recordBrokenConnection(attempt);
     } else {
-      this.runs.leftUnanswered(attempt, false);
+      this.runs.recordUnanswered(attempt, false);
     }
   }
 
-  #accuse({ fingerprint, service }: Accusation, run: RunName): void {
+  #accuse({ fingerprint, service }: SuspectRequest, run: RunName): void {
     const isKnown = this.#context.view.suspect(fingerprint)?.runs.includes(run) ?? false;
     if (isKnown || this.#accusations.size >= MAX_UNCONFIRMED) {
       return;
--- a/src/routing/decision-facts.ts
+++ b/src/routing/decision-facts.ts
@@ -1,11 +1,11 @@
 /** The facts behind a decision about a request group, for the log. */
 import { WaitEstimate } from './queue/wait-estimate.js';
+import type { RequestGroup } from './request-group.js';
 import { isOfHotKey } from './room/hot-keys.js';
 import type { RouterContext } from './router-context.js';
 import type { DecisionFacts, OrderFacts } from './types.js';
-import type { Work } from './work.js';
 
-export function factsOf(group: Work, context: RouterContext): DecisionFacts {
+export function factsOf(group: RequestGroup, context: RouterContext): DecisionFacts {
   const { view, lease, now } = context;
   const { service, shard } = group;
   const owner = shard === null ? undefined : context.ownerOf(shard);
@@ -29,13 +29,13 @@
     ...(restMillis > 0 && { restMillis }),
     ...(limit?.isInForce && { limit: { ...limit.heard(now), permits: limit.permitsLeft(now) } }),
     ...(context.link !== null && { link: context.link.status() }),
-    ...(group.returnWord !== null && { returns: group.returnWord }),
+    ...(group.returnOffer !== null && { returns: group.returnOffer }),
     ...(suspect !== null && context.crashes.isQuarantined(suspect) && { fingerprint: suspect }),
   };
 }
 
-function orderFactsOf({ service, shard, rank, lane }: Work, now: number): OrderFacts {
-  const waiting = service.lanes.find(shard)?.queue.countAhead(rank) ?? 0;
+function orderFactsOf({ service, shard, rank, shardQueue: lane }: RequestGroup, now: number): OrderFacts {
+  const waiting = service.queues.find(shard)?.queue.countAhead(rank) ?? 0;
   // A queued group is not ahead of itself.
   const ahead = lane === null ? waiting : Math.max(0, waiting - 1);
   return { rank, ahead, ...service.rankRoom.known(now) };
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -7,10 +7,10 @@
 import type { Admission } from './queue/admission.js';
 import type { Lane } from './queue/lane-table.js';
 import { compareSlack, type TurnOrder } from './queue/ranked-queue.js';
+import type { RequestGroup } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { ServiceState } from './service-state.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
-import type { Work } from './work.js';
 
 /** Interval at which waiting groups are rechecked without an event. */
 const WAKE_MILLIS = 25;
@@ -31,12 +31,12 @@
   }
 
   /** Dispatches a group now if possible; otherwise queues it, or refuses it immediately if waiting can't succeed. */
-  admit(group: Work): void {
+  admit(group: RequestGroup): void {
     if (!this.locate(group)) {
       return;
     }
     this.admission.returns.matchPromise(group);
-    const shardQueue = group.service.lanes.find(group.shard);
+    const shardQueue = group.service.queues.find(group.shard);
     const isFirst = shardQueue === undefined || wouldBeFirstIn(shardQueue, group, this.context.now);
     if (isFirst && this.place(group) !== 'waits') {
       return;
@@ -47,11 +47,11 @@
       this.answers.refuseWork(group, refusal, this.admission.returnAfter(group));
       return;
     }
-    this.enqueue(group, group.isExpected ? 'front' : 'back');
+    this.enqueue(group, group.isPromisedReturn ? 'front' : 'back');
   }
 
   /** Puts a group back at the front of its queue, if its attempt provably did not run or it may be repeated. */
-  requeue(group: Work): void {
+  requeue(group: RequestGroup): void {
     if (!this.locate(group)) {
       return;
     }
@@ -63,31 +63,31 @@
       return;
     }
     this.enqueue(group, 'front');
-    if (group.lane !== null) {
-      this.drainOne(group.service, group.lane);
+    if (group.shardQueue !== null) {
+      this.drainOne(group.service, group.shardQueue);
     }
   }
 
   /** Dispatches groups that wait for one upstream, or for any upstream of its service. */
   drainUpstream(upstream: UpstreamState): void {
     const service = this.context.services.get(upstream.record.definition.service);
-    if (service === undefined || service.lanes.length === 0) {
+    if (service === undefined || service.queues.length === 0) {
       return;
     }
     if (service.definition.keyed) {
       this.drainOwner(service, upstream);
     } else {
-      this.drainQueue(service, service.lanes.find(null));
+      this.drainQueue(service, service.queues.find(null));
     }
   }
 
   /** Dispatches all groups of a service that can be sent now. */
   drainService(service: ServiceState): void {
-    if (service.lanes.length === 0) {
+    if (service.queues.length === 0) {
       return;
     }
     if (!service.definition.keyed) {
-      this.drainQueue(service, service.lanes.find(null));
+      this.drainQueue(service, service.queues.find(null));
       return;
     }
     for (const upstream of service.upstreams) {
@@ -98,7 +98,7 @@
   /** Rechecks the waiting groups of a service. */
   wake(service: ServiceState): void {
     service.wakeScheduled = false;
-    service.lanes.prune(this.context.now);
+    service.queues.prune(this.context.now);
     this.drainService(service);
     this.admission.refuseHopeless(service);
     this.scheduleWake(service);
@@ -106,9 +106,9 @@
 
   /** Reassigns waiting groups to queues after keys were mapped to other shards. */
   relocate(service: ServiceState): void {
-    const waitingGroups = service.lanes.allWork();
+    const waitingGroups = service.queues.allWork();
     for (const group of waitingGroups) {
-      service.lanes.remove(group);
+      service.queues.remove(group);
       group.phase = 'new';
     }
     for (const group of waitingGroups) {
@@ -119,7 +119,7 @@
   }
 
   /** Finds the shard of a group's key; refuses the group if there is none. */
-  private locate(group: Work): boolean {
+  private locate(group: RequestGroup): boolean {
     const { definition } = group.service;
     const { view } = this.context;
     if (group.shardRevision === view.revision) {
@@ -137,13 +137,13 @@
       return false;
     }
     group.shard = shard;
-    group.loadName = view.hasRanges(definition.name) ? null : shard;
+    group.loadShard = view.hasRanges(definition.name) ? null : shard;
     group.shardRevision = view.revision;
     return true;
   }
 
   private drainQueue(service: ServiceState, shardQueue: Lane | undefined): void {
-    const order = service.turnOrder(this.context.now);
+    const order = service.dequeueOrder(this.context.now);
     while (shardQueue !== undefined && this.placeFirst(shardQueue, order)) {
       // Continues until no group in the queue can be dispatched.
     }
@@ -171,11 +171,11 @@
       this.drainLimited(service, upstream);
       return;
     }
-    const order = service.turnOrder(this.context.now);
+    const order = service.dequeueOrder(this.context.now);
     let hasProgress = true;
     while (hasProgress && upstream.hasSlot(this.context.now, TOP_RANK)) {
       hasProgress = false;
-      for (const shardQueue of service.lanes.inTurn(upstream.id, order)) {
+      for (const shardQueue of service.queues.inTurn(upstream.id, order)) {
         hasProgress = this.drainOne(service, shardQueue) || hasProgress;
       }
     }
@@ -184,12 +184,12 @@
 
   /** For a rate-limited upstream: dispatches the most important groups first, and among equals the one with the least time left. */
   private drainLimited(service: ServiceState, upstream: UpstreamState): void {
-    const order = { ...service.turnOrder(this.context.now), byDeadline: true };
+    const order = { ...service.dequeueOrder(this.context.now), byDeadline: true };
     let hasProgress = true;
     while (hasProgress && upstream.hasSlot(this.context.now, TOP_RANK)) {
-      const shardQueues = service.lanes.inTurn(upstream.id, order);
+      const shardQueues = service.queues.inTurn(upstream.id, order);
       const heads = shardQueues.flatMap(({ queue }) => queue.peek(order) ?? []);
-      const first = heads.reduce<Work | undefined>(
+      const first = heads.reduce<RequestGroup | undefined>(
         (best, group) => (best === undefined || compareSlack(group, best, true) < 0 ? group : best),
         undefined,
       );
@@ -201,16 +201,16 @@
   private drainOne(service: ServiceState, shardQueue: Lane): boolean {
     if (
       shardQueue.isPaused(this.context.now) ||
-      !this.placeFirst(shardQueue, service.turnOrder(this.context.now))
+      !this.placeFirst(shardQueue, service.dequeueOrder(this.context.now))
     ) {
       return false;
     }
-    service.lanes.rotate(shardQueue);
+    service.queues.rotate(shardQueue);
     return true;
   }
 
   /** Dispatches a group if it can be sent now. This is the last check of the clock before anything is sent. */
-  private place(group: Work): Placement {
+  private place(group: RequestGroup): Placement {
     const { now, lease } = this.context;
     if (!lease.isValid(now)) {
       this.answers.refuseWork(group, 'no-configuration', this.admission.unmeasuredRetryAfter());
@@ -233,14 +233,14 @@
     return group.shard === null ? this.placeAnywhere(group) : this.placeAtOwner(group, group.shard);
   }
 
-  private placeAnywhere(group: Work): Placement {
+  private placeAnywhere(group: RequestGroup): Placement {
     const { now, random, config, turn } = this.context;
     const { service } = group;
     const { warmupBounds = DEFAULT_WARMUP_BOUNDS } = config;
     const cold =
       service.definition.warmup === undefined
         ? undefined
-        : service.coldInTurn(config.zone, turn, warmupBounds, now);
+        : service.findColdUpstream(config.zone, turn, warmupBounds, now);
     if (cold !== undefined && cold !== group.avoid) {
       cold.warmth.useTurn(turn.inZone, warmupBounds, now);
       this.attempts.start(group, cold, null, null);
@@ -264,7 +264,7 @@
     return 'dispatched';
   }
 
-  private placeAtOwner(group: Work, shard: ShardId): Placement {
+  private placeAtOwner(group: RequestGroup, shard: ShardId): Placement {
     const owner = this.context.ownerOf(shard);
     const { now, turn, config } = this.context;
     if (
@@ -289,7 +289,7 @@
     return 'dispatched';
   }
 
-  private weigherOf(group: Work): (upstream: UpstreamState) => number {
+  private weigherOf(group: RequestGroup): (upstream: UpstreamState) => number {
     const { policy } = group.service;
     if (policy === null || !policy.hasWeighRules) {
       return () => 1;
@@ -298,23 +298,23 @@
     return (upstream) => weigh(policyUpstreamOf(upstream, this.context.now));
   }
 
-  private enqueue(group: Work, place: 'front' | 'back'): void {
+  private enqueue(group: RequestGroup, place: 'front' | 'back'): void {
     const { service } = group;
     const owner = group.shard === null ? null : (this.context.view.shard(group.shard)?.owner ?? null);
-    const shardQueue = service.lanes.obtain(group.shard, owner);
+    const shardQueue = service.queues.obtain(group.shard, owner);
     if (shardQueue.owner !== owner) {
       // A range that starts at the same key has a new owner; the queue's state applies to the previous one.
-      service.lanes.reassign(shardQueue, owner);
+      service.queues.reassign(shardQueue, owner);
       shardQueue.resume();
     }
-    service.lanes.enqueue(shardQueue, group, place, this.context.now);
+    service.queues.enqueue(shardQueue, group, place, this.context.now);
     group.phase = 'queued';
     this.admission.boundWait(group);
     this.scheduleWake(service);
   }
 
   private scheduleWake(service: ServiceState): void {
-    if (!service.wakeScheduled && service.lanes.length > 0) {
+    if (!service.wakeScheduled && service.queues.length > 0) {
       service.wakeScheduled = true;
       this.context.schedule(this.nextWakeAt(service), { type: 'service-wake', service });
     }
@@ -329,12 +329,12 @@
 }
 
 /** The elapsed share of the time that a group may wait. */
-function waitedShareOf({ arrivedAt, holdUntil }: Work, now: number): number {
+function waitedShareOf({ arrivedAt, holdUntil }: RequestGroup, now: number): number {
   const maxWaitMillis = holdUntil - arrivedAt;
   return maxWaitMillis > 0 ? Math.min(1, (now - arrivedAt) / maxWaitMillis) : 1;
 }
 
 /** Whether a newly arrived group would be first in a queue. */
-function wouldBeFirstIn(shardQueue: Lane, { rank }: Work, now: number): boolean {
+function wouldBeFirstIn(shardQueue: Lane, { rank }: RequestGroup, now: number): boolean {
   return shardQueue.queue.countAhead(rank) === 0 && !shardQueue.isPaused(now);
 }
--- a/src/routing/link-gate.ts
+++ b/src/routing/link-gate.ts
@@ -2,11 +2,11 @@
 import type { Answers } from './answers.js';
 import type { Dispatcher } from './dispatcher.js';
 import { retryAfterAtLeast } from './queue/retry-after.js';
+import type { RequestGroup } from './request-group.js';
 import { AnswerSizes } from './room/answer-sizes.js';
 import { LinkRoom } from './room/link-room.js';
 import type { RouterContext } from './router-context.js';
 import type { LinkStatus } from './types.js';
-import type { Work } from './work.js';
 
 /** Minimum wait for capacity, which is the resolution of timers. */
 const MIN_WAKE_MILLIS = 1;
@@ -21,7 +21,7 @@
 
 /** A request group that waits for the link, and the expected size of its answer. */
 interface HeldGroup {
-  readonly group: Work;
+  readonly group: RequestGroup;
   readonly bytes: number;
 }
 
@@ -39,7 +39,7 @@
   }
 
   /** Passes a group on to the dispatcher, holds it, or refuses it. */
-  pass(group: Work): void {
+  pass(group: RequestGroup): void {
     const { context, answers } = this.#parts;
     const { now } = context;
     const bytes = this.#sizes.expected(routeOf(group));
@@ -84,7 +84,7 @@
   }
 
   /** Handles the head of a group's answer; `bytes` is `null` if it contains no length. */
-  answered(group: Work, bytes: number | null): void {
+  answered(group: RequestGroup, bytes: number | null): void {
     const { now } = this.#parts.context;
     const expected = group.linkAnswer;
     group.linkAnswer = null;
@@ -102,7 +102,7 @@
   }
 
   /** Frees the capacity reserved for a finished group that got no answer. */
-  ended(group: Work): void {
+  ended(group: RequestGroup): void {
     if (group.linkAnswer !== null) {
       this.#capacity.failed(group.linkAnswer, this.#parts.context.now);
       group.linkAnswer = null;
@@ -140,13 +140,13 @@
   }
 
   /** Milliseconds left in which an answer is in time. Large answers that wait longer would delay all behind them. */
-  #remainingMillis({ terms, deadline, arrivedAt }: Work): number {
+  #remainingMillis({ terms, deadline, arrivedAt }: RequestGroup): number {
     const inTimeUntil = terms.targetMillis === null ? deadline : arrivedAt + terms.targetMillis;
     return Math.min(deadline, inTimeUntil) - this.#parts.context.now;
   }
 
   /** Milliseconds from the dispatch of a group to the end of its answer, with nothing ahead of it. */
-  #serviceAndTransferMillis({ service }: Work, bytes: number): number {
+  #serviceAndTransferMillis({ service }: RequestGroup, bytes: number): number {
     return (service.measuredMillis() ?? 0) + this.#capacity.carryMillis(bytes, this.#parts.context.now);
   }
 
@@ -167,7 +167,7 @@
   }
 }
 
-function routeOf({ terms, service }: Work): string {
+function routeOf({ terms, service }: RequestGroup): string {
   return terms.route ?? service.name;
 }
 
--- a/src/routing/load-reporter.ts
+++ b/src/routing/load-reporter.ts
@@ -33,7 +33,7 @@
   }
 
   /** Returns the report that is due, if any, and resets the counts. `isUrgent`: requests for shards or ranges wait. */
-  take(now: number, isUrgent = false): LoadReport | null {
+  takeReport(now: number, isUrgent = false): LoadReport | null {
     this.lastReportAt ??= now;
     const intervalMillis = now - this.lastReportAt;
     if (intervalMillis < (isUrgent ? URGENT_REPORT_INTERVAL_MILLIS : REPORT_INTERVAL_MILLIS)) {
--- a/src/routing/lost-attempts.ts
+++ b/src/routing/lost-attempts.ts
@@ -3,8 +3,8 @@
  * answered, and reads that take far longer than usual while another upstream could serve them.
  */
 import type { AttemptResults } from './attempt-results.js';
+import { type Attempt, isOverdue } from './request-group.js';
 import type { RouterContext } from './router-context.js';
-import { type Attempt, isOverdue } from './work.js';
 
 /** Longest time that an answer may take to arrive after the grant of its attempt ended. */
 const ANSWER_GRACE_MILLIS = 50;
@@ -23,12 +23,12 @@
    * Called when owners change. Attempts whose grant has ended get a short grace period for their answers: a grant ends only
    * once its holder finished its work or lost its lease, so an answer that isn't in transit by now never arrives.
    */
-  noteGrantsOver(): void {
+  markEndedGrants(): void {
     const { context } = this;
     let hasNewlyEnded = false;
     for (const attempt of context.attempts.values()) {
-      if (attempt.overSince === null && this.hasGrantEnded(attempt)) {
-        attempt.overSince = context.now;
+      if (attempt.grantEndedAt === null && this.hasGrantEnded(attempt)) {
+        attempt.grantEndedAt = context.now;
         hasNewlyEnded = true;
       }
     }
@@ -41,7 +41,7 @@
   abandonAfterGrace(): void {
     const { now } = this.context;
     for (const attempt of this.current()) {
-      if (attempt.overSince !== null && now >= attempt.overSince + ANSWER_GRACE_MILLIS) {
+      if (attempt.grantEndedAt !== null && now >= attempt.grantEndedAt + ANSWER_GRACE_MILLIS) {
         this.results.abandon(attempt);
       }
     }
@@ -60,7 +60,7 @@
   sweep(): void {
     this.sweepScheduled = false;
     for (const attempt of this.current()) {
-      if (this.canRetryElsewhere(attempt) && attempt.work.service.retryBudget.tryRetry()) {
+      if (this.canRetryElsewhere(attempt) && attempt.group.service.retryBudget.tryRetry()) {
         this.results.moveOn(attempt);
       }
     }
@@ -70,7 +70,7 @@
   /** Attempts that their groups still rely on. */
   private current(): Attempt[] {
     return [...this.context.attempts.values()].filter(
-      (attempt) => !attempt.abandoned && attempt.work.attempt === attempt && attempt.work.phase !== 'done',
+      (attempt) => !attempt.abandoned && attempt.group.attempt === attempt && attempt.group.phase !== 'done',
     );
   }
 
@@ -85,13 +85,13 @@
   /** Only a request without a key can be served by another upstream, because each key has one owner. */
   private canRetryElsewhere(attempt: Attempt): boolean {
     const { now } = this.context;
-    const { work: group, upstream } = attempt;
+    const { group, upstream } = attempt;
     const canRepeat = group.isRepeatable && group.sentAttempts + 1 < group.terms.maxAttempts;
     if (
       !canRepeat ||
       group.shard !== null ||
       !isOverdue(attempt, now) ||
-      group.service.lanes.hasAbove(group.rank)
+      group.service.queues.hasAbove(group.rank)
     ) {
       return false;
     }
--- a/src/routing/notices/notice-intake.ts
+++ b/src/routing/notices/notice-intake.ts
@@ -5,10 +5,10 @@
 import type { UpstreamNotice } from '../../model/upstream-notice.js';
 import type { Dispatcher } from '../dispatcher.js';
 import type { Admission } from '../queue/admission.js';
+import type { Attempt } from '../request-group.js';
 import type { RouterContext } from '../router-context.js';
 import type { AttemptNumber, AttemptResult } from '../types.js';
-import { runNameOf, speakerOf } from '../watched-runs.js';
-import type { Attempt } from '../work.js';
+import { noticeSourceOf, runNameOf } from '../watched-runs.js';
 import type { HeardFrom } from './notice-table.js';
 import type { RunNotices } from './run-notices.js';
 
@@ -52,7 +52,7 @@
       attempt: number,
       latest: latestAttempt,
       upstream: upstream.id,
-      run: speakerOf(upstream.id, run),
+      run: noticeSourceOf(upstream.id, run),
       isNamed: run !== null,
       startedAt,
     };
@@ -65,7 +65,7 @@
     if (
       changed === null ||
       upstream === undefined ||
-      speakerOf(upstream.id, runNameOf(upstream)) !== changed.run
+      noticeSourceOf(upstream.id, runNameOf(upstream)) !== changed.run
     ) {
       return;
     }
@@ -82,6 +82,6 @@
  * Whether the upstream has a session with control and reports there that it is draining. Its keys move only by that report, so a router that
  * followed the draining notice in response heads would leave the keys unserved.
  */
-function hasSession({ work, upstream }: Attempt): boolean {
+function hasSession({ group: work, upstream }: Attempt): boolean {
   return work.service.definition.keyed && !upstream.isAnnounced;
 }
--- a/src/routing/notices/notice-wait.ts
+++ b/src/routing/notices/notice-wait.ts
@@ -1,9 +1,9 @@
 /** How long a request group has to wait because of upstream notices, and the reason given if it can't wait. */
 import type { MonotonicMillis } from '../../model/identifiers.js';
+import type { RequestGroup } from '../request-group.js';
 import type { RouterContext } from '../router-context.js';
 import type { RefusalReason } from '../types.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
-import type { Work } from '../work.js';
 
 const MILLIS_PER_SECOND = 1000;
 
@@ -16,7 +16,7 @@
 }
 
 /** Returns `null` if no upstream notice delays this group. */
-export function noticeWaitOf({ service, shard }: Work, context: RouterContext): NoticeWait | null {
+export function noticeWaitOf({ service, shard }: RequestGroup, context: RouterContext): NoticeWait | null {
   const { now } = context;
   if (shard !== null) {
     const owner = context.ownerOf(shard);
--- a/src/routing/notices/upstream-reports.ts
+++ b/src/routing/notices/upstream-reports.ts
@@ -186,7 +186,7 @@
     if (state === null || service === undefined) {
       return NO_REQUESTS;
     }
-    const { lanes, definition } = service;
+    const { queues: lanes, definition } = service;
     const waiting = definition.keyed ? lanes.waitingFor(state.id) : lanes.allWaiting();
     return waiting.reduce((sum, { queue }) => this.#addQueue(sum, queue), NO_REQUESTS);
   }
--- a/src/routing/policy-gate.ts
+++ b/src/routing/policy-gate.ts
@@ -4,9 +4,9 @@
 import { policyContextOf, policyUpstreamOf } from './policy-input.js';
 import type { Admission } from './queue/admission.js';
 import { retryAfterMillis } from './queue/retry-after.js';
+import type { Member, RequestGroup } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { ServiceState } from './service-state.js';
-import type { Member, Work } from './work.js';
 
 const PASS: PolicyDecision = { type: 'pass' };
 /** Interval at which the policy is evaluated again for a held request. */
@@ -16,7 +16,7 @@
   readonly context: RouterContext;
   readonly admission: Admission;
   /** Receives each group that the policy admits. */
-  readonly admit: (group: Work) => void;
+  readonly admit: (group: RequestGroup) => void;
   readonly answers: Answers;
 }
 
@@ -24,7 +24,7 @@
 export class PolicyGate {
   private readonly context: RouterContext;
   private readonly admission: Admission;
-  private readonly admit: (group: Work) => void;
+  private readonly admit: (group: RequestGroup) => void;
   private readonly answers: Answers;
 
   constructor(parts: PolicyGateParts) {
@@ -35,7 +35,7 @@
   }
 
   /** Admits, holds or refuses a group according to the policy of its service. */
-  pass(group: Work): void {
+  pass(group: RequestGroup): void {
     const decision = this.decide(group);
     if (decision.type === 'refuse') {
       const wait = this.retryAfter(group, decision.retryAfterMillis);
@@ -52,7 +52,7 @@
 
   /** Evaluates the policy for a read that joins a group. It may be refused, but not held on its own. */
   passJoined(member: Member): void {
-    const { work: group } = member;
+    const { group } = member;
     const decision = this.decide(group);
     if (decision.type === 'refuse') {
       const wait = this.retryAfter(group, decision.retryAfterMillis);
@@ -61,13 +61,13 @@
   }
 
   /** Evaluates the policy again for a held group. */
-  recheck(group: Work): void {
+  recheck(group: RequestGroup): void {
     group.holdTimer = null;
     group.service.held.delete(group);
     this.pass(group);
   }
 
-  private decide(group: Work): PolicyDecision {
+  private decide(group: RequestGroup): PolicyDecision {
     const { policy } = group.service;
     const { tracing } = this.context;
     if (policy === null && !tracing) {
@@ -89,7 +89,7 @@
   }
 
   /** The first hold decision fixes when the hold ends; later decisions don't extend it. */
-  private canHold(group: Work, holdMillis: number): boolean {
+  private canHold(group: RequestGroup, holdMillis: number): boolean {
     const { now } = this.context;
     const { holdLimitMillis, queueLimit } = group.service.definition;
     group.holdUntil = Math.min(group.holdUntil, now + holdLimitMillis);
@@ -97,7 +97,7 @@
     return now < group.policyHoldUntil && group.service.waitingLength < queueLimit;
   }
 
-  private hold(group: Work): void {
+  private hold(group: RequestGroup): void {
     const { now } = this.context;
     group.phase = 'held';
     group.service.held.add(group);
@@ -105,7 +105,7 @@
     group.holdTimer = this.context.schedule(recheckAt, { type: 'policy-recheck', group });
   }
 
-  private retryAfter(group: Work, policyMillis: number | null): number {
+  private retryAfter(group: RequestGroup, policyMillis: number | null): number {
     if (policyMillis === null) {
       return this.admission.retryAfter(group);
     }
--- a/src/routing/policy-input.ts
+++ b/src/routing/policy-input.ts
@@ -1,11 +1,11 @@
 /** Builds the variables of a policy program from the router's state. */
 import type { PolicyContext, PolicyUpstream } from '../policy/index.js';
+import type { RequestGroup } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
-import type { Work } from './work.js';
 
 /** Variables of the first request of a group. */
-export function policyContextOf(group: Work, context: RouterContext): PolicyContext {
+export function policyContextOf(group: RequestGroup, context: RouterContext): PolicyContext {
   const { service, request } = group;
   const { definition } = service;
   return {
--- a/src/routing/quarantine-trials.ts
+++ b/src/routing/quarantine-trials.ts
@@ -25,11 +25,7 @@
    * Applies a changed suspect record from control. Returns `true` if a quarantine begins with it. The trial is due `trialMillis` after
    * the assigned router received the quarantine; a later run of that router isn't assigned.
    */
-  suspectChanged(
-    fingerprint: RequestFingerprint,
-    record: CrashSuspect | null,
-    now: MonotonicMillis,
-  ): boolean {
+  applySuspect(fingerprint: RequestFingerprint, record: CrashSuspect | null, now: MonotonicMillis): boolean {
     if (record === null || record.quarantinedAt === null) {
       this.#trials.delete(fingerprint);
       return false;
@@ -50,7 +46,7 @@
   }
 
   /** Records that the trial request is sent. */
-  begin(fingerprint: RequestFingerprint): void {
+  onSent(fingerprint: RequestFingerprint): void {
     const trial = this.#trials.get(fingerprint);
     if (trial !== undefined) {
       trial.dueAt = null;
@@ -59,7 +55,7 @@
   }
 
   /** Called when an attempt reached no upstream: if it was the trial, the trial is due again. */
-  cameToNobody(fingerprint: RequestFingerprint | null, now: MonotonicMillis): void {
+  onUnsent(fingerprint: RequestFingerprint | null, now: MonotonicMillis): void {
     const trial = fingerprint === null ? undefined : this.#trials.get(fingerprint);
     if (trial?.isSent) {
       trial.dueAt = now;
--- a/src/routing/queue/admission.ts
+++ b/src/routing/queue/admission.ts
@@ -1,11 +1,11 @@
 /** Decides whether a request group may wait, for how long, and with which reason and retry delay it is rejected otherwise. */
 import type { Answers } from '../answers.js';
 import { noticeWaitOf } from '../notices/notice-wait.js';
+import type { RequestGroup } from '../request-group.js';
 import type { RouterContext } from '../router-context.js';
 import type { ServiceState } from '../service-state.js';
 import type { RefusalReason } from '../types.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
-import type { Work } from '../work.js';
 import type { Lane } from './lane-table.js';
 import { retryAfterAtLeast, retryAfterMillis, UNMEASURED_RETRY_MILLIS } from './retry-after.js';
 import { ReturnReservations } from './return-promises.js';
@@ -39,7 +39,7 @@
   }
 
   /** Returns why a group may not wait, or `undefined` if it may. */
-  refusalOf(group: Work): RefusalReason | undefined {
+  refusalOf(group: RequestGroup): RefusalReason | undefined {
     const { service } = group;
     if (service.isOutOfUse) {
       return 'no-upstream';
@@ -59,16 +59,16 @@
    * Enforces the queue limits and returns the reason if a group doesn't fit. It may evict less important groups, so it is called only for a
    * group that is admitted otherwise.
    */
-  private enforceLimits(group: Work): RefusalReason | undefined {
+  private enforceLimits(group: RequestGroup): RefusalReason | undefined {
     return this.evictForService(group) && this.evictForRouter(group) ? undefined : 'queue-full';
   }
 
   /** Starts the timer that bounds the wait. The limit counts from the first wait; retries don't extend it. */
-  boundWait(group: Work): void {
+  boundWait(group: RequestGroup): void {
     if (group.holdTimer === null) {
       const end = this.context.now + this.maxWaitMillis(group);
       group.holdUntil = group.mayHaveRun ? group.holdUntil : Math.min(group.holdUntil, end);
-      group.holdTimer = this.context.schedule(group.holdUntil, { type: 'hold-end', work: group });
+      group.holdTimer = this.context.schedule(group.holdUntil, { type: 'hold-end', group: group });
     }
   }
 
@@ -76,7 +76,7 @@
    * Replaces the service's wait limit for a group that may have run: giving up early would leave its callers with the outcome `unknown`.
    * The wait still ends some time before the deadline.
    */
-  extendWait(group: Work): void {
+  extendWait(group: RequestGroup): void {
     const end = group.firstDeadline - group.terms.deadlineMillis * RESERVED_DEADLINE_SHARE;
     group.holdUntil = Math.max(end, this.context.now + MIN_WAIT_MILLIS);
     this.context.cancelTimer(group.holdTimer);
@@ -84,10 +84,10 @@
   }
 
   /** Handles the end of a group's bounded wait. */
-  giveUpWaiting(group: Work): void {
+  giveUpWaiting(group: RequestGroup): void {
     if (this.mayWaitLate(group)) {
       group.holdUntil = group.deadline - group.service.expectedMillis(this.context.now);
-      group.holdTimer = this.context.schedule(group.holdUntil, { type: 'hold-end', work: group });
+      group.holdTimer = this.context.schedule(group.holdUntil, { type: 'hold-end', group: group });
       return;
     }
     const reason = noticeWaitOf(group, this.context)?.reason ?? this.expiryReason(group);
@@ -102,7 +102,7 @@
    * their limit in vain. A queue whose shard has no owner is skipped: it waits for a configuration update, not for free slots.
    */
   refuseHopeless(service: ServiceState): void {
-    for (const shardQueue of service.lanes.allWaiting()) {
+    for (const shardQueue of service.queues.allWaiting()) {
       this.refuseExpectedLateIn(service, shardQueue);
     }
   }
@@ -115,7 +115,7 @@
     if (service === undefined) {
       return;
     }
-    const { lanes, definition } = service;
+    const { queues: lanes, definition } = service;
     const waiting = definition.keyed ? lanes.waitingFor(upstream.id) : lanes.allWaiting();
     for (const group of waiting.flatMap(({ queue }) => queue.toArray())) {
       this.refuseHeldBack(group);
@@ -123,7 +123,7 @@
   }
 
   /** Rejects a group that can't be sent in time because of upstream notices; returns whether it did. */
-  refuseHeldBack(group: Work): boolean {
+  refuseHeldBack(group: RequestGroup): boolean {
     const { now } = this.context;
     const held = noticeWaitOf(group, this.context);
     const hold = Number.isFinite(group.holdUntil) ? group.holdUntil : now + this.maxWaitMillis(group);
@@ -139,7 +139,7 @@
    * Returns when a group that is rejected for lack of capacity may come back, or `null` if no time is useful to it. In mode `reserved`
    * each caller gets a time of its own; otherwise the times are spread around the moment at which capacity is expected.
    */
-  returnAfter(group: Work): number | null {
+  returnAfter(group: RequestGroup): number | null {
     if (this.context.config.returnTimes !== 'reserved') {
       return this.retryAfter(group);
     }
@@ -150,7 +150,7 @@
   }
 
   /** Returns the jittered time in which the queue ahead of a group drains. */
-  retryAfter(group: Work): number {
+  retryAfter(group: RequestGroup): number {
     const held = noticeWaitOf(group, this.context);
     if (held !== null) {
       return retryAfterAtLeast(held.againMillis, this.context.random);
@@ -166,7 +166,7 @@
   private refuseExpectedLateIn(service: ServiceState, shardQueue: Lane): void {
     const { now } = this.context;
     const isServed = shardQueue.shard === null || this.context.ownerOf(shardQueue.shard) !== undefined;
-    const head = shardQueue.queue.peek(service.turnOrder(now));
+    const head = shardQueue.queue.peek(service.dequeueOrder(now));
     const isHeldBack = head !== undefined && noticeWaitOf(head, this.context) !== null;
     if (!isServed || isHeldBack || shardQueue.isPaused(now)) {
       return;
@@ -193,7 +193,7 @@
    * Returns how long a group may wait. Where ranks compete, it may wait while it can still be answered within its target; elsewhere its
    * terms decide, since all groups wait alike there.
    */
-  private maxWaitMillis(group: Work): number {
+  private maxWaitMillis(group: RequestGroup): number {
     const { service, terms } = group;
     if (terms.targetMillis === null || !this.isMixed(service)) {
       return terms.holdMillis;
@@ -207,21 +207,21 @@
    * Returns whether a group that can't be answered within its target any more may use spare capacity: only if no group is waiting that
    * can still be on time.
    */
-  private mayWaitLate(group: Work): boolean {
-    const { service, lane: shardQueue, holdUntil, deadline } = group;
+  private mayWaitLate(group: RequestGroup): boolean {
+    const { service, shardQueue, holdUntil, deadline } = group;
     if (shardQueue === null || group.terms.targetMillis === null || !this.isMixed(service)) {
       return false;
     }
     const isExtended = holdUntil >= deadline - service.expectedMillis(this.context.now);
-    shardQueue.queue.heads(service.turnOrder(this.context.now));
+    shardQueue.queue.heads(service.dequeueOrder(this.context.now));
     return !isExtended && !service.isOutOfUse && shardQueue.queue.countAhead(Number.POSITIVE_INFINITY) === 0;
   }
 
   /** Enforces the queue limits of the service and of the shard by evicting the least important waiting group. */
-  private evictForService(group: Work): boolean {
+  private evictForService(group: RequestGroup): boolean {
     const { service, shard } = group;
     const { queueLimit } = service.definition;
-    const shardQueue = service.lanes.find(shard);
+    const shardQueue = service.queues.find(shard);
     const shardLimit = shard === null ? queueLimit : Math.ceil(queueLimit * MAX_SHARD_QUEUE_SHARE);
     if (
       (shardQueue?.queue.length ?? 0) >= shardLimit &&
@@ -229,11 +229,11 @@
     ) {
       return false;
     }
-    return service.waitingLength < queueLimit || this.evict(service.lanes.evictionCandidate(group.rank));
+    return service.waitingLength < queueLimit || this.evict(service.queues.evictionCandidate(group.rank));
   }
 
   /** Rejects a waiting group in favour of a more important one. A group that was sent isn't waiting, so it is never evicted. */
-  private evict(victim: Work | undefined): boolean {
+  private evict(victim: RequestGroup | undefined): boolean {
     if (victim === undefined || victim.mayHaveRun) {
       return false;
     }
@@ -242,19 +242,19 @@
   }
 
   /** Enforces the router's own limit by evicting the least important waiting group of any service. */
-  private evictForRouter(group: Work): boolean {
+  private evictForRouter(group: RequestGroup): boolean {
     if (this.context.waitingLength() < MAX_WAITING_REQUESTS) {
       return true;
     }
-    let victim: Work | undefined;
-    for (const { lanes } of this.context.services.values()) {
+    let victim: RequestGroup | undefined;
+    for (const { queues: lanes } of this.context.services.values()) {
       const candidate = lanes.evictionCandidate(victim?.rank ?? group.rank);
       victim = candidate ?? victim;
     }
     return this.evict(victim);
   }
 
-  private expiryReason(group: Work): RefusalReason {
+  private expiryReason(group: RequestGroup): RefusalReason {
     const { now } = this.context;
     if (group.service.isOutOfUse) {
       return 'no-upstream';
--- a/src/routing/queue/lane-table.ts
+++ b/src/routing/queue/lane-table.ts
@@ -3,7 +3,7 @@
  * a service without keys has a single queue.
  */
 import type { ShardId, UpstreamId } from '../../model/identifiers.js';
-import type { Work } from '../work.js';
+import type { RequestGroup } from '../request-group.js';
 import { DrainRate } from './drain-rate.js';
 import { RankedQueue, type TurnOrder } from './ranked-queue.js';
 
@@ -90,9 +90,9 @@
     return this.waiting.get(owner ?? NO_OWNER_KEY)?.size ?? 0;
   }
 
-  enqueue(shardQueue: Lane, group: Work, place: 'front' | 'back', now: number): void {
+  enqueue(shardQueue: Lane, group: RequestGroup, place: 'front' | 'back', now: number): void {
     shardQueue.drainRateOf(group.rank).start(now);
-    group.lane = shardQueue;
+    group.shardQueue = shardQueue;
     group.node = shardQueue.queue.push(group, place);
     group.tally.waiting += 1;
     this.count += 1;
@@ -101,13 +101,13 @@
     }
   }
 
-  remove(group: Work): void {
-    const { lane: shardQueue, node } = group;
+  remove(group: RequestGroup): void {
+    const { shardQueue, node } = group;
     if (shardQueue === null || node === null) {
       return;
     }
     shardQueue.queue.remove(node);
-    group.lane = null;
+    group.shardQueue = null;
     group.node = null;
     group.tally.waiting -= 1;
     this.count -= 1;
@@ -177,8 +177,8 @@
    * Returns the group to evict first over all queues, among ranks less important than `rank`. It scans every queue, so it is called only
    * when a limit is reached.
    */
-  evictionCandidate(rank: number): Work | undefined {
-    let victim: Work | undefined;
+  evictionCandidate(rank: number): RequestGroup | undefined {
+    let victim: RequestGroup | undefined;
     for (const { queue } of this.byShard.values()) {
       victim = queue.evictionCandidate(victim?.rank ?? rank) ?? victim;
     }
@@ -186,7 +186,7 @@
   }
 
   /** Returns all waiting groups, queue by queue. */
-  allWork(): Work[] {
+  allWork(): RequestGroup[] {
     return this.allWaiting().flatMap((shardQueue) => shardQueue.queue.toArray());
   }
 
--- a/src/routing/queue/ranked-queue.ts
+++ b/src/routing/queue/ranked-queue.ts
@@ -3,7 +3,7 @@
  * and then by least slack; late ones follow by rank. Groups with similar terms wait in arrival order, so choosing the next one compares
  * only the heads of a few classes, whatever the length of the queue.
  */
-import type { Work } from '../work.js';
+import type { RequestGroup } from '../request-group.js';
 import type { QueueNode } from './linked-queue.js';
 import { classTermsOf, WaitingClass } from './waiting-class.js';
 
@@ -18,7 +18,7 @@
 
 /** The head of a class. Heads are ordered by lateness, then rank, then slack. */
 interface Head {
-  readonly group: Work;
+  readonly group: RequestGroup;
   readonly isLate: boolean;
 }
 
@@ -30,7 +30,7 @@
     return this.#count;
   }
 
-  push(group: Work, place: 'front' | 'back'): QueueNode<Work> {
+  push(group: RequestGroup, place: 'front' | 'back'): QueueNode<RequestGroup> {
     const terms = classTermsOf(group);
     let waitingClass = this.#classes.find((candidate) => candidate.matches(terms));
     if (waitingClass === undefined) {
@@ -44,7 +44,7 @@
   }
 
   /** Removes a node; does nothing if it was already removed. */
-  remove(node: QueueNode<Work>): void {
+  remove(node: QueueNode<RequestGroup>): void {
     if (node.queue !== null) {
       node.queue.remove(node);
       this.#count -= 1;
@@ -52,7 +52,7 @@
   }
 
   /** Returns the first groups of all classes, in dispatch order. */
-  heads(order: TurnOrder): Work[] {
+  heads(order: TurnOrder): RequestGroup[] {
     const heads: Head[] = [];
     for (const { timely, late } of this.#classesWithLateSplit(order)) {
       const head = timely.peek();
@@ -70,15 +70,15 @@
   }
 
   /** Returns the group to dispatch next. */
-  peek(order: TurnOrder): Work | undefined {
+  peek(order: TurnOrder): RequestGroup | undefined {
     return this.#classes.length === 1 && order.expectedMillis === null
       ? (this.#classes[0]?.timely.peek() ?? this.#classes[0]?.late.peek())
       : this.heads(order)[0];
   }
 
   /** Returns the last group of a rank that can still be answered within its target. */
-  lastOf(rank: number): Work | undefined {
-    let last: Work | undefined;
+  lastOf(rank: number): RequestGroup | undefined {
+    let last: RequestGroup | undefined;
     for (const { terms, timely } of this.#classes) {
       const candidate = terms.rank === rank ? timely.peekLast() : undefined;
       if (candidate !== undefined && (last === undefined || candidate.arrivedAt >= last.arrivedAt)) {
@@ -92,7 +92,7 @@
    * Returns the group to evict first among ranks less important than `rank`: a late group of the least important rank, else the last
    * group of that rank.
    */
-  evictionCandidate(rank: number): Work | undefined {
+  evictionCandidate(rank: number): RequestGroup | undefined {
     const below = this.#classes.filter(({ terms, length }) => terms.rank > rank && length > 0);
     const leastImportantRank = below.at(-1)?.terms.rank;
     const late = below.find(
@@ -105,10 +105,12 @@
   }
 
   /** The first and last waiting groups of each class. */
-  get ends(): Work[] {
+  get ends(): RequestGroup[] {
     return this.#classes.flatMap(({ timely, late }) => [
-      ...(timely.peek() === undefined ? [] : [timely.peek() as Work, timely.peekLast() as Work]),
-      ...(late.peek() === undefined ? [] : [late.peek() as Work, late.peekLast() as Work]),
+      ...(timely.peek() === undefined
+        ? []
+        : [timely.peek() as RequestGroup, timely.peekLast() as RequestGroup]),
+      ...(late.peek() === undefined ? [] : [late.peek() as RequestGroup, late.peekLast() as RequestGroup]),
     ]);
   }
 
@@ -132,7 +134,7 @@
     this.#classes = this.#classes.filter(({ length }) => length > 0);
   }
 
-  toArray(): Work[] {
+  toArray(): RequestGroup[] {
     return this.#classes.flatMap((waitingClass) => waitingClass.toArray());
   }
 
@@ -157,7 +159,7 @@
 }
 
 /** Expected times are alike within a service, so they don't affect the comparison. */
-export function compareSlack(one: Work, other: Work, byDeadline: boolean): number {
+export function compareSlack(one: RequestGroup, other: RequestGroup, byDeadline: boolean): number {
   const difference = byDeadline
     ? one.deadline - other.deadline
     : one.arrivedAt + (one.terms.targetMillis ?? 0) - other.arrivedAt - (other.terms.targetMillis ?? 0);
--- a/src/routing/queue/return-promises.ts
+++ b/src/routing/queue/return-promises.ts
@@ -1,6 +1,7 @@
 /** Reserves return times for rejected request groups, and matches arriving groups with these reservations. */
+
+import type { RequestGroup } from '../request-group.js';
 import type { RouterContext } from '../router-context.js';
-import type { Work } from '../work.js';
 import { MAX_RETRY_MILLIS, MIN_RETRY_MILLIS } from './retry-after.js';
 import { type ReturnCounts, ReturnSchedules, type ReturnTarget } from './return-times.js';
 import type { WaitEstimate } from './wait-estimate.js';
@@ -24,14 +25,14 @@
   }
 
   /** Marks an arriving group if a reservation for it is due; its target then counts from the first arrival of its caller. */
-  matchPromise(group: Work): void {
+  matchPromise(group: RequestGroup): void {
     if (this.#schedules.isEmpty) {
       return;
     }
     const arrival = { ...this.#targetOf(group), deadline: this.#deadlineOf(group) };
     const reservation = this.#schedules.claim(arrival, this.#context.now);
     if (reservation !== null) {
-      group.isExpected = true;
+      group.isPromisedReturn = true;
       group.askedAt = Math.min(group.askedAt, reservation.firstArrivedAt);
     }
   }
@@ -40,9 +41,9 @@
    * Returns how much longer a newly arrived group waits because of reservations; 0 if nothing is waiting, so that no slot stays idle for
    * callers who may not return.
    */
-  reservedMillis(group: Work, waitMillis: number): number {
-    const isQueueEmpty = (group.service.lanes.find(group.shard)?.queue.length ?? 0) === 0;
-    if (group.isExpected || isQueueEmpty || this.#schedules.isEmpty) {
+  reservedMillis(group: RequestGroup, waitMillis: number): number {
+    const isQueueEmpty = (group.service.queues.find(group.shard)?.queue.length ?? 0) === 0;
+    if (group.isPromisedReturn || isQueueEmpty || this.#schedules.isEmpty) {
       return 0;
     }
     const places = this.#schedules.reservedPlaces(this.#targetOf(group), waitMillis, this.#context.now);
@@ -50,10 +51,10 @@
   }
 
   /** Returns the delay after which a group rejected for lack of capacity may come back, or `null` if no time is useful to it. */
-  reserve(group: Work, waitMillis: number): number | null {
+  reserve(group: RequestGroup, waitMillis: number): number | null {
     const { now } = this.#context;
-    if (group.isExpected) {
-      group.isExpected = false;
+    if (group.isPromisedReturn) {
+      group.isPromisedReturn = false;
       this.#schedules.countBroken();
     }
     const deadline = this.#deadlineOf(group);
@@ -71,15 +72,15 @@
       firstArrivedAt: group.askedAt,
     };
     const millis = this.#schedules.reserve(request, now);
-    group.returnWord = millis === null ? 'none-in-time' : 'promised';
+    group.returnOffer = millis === null ? 'none-in-time' : 'promised';
     if (group.shard === null) {
-      group.service.returnsPromised(now);
+      group.service.onReturnPromised(now);
     }
     return millis === null ? null : Math.ceil(millis);
   }
 
   /** A caller that sends no deadline may follow any delay. */
-  #latestMillis(group: Work, leftMillis: number): number {
+  #latestMillis(group: RequestGroup, leftMillis: number): number {
     return deadlineMillisOf(group) === null
       ? MAX_RETRY_MILLIS
       : Math.min(
@@ -90,12 +91,12 @@
   }
 
   /** Returns the deadline that the caller sent, if any; the deadline of its route may be earlier. */
-  #deadlineOf(group: Work): number {
+  #deadlineOf(group: RequestGroup): number {
     const deadlineMillis = deadlineMillisOf(group);
     return deadlineMillis === null ? group.deadline : group.arrivedAt + deadlineMillis;
   }
 
-  #targetOf({ service, shard, rank }: Work): ReturnTarget {
+  #targetOf({ service, shard, rank }: RequestGroup): ReturnTarget {
     const owner = shard === null ? undefined : this.#context.ownerOf(shard);
     const schedule = owner === undefined ? service.name : `${service.name}/${owner.upstream.id}`;
     return { schedule, rank };
@@ -103,6 +104,6 @@
 }
 
 /** Returns the time left that the first caller sent, or `null` if it sent none. */
-function deadlineMillisOf({ members }: Work): number | null {
+function deadlineMillisOf({ members }: RequestGroup): number | null {
   return members[0]?.request.deadlineMillis ?? null;
 }
--- a/src/routing/queue/wait-estimate.ts
+++ b/src/routing/queue/wait-estimate.ts
@@ -1,8 +1,8 @@
 /** Estimates how long a request group has to wait from the measured drain rate of its queue. */
 
+import type { RequestGroup } from '../request-group.js';
 import type { RouterContext } from '../router-context.js';
 import type { ServiceState } from '../service-state.js';
-import type { Work } from '../work.js';
 import type { Lane } from './lane-table.js';
 
 /** A position in the dispatch order of a queue. */
@@ -20,8 +20,8 @@
   constructor(private readonly context: RouterContext) {}
 
   /** Returns milliseconds until a group that joins its queue now is dispatched; 0 if there is no estimate. */
-  untilDispatch(group: Work): number {
-    const shardQueue = group.service.lanes.find(group.shard);
+  untilDispatch(group: RequestGroup): number {
+    const shardQueue = group.service.queues.find(group.shard);
     const { service, shard, rank } = group;
     const ahead = shardQueue?.queue.countAhead(rank) ?? 0;
     const inOrder = this.wait(service, shardQueue, { shard, rank, place: ahead + 1 });
@@ -29,15 +29,15 @@
   }
 
   /** Returns the rate at which groups of this rank drain here: of the service, or of the key's owner. */
-  perMilli(group: Work): number {
+  perMilli(group: RequestGroup): number {
     const { service, shard, rank } = group;
     const queues =
       shard === null
         ? 1
-        : Math.max(1, service.lanes.countFor(this.context.ownerOf(shard)?.upstream.id ?? null));
+        : Math.max(1, service.queues.countFor(this.context.ownerOf(shard)?.upstream.id ?? null));
     return (
       queues /
-      Math.max(MIN_INTERVAL_MILLIS, this.wait(service, service.lanes.find(shard), { shard, rank, place: 1 }))
+      Math.max(MIN_INTERVAL_MILLIS, this.wait(service, service.queues.find(shard), { shard, rank, place: 1 }))
     );
   }
 
@@ -76,7 +76,7 @@
     if (owner === undefined) {
       return 0;
     }
-    const queues = Math.max(1, service.lanes.countFor(owner.upstream.id));
+    const queues = Math.max(1, service.queues.countFor(owner.upstream.id));
     return service.capacityOf(owner.upstream) / queues;
   }
 }
--- a/src/routing/queue/waiting-class.ts
+++ b/src/routing/queue/waiting-class.ts
@@ -1,6 +1,7 @@
 /** Waiting request groups with similar terms in arrival order, so that the first one always has the least slack. */
+
+import type { RequestGroup } from '../request-group.js';
 import type { RequestTerms } from '../request-terms.js';
-import type { Work } from '../work.js';
 import { LinkedQueue, type QueueNode } from './linked-queue.js';
 
 /** Deadlines within this factor are similar. */
@@ -15,7 +16,7 @@
   readonly deadlineStep: number;
 }
 
-export function classTermsOf({ terms, rank, deadline, arrivedAt }: Work): ClassTerms {
+export function classTermsOf({ terms, rank, deadline, arrivedAt }: RequestGroup): ClassTerms {
   const allowedMillis = Math.max(1, deadline - arrivedAt);
   const deadlineStep = Math.floor(Math.log(allowedMillis) / Math.log(DEADLINE_FACTOR));
   return { rank, targetMillis: terms.targetMillis, deadlineStep };
@@ -32,9 +33,9 @@
 
 export class WaitingClass {
   /** Groups that can still be answered within their target, as of the last `moveLate`. */
-  readonly timely = new LinkedQueue<Work>();
+  readonly timely = new LinkedQueue<RequestGroup>();
   /** Groups that can't be answered within their target any more. */
-  readonly late = new LinkedQueue<Work>();
+  readonly late = new LinkedQueue<RequestGroup>();
 
   constructor(readonly terms: ClassTerms) {}
 
@@ -47,7 +48,7 @@
     return terms.rank === rank && terms.targetMillis === targetMillis && terms.deadlineStep === deadlineStep;
   }
 
-  push(group: Work, place: 'front' | 'back'): QueueNode<Work> {
+  push(group: RequestGroup, place: 'front' | 'back'): QueueNode<RequestGroup> {
     return place === 'front' ? this.timely.pushFront(group) : this.timely.pushBack(group);
   }
 
@@ -58,13 +59,13 @@
     }
     let head = this.timely.peek();
     while (head !== undefined && latestStartOf(head, expectedMillis) < now) {
-      this.timely.remove(head.node as QueueNode<Work>);
+      this.timely.remove(head.node as QueueNode<RequestGroup>);
       head.node = this.late.pushBack(head);
       head = this.timely.peek();
     }
   }
 
-  toArray(): Work[] {
+  toArray(): RequestGroup[] {
     return [...this.late.toArray(), ...this.timely.toArray()];
   }
 }
--- a/src/routing/range-view.ts
+++ b/src/routing/range-view.ts
@@ -43,7 +43,7 @@
   }
 
   /** Makes the changes since the last commit visible to key lookups. */
-  settle(): void {
+  commit(): void {
     for (const service of this.#changed) {
       const ranges = [...(this.#byStart.get(service)?.values() ?? [])];
       if (ranges.length === 0) {
--- a/src/routing/work.ts
+++ b/src/routing/request-group.ts
@@ -16,7 +16,7 @@
 /** One caller's request in a group. Each member gets exactly one final answer. */
 export interface Member {
   readonly request: ArrivedRequest;
-  readonly work: Work;
+  readonly group: RequestGroup;
   readonly deadline: number;
   /** Whether an attempt for this request ended without proof that it did not run. */
   mayHaveRun: boolean;
@@ -24,7 +24,7 @@
 }
 
 /** `claiming`: waits for the ledger. `held`: held by a policy or for link capacity. `queued`: in a shard queue. */
-export type WorkPhase = 'new' | 'claiming' | 'held' | 'queued' | 'in-flight' | 'done';
+export type GroupPhase = 'new' | 'claiming' | 'held' | 'queued' | 'in-flight' | 'done';
 
 /** The grant under which an attempt was sent. */
 export interface SentGrant {
@@ -37,7 +37,7 @@
 /** One attempt of a group on an upstream. It is kept until the I/O layer reports its end, even if no caller waits for it any more. */
 export interface Attempt {
   readonly number: AttemptNumber;
-  readonly work: Work;
+  readonly group: RequestGroup;
   readonly upstream: UpstreamState;
   /** The request that was sent; members that joined later only share its answer. */
   readonly request: ArrivedRequest;
@@ -49,7 +49,7 @@
   /** The grant under which it was sent; `null` for services that aren't keyed. */
   readonly grant: SentGrant | null;
   /** When the end of the grant was noticed; `null`: it hasn't ended. */
-  overSince: number | null;
+  grantEndedAt: number | null;
   /** Whether its group continues without it. */
   abandoned: boolean;
 }
@@ -61,7 +61,7 @@
 const UNMEASURED_TARGET_FACTOR = 2;
 
 /** Whether an attempt takes so long that its upstream has probably stopped. */
-export function isOverdue({ startedAt, upstream, work: group }: Attempt, now: number): boolean {
+export function isOverdue({ startedAt, upstream, group }: Attempt, now: number): boolean {
   return now >= startedAt + Math.max(MIN_OVERDUE_MILLIS, overdueMillis(upstream, group));
 }
 
@@ -70,7 +70,10 @@
  * shortest time is assumed instead, its first requests are abandoned after 0.2 s and repeated elsewhere, each with a new connection: 5 % of
  * reads that take 0.16 s and 13 % of those that take 0.4 s (at low load, with 69 and 61 upstreams and 76 routers).
  */
-function overdueMillis({ measuredMillis, serviceMillis }: UpstreamState, { service, terms }: Work): number {
+function overdueMillis(
+  { measuredMillis, serviceMillis }: UpstreamState,
+  { service, terms }: RequestGroup,
+): number {
   const usualMillis = measuredMillis ?? service.measuredMillis();
   if (usualMillis !== null) {
     return usualMillis * OVERDUE_FACTOR;
@@ -79,16 +82,16 @@
 }
 
 /** Name under which times are measured: the route, or the service for requests addressed to one. */
-export function workNameOf({ service, terms }: Work): string {
+export function measurementNameOf({ service, terms }: RequestGroup): string {
   return terms.route ?? service.name;
 }
 
 /** `promised`: a refused caller got a reserved retry time. `none-in-time`: none is free before its deadline. */
-export type ReturnWord = 'promised' | 'none-in-time';
+export type ReturnOffer = 'promised' | 'none-in-time';
 
 /** Usually one request; several if identical reads share an attempt. */
-export class Work {
-  phase: WorkPhase = 'new';
+export class RequestGroup {
+  phase: GroupPhase = 'new';
   readonly members: Member[] = [];
   /** Set if identical reads can join the group. */
   coalesceKey: string | null = null;
@@ -97,15 +100,15 @@
   /** Revision of the configuration from which `shard` was determined. */
   shardRevision: Revision = -1;
   /** Shard to which the work of its answer is attributed; `null`: none, or the load was recorded on arrival. */
-  loadName: ShardId | null = null;
+  loadShard: ShardId | null = null;
   /** Rank of its terms; if its key is hot, between that and the next rank. */
   rank: number;
   /** Arrival time of its first request. */
   arrivedAt = 0;
   /** Estimated time of the caller's first try: a retry has a shorter deadline by the time already used. */
   askedAt = 0;
-  lane: Lane | null = null;
-  node: QueueNode<Work> | null = null;
+  shardQueue: Lane | null = null;
+  node: QueueNode<RequestGroup> | null = null;
   /** Link capacity accounted for its answer in advance; `null`: none is. */
   linkAnswer: OpenAnswer | null = null;
   /** End of the bounded wait; `Infinity` until the group first waits. */
@@ -126,9 +129,9 @@
   avoid: UpstreamState | null = null;
 
   /** Whether the request arrived at its reserved retry time; it then goes ahead of first tries. */
-  isExpected = false;
+  isPromisedReturn = false;
   /** Whether it got a reserved retry time when it was refused for lack of capacity; `null`: it wasn't refused for that. */
-  returnWord: ReturnWord | null = null;
+  returnOffer: ReturnOffer | null = null;
 
   constructor(
     readonly service: ServiceState,
@@ -171,7 +174,7 @@
   }
 
   /** Called when an attempt ended without proof that it did not run. */
-  noteMayHaveRun(): void {
+  markMayHaveRun(): void {
     this.mayHaveRun = true;
     for (const member of this.members) {
       member.mayHaveRun = true;
--- a/src/routing/request-intake.ts
+++ b/src/routing/request-intake.ts
@@ -8,12 +8,12 @@
 import type { LedgerWord } from './outcome-table.js';
 import type { PolicyGate } from './policy-gate.js';
 import type { Admission } from './queue/admission.js';
+import { isOverdue, type Member, RequestGroup } from './request-group.js';
 import { type RequestTerms, termsOfRoute, termsOfService } from './request-terms.js';
 import type { RouterContext } from './router-context.js';
 import type { ServiceState } from './service-state.js';
 import { SplitRotation } from './split-rotation.js';
 import type { ArrivedRequest, RefusalReason, RequestNumber } from './types.js';
-import { isOverdue, type Member, Work } from './work.js';
 
 /** Answer for a request that has run according to the ledger, whose answer was not kept. */
 const ANSWER_NOT_KEPT: StoredAnswer = { status: 200, contentType: '', body: '', truncated: true };
@@ -79,7 +79,7 @@
       this.join(joinable, request);
       return;
     }
-    const group = new Work(service, terms, context.tallies.of(terms, service.name));
+    const group = new RequestGroup(service, terms, context.tallies.of(terms, service.name));
     group.arrivedAt = context.now;
     group.shard = shard;
     group.shardRevision = context.view.revision;
@@ -120,7 +120,7 @@
   }
 
   /** Receives a read again that joined another one and couldn't share its answer. This time it shares no attempt. */
-  arriveAlone(member: Member): void {
+  receiveUnshared(member: Member): void {
     const { request, deadline, mayHaveRun } = member;
     if (mayHaveRun) {
       this.answers.refuseArrival(request, 'upstream-failed', 'silent', null);
@@ -129,12 +129,12 @@
     this.receive({ ...request, variant: null, deadlineMillis: deadline - this.context.now });
   }
 
-  claimGranted(group: Work): void {
+  claimGranted(group: RequestGroup): void {
     group.service.claiming.delete(group);
     this.policyGate.pass(group);
   }
 
-  claimDenied(group: Work, result: ClaimResult): void {
+  claimDenied(group: RequestGroup, result: ClaimResult): void {
     switch (result.type) {
       case 'duplicate':
         this.answerDuplicate(group, result.record.state, result.record.answer);
@@ -154,13 +154,13 @@
     }
   }
 
-  claimTimedOut(group: Work): void {
+  claimTimedOut(group: RequestGroup): void {
     this.answers.refuseWork(group, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
   }
 
   /** Refuses all waiting requests of a service, because the configuration is no longer confirmed. */
   refuseWaiting(service: ServiceState, reason: RefusalReason): void {
-    const waiting = [...service.lanes.allWork(), ...service.held, ...service.claiming];
+    const waiting = [...service.queues.allWork(), ...service.held, ...service.claiming];
     for (const group of waiting) {
       this.answers.refuseWork(group, reason, this.admission.unmeasuredRetryAfter());
     }
@@ -168,7 +168,7 @@
 
   /** Refuses waiting requests that are newly quarantined. Requests already sent may still succeed and be cleared by that. */
   refuseQuarantined(): void {
-    for (const { lanes: queues, held, claiming } of this.context.services.values()) {
+    for (const { queues, held, claiming } of this.context.services.values()) {
       for (const group of [...queues.allWork(), ...held, ...claiming]) {
         if (this.context.crashes.isRefused(group.request)) {
           this.answers.refuseQuarantined(group);
@@ -216,11 +216,11 @@
     return key === null ? null : (this.context.view.shardOfKey(service.name, key) ?? null);
   }
 
-  private addMember(group: Work, request: ArrivedRequest): void {
+  private addMember(group: RequestGroup, request: ArrivedRequest): void {
     const { now } = this.context;
     const ownDeadlineMillis = group.terms.deadlineMillis;
     const deadline = now + Math.min(ownDeadlineMillis, request.deadlineMillis ?? ownDeadlineMillis);
-    const member: Member = { request, work: group, deadline, mayHaveRun: false, deadlineTimer: null };
+    const member: Member = { request, group: group, deadline, mayHaveRun: false, deadlineTimer: null };
     member.deadlineTimer = this.context.schedule(deadline, { type: 'deadline', member });
     group.members.push(member);
     this.context.members.set(request.request, member);
@@ -230,12 +230,12 @@
    * Records the load of a numeric key on arrival, at the speed of the key's owner: the answers of an overloaded owner don't measure
    * its demand, and their times reflect its queue more than the work. The load of other shards is recorded when work is done.
    */
-  private recordLoad(group: Work): void {
+  private recordLoad(group: RequestGroup): void {
     const { service, shard, request } = group;
     const keyLoadName =
       shard === null ? null : this.context.view.keyLoadName(service.name, request.key as string);
     if (shard === null || keyLoadName === null) {
-      group.loadName = shard;
+      group.loadShard = shard;
       return;
     }
     const owner = this.context.ownerOf(shard)?.upstream;
@@ -244,7 +244,7 @@
   }
 
   /** A retry has a shorter deadline than its route. The time already used counts against its target time as well. */
-  private applyRank(group: Work): void {
+  private applyRank(group: RequestGroup): void {
     const { service, terms, arrivedAt, request } = group;
     const remainingMillis = request.deadlineMillis ?? terms.deadlineMillis;
     group.askedAt = arrivedAt - Math.max(0, terms.deadlineMillis - remainingMillis);
@@ -255,7 +255,7 @@
     }
   }
 
-  private applyHotKeyRank(group: Work): void {
+  private applyHotKeyRank(group: RequestGroup): void {
     const { service, shard, request, rank, arrivedAt } = group;
     const owner = shard === null ? undefined : this.context.ownerOf(shard);
     if (owner === undefined || request.key === null) {
@@ -265,7 +265,7 @@
     group.rank = service.hotKeys.rankOf({ key: request.key, rank, owner: upstream }, arrivedAt);
   }
 
-  private makeJoinable(group: Work, key: string | null): void {
+  private makeJoinable(group: RequestGroup, key: string | null): void {
     if (key !== null) {
       group.coalesceKey = key;
       group.service.joinable.set(key, group);
@@ -273,17 +273,17 @@
   }
 
   /** A read that joined an attempt that hangs would end as `unknown`; on its own it can end as `not-run`. */
-  private canJoin({ attempt }: Work): boolean {
+  private canJoin({ attempt }: RequestGroup): boolean {
     return attempt === null || !isOverdue(attempt, this.context.now);
   }
 
-  private join(group: Work, request: ArrivedRequest): void {
+  private join(group: RequestGroup, request: ArrivedRequest): void {
     this.addMember(group, request);
     const member = group.members[group.members.length - 1] as Member;
     this.policyGate.passJoined(member);
   }
 
-  private start(group: Work): void {
+  private start(group: RequestGroup): void {
     const { idempotency } = group.request;
     if (!group.needsClaim || idempotency === null) {
       this.policyGate.pass(group);
@@ -296,7 +296,7 @@
   }
 
   private answerDuplicate(
-    group: Work,
+    group: RequestGroup,
     state: 'running' | 'ran' | 'unknown',
     answer: StoredAnswer | null,
   ): void {
--- a/src/routing/router-context.ts
+++ b/src/routing/router-context.ts
@@ -11,13 +11,13 @@
 import { NumberedTable } from './numbered-table.js';
 import { RouteTallies } from './queue/route-tallies.js';
 import { Random } from './random.js';
+import type { Attempt, Member } from './request-group.js';
 import type { RouterTimer, TimerSubject } from './router-timer.js';
 import type { ServiceState } from './service-state.js';
 import { TimerHeap } from './timer-heap.js';
 import type { AttemptNumber, RouterConfig, RouterEffect } from './types.js';
 import { FleetSums } from './upstream/fleet-sums.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
-import type { Attempt, Member } from './work.js';
 import { FleetKnowledge } from './zones/fleet-knowledge.js';
 
 /** The upstream to which a shard's requests are sent, with the epoch and incarnation of its ownership. */
--- a/src/routing/router-node.ts
+++ b/src/routing/router-node.ts
@@ -15,11 +15,11 @@
 import { UpstreamReports } from './notices/upstream-reports.js';
 import { PolicyGate } from './policy-gate.js';
 import { Admission } from './queue/admission.js';
+import type { Member, RequestGroup } from './request-group.js';
 import { RequestIntake } from './request-intake.js';
 import { RouterContext } from './router-context.js';
 import type { TimerSubject } from './router-timer.js';
 import type { RouterConfig, RouterCore, RouterEffect, RouterInput, RouterStatus } from './types.js';
-import type { Member, Work } from './work.js';
 import { FleetReports } from './zones/fleet-reports.js';
 
 /** Creates the core of one router run. It serves no requests before its first confirmed configuration. */
@@ -56,7 +56,7 @@
       context.link = new LinkGate({ context, dispatcher, answers }, linkBytesPerMilli);
     }
     const { link } = context;
-    const admit = (group: Work): void => (link === null ? dispatcher.admit(group) : link.pass(group));
+    const admit = (group: RequestGroup): void => (link === null ? dispatcher.admit(group) : link.pass(group));
     this.policyGate = new PolicyGate({ context, admission, admit, answers });
     this.intake = new RequestIntake({ context, admission, answers, claims, policyGate: this.policyGate });
     this.notices = new NoticeIntake({ context, admission, dispatcher });
@@ -329,14 +329,14 @@
 
   /** If the request did not run, the refusal includes a retry time, because its route's deadline may pass before the caller's. */
   private passDeadline(member: Member): void {
-    const mayHaveRun = member.mayHaveRun || member.work.attempt !== null;
+    const mayHaveRun = member.mayHaveRun || member.group.attempt !== null;
     const wait = mayHaveRun ? null : this.admission.unmeasuredRetryAfter();
     this.answers.refuse(member, 'deadline-passed', wait);
   }
 
   /** The limit applies only to groups that are waiting at this moment. */
   private endHold(subject: Extract<TimerSubject, { type: 'hold-end' }>): void {
-    const { work: group } = subject;
+    const { group } = subject;
     group.holdTimer = null;
     if (group.phase === 'queued') {
       this.admission.giveUpWaiting(group);
@@ -364,7 +364,7 @@
   private reportLoad(isUrgent: boolean): void {
     const { context } = this;
     const leader = context.leader.target();
-    const report = context.reporter.take(context.now, isUrgent);
+    const report = context.reporter.takeReport(context.now, isUrgent);
     if (report !== null && leader !== null) {
       const fleet = this.fleetReports.take();
       const message = fleet === null ? report : { ...report, fleet };
@@ -377,7 +377,7 @@
     const { services, view, hasRefusedAtOwner } = this.context;
     return (
       hasRefusedAtOwner ||
-      [...services.values()].some(({ name, lanes: queues }) => queues.length > 0 && view.hasRanges(name))
+      [...services.values()].some(({ name, queues }) => queues.length > 0 && view.hasRanges(name))
     );
   }
 
--- a/src/routing/router-timer.ts
+++ b/src/routing/router-timer.ts
@@ -1,15 +1,15 @@
 /** Timers of a router. */
 import type { RunName } from '../model/crash-suspect.js';
 import type { Claim } from './claim.js';
+import type { Member, RequestGroup } from './request-group.js';
 import type { ServiceState } from './service-state.js';
 import type { Timer } from './timer-heap.js';
 import type { RequestNumber } from './types.js';
-import type { Member, Work } from './work.js';
 
 export type TimerSubject =
   | { readonly type: 'deadline'; readonly member: Member }
-  | { readonly type: 'hold-end'; readonly work: Work }
-  | { readonly type: 'policy-recheck'; readonly group: Work }
+  | { readonly type: 'hold-end'; readonly group: RequestGroup }
+  | { readonly type: 'policy-recheck'; readonly group: RequestGroup }
   | { readonly type: 'claim'; readonly claim: Claim }
   /** The first configuration didn't arrive in time for a request. */
   | { readonly type: 'early-end'; readonly request: RequestNumber }
--- a/src/routing/service-state.ts
+++ b/src/routing/service-state.ts
@@ -10,12 +10,12 @@
 import { LaneTable } from './queue/lane-table.js';
 import { RankPresence } from './queue/rank-presence.js';
 import type { TurnOrder } from './queue/ranked-queue.js';
+import type { RequestGroup } from './request-group.js';
 import { HotKeys } from './room/hot-keys.js';
 import { RankRoom } from './room/rank-room.js';
 import { TokenRetryBudget } from './room/retry-budget.js';
 import type { Standing } from './upstream/leaving-table.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
-import type { Work } from './work.js';
 
 /** Order of the standings, from best to worst. */
 const STANDING_ORDER: Readonly<Record<Standing, number>> = {
@@ -35,7 +35,7 @@
 
 export class ServiceState {
   readonly name: ServiceName;
-  readonly lanes = new LaneTable();
+  readonly queues = new LaneTable();
   /** Terms of recently arrived requests. */
   readonly presence: RankPresence;
   readonly rankRoom: RankRoom;
@@ -44,11 +44,11 @@
   readonly picker: Picker;
   readonly retryBudget: TokenRetryBudget;
   /** Groups of reads that identical reads may join, by coalescing key. */
-  readonly joinable = new Map<string, Work>();
+  readonly joinable = new Map<string, RequestGroup>();
   /** Groups held before the queue, by a policy or for link capacity. */
-  readonly held = new Set<Work>();
+  readonly held = new Set<RequestGroup>();
   /** Groups that wait for a claim on the ledger. */
-  readonly claiming = new Set<Work>();
+  readonly claiming = new Set<RequestGroup>();
   #expectedMillis = 0;
   #expectedMillisAt = Number.NEGATIVE_INFINITY;
   inFlight = 0;
@@ -85,7 +85,7 @@
 
   /** Number of groups that wait in queues or are held. */
   get waitingLength(): number {
-    return this.lanes.length + this.held.size;
+    return this.queues.length + this.held.size;
   }
 
   /** Applies a changed definition. Returns `true` if keys now map to other shards. */
@@ -120,7 +120,12 @@
    * Returns a cold upstream of this zone that has a free slot and whose current time slot belongs to this router; `undefined` if there
    * is none. Its allowance is used first, because the request would only wait longer at other upstreams.
    */
-  coldInTurn(zone: Zone, turn: RouterTurn, bounds: WarmupBounds, now: number): UpstreamState | undefined {
+  findColdUpstream(
+    zone: Zone,
+    turn: RouterTurn,
+    bounds: WarmupBounds,
+    now: number,
+  ): UpstreamState | undefined {
     return this.sortedUpstreams.find(
       (upstream) =>
         upstream.zone === zone &&
@@ -206,12 +211,12 @@
   }
 
   /** Called when a refused caller gets a retry time: retries with little time left then compete with first tries. */
-  returnsPromised(now: number): void {
+  onReturnPromised(now: number): void {
     this.#returnWindowEnd = now + RETURN_WINDOW_MILLIS;
   }
 
   /** Order in which waiting groups are dequeued. */
-  turnOrder(now: number): TurnOrder {
+  dequeueOrder(now: number): TurnOrder {
     return {
       now,
       expectedMillis:
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -25,7 +25,7 @@
 import type { PickerName } from './picker/picker.js';
 import type { ReturnCounts } from './queue/return-times.js';
 import type { RouteTally } from './queue/route-tallies.js';
-import type { ReturnWord } from './work.js';
+import type { ReturnOffer } from './request-group.js';
 
 /** Number of a request within one run of a router. */
 export type RequestNumber = number;
@@ -88,7 +88,7 @@
    */
   | {
       readonly type: 'connect-failed';
-      readonly turnedAway?: boolean;
+      readonly closedOnAccept?: boolean;
       readonly refused?: boolean;
       readonly recalled?: boolean;
     }
@@ -201,7 +201,7 @@
   /** Set if upstream runs ended while they served the request. */
   readonly fingerprint?: RequestFingerprint;
   /** Set if the request was refused for lack of capacity: whether its caller got a reserved retry time. */
-  readonly returns?: ReturnWord;
+  readonly returns?: ReturnOffer;
 }
 
 export type RouterEffect =
--- a/src/routing/watched-runs.ts
+++ b/src/routing/watched-runs.ts
@@ -7,10 +7,10 @@
 import { nameUnnamedRun, type RunName, type UpstreamCrash } from '../model/crash-suspect.js';
 import type { Address, MonotonicMillis, UpstreamId } from '../model/identifiers.js';
 import { runOfAnnounced } from '../model/service.js';
+import type { Attempt } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { RunCheck } from './types.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
-import type { Attempt } from './work.js';
 
 /** An attempt that was lost longer than this before the end of its run is no evidence that its request caused the end. */
 const MAX_LOSS_AGE_MILLIS = 5000;
@@ -27,17 +27,17 @@
 const MAX_CHECKS = 3;
 
 /** A request suspected of having ended a run. */
-export type Accusation = Pick<UpstreamCrash, 'fingerprint' | 'service'>;
+export type SuspectRequest = Pick<UpstreamCrash, 'fingerprint' | 'service'>;
 
 /** Called for each request that was in flight and unanswered at a run that has ended. */
-export type SuspectListener = (suspect: Accusation, run: RunName) => void;
+export type SuspectListener = (suspect: SuspectRequest, run: RunName) => void;
 
 /** Proofs that a run has ended; a refused connection can turn out to be no proof. */
 const END_PROOFS = { connectionRefused: 'connection-refused', otherRun: 'address-taken' } as const;
 
 /** An unanswered attempt. */
 interface Loss {
-  readonly suspect: Accusation;
+  readonly suspect: SuspectRequest;
   /** Whether the router abandoned the attempt; the run may still be alive then. */
   readonly wasAbandoned: boolean;
   readonly at: MonotonicMillis;
@@ -54,13 +54,13 @@
   hasEnded: boolean;
   endedAt: MonotonicMillis;
   /** Requests suspected of the run's end; cleared if the run turns out to be alive. */
-  suspects: Accusation[];
+  suspects: SuspectRequest[];
 }
 
 export class WatchedRuns {
   readonly #context: RouterContext;
   readonly #onSuspect: SuspectListener;
-  readonly #onRetracted: (suspect: Accusation) => void;
+  readonly #onRetracted: (suspect: SuspectRequest) => void;
   /** In order of insertion: the first is evicted first. */
   readonly #runs = new Map<RunName, WatchedRun>();
 
@@ -68,7 +68,7 @@
   constructor(
     context: RouterContext,
     onSuspect: SuspectListener,
-    onRetracted: (suspect: Accusation) => void,
+    onRetracted: (suspect: SuspectRequest) => void,
   ) {
     this.#context = context;
     this.#onSuspect = onSuspect;
@@ -76,7 +76,7 @@
   }
 
   /** Called when the upstream's side closed the connection of an attempt. */
-  connectionBroke(attempt: Attempt): void {
+  recordBrokenConnection(attempt: Attempt): void {
     const run = this.#recordLoss(attempt, false);
     if (run !== null) {
       this.#scheduleCheck(run, FIRST_CHECK_DELAY_MILLIS);
@@ -84,7 +84,7 @@
   }
 
   /** Called when an attempt ended unanswered for another reason. */
-  leftUnanswered(attempt: Attempt, wasAbandoned: boolean): void {
+  recordUnanswered(attempt: Attempt, wasAbandoned: boolean): void {
     this.#recordLoss(attempt, wasAbandoned);
   }
 
@@ -97,7 +97,7 @@
   }
 
   /** Clears the suspects of a run that has served an attempt started after its supposed end, because the run is alive. */
-  livesOn({ run, startedAt }: Attempt): void {
+  clearIfAlive({ run, startedAt }: Attempt): void {
     const watched = run === null ? undefined : this.#runs.get(run);
     if (watched === undefined || !watched.hasEnded || startedAt <= watched.endedAt) {
       return;
@@ -129,7 +129,7 @@
   }
 
   /** Called when a run is present at an address: any other run that was there has ended. */
-  addressTaken(address: Address, currentRun: RunName): void {
+  recordRunAt(address: Address, currentRun: RunName): void {
     for (const run of [...this.#runs.values()]) {
       if (run.address === address && run.name !== currentRun) {
         this.ended(run.name, END_PROOFS.otherRun);
@@ -166,7 +166,7 @@
 
   /** Records a lost attempt and returns its run; `null` if the request isn't watched. */
   #recordLoss(attempt: Attempt, wasAbandoned: boolean): WatchedRun | null {
-    const { request, work: group } = attempt;
+    const { request, group } = attempt;
     const { fingerprint } = request;
     if (fingerprint == null) {
       return null;
@@ -185,7 +185,7 @@
     return run;
   }
 
-  #addSuspect(run: WatchedRun, suspect: Accusation): void {
+  #addSuspect(run: WatchedRun, suspect: SuspectRequest): void {
     if (run.suspects.length < MAX_LOSSES) {
       run.suspects.push(suspect);
     }
@@ -226,7 +226,7 @@
 }
 
 /** Source of the notices in an answer: the run, or the upstream if its runs have no names. */
-export function speakerOf(upstream: UpstreamId, run: RunName | null): RunName {
+export function noticeSourceOf(upstream: UpstreamId, run: RunName | null): RunName {
   return run ?? upstream;
 }
 
--- a/test/routing/admission.test.ts
+++ b/test/routing/admission.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { ANSWERED, only, RouterHarness, service, upstream } from './router-harness.js';
+import { ANSWERED, effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 const SHARD_KEYS = ['key0', 'key1', 'key2', 'key3', 'key4', 'key5', 'key6', 'key7'];
 
@@ -25,7 +25,7 @@
   const shardOf = new Map<string, string>();
   for (const key of SHARD_KEYS) {
     const effects = harness.request('menus', { key });
-    const [dispatch] = only(effects, 'dispatch');
+    const [dispatch] = effectsOfType(effects, 'dispatch');
     if (dispatch !== undefined) {
       shardOf.set(key, dispatch.credentials?.shard ?? '');
       harness.ended(dispatch.attempt);
@@ -39,14 +39,14 @@
 describe('admission to the queue', () => {
   it('lets a request of a quiet shard wait though the queue of a hot one is long', () => {
     const { harness, hot, cold } = startTwoShards();
-    const [first] = only(harness.request('menus', { key: hot }), 'dispatch');
+    const [first] = effectsOfType(harness.request('menus', { key: hot }), 'dispatch');
     for (let count = 0; count < 150; count += 1) {
       harness.request('menus', { key: hot });
     }
     harness.now += 50;
     harness.ended(first?.attempt as number);
     const effects = harness.request('menus', { key: cold });
-    expect(only(effects, 'refuse')).to.deep.equal([]);
+    expect(effectsOfType(effects, 'refuse')).to.deep.equal([]);
   });
 
   it('refuses requests that can no longer be served in time before their hold limit', () => {
@@ -56,15 +56,15 @@
     for (let count = 0; count < 60; count += 1) {
       harness.request('board');
     }
-    let attempt = only(first, 'dispatch')[0]?.attempt as number;
+    let attempt = effectsOfType(first, 'dispatch')[0]?.attempt as number;
     for (let round = 0; round < 5; round += 1) {
       harness.run(100);
-      attempt = only(harness.ended(attempt, ANSWERED), 'dispatch')[0]?.attempt as number;
+      attempt = effectsOfType(harness.ended(attempt, ANSWERED), 'dispatch')[0]?.attempt as number;
     }
     harness.run(30);
     // Half the limit is over and one is served every 100 ms: about five more can be.
     expect(harness.core.status().queued).to.be.within(3, 8);
-    const refused = only(harness.effects, 'refuse');
+    const refused = effectsOfType(harness.effects, 'refuse');
     expect(refused.map(({ reason }) => reason)).to.include('would-miss-deadline');
     expect(
       refused.every(({ outcome, retryAfterMillis }) => outcome === 'not-run' && retryAfterMillis),
@@ -74,18 +74,18 @@
   it('sets the retry delay of refused callers to the time that the queue takes to drain', () => {
     const record = service('board', { slotsPerUpstream: 1, holdLimitMillis: 1000, queueLimit: 100 });
     const harness = new RouterHarness().start([record], [upstream('u1', 'board')]);
-    let attempt = only(harness.request('board'), 'dispatch')[0]?.attempt as number;
+    let attempt = effectsOfType(harness.request('board'), 'dispatch')[0]?.attempt as number;
     for (let count = 0; count < 100; count += 1) {
       harness.request('board');
     }
     for (let round = 0; round < 5; round += 1) {
       harness.run(200);
-      attempt = only(harness.ended(attempt, ANSWERED), 'dispatch')[0]?.attempt as number;
+      attempt = effectsOfType(harness.ended(attempt, ANSWERED), 'dispatch')[0]?.attempt as number;
     }
-    while (only(harness.request('board'), 'refuse').length === 0) {
+    while (effectsOfType(harness.request('board'), 'refuse').length === 0) {
       // Fills the queue up to the point where a further request would miss its deadline.
     }
-    const [refusal] = only(harness.effects, 'refuse').slice(-1);
+    const [refusal] = effectsOfType(harness.effects, 'refuse').slice(-1);
     expect(refusal?.retryAfterMillis).to.be.within(600, 1800);
   });
 });
--- a/test/routing/claim-timeout.test.ts
+++ b/test/routing/claim-timeout.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { only, RouterHarness, service, upstream } from './router-harness.js';
+import { effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 describe('claims without an answer', () => {
   it('end at their timeout, regardless of rounding in clock differences', () => {
@@ -10,7 +10,7 @@
       harness.now = 1000 + part / 7;
       harness.start([record], [upstream('u1', 'orders')]);
       harness.order('orders');
-      const refused = only(harness.run(1500), 'refuse');
+      const refused = effectsOfType(harness.run(1500), 'refuse');
       expect(refused.map(({ reason }) => reason)).to.deep.equal(['ledger-unavailable']);
     }
   });
--- a/test/routing/coalescing.test.ts
+++ b/test/routing/coalescing.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { only, RouterHarness, service, upstream } from './router-harness.js';
+import { effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 describe('coalescing of identical reads', () => {
   it('does not add requests to an overdue attempt', () => {
@@ -14,7 +14,10 @@
     expect(harness.core.status().queued).to.equal(1);
     harness.request('board');
     expect(harness.core.status().queued).to.equal(1);
-    const refused = only(harness.run(4500), 'refuse').map(({ request, outcome }) => [request, outcome]);
+    const refused = effectsOfType(harness.run(4500), 'refuse').map(({ request, outcome }) => [
+      request,
+      outcome,
+    ]);
     expect(refused).to.deep.include([1, 'unknown']);
     expect(refused).to.deep.include([3, 'not-run']);
     expect(refused).to.deep.include([4, 'not-run']);
--- a/test/routing/cold-upstreams.test.ts
+++ b/test/routing/cold-upstreams.test.ts
@@ -3,7 +3,15 @@
 import type { ServiceDefinition } from '../../src/model/service.js';
 import type { RegistryChange, UpstreamRecord } from '../../src/registry/types.js';
 import type { RouterEffect } from '../../src/routing/types.js';
-import { ANSWERED, CONFIG, only, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
+import {
+  ANSWERED,
+  CONFIG,
+  effectsOfType,
+  onlyShard,
+  RouterHarness,
+  service,
+  upstream,
+} from './router-harness.js';
 
 const WARMUP = { perSecond: 4, millis: 3000 };
 const ROUTERS = 40;
@@ -36,7 +44,7 @@
   const inFlight: { readonly attempt: number; readonly endsAt: number }[] = [];
   let there = 0;
   const recordDispatches = (effects: readonly RouterEffect[]): void => {
-    for (const { attempt, upstream: target } of only(effects, 'dispatch')) {
+    for (const { attempt, upstream: target } of effectsOfType(effects, 'dispatch')) {
       inFlight.push({ attempt, endsAt: harness.now + 100 });
       there += target === id ? 1 : 0;
     }
@@ -90,9 +98,9 @@
     const harness = started([announced('u1', 60_000), announced('u2', 0)]);
     let there = 0;
     for (let sent = 0; sent < 40; sent += 1) {
-      const [dispatch] = only(harness.request('menu'), 'dispatch');
+      const [dispatch] = effectsOfType(harness.request('menu'), 'dispatch');
       const effects = harness.ended(dispatch?.attempt ?? 0, { type: 'connect-failed' });
-      there += only(effects, 'dispatch').filter(({ upstream: id }) => id === 'u1').length;
+      there += effectsOfType(effects, 'dispatch').filter(({ upstream: id }) => id === 'u1').length;
       harness.run(5);
     }
     expect(there).to.be.at.most(1);
@@ -111,7 +119,7 @@
 describe('an upstream that may be cold', () => {
   it('gets requests only in time slots after a refused connection, until the warm-up time has passed', () => {
     const harness = started([announced('u1', 0), announced('u2', 0)]);
-    const dispatches = Array.from({ length: 6 }, () => only(harness.request('menu'), 'dispatch')[0]);
+    const dispatches = Array.from({ length: 6 }, () => effectsOfType(harness.request('menu'), 'dispatch')[0]);
     expect(dispatches.some((dispatch) => dispatch?.upstream === 'u1')).to.equal(true);
     for (const dispatch of dispatches) {
       const isAtU1 = dispatch?.upstream === 'u1';
@@ -123,7 +131,7 @@
 
   it('is used again at once after an update from control', () => {
     const harness = started([announced('u1', 0)]);
-    const [dispatch] = only(harness.request('menu'), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('menu'), 'dispatch');
     harness.ended(dispatch?.attempt ?? 0, { type: 'connect-failed', refused: true });
     harness.change([changed(announced('u1', 0, 9))]);
     harness.run(1200);
@@ -150,7 +158,7 @@
     harness.respond(harness.now, { turn: { inZone: place, inAll: place } });
     let there = 0;
     for (let sent = 0; sent < 100; sent += 1) {
-      there += only(harness.request('menu', { key: 'k' }), 'dispatch').length;
+      there += effectsOfType(harness.request('menu', { key: 'k' }), 'dispatch').length;
       harness.run(25);
     }
     expect(there).to.be.at.most(1);
--- a/test/routing/coming-back.test.ts
+++ b/test/routing/coming-back.test.ts
@@ -3,7 +3,7 @@
  */
 import { expect } from 'chai';
 import { type KindResult, type RankLoad, RankLoadWorld } from './rank-load.js';
-import { ANSWERED, CONFIG, only, RouterHarness, service, upstream } from './router-harness.js';
+import { ANSWERED, CONFIG, effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 const RESERVED_CONFIG = { ...CONFIG, returnTimes: 'reserved' } as const;
 
@@ -71,7 +71,7 @@
       [upstream('u1', 'web'), upstream('u2', 'web')],
     );
     for (let count = 0; count < 20; count += 1) {
-      const [dispatch] = only(harness.request('web', { deadlineMillis: 1000 }), 'dispatch');
+      const [dispatch] = effectsOfType(harness.request('web', { deadlineMillis: 1000 }), 'dispatch');
       harness.ended(dispatch?.attempt as number, ANSWERED);
     }
     expect(harness.core.status().returns).to.deep.equal({ made: 0, kept: 0, broken: 0, hopeless: 0 });
@@ -82,7 +82,7 @@
       [service('web', { retryBudget: 0 })],
       [upstream('u1', 'web')],
     );
-    const [dispatch] = only(harness.request('web', { deadlineMillis: 1000 }), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('web', { deadlineMillis: 1000 }), 'dispatch');
     harness.ended(dispatch?.attempt as number, { type: 'broken', how: 'reset' });
     expect(harness.core.status().returns.made).to.equal(0);
   });
@@ -96,11 +96,11 @@
       [service('board', terms)],
       [upstream('u1', 'board')],
     );
-    let attempt = only(harness.request('board'), 'dispatch')[0]?.attempt as number;
+    let attempt = effectsOfType(harness.request('board'), 'dispatch')[0]?.attempt as number;
     for (let round = 0; round < 6; round += 1) {
       harness.request('board');
       harness.run(100);
-      attempt = only(harness.ended(attempt, ANSWERED), 'dispatch')[0]?.attempt as number;
+      attempt = effectsOfType(harness.ended(attempt, ANSWERED), 'dispatch')[0]?.attempt as number;
     }
     return { harness, attempt };
   }
@@ -108,7 +108,7 @@
   /** Returns the refusals of `count` requests that arrive at the same time with this much time left. */
   function refusals(harness: RouterHarness, count: number, deadlineMillis: number) {
     return Array.from({ length: count }, () => harness.request('board', { deadlineMillis })).flatMap(
-      (effects) => only(effects, 'refuse'),
+      (effects) => effectsOfType(effects, 'refuse'),
     );
   }
 
@@ -135,17 +135,17 @@
     let running = attempt;
     for (let waited = 0; waited + 50 <= waitMillis; waited += 50) {
       harness.run(50);
-      running = only(harness.ended(running, ANSWERED), 'dispatch')[0]?.attempt ?? running;
+      running = effectsOfType(harness.ended(running, ANSWERED), 'dispatch')[0]?.attempt ?? running;
     }
     harness.run(waitMillis % 50);
     const first = harness.nextRequest;
-    only(harness.request('board', { deadlineMillis: 10_000 }), 'dispatch');
-    only(harness.request('board', { deadlineMillis: 10_000 }), 'dispatch');
+    effectsOfType(harness.request('board', { deadlineMillis: 10_000 }), 'dispatch');
+    effectsOfType(harness.request('board', { deadlineMillis: 10_000 }), 'dispatch');
     const back = harness.nextRequest;
     harness.request('board', { deadlineMillis: 10_000 - waitMillis });
     const order: number[] = [];
     for (let round = 0; round < 12; round += 1) {
-      const sent = only(harness.effects, 'dispatch');
+      const sent = effectsOfType(harness.effects, 'dispatch');
       order.splice(0, order.length, ...sent.map(({ request }) => request));
       harness.ended(sent.at(-1)?.attempt as number, ANSWERED);
     }
--- a/test/routing/crash-watch.test.ts
+++ b/test/routing/crash-watch.test.ts
@@ -2,7 +2,15 @@
 import { expect } from 'chai';
 import type { CrashSuspect } from '../../src/model/crash-suspect.js';
 import type { AttemptResult, RouterEffect, RunCheck } from '../../src/routing/types.js';
-import { ANSWERED, CONFIG, only, RouterHarness, sent, service, upstream } from './router-harness.js';
+import {
+  ANSWERED,
+  CONFIG,
+  controlMessages,
+  effectsOfType,
+  RouterHarness,
+  service,
+  upstream,
+} from './router-harness.js';
 
 const CRASHING = 'f'.repeat(32);
 const OTHER = 'e'.repeat(32);
@@ -43,7 +51,7 @@
 
 /** Sends the request and ends its attempt with `result`. Returns the run that it was sent to; `undefined` if it wasn't sent. */
 function attempt(harness: RouterHarness, result: AttemptResult, fingerprint = CRASHING): string | undefined {
-  const [dispatch] = only(harness.request('web', { fingerprint }), 'dispatch');
+  const [dispatch] = effectsOfType(harness.request('web', { fingerprint }), 'dispatch');
   if (dispatch !== undefined) {
     harness.ended(dispatch.attempt, result);
   }
@@ -54,7 +62,9 @@
 function crash(harness: RouterHarness, check: RunCheck = 'gone', fingerprint = CRASHING): string | undefined {
   const run = attempt(harness, BROKEN, fingerprint);
   if (run !== undefined) {
-    expect(only(harness.advance(CHECK_MILLIS), 'check-run').map((effect) => effect.run)).to.deep.equal([run]);
+    expect(
+      effectsOfType(harness.advance(CHECK_MILLIS), 'check-run').map((effect) => effect.run),
+    ).to.deep.equal([run]);
     harness.step({ type: 'run-checked', run, check });
     harness.change([{ type: 'upstream', id: run, record: null }]);
   }
@@ -62,7 +72,7 @@
 }
 
 function refusals(effects: readonly RouterEffect[]) {
-  return only(effects, 'refuse').map(({ reason, status, outcome }) => ({ reason, status, outcome }));
+  return effectsOfType(effects, 'refuse').map(({ reason, status, outcome }) => ({ reason, status, outcome }));
 }
 
 const NOT_RUN = { reason: 'quarantined', status: 503, outcome: 'not-run' };
@@ -72,7 +82,9 @@
     const harness = started();
     applySuspect(harness, suspect());
     applySuspect(harness, suspect({ crashes: 4, revision: 5 }));
-    const events = only(harness.effects, 'log').filter(({ event }) => event === 'request-quarantined');
+    const events = effectsOfType(harness.effects, 'log').filter(
+      ({ event }) => event === 'request-quarantined',
+    );
     expect(events).to.have.length(1);
   });
 
@@ -81,9 +93,9 @@
     expect([crash(harness), crash(harness), crash(harness)]).not.to.include(undefined);
     const effects = harness.request('web', { fingerprint: CRASHING });
     expect(refusals(effects)).to.deep.equal([NOT_RUN]);
-    expect(only(effects, 'refuse')[0]?.retryAfterMillis).to.equal(600_000);
-    expect(only(effects, 'refuse')[0]?.facts).to.include({ fingerprint: CRASHING });
-    expect(only(harness.request('web', { fingerprint: OTHER }), 'dispatch')).to.have.length(1);
+    expect(effectsOfType(effects, 'refuse')[0]?.retryAfterMillis).to.equal(600_000);
+    expect(effectsOfType(effects, 'refuse')[0]?.facts).to.include({ fingerprint: CRASHING });
+    expect(effectsOfType(harness.request('web', { fingerprint: OTHER }), 'dispatch')).to.have.length(1);
   });
 
   it('is not accused when a connection breaks while its upstream keeps running', () => {
@@ -95,34 +107,34 @@
         harness.step({ type: 'run-checked', run, check: 'there' });
       }
     }
-    expect(sent(harness.effects, 'crash-report')).to.deep.equal([]);
+    expect(controlMessages(harness.effects, 'crash-report')).to.deep.equal([]);
     expect(attempt(harness, ANSWERED)).not.to.equal(undefined);
   });
 
   it('is not accused when a machine is silent', () => {
     const harness = started();
     crash(harness, 'silent');
-    expect(sent(harness.effects, 'crash-report')).to.deep.equal([]);
+    expect(controlMessages(harness.effects, 'crash-report')).to.deep.equal([]);
   });
 
   it('is not accused because of an invalid answer', () => {
     const harness = started();
     attempt(harness, { type: 'broken', how: 'wrong-answer' });
-    expect(only(harness.advance(CHECK_AGAIN_MILLIS), 'check-run')).to.deep.equal([]);
+    expect(effectsOfType(harness.advance(CHECK_AGAIN_MILLIS), 'check-run')).to.deep.equal([]);
   });
 
   it('needs no check of a run that answers the next attempt', () => {
     const harness = started(['u1']);
     attempt(harness, BROKEN);
     attempt(harness, ANSWERED, OTHER);
-    expect(only(harness.advance(CHECK_AGAIN_MILLIS), 'check-run')).to.deep.equal([]);
+    expect(effectsOfType(harness.advance(CHECK_AGAIN_MILLIS), 'check-run')).to.deep.equal([]);
   });
 
   it('is accused when a connection to the address of its run is refused', () => {
     const harness = started(['u1']);
     attempt(harness, BROKEN);
     attempt(harness, { type: 'connect-failed', refused: true }, OTHER);
-    const [report] = sent(harness.effects, 'crash-report');
+    const [report] = controlMessages(harness.effects, 'crash-report');
     expect(report?.crashes).to.deep.equal([
       { fingerprint: CRASHING, service: 'web', run: 'u1', reporter: CONFIG.incarnation },
     ]);
@@ -130,7 +142,7 @@
 
   it('is accused when another run appears at the address, even if the first one went silent', () => {
     const harness = started(['u1']);
-    const [dispatch] = only(harness.request('web', { fingerprint: CRASHING }), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('web', { fingerprint: CRASHING }), 'dispatch');
     harness.ended(dispatch?.attempt as number, { type: 'cancelled' });
     const next = upstream('u9', 'web', {
       address: dispatch?.address as string,
@@ -138,7 +150,7 @@
     });
     harness.change([{ type: 'upstream', id: 'u9', record: next }]);
     harness.advance(1);
-    expect(sent(harness.effects, 'crash-report')[0]?.crashes[0]).to.include({
+    expect(controlMessages(harness.effects, 'crash-report')[0]?.crashes[0]).to.include({
       fingerprint: CRASHING,
       run: 'u1',
     });
@@ -152,7 +164,7 @@
     harness.advance(CHECK_MILLIS);
     harness.step({ type: 'run-checked', run: 'u1', check: 'gone' });
     harness.advance(1);
-    const accused = sent(harness.effects, 'crash-report').flatMap(({ crashes }) => crashes);
+    const accused = controlMessages(harness.effects, 'crash-report').flatMap(({ crashes }) => crashes);
     expect(new Set(accused.map(({ fingerprint }) => fingerprint))).to.deep.equal(new Set([OTHER]));
   });
 
@@ -194,18 +206,18 @@
         record: upstream('u2', 'web', { announced: { slots: 2, warmupMillis: 0 } }),
       },
     ]);
-    expect(only(ended.request('web', { fingerprint: CRASHING }), 'dispatch')).to.have.length(1);
+    expect(effectsOfType(ended.request('web', { fingerprint: CRASHING }), 'dispatch')).to.have.length(1);
   });
 
   it('is reported until it appears in the record of control', () => {
     const harness = started();
     const run = crash(harness) as string;
     harness.run(1000);
-    const before = sent(harness.effects, 'crash-report').length;
+    const before = controlMessages(harness.effects, 'crash-report').length;
     expect(before).to.be.above(2);
     applySuspect(harness, suspect({ runs: [run], crashes: 1, quarantinedAt: null }));
     harness.run(1000);
-    expect(sent(harness.effects, 'crash-report')).to.have.length(before);
+    expect(controlMessages(harness.effects, 'crash-report')).to.have.length(before);
   });
 
   it('is reported immediately, even while another report is scheduled', () => {
@@ -214,7 +226,7 @@
     harness.advance(1);
     crash(harness);
     harness.advance(1);
-    const reported = sent(harness.effects, 'crash-report')
+    const reported = controlMessages(harness.effects, 'crash-report')
       .at(-1)
       ?.crashes.map(({ fingerprint }) => fingerprint);
     expect(reported).to.deep.equal([OTHER, CRASHING]);
@@ -225,7 +237,7 @@
     for (let count = 0; count < 6; count += 1) {
       harness.request('web', { fingerprint: OTHER });
     }
-    expect(only(harness.request('web', { fingerprint: CRASHING }), 'dispatch')).to.deep.equal([]);
+    expect(effectsOfType(harness.request('web', { fingerprint: CRASHING }), 'dispatch')).to.deep.equal([]);
     expect(refusals(applySuspect(harness, suspect()))).to.deep.equal([NOT_RUN]);
   });
 
@@ -234,10 +246,10 @@
       [service('web', { retryBudget: 1 })],
       ['u1', 'u2'].map((id) => upstream(id, 'web', { announced: { slots: 2, warmupMillis: 0 } })),
     );
-    const [dispatch] = only(harness.request('web', { fingerprint: CRASHING }), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('web', { fingerprint: CRASHING }), 'dispatch');
     applySuspect(harness, suspect());
     const effects = harness.ended(dispatch?.attempt as number, BROKEN);
-    expect(only(effects, 'dispatch')).to.deep.equal([]);
+    expect(effectsOfType(effects, 'dispatch')).to.deep.equal([]);
     expect(refusals(effects)).to.deep.equal([{ reason: 'quarantined', status: 502, outcome: 'unknown' }]);
   });
 
@@ -249,7 +261,7 @@
     applySuspect(harness, suspect({ service: 'orders' }));
     const idempotency = { key: 'k', issuedAt: harness.wall, fingerprint: 'f' };
     const effects = harness.request('orders', { fingerprint: CRASHING, idempotency });
-    expect(sent(effects, 'claim-request')).to.deep.equal([]);
+    expect(controlMessages(effects, 'claim-request')).to.deep.equal([]);
     expect(refusals(effects)).to.have.length(1);
   });
 
@@ -297,7 +309,7 @@
     harness.run(TRIAL_MILLIS + 10);
     expect(attempt(harness, ANSWERED)).not.to.equal(undefined);
     harness.advance(1);
-    const cleared = sent(harness.effects, 'crash-report').at(-1)?.cleared;
+    const cleared = controlMessages(harness.effects, 'crash-report').at(-1)?.cleared;
     expect(cleared).to.deep.equal([{ fingerprint: CRASHING, revision: 9 }]);
   });
 
--- a/test/routing/ended-run.test.ts
+++ b/test/routing/ended-run.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import type { UpstreamRecord } from '../../src/registry/types.js';
 import type { AttemptResult } from '../../src/routing/types.js';
-import { ANSWERED, only, RouterHarness, service, upstream } from './router-harness.js';
+import { ANSWERED, effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 function announced(id: string, changes = {}): UpstreamRecord {
   return upstream(id, 'web', { announced: { slots: 2, warmupMillis: 0 }, ...changes });
@@ -12,11 +12,11 @@
 function usedIn(harness: RouterHarness, rounds: number): string[] {
   const used: string[] = [];
   for (let round = 0; round < rounds; round += 1) {
-    let pending = [1, 2, 3, 4, 5, 6].flatMap(() => only(harness.request('web'), 'dispatch'));
+    let pending = [1, 2, 3, 4, 5, 6].flatMap(() => effectsOfType(harness.request('web'), 'dispatch'));
     while (pending.length > 0) {
       used.push(...pending.map(({ upstream }) => upstream));
       pending = pending.flatMap((sent) =>
-        only(harness.ended(sent.attempt, resultOf(sent.upstream)), 'dispatch'),
+        effectsOfType(harness.ended(sent.attempt, resultOf(sent.upstream)), 'dispatch'),
       );
     }
     harness.advance(10);
--- a/test/routing/evacuation.test.ts
+++ b/test/routing/evacuation.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import type { EvacuationRecord } from '../../src/model/evacuation.js';
 import type { RegistryChange } from '../../src/registry/types.js';
-import { only, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
+import { effectsOfType, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
 
 const evacuate = (zone: string): RegistryChange => {
   const record: EvacuationRecord = { zone, since: 0, revision: 9 };
@@ -18,7 +18,7 @@
 function targetsOf(harness: RouterHarness, count: number): string[] {
   return Array.from({ length: count }, () => {
     const effects = harness.request('menu');
-    const [dispatch] = only(effects, 'dispatch');
+    const [dispatch] = effectsOfType(effects, 'dispatch');
     if (dispatch !== undefined) {
       harness.ended(dispatch.attempt);
     }
@@ -46,10 +46,10 @@
 
   it('may finish their requests', () => {
     const harness = startTwoZones();
-    const [dispatch] = only(harness.request('menu'), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('menu'), 'dispatch');
     const effects = harness.change([evacuate('a'), evacuate('b')]);
-    expect(only(effects, 'cancel-attempt')).to.deep.equal([]);
-    expect(only(harness.ended(dispatch?.attempt ?? 0), 'deliver')).to.have.length(1);
+    expect(effectsOfType(effects, 'cancel-attempt')).to.deep.equal([]);
+    expect(effectsOfType(harness.ended(dispatch?.attempt ?? 0), 'deliver')).to.have.length(1);
   });
 
   it('cause queued and new requests to be refused at once while no zone is left', () => {
@@ -57,23 +57,23 @@
     harness.request('menu');
     harness.request('menu');
     harness.request('menu');
-    const refused = only(harness.change([evacuate('a'), evacuate('b')]), 'refuse');
+    const refused = effectsOfType(harness.change([evacuate('a'), evacuate('b')]), 'refuse');
     expect(refused.map(({ reason, outcome, status }) => [reason, outcome, status])).to.deep.equal([
       ['no-upstream', 'not-run', 503],
     ]);
     expect(refused[0]?.retryAfterMillis).to.be.above(0);
-    const [later] = only(harness.request('menu'), 'refuse');
+    const [later] = effectsOfType(harness.request('menu'), 'refuse');
     expect(later).to.include({ reason: 'no-upstream', outcome: 'not-run' });
   });
 
   it('get no retries of requests that failed elsewhere', () => {
     const harness = startTwoZones();
     harness.change([evacuate('a')]);
-    const [first] = only(harness.request('menu'), 'dispatch');
+    const [first] = effectsOfType(harness.request('menu'), 'dispatch');
     harness.change([evacuate('b')]);
     const effects = harness.ended(first?.attempt ?? 0, { type: 'connect-failed' });
-    expect(only(effects, 'dispatch')).to.deep.equal([]);
-    expect(only(effects, 'refuse')[0]).to.include({ reason: 'no-upstream', outcome: 'not-run' });
+    expect(effectsOfType(effects, 'dispatch')).to.deep.equal([]);
+    expect(effectsOfType(effects, 'refuse')[0]).to.include({ reason: 'no-upstream', outcome: 'not-run' });
   });
 
   it('get no keyed requests, which wait for the next owner and are sent there', () => {
@@ -84,10 +84,10 @@
     );
     harness.change([evacuate('a')]);
     const effects = harness.request('menu', { key: 'k' });
-    expect(only(effects, 'dispatch')).to.deep.equal([]);
+    expect(effectsOfType(effects, 'dispatch')).to.deep.equal([]);
     const moved = harness.change([
       { type: 'shard', shard: 'menu/all@1/0', record: onlyShard('menu', 'u2', 8) },
     ]);
-    expect(only(moved, 'dispatch').map(({ upstream: target }) => target)).to.deep.equal(['u2']);
+    expect(effectsOfType(moved, 'dispatch').map(({ upstream: target }) => target)).to.deep.equal(['u2']);
   });
 });
--- a/test/routing/limited-upstreams.test.ts
+++ b/test/routing/limited-upstreams.test.ts
@@ -4,7 +4,15 @@
 import { type LimitNotice, SILENT_NOTICE } from '../../src/model/upstream-notice.js';
 import type { UpstreamRecord } from '../../src/registry/types.js';
 import type { RouterEffect } from '../../src/routing/types.js';
-import { ANSWERED, only, onlyShard, RouterHarness, sent, service, upstream } from './router-harness.js';
+import {
+  ANSWERED,
+  controlMessages,
+  effectsOfType,
+  onlyShard,
+  RouterHarness,
+  service,
+  upstream,
+} from './router-harness.js';
 
 const HOLD_MILLIS = 100;
 
@@ -24,7 +32,7 @@
 
 /** Sends a request whose response head carries this limit, and returns its attempt. */
 function answered(harness: RouterHarness, limit: LimitNotice, key: string | null = 'k'): number {
-  const [dispatch] = only(harness.request('menu', { key }), 'dispatch');
+  const [dispatch] = effectsOfType(harness.request('menu', { key }), 'dispatch');
   const attempt = dispatch?.attempt ?? 0;
   harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit } });
   harness.ended(attempt, ANSWERED);
@@ -32,7 +40,7 @@
 }
 
 function refusals(effects: readonly RouterEffect[]) {
-  return only(effects, 'refuse');
+  return effectsOfType(effects, 'refuse');
 }
 
 function permits(
@@ -62,10 +70,10 @@
 
   it('gets as many queued requests as control issues permits for', () => {
     const queued = [1, 2, 3].flatMap(() => harness.request('menu', { key: 'k' }));
-    expect(only(queued, 'dispatch')).to.have.length(0);
-    const reports = sent([...queued, ...harness.run(12)], 'upstream-report');
+    expect(effectsOfType(queued, 'dispatch')).to.have.length(0);
+    const reports = controlMessages([...queued, ...harness.run(12)], 'upstream-report');
     expect(reports.at(-1)?.upstreams[0]).to.include({ upstream: 'u1', run: 'u1', wanted: 3 });
-    expect(only(permits(harness, 2), 'dispatch')).to.have.length(2);
+    expect(effectsOfType(permits(harness, 2), 'dispatch')).to.have.length(2);
   });
 
   it('has requests that can’t be sent in time refused at once, with a retry time that isn’t too early', () => {
@@ -93,17 +101,17 @@
 
   it('gets all requests again once an answer has no limit', () => {
     harness.request('menu', { key: 'k' });
-    const [last] = only(permits(harness, 1), 'dispatch');
+    const [last] = effectsOfType(permits(harness, 1), 'dispatch');
     const attempt = last?.attempt ?? 0;
     harness.request('menu', { key: 'k' });
     const effects = harness.step({ type: 'upstream-notice', attempt, notice: SILENT_NOTICE });
-    expect(only(effects, 'dispatch')).to.have.length(1);
-    expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(1);
+    expect(effectsOfType(effects, 'dispatch')).to.have.length(1);
+    expect(effectsOfType(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(1);
   });
 
   it('keeps its limit when a header is unreadable, which is logged', () => {
     harness.request('menu', { key: 'k' });
-    const [last] = only(permits(harness, 1), 'dispatch');
+    const [last] = effectsOfType(permits(harness, 1), 'dispatch');
     const limit: LimitNotice = { type: 'unreadable' };
     const unreadable = [{ header: 'ternmount-limit', text: 'lots' }];
     const effects = harness.step({
@@ -111,35 +119,35 @@
       attempt: last?.attempt ?? 0,
       notice: { ...SILENT_NOTICE, limit, unreadable },
     });
-    expect(only(effects, 'log').map(({ event }) => event)).to.include('upstream-notice-unreadable');
-    expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
+    expect(effectsOfType(effects, 'log').map(({ event }) => event)).to.include('upstream-notice-unreadable');
+    expect(effectsOfType(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
   });
 
   it('keeps its limit while control removes and adds it again; another run has none', () => {
     harness.change([{ type: 'upstream', id: 'u1', record: null }]);
     harness.change([{ type: 'upstream', id: 'u1', record: announced('u1') }]);
-    expect(only(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
+    expect(effectsOfType(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
     const next = upstream('u1', 'menu', { announced: { slots: 50, warmupMillis: 0, born: 7 } });
     const effects = harness.change([
       { type: 'upstream', id: 'u1', record: { ...next, revision: 9, incarnation: 'u1@7' } },
     ]);
-    expect(only(effects, 'dispatch')).to.have.length(1);
+    expect(effectsOfType(effects, 'dispatch')).to.have.length(1);
   });
 
   it('keeps its limit after a late answer to an earlier attempt', () => {
     const fresh = started(['u1'], { keyed: true });
-    const [early] = only(fresh.request('menu', { key: 'k' }), 'dispatch');
+    const [early] = effectsOfType(fresh.request('menu', { key: 'k' }), 'dispatch');
     answered(fresh, limitOf(5));
     fresh.step({ type: 'upstream-notice', attempt: early?.attempt ?? 0, notice: SILENT_NOTICE });
     fresh.ended(early?.attempt ?? 0, ANSWERED);
-    expect(only(fresh.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
+    expect(effectsOfType(fresh.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
   });
 
   it('gets the most important and most urgent requests first', () => {
     const low = harness.request('menu', { key: 'k', deadlineMillis: 900 });
     const high = harness.request('menu', { key: 'k', deadlineMillis: 300 });
-    expect(only([...low, ...high], 'dispatch')).to.have.length(0);
-    const [first] = only(permits(harness, 1), 'dispatch');
+    expect(effectsOfType([...low, ...high], 'dispatch')).to.have.length(0);
+    const [first] = effectsOfType(permits(harness, 1), 'dispatch');
     expect(first?.deadlineMillis).to.be.below(301);
   });
 
@@ -154,7 +162,7 @@
     } as const;
     harness.fromControl(reply);
     harness.request('menu', { key: 'k' });
-    const reports = only(harness.run(30), 'send-control').filter(
+    const reports = effectsOfType(harness.run(30), 'send-control').filter(
       ({ message }) => message.type === 'upstream-report',
     );
     expect(reports.at(-1)?.to).to.equal('127.0.0.3:1');
@@ -167,7 +175,7 @@
     let isLimited = false;
     let toLimited = 0;
     for (let count = 0; count < 60; count += 1) {
-      const [dispatch] = only(harness.request('menu'), 'dispatch');
+      const [dispatch] = effectsOfType(harness.request('menu'), 'dispatch');
       const attempt = dispatch?.attempt ?? 0;
       if (isLimited && dispatch?.upstream === 'u1') {
         toLimited += 1;
@@ -177,7 +185,9 @@
         isLimited = true;
       }
       const retries = harness.ended(attempt, count % 3 === 0 ? { type: 'connect-failed' } : ANSWERED);
-      toLimited += isLimited ? only(retries, 'dispatch').filter(({ upstream: id }) => id === 'u1').length : 0;
+      toLimited += isLimited
+        ? effectsOfType(retries, 'dispatch').filter(({ upstream: id }) => id === 'u1').length
+        : 0;
       harness.run(20);
     }
     expect(isLimited).to.equal(true);
@@ -193,14 +203,14 @@
     harness.run(500);
     let attempt = 0;
     for (let count = 0; count < 100 && attempt === 0; count += 1) {
-      const [dispatch] = only(harness.request('menu'), 'dispatch');
+      const [dispatch] = effectsOfType(harness.request('menu'), 'dispatch');
       harness.run(20);
       attempt = dispatch?.upstream === 'u1' ? dispatch.attempt : 0;
     }
     harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit: limitOf(1) } });
     let countAtLimited = 0;
     for (let count = 0; count < 200; count += 1) {
-      countAtLimited += only(harness.request('menu'), 'dispatch').filter(
+      countAtLimited += effectsOfType(harness.request('menu'), 'dispatch').filter(
         ({ upstream: id }) => id === 'u1',
       ).length;
       harness.run(20);
--- a/test/routing/loaded-upstream.ts
+++ b/test/routing/loaded-upstream.ts
@@ -13,17 +13,17 @@
   /** Mean of the exponentially distributed work. */
   readonly workMillis: number;
   /** Index of this upstream, number of upstreams, and fraction of them that are slow at a time; `null`: never slow. */
-  readonly slowTurn: { readonly number: number; readonly of: number; readonly share: number } | null;
+  readonly slowPeriod: { readonly number: number; readonly of: number; readonly share: number } | null;
   /** Age of the reported loads; `null`: answers report no load. */
   readonly reportAgeMillis: number | null;
 }
 
-export interface WorkToDo {
+export interface SimulatedRequest {
   readonly done: (result: AttemptResult) => void;
 }
 
 export class LoadedUpstream {
-  readonly #waiting: WorkToDo[] = [];
+  readonly #waiting: SimulatedRequest[] = [];
   #busy = 0;
   /** Recent loads, oldest first. */
   readonly #loads: { readonly at: number; readonly load: number }[] = [];
@@ -38,7 +38,7 @@
     return this.traits.slots - this.#busy;
   }
 
-  take(request: WorkToDo): void {
+  submit(request: SimulatedRequest): void {
     if (this.#busy + this.#waiting.length >= this.traits.slots + this.traits.queueLimit) {
       request.done({ type: 'refused', refusal: 'overloaded', retryAfterMillis: null });
       return;
@@ -51,7 +51,7 @@
     this.#recordLoad();
   }
 
-  #start(request: WorkToDo): void {
+  #start(request: SimulatedRequest): void {
     this.#busy += 1;
     this.queue.after(this.random.exponential(this.traits.workMillis) * this.#slowness(), () => {
       this.#busy -= 1;
@@ -65,7 +65,7 @@
   }
 
   #slowness(): number {
-    const { slowTurn } = this.traits;
+    const { slowPeriod: slowTurn } = this.traits;
     if (slowTurn === null) {
       return 1;
     }
--- a/test/routing/lost-owner.test.ts
+++ b/test/routing/lost-owner.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { only, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
+import { effectsOfType, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
 
 const HOLD_MILLIS = 1000;
 const DEADLINE_MILLIS = 2000;
@@ -25,32 +25,32 @@
 describe('an owner lost with requests in flight', () => {
   it('sends a read to the new owner once no answer of the old owner can arrive', () => {
     const harness = start();
-    const [first] = only(harness.request('sheets', { key: 'k' }), 'dispatch');
+    const [first] = effectsOfType(harness.request('sheets', { key: 'k' }), 'dispatch');
     harness.run(500);
     setOwner(harness, 'u2', 7);
     const effects = harness.run(GRACE_MILLIS);
-    expect(only(effects, 'cancel-attempt')).to.deep.equal([
+    expect(effectsOfType(effects, 'cancel-attempt')).to.deep.equal([
       { type: 'cancel-attempt', attempt: first?.attempt },
     ]);
-    const [second] = only(effects, 'dispatch');
+    const [second] = effectsOfType(effects, 'dispatch');
     expect(second).to.include({ request: 1, upstream: 'u2' });
     harness.ended(first?.attempt as number, { type: 'cancelled' });
-    expect(only(harness.ended(second?.attempt as number), 'deliver')).to.have.length(1);
+    expect(effectsOfType(harness.ended(second?.attempt as number), 'deliver')).to.have.length(1);
     expect(harness.core.status().inFlight).to.equal(0);
   });
 
   it('accepts an answer that the old owner sent before the move', () => {
     const harness = start();
-    const [first] = only(harness.request('sheets', { key: 'k' }), 'dispatch');
+    const [first] = effectsOfType(harness.request('sheets', { key: 'k' }), 'dispatch');
     setOwner(harness, 'u2', 7);
     harness.run(2);
-    expect(only(harness.ended(first?.attempt as number), 'deliver')).to.have.length(1);
+    expect(effectsOfType(harness.ended(first?.attempt as number), 'deliver')).to.have.length(1);
   });
 
   it('answers a non-repeatable request as unknown immediately, and never resends it', () => {
     const harness = start({ repeatable: false });
     const idempotency = { key: 'order-1', issuedAt: harness.wall, fingerprint: 'f' };
-    const [claim] = only(
+    const [claim] = effectsOfType(
       harness.request('sheets', { key: 'k', method: 'POST', idempotency }),
       'send-control',
     );
@@ -58,21 +58,21 @@
     harness.claimResult(claimant, { type: 'granted' });
     setOwner(harness, 'u2', 7);
     const effects = harness.run(GRACE_MILLIS);
-    expect(only(effects, 'dispatch')).to.deep.equal([]);
-    expect(only(effects, 'refuse')[0]).to.include({ outcome: 'unknown', reason: 'upstream-failed' });
+    expect(effectsOfType(effects, 'dispatch')).to.deep.equal([]);
+    expect(effectsOfType(effects, 'refuse')[0]).to.include({ outcome: 'unknown', reason: 'upstream-failed' });
   });
 
   it('holds a read whose attempt broke beyond the hold limit, but not until its deadline', () => {
     const harness = start();
-    const [first] = only(harness.request('sheets', { key: 'k' }), 'dispatch');
+    const [first] = effectsOfType(harness.request('sheets', { key: 'k' }), 'dispatch');
     harness.ended(first?.attempt as number, { type: 'broken' });
     setOwner(harness, null, 1);
-    expect(only(harness.run(HOLD_MILLIS + 200), 'refuse')).to.deep.equal([]);
-    expect(only(setOwner(harness, 'u2', 7), 'dispatch')[0]).to.include({ upstream: 'u2' });
-    const [second] = only(harness.effects, 'dispatch').slice(-1);
+    expect(effectsOfType(harness.run(HOLD_MILLIS + 200), 'refuse')).to.deep.equal([]);
+    expect(effectsOfType(setOwner(harness, 'u2', 7), 'dispatch')[0]).to.include({ upstream: 'u2' });
+    const [second] = effectsOfType(harness.effects, 'dispatch').slice(-1);
     harness.ended(second?.attempt as number, { type: 'broken' });
     setOwner(harness, null, 7);
-    const [refusal] = only(harness.run(DEADLINE_MILLIS - HOLD_MILLIS - 300), 'refuse');
+    const [refusal] = effectsOfType(harness.run(DEADLINE_MILLIS - HOLD_MILLIS - 300), 'refuse');
     expect(refusal).to.include({ outcome: 'unknown', reason: 'no-owner' });
   });
 
@@ -83,23 +83,23 @@
     }
     harness.run(1000);
     setOwner(harness, 'u2', 7);
-    const refused = [...only(harness.run(GRACE_MILLIS), 'refuse')];
+    const refused = [...effectsOfType(harness.run(GRACE_MILLIS), 'refuse')];
     for (let round = 0; round < 15; round += 1) {
-      const [attempt] = only(harness.effects, 'dispatch').slice(-1);
+      const [attempt] = effectsOfType(harness.effects, 'dispatch').slice(-1);
       harness.ended(attempt?.attempt as number);
-      refused.push(...only(harness.run(10), 'refuse'));
+      refused.push(...effectsOfType(harness.run(10), 'refuse'));
     }
     expect(refused).to.deep.equal([]);
-    expect(only(harness.effects, 'deliver')).to.have.length(10);
+    expect(effectsOfType(harness.effects, 'deliver')).to.have.length(10);
   });
 
   it('answers not-run to a read that joined after the attempt had broken', () => {
     const harness = start({ coalesce: true });
-    const [first] = only(harness.request('sheets', { key: 'k' }), 'dispatch');
+    const [first] = effectsOfType(harness.request('sheets', { key: 'k' }), 'dispatch');
     harness.ended(first?.attempt as number, { type: 'broken' });
     setOwner(harness, null, 1);
     harness.request('sheets', { key: 'k' });
-    const outcomes = only(harness.run(DEADLINE_MILLIS), 'refuse').map(({ request, outcome }) => [
+    const outcomes = effectsOfType(harness.run(DEADLINE_MILLIS), 'refuse').map(({ request, outcome }) => [
       request,
       outcome,
     ]);
--- a/test/routing/lying-hints.test.ts
+++ b/test/routing/lying-hints.test.ts
@@ -1,7 +1,7 @@
 /** False hints from the platform and from health checks, while the upstreams serve well. */
 import { expect } from 'chai';
 import type { RouterInput } from '../../src/routing/types.js';
-import { ANSWERED, only, RouterHarness, service, upstream } from './router-harness.js';
+import { ANSWERED, effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 const SERVICE = 'web';
 const IDS = ['u1', 'u2', 'u3'];
@@ -22,7 +22,7 @@
 function serve(harness: RouterHarness, count: number): Set<string> {
   const picked = new Set<string>();
   for (let request = 0; request < count; request += 1) {
-    for (const { upstream: id, attempt } of only(harness.request(SERVICE), 'dispatch')) {
+    for (const { upstream: id, attempt } of effectsOfType(harness.request(SERVICE), 'dispatch')) {
       picked.add(id);
       harness.advance(SERVICE_MILLIS);
       harness.ended(attempt, ANSWERED);
@@ -49,7 +49,7 @@
     serve(harness, 1);
     harness.step(platformList(IDS));
     const picked = IDS.flatMap(() =>
-      only(harness.request(SERVICE), 'dispatch').map(({ upstream: id }) => id),
+      effectsOfType(harness.request(SERVICE), 'dispatch').map(({ upstream: id }) => id),
     );
     expect(picked.sort()).to.deep.equal(IDS);
   });
@@ -89,7 +89,7 @@
     const harness = start();
     harness.run(PAUSE_MILLIS);
     harness.step(platformList(['u2', 'u3']));
-    const [dispatch] = only(harness.request(SERVICE), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request(SERVICE), 'dispatch');
     expect(dispatch?.upstream).to.equal('u1');
     harness.ended(dispatch?.attempt as number, {
       type: 'refused',
@@ -104,11 +104,11 @@
   it('once all upstreams have refused as draining, a request is refused', () => {
     const harness = start();
     harness.step(platformList(IDS));
-    const attempts = only(harness.request(SERVICE), 'dispatch');
+    const attempts = effectsOfType(harness.request(SERVICE), 'dispatch');
     for (let tries = 0; tries < IDS.length && attempts.length > 0; tries += 1) {
       const { attempt } = attempts.shift() as { attempt: number };
       const ended = harness.ended(attempt, { type: 'refused', refusal: 'draining', retryAfterMillis: null });
-      attempts.push(...only(ended, 'dispatch'));
+      attempts.push(...effectsOfType(ended, 'dispatch'));
     }
     expect(serve(harness, 1).size).to.equal(0);
   });
--- a/test/routing/overdue-attempts.test.ts
+++ b/test/routing/overdue-attempts.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import type { RouterHarness } from './router-harness.js';
-import { RouterHarness as Harness, only, service, upstream } from './router-harness.js';
+import { effectsOfType, RouterHarness as Harness, service, upstream } from './router-harness.js';
 
 /** Longer than it takes until an attempt is overdue, shorter than until the next one is. */
 const OVERDUE_MILLIS = 350;
@@ -19,51 +19,54 @@
 describe('an attempt that is overdue', () => {
   it('of a read is cancelled and retried at another upstream', () => {
     const harness = start();
-    const [first] = only(harness.request('board'), 'dispatch');
+    const [first] = effectsOfType(harness.request('board'), 'dispatch');
     const effects = harness.run(OVERDUE_MILLIS);
-    const [second] = only(effects, 'dispatch');
+    const [second] = effectsOfType(effects, 'dispatch');
     expect(second?.upstream).to.not.equal(first?.upstream);
-    expect(only(effects, 'cancel-attempt')).to.deep.equal([
+    expect(effectsOfType(effects, 'cancel-attempt')).to.deep.equal([
       { type: 'cancel-attempt', attempt: first?.attempt },
     ]);
     harness.ended(first?.attempt as number, { type: 'cancelled' });
-    expect(only(harness.ended(second?.attempt as number), 'deliver')).to.have.length(1);
+    expect(effectsOfType(harness.ended(second?.attempt as number), 'deliver')).to.have.length(1);
     expect(harness.core.status().inFlight).to.equal(0);
   });
 
   it('continues if the retry budget is spent', () => {
     const harness = start({ retryBudget: 0 });
-    const [first] = only(harness.request('board'), 'dispatch');
-    expect(only(harness.run(OVERDUE_MILLIS), 'dispatch')).to.deep.equal([]);
-    expect(only(harness.ended(first?.attempt as number), 'deliver')).to.have.length(1);
+    const [first] = effectsOfType(harness.request('board'), 'dispatch');
+    expect(effectsOfType(harness.run(OVERDUE_MILLIS), 'dispatch')).to.deep.equal([]);
+    expect(effectsOfType(harness.ended(first?.attempt as number), 'deliver')).to.have.length(1);
   });
 
   it('continues if no other upstream accepts requests', () => {
     const record = service('board', { deadlineMillis: 5000, slotsPerUpstream: 4, retryBudget: 0.2 });
     const harness = new Harness().start([record], [upstream('u1', 'board')]);
     harness.request('board');
-    expect(only(harness.run(OVERDUE_MILLIS), 'cancel-attempt')).to.deep.equal([]);
+    expect(effectsOfType(harness.run(OVERDUE_MILLIS), 'cancel-attempt')).to.deep.equal([]);
   });
 
   it('of a non-repeatable request continues, since it must not run twice', () => {
     const harness = start({ repeatable: false });
-    const claims = only(harness.order('board'), 'send-control');
+    const claims = effectsOfType(harness.order('board'), 'send-control');
     const message = claims[0]?.message;
     harness.claimResult(message?.type === 'claim-request' ? message.claimant : '', { type: 'granted' });
     const effects = harness.run(OVERDUE_MILLIS);
-    expect([...only(effects, 'cancel-attempt'), ...only(effects, 'dispatch')]).to.deep.equal([]);
+    expect([
+      ...effectsOfType(effects, 'cancel-attempt'),
+      ...effectsOfType(effects, 'dispatch'),
+    ]).to.deep.equal([]);
   });
 
   it('does not occur at an upstream without an answer yet while it takes no longer than the others', () => {
     const harness = start();
-    const [measured] = only(harness.request('board'), 'dispatch');
+    const [measured] = effectsOfType(harness.request('board'), 'dispatch');
     harness.run(150);
     harness.ended(measured?.attempt as number);
-    const firsts = [1, 2, 3].flatMap(() => only(harness.request('board'), 'dispatch'));
+    const firsts = [1, 2, 3].flatMap(() => effectsOfType(harness.request('board'), 'dispatch'));
     const others = firsts.filter(({ upstream: id }) => id !== measured?.upstream);
     expect(others.length).to.be.at.least(1);
-    expect(only(harness.run(1400), 'cancel-attempt')).to.deep.equal([]);
-    expect(only(harness.run(300), 'cancel-attempt').length).to.be.at.least(1);
+    expect(effectsOfType(harness.run(1400), 'cancel-attempt')).to.deep.equal([]);
+    expect(effectsOfType(harness.run(300), 'cancel-attempt').length).to.be.at.least(1);
   });
 
   /**
@@ -83,14 +86,14 @@
     for (let sent = 0; sent < 60 || inFlight.length > 0; sent += 1) {
       const effects =
         sent < 60 ? harness.request('', { place: { host: 'menu.example', path: '/sheet' } }) : [];
-      for (const { attempt } of only([...effects, ...harness.run(50)], 'dispatch')) {
+      for (const { attempt } of effectsOfType([...effects, ...harness.run(50)], 'dispatch')) {
         inFlight.push({ attempt, endsAt: harness.now + 400 });
       }
       while (inFlight[0] !== undefined && harness.now >= inFlight[0].endsAt) {
         const ended = harness.ended(inFlight.shift()?.attempt ?? 0);
-        cancelled += only(ended, 'cancel-attempt').length;
+        cancelled += effectsOfType(ended, 'cancel-attempt').length;
       }
-      cancelled = only(harness.effects, 'cancel-attempt').length;
+      cancelled = effectsOfType(harness.effects, 'cancel-attempt').length;
     }
     expect(cancelled).to.equal(0);
   });
--- a/test/routing/rank-load.ts
+++ b/test/routing/rank-load.ts
@@ -6,8 +6,8 @@
 import { RandomSource } from '../../src/dev/virtual/random-source.js';
 import type { RouteDefinition } from '../../src/model/declaration.js';
 import type { ReturnTimesMode, RouterEffect } from '../../src/routing/types.js';
-import { LoadedUpstream, type WorkToDo } from './loaded-upstream.js';
-import { CONFIG, onlyShard, RouterHarness, sent, service, upstream } from './router-harness.js';
+import { LoadedUpstream, type SimulatedRequest } from './loaded-upstream.js';
+import { CONFIG, controlMessages, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
 
 const NETWORK_MILLIS = 1;
 const SERVICE = 'menu';
@@ -150,7 +150,7 @@
           slots: load.slots,
           queueLimit: QUEUE_LIMIT,
           workMillis: load.workMillis / (speeds[index % speeds.length] as number),
-          slowTurn: slowShare === 0 ? null : { number: index, of: load.upstreams, share: slowShare },
+          slowPeriod: slowShare === 0 ? null : { number: index, of: load.upstreams, share: slowShare },
           reportAgeMillis,
         }),
     );
@@ -247,7 +247,7 @@
         this.#refused(router, effect);
         return;
       case 'send-control':
-        for (const { stamp } of sent([effect], 'sync-request')) {
+        for (const { stamp } of controlMessages([effect], 'sync-request')) {
           this.#queue.after(NETWORK_MILLIS, () => router.handle((harness) => harness.respond(stamp)));
         }
         return;
@@ -262,7 +262,7 @@
       this.#resultOf(call.kind).sentAttempts += call.isCounted ? 1 : 0;
     }
     const target = this.#upstreams[Number(effect.upstream.slice(1))] as LoadedUpstream;
-    const request: WorkToDo = {
+    const request: SimulatedRequest = {
       done: (result) => {
         this.#queue.after(NETWORK_MILLIS, () => {
           if (this.#routers.includes(router)) {
@@ -271,7 +271,7 @@
         });
       },
     };
-    this.#queue.after(NETWORK_MILLIS, () => target.take(request));
+    this.#queue.after(NETWORK_MILLIS, () => target.submit(request));
   }
 
   #refused(router: LoadRouter, effect: Extract<RouterEffect, { type: 'refuse' }>): void {
--- a/test/routing/ranked-order.test.ts
+++ b/test/routing/ranked-order.test.ts
@@ -4,7 +4,7 @@
 import { RankedQueue } from '../../src/routing/queue/ranked-queue.js';
 import type { RouterContext } from '../../src/routing/router-context.js';
 import type { ArrivedRequest, RouterEffect } from '../../src/routing/types.js';
-import { CONFIG, only, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
+import { CONFIG, effectsOfType, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
 
 const RANKED_CONFIG = { ...CONFIG, roomByRank: true };
 
@@ -51,7 +51,7 @@
 /** Occupies the only slot and measures one request. */
 function occupy(harness: RouterHarness, name: string, key: string | null = null): number {
   for (let round = 0; round < 2; round += 1) {
-    const [first] = only(send(harness, name, { key }), 'dispatch');
+    const [first] = effectsOfType(send(harness, name, { key }), 'dispatch');
     if (round === 1) {
       return first?.attempt as number;
     }
@@ -67,7 +67,7 @@
   let attempt = firstAttempt;
   for (let round = 0; round < count; round += 1) {
     harness.run(SERVICE_MILLIS);
-    const [next] = only(harness.ended(attempt), 'dispatch');
+    const [next] = effectsOfType(harness.ended(attempt), 'dispatch');
     if (next === undefined) {
       return order;
     }
@@ -136,8 +136,8 @@
 
 /** Returns the requests that were refused after they had been sent. */
 function refusedAfterSent(harness: RouterHarness): number[] {
-  const dispatched = new Set(only(harness.effects, 'dispatch').map(({ request }) => request));
-  const refused = only(harness.effects, 'refuse').map(({ request }) => request);
+  const dispatched = new Set(effectsOfType(harness.effects, 'dispatch').map(({ request }) => request));
+  const refused = effectsOfType(harness.effects, 'refuse').map(({ request }) => request);
   return refused.filter((request) => dispatched.has(request));
 }
 
@@ -154,7 +154,7 @@
 
   it('is evicted at once, the last one first, with an accurate refusal', () => {
     const { harness, first } = full();
-    const [refusal] = only(send(harness, 'urgent'), 'refuse');
+    const [refusal] = effectsOfType(send(harness, 'urgent'), 'refuse');
     expect(refusal).to.include({ request: first + 2, reason: 'gave-way', outcome: 'not-run', status: 503 });
     expect(refusal?.retryAfterMillis).to.be.above(0);
   });
@@ -171,7 +171,7 @@
     const { evictionCandidate } = RankedQueue.prototype;
     const { harness } = full();
     const { attempts } = (harness.core as unknown as { readonly context: RouterContext }).context;
-    RankedQueue.prototype.evictionCandidate = () => [...attempts.values()][0]?.work;
+    RankedQueue.prototype.evictionCandidate = () => [...attempts.values()][0]?.group;
     try {
       send(harness, 'urgent');
     } finally {
@@ -184,7 +184,7 @@
     const { harness } = full();
     send(harness, 'urgent');
     harness.run(260);
-    const [refusal] = only(send(harness, 'urgent'), 'refuse');
+    const [refusal] = effectsOfType(send(harness, 'urgent'), 'refuse');
     expect(refusal?.facts?.order).to.include({ rank: 2, ahead: 2 });
     const tallies = harness.core
       .status()
@@ -201,13 +201,13 @@
 
   it('is not evicted for a request that is refused itself', () => {
     const { harness } = full();
-    const refused = only(send(harness, 'urgent', { deadlineMillis: 1 }), 'refuse');
+    const refused = effectsOfType(send(harness, 'urgent', { deadlineMillis: 1 }), 'refuse');
     expect(refused.map(({ reason }) => reason)).to.not.include('gave-way');
   });
 
   it('is not evicted for a request of the same rank', () => {
     const { harness, first } = full();
-    const refused = only(send(harness, 'other'), 'refuse');
+    const refused = effectsOfType(send(harness, 'other'), 'refuse');
     expect(refused.map(({ request, reason }) => [request, reason])).to.deep.equal([
       [first + 3, 'queue-full'],
     ]);
@@ -220,7 +220,9 @@
       send(harness, 'other');
     }
     const urgent = harness.nextRequest;
-    expect(only(send(harness, 'urgent'), 'refuse').map(({ request }) => request)).to.not.include(urgent);
+    expect(effectsOfType(send(harness, 'urgent'), 'refuse').map(({ request }) => request)).to.not.include(
+      urgent,
+    );
     expect(drain(harness, attempt, 1)).to.deep.equal([urgent]);
   });
 });
@@ -232,12 +234,12 @@
     const harness = new RouterHarness(config).start([record], [upstream('u1', 'menu', { announced })]);
     harness.change(kinds.map((kind) => ({ type: 'route', name: kind.name, record: routeOf(kind) })));
     for (const { name } of kinds) {
-      const [sent] = only(send(harness, name), 'dispatch');
+      const [sent] = effectsOfType(send(harness, name), 'dispatch');
       harness.run(SERVICE_MILLIS);
       const result = { type: 'answered', status: 200, load, stored: null } as const;
       harness.ended(sent?.attempt as number, result);
     }
-    return only(send(harness, 'other'), 'dispatch').length === 1;
+    return effectsOfType(send(harness, 'other'), 'dispatch').length === 1;
   }
 
   it('is the same as without ranks if there is only one rank', () => {
--- a/test/routing/refused-innocents.test.ts
+++ b/test/routing/refused-innocents.test.ts
@@ -8,7 +8,14 @@
  */
 import { expect } from 'chai';
 import type { AttemptResult } from '../../src/routing/types.js';
-import { ANSWERED, only, RouterHarness, sent, service, upstream } from './router-harness.js';
+import {
+  ANSWERED,
+  controlMessages,
+  effectsOfType,
+  RouterHarness,
+  service,
+  upstream,
+} from './router-harness.js';
 
 const HARMLESS = 'a'.repeat(32);
 const UNRELATED = 'b'.repeat(32);
@@ -29,7 +36,7 @@
 
 /** Sends a request and ends its attempt with `result`. Returns the run that it was sent to; `undefined` if it wasn't sent. */
 function attempt(harness: RouterHarness, result: AttemptResult, fingerprint: string): string | undefined {
-  const [dispatch] = only(harness.request('web', { fingerprint }), 'dispatch');
+  const [dispatch] = effectsOfType(harness.request('web', { fingerprint }), 'dispatch');
   if (dispatch !== undefined) {
     harness.ended(dispatch.attempt, result);
   }
@@ -52,7 +59,7 @@
   const answered = new Set<string>();
   for (let round = 0; round < 10 && answered.size < IDS.length; round += 1) {
     const open = IDS.flatMap(() => [OTHER, OTHER]).flatMap((fingerprint) =>
-      only(harness.request('web', { fingerprint }), 'dispatch'),
+      effectsOfType(harness.request('web', { fingerprint }), 'dispatch'),
     );
     for (const dispatch of open) {
       answered.add(dispatch.upstream);
@@ -64,7 +71,7 @@
 }
 
 function accused(harness: RouterHarness, fingerprint: string): unknown[] {
-  const crashes = sent(harness.effects, 'crash-report').flatMap((report) => report.crashes);
+  const crashes = controlMessages(harness.effects, 'crash-report').flatMap((report) => report.crashes);
   return [...new Set(crashes.filter((crash) => crash.fingerprint === fingerprint).map(({ run }) => run))];
 }
 
--- a/test/routing/resting-upstreams.test.ts
+++ b/test/routing/resting-upstreams.test.ts
@@ -8,7 +8,15 @@
 import { expect } from 'chai';
 import { SILENT_NOTICE } from '../../src/model/upstream-notice.js';
 import type { AttemptResult, RouterEffect } from '../../src/routing/types.js';
-import { ANSWERED, only, onlyShard, RouterHarness, sent, service, upstream } from './router-harness.js';
+import {
+  ANSWERED,
+  controlMessages,
+  effectsOfType,
+  onlyShard,
+  RouterHarness,
+  service,
+  upstream,
+} from './router-harness.js';
 
 const BACKOFF_MILLIS = 3000;
 /** Requests in flight at the time of a rejection may still arrive during this time. */
@@ -43,7 +51,7 @@
       };
       effects.push(...harness.ended(attempt, refusal));
     }
-    for (const { attempt } of only(effects, 'dispatch')) {
+    for (const { attempt } of effectsOfType(effects, 'dispatch')) {
       arrivals.push(harness.now);
       inFlight.push({ attempt, endsAt: harness.now + ANSWER_MILLIS });
     }
@@ -67,7 +75,7 @@
 
   /** Sends a request that is rejected with this back-off, and returns the resulting effects. */
   function rejectRequest(retryAfterMillis = BACKOFF_MILLIS, key: string | null = 'k'): RouterEffect[] {
-    const [dispatch] = only(harness.request('menu', { key }), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('menu', { key }), 'dispatch');
     const refusal: AttemptResult = { type: 'refused', refusal: 'overloaded', retryAfterMillis };
     return harness.ended(dispatch?.attempt ?? 0, refusal);
   }
@@ -81,7 +89,7 @@
   /** Sends `count` requests for one key at once, and returns the dispatched attempts. */
   function dispatchedOf(count: number): number[] {
     const effects = Array.from({ length: count }, () => harness.request('menu', { key: 'k' })).flat();
-    return only(effects, 'dispatch').map(({ attempt }) => attempt);
+    return effectsOfType(effects, 'dispatch').map(({ attempt }) => attempt);
   }
 
   it('has its requests refused at once, with a retry time not before the end of the back-off', () => {
@@ -89,7 +97,7 @@
     const rejected = rejectRequest();
     harness.run(1000);
     const later = harness.request('menu', { key: 'k' });
-    const refusals = only([...rejected, ...later], 'refuse');
+    const refusals = effectsOfType([...rejected, ...later], 'refuse');
     expect(refusals.map(({ reason }) => reason)).to.deep.equal(['upstream-resting', 'upstream-resting']);
     expect(refusals[0]?.retryAfterMillis).to.be.at.least(BACKOFF_MILLIS);
     expect(refusals[1]?.retryAfterMillis).to.be.within(BACKOFF_MILLIS - 1000, (BACKOFF_MILLIS - 1000) * 1.6);
@@ -104,7 +112,7 @@
     const [first = 0, ...others] = dispatchedOf(3);
     expect(others).to.have.length(0);
     const effects = harness.ended(first, ANSWERED);
-    expect(only(effects, 'dispatch')).to.have.length(2);
+    expect(effectsOfType(effects, 'dispatch')).to.have.length(2);
   });
 
   it('gets another trial request if the first one fails', () => {
@@ -113,7 +121,7 @@
     harness.run(BACKOFF_MILLIS);
     const [first = 0] = dispatchedOf(2);
     const effects = harness.ended(first, { type: 'connect-failed' });
-    expect(only([...effects, ...harness.run(100)], 'dispatch')).to.have.length(1);
+    expect(effectsOfType([...effects, ...harness.run(100)], 'dispatch')).to.have.length(1);
   });
 
   it('gets the longer of two back-offs, whichever is requested last', () => {
@@ -141,9 +149,9 @@
     const [attempt = 0] = dispatchedOf(1);
     const notice = { ...SILENT_NOTICE, restMillis: BACKOFF_MILLIS };
     const effects = harness.step({ type: 'upstream-notice', attempt, notice });
-    expect(only(effects, 'recall-unsent')).to.have.length(1);
+    expect(effectsOfType(effects, 'recall-unsent')).to.have.length(1);
     const delivered = harness.ended(attempt, { ...ANSWERED, status: 503 } as AttemptResult);
-    expect(only(delivered, 'deliver')).to.have.length(1);
+    expect(effectsOfType(delivered, 'deliver')).to.have.length(1);
     harness.run(BACKOFF_MILLIS - 100);
     expect(dispatchedOf(1)).to.have.length(0);
   });
@@ -169,19 +177,19 @@
       refusal: 'overloaded',
       retryAfterMillis: BACKOFF_MILLIS,
     });
-    expect(only(rejected, 'recall-unsent').map(({ upstream: id }) => id)).to.deep.equal(['u1']);
+    expect(effectsOfType(rejected, 'recall-unsent').map(({ upstream: id }) => id)).to.deep.equal(['u1']);
     const recalled = harness.ended(waiting, { type: 'connect-failed', recalled: true });
-    expect(only(recalled, 'refuse').map(({ reason }) => reason)).to.deep.equal(['upstream-resting']);
+    expect(effectsOfType(recalled, 'refuse').map(({ reason }) => reason)).to.deep.equal(['upstream-resting']);
     harness.run(BACKOFF_MILLIS);
     expect(dispatchedOf(1)).to.have.length(1);
   });
 
   it('has each back-off reported to control', () => {
     startOwner();
-    const first = sent([...rejectRequest(), ...harness.run(20)], 'upstream-report');
+    const first = controlMessages([...rejectRequest(), ...harness.run(20)], 'upstream-report');
     expect(first.at(-1)?.upstreams[0]).to.include({ upstream: 'u1', restMillis: BACKOFF_MILLIS, wanted: 0 });
     harness.run(BACKOFF_MILLIS);
-    const again = sent([...rejectRequest(), ...harness.run(20)], 'upstream-report');
+    const again = controlMessages([...rejectRequest(), ...harness.run(20)], 'upstream-report');
     expect(again.at(-1)?.upstreams[0]?.restMillis).to.be.above(BACKOFF_MILLIS - 50);
   });
 
@@ -195,7 +203,7 @@
     const refusals: number[] = [];
     const arrivals: number[] = [];
     for (let count = 0; count < 400; count += 1) {
-      const [dispatch] = only(harness.request('menu'), 'dispatch');
+      const [dispatch] = effectsOfType(harness.request('menu'), 'dispatch');
       const isCold = dispatch?.upstream === 'u1';
       if (isCold) {
         arrivals.push(harness.now);
--- a/test/routing/router-harness.ts
+++ b/test/routing/router-harness.ts
@@ -198,7 +198,7 @@
   }
 }
 
-export function only<Type extends RouterEffect['type']>(
+export function effectsOfType<Type extends RouterEffect['type']>(
   effects: readonly RouterEffect[],
   type: Type,
 ): EffectOf<Type>[] {
@@ -206,15 +206,15 @@
 }
 
 /** Messages of one type sent to control. */
-export function sent<Type extends RouterToControl['type']>(
+export function controlMessages<Type extends RouterToControl['type']>(
   effects: readonly RouterEffect[],
   type: Type,
 ): Extract<RouterToControl, { type: Type }>[] {
-  return only(effects, 'send-control')
+  return effectsOfType(effects, 'send-control')
     .map((effect) => effect.message)
     .filter((message): message is Extract<RouterToControl, { type: Type }> => message.type === type);
 }
 
 function syncsIn(effects: readonly RouterEffect[]) {
-  return sent(effects, 'sync-request');
+  return controlMessages(effects, 'sync-request');
 }
--- a/test/routing/router-node.test.ts
+++ b/test/routing/router-node.test.ts
@@ -3,10 +3,10 @@
 import {
   ANSWERED,
   CONFIG,
-  only,
+  controlMessages,
+  effectsOfType,
   onlyShard,
   RouterHarness,
-  sent,
   service,
   upstream,
 } from './router-harness.js';
@@ -29,11 +29,11 @@
 
 /** The latest attempt. */
 function lastAttempt(harness: RouterHarness): number {
-  return only(harness.effects, 'dispatch').at(-1)?.attempt ?? 0;
+  return effectsOfType(harness.effects, 'dispatch').at(-1)?.attempt ?? 0;
 }
 
 function refusalOf(effects: readonly RouterEffect[]) {
-  const refusals = only(effects, 'refuse').map(({ status, outcome, reason }) => ({
+  const refusals = effectsOfType(effects, 'refuse').map(({ status, outcome, reason }) => ({
     status,
     outcome,
     reason,
@@ -45,7 +45,7 @@
 describe('router core: requests that may be repeated', () => {
   it('dispatches and delivers', () => {
     const harness = unkeyed();
-    const [dispatch] = only(harness.request('web'), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('web'), 'dispatch');
     expect(dispatch).to.include({ request: 1, credentials: null, deadlineMillis: 5000 });
     expect(harness.ended(dispatch?.attempt ?? 0)).to.deep.equal([
       { type: 'deliver', request: 1, attempt: dispatch?.attempt },
@@ -57,7 +57,7 @@
     const harness = new RouterHarness();
     const refusal = refusalOf(harness.request('web'));
     expect(refusal).to.deep.equal({ status: 503, outcome: 'not-run', reason: 'no-configuration' });
-    expect(only(harness.effects, 'refuse')[0]?.retryAfterMillis).to.be.greaterThan(0);
+    expect(effectsOfType(harness.effects, 'refuse')[0]?.retryAfterMillis).to.be.greaterThan(0);
   });
 
   it('queues requests beyond the slots and dispatches them in order', () => {
@@ -66,7 +66,7 @@
       harness.request('web');
     }
     expect(harness.core.status()).to.include({ inFlight: 4, queued: 2 });
-    const next = only(harness.ended(lastAttempt(harness)), 'dispatch');
+    const next = effectsOfType(harness.ended(lastAttempt(harness)), 'dispatch');
     expect(next.map((dispatch) => dispatch.request)).to.deep.equal([5]);
   });
 
@@ -87,7 +87,7 @@
       outcome: 'unknown',
       reason: 'deadline-passed',
     });
-    expect(only(effects, 'cancel-attempt')).to.have.length(1);
+    expect(effectsOfType(effects, 'cancel-attempt')).to.have.length(1);
   });
 
   it('shares one attempt between identical reads, also when the first caller cancels', () => {
@@ -95,10 +95,12 @@
     harness.request('web', { target: '/a' });
     harness.request('web', { target: '/a' });
     harness.request('web', { target: '/b' });
-    expect(only(harness.effects, 'dispatch')).to.have.length(2);
+    expect(effectsOfType(harness.effects, 'dispatch')).to.have.length(2);
     expect(harness.step({ type: 'request-cancelled', request: 1 })).to.deep.equal([]);
-    const attempt = only(harness.effects, 'dispatch')[0]?.attempt as number;
-    expect(only(harness.ended(attempt), 'deliver')).to.deep.equal([{ type: 'deliver', request: 2, attempt }]);
+    const attempt = effectsOfType(harness.effects, 'dispatch')[0]?.attempt as number;
+    expect(effectsOfType(harness.ended(attempt), 'deliver')).to.deep.equal([
+      { type: 'deliver', request: 2, attempt },
+    ]);
   });
 
   it('applies updates at once, without renewing the lease', () => {
@@ -107,7 +109,7 @@
     harness.fromControl({ type: 'sync-news', delta: { from: 1, to: 2, changes } });
     expect(refusalOf(harness.request('web'))).to.include({ reason: 'unknown-service' });
     harness.now += CONFIG.configLease.configLeaseMillis;
-    expect(only(harness.step({ type: 'tick' }), 'log').map(({ event }) => event)).to.include(
+    expect(effectsOfType(harness.step({ type: 'tick' }), 'log').map(({ event }) => event)).to.include(
       'configuration-lease-over',
     );
   });
@@ -116,7 +118,7 @@
     const harness = unkeyed();
     harness.now += 100;
     const effects = harness.fromControl({ type: 'sync-news', delta: { from: 5, to: 6, changes: [] } });
-    expect(only(effects, 'send-control')[0]?.message).to.include({ type: 'sync-request', have: 0 });
+    expect(effectsOfType(effects, 'send-control')[0]?.message).to.include({ type: 'sync-request', have: 0 });
   });
 
   it('dispatches again as soon as the back-off requested by an upstream ends', () => {
@@ -139,7 +141,7 @@
     for (let i = 0; i < 4; i++) {
       harness.request('web');
     }
-    expect(only(harness.effects, 'dispatch').map((dispatch) => dispatch.upstream)).to.deep.equal([
+    expect(effectsOfType(harness.effects, 'dispatch').map((dispatch) => dispatch.upstream)).to.deep.equal([
       'u2',
       'u2',
     ]);
@@ -149,7 +151,7 @@
 describe('router core: keyed requests', () => {
   it('carries the credentials of the owner', () => {
     const harness = keyed();
-    const [dispatch] = only(harness.request('sheets', { key: 'k' }), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('sheets', { key: 'k' }), 'dispatch');
     expect(dispatch?.upstream).to.equal('u1');
     expect(dispatch?.credentials).to.deep.equal({
       shard: 'sheets/all@1/0',
@@ -177,12 +179,12 @@
         refusal,
         retryAfterMillis: null,
       });
-      expect(sent(effects, 'sync-request')).to.have.length(1);
-      expect(only(effects, 'dispatch')).to.have.length(0);
+      expect(controlMessages(effects, 'sync-request')).to.have.length(1);
+      expect(effectsOfType(effects, 'dispatch')).to.have.length(0);
       const record = onlyShard('sheets', 'u2', 2);
       const moved = harness.change([{ type: 'shard', shard: record.shard, record }]);
-      expect(only(moved, 'dispatch')[0]).to.include({ request: 1, upstream: 'u2' });
-      expect(only(moved, 'dispatch')[0]?.credentials?.epoch).to.equal(2);
+      expect(effectsOfType(moved, 'dispatch')[0]).to.include({ request: 1, upstream: 'u2' });
+      expect(effectsOfType(moved, 'dispatch')[0]?.credentials?.epoch).to.equal(2);
     });
   }
 
@@ -190,7 +192,7 @@
     const harness = keyed();
     const record = onlyShard('sheets', null, 1);
     harness.change([{ type: 'shard', shard: record.shard, record }]);
-    expect(only(harness.request('sheets', { key: 'k' }), 'refuse')).to.have.length(0);
+    expect(effectsOfType(harness.request('sheets', { key: 'k' }), 'refuse')).to.have.length(0);
     expect(refusalOf(harness.run(1000))).to.deep.equal({
       status: 503,
       outcome: 'not-run',
@@ -202,15 +204,15 @@
 describe('router core: orders', () => {
   it('claims, dispatches, settles and then answers', () => {
     const harness = orders();
-    const claims = sent(harness.order('orders'), 'claim-request');
+    const claims = controlMessages(harness.order('orders'), 'claim-request');
     expect(claims.map((claim) => claim.claimant)).to.deep.equal(['r1/i1/1']);
-    expect(only(harness.effects, 'dispatch')).to.have.length(0);
+    expect(effectsOfType(harness.effects, 'dispatch')).to.have.length(0);
     const granted = harness.claimResult('r1/i1/1', { type: 'granted' });
-    expect(only(granted, 'dispatch')).to.have.length(1);
+    expect(effectsOfType(granted, 'dispatch')).to.have.length(1);
     const stored = { status: 201, contentType: 'text/plain', body: '', truncated: false };
     const ended = harness.ended(lastAttempt(harness), { ...ANSWERED, status: 201, stored } as never);
     expect(ended.map((effect) => effect.type)).to.deep.equal(['send-control', 'deliver']);
-    expect(sent(ended, 'settle-request')[0]).to.include({ outcome: 'ran', answer: stored });
+    expect(controlMessages(ended, 'settle-request')[0]).to.include({ outcome: 'ran', answer: stored });
   });
 
   it('never repeats a broken attempt', () => {
@@ -223,8 +225,8 @@
       outcome: 'unknown',
       reason: 'upstream-failed',
     });
-    expect(sent(effects, 'settle-request')[0]?.outcome).to.equal('unknown');
-    expect(only(harness.run(3000), 'dispatch')).to.have.length(0);
+    expect(controlMessages(effects, 'settle-request')[0]?.outcome).to.equal('unknown');
+    expect(effectsOfType(harness.run(3000), 'dispatch')).to.have.length(0);
   });
 
   it('dispatches nothing when the claim is granted after the deadline', () => {
@@ -232,8 +234,8 @@
     harness.order('orders');
     harness.now += 60_000;
     const effects = harness.claimResult('r1/i1/1', { type: 'granted' });
-    expect(only(effects, 'dispatch')).to.have.length(0);
-    expect(only(effects, 'refuse')).to.have.length(1);
-    expect(sent(effects, 'settle-request')[0]?.outcome).to.equal('not-run');
+    expect(effectsOfType(effects, 'dispatch')).to.have.length(0);
+    expect(effectsOfType(effects, 'refuse')).to.have.length(1);
+    expect(controlMessages(effects, 'settle-request')[0]?.outcome).to.equal('not-run');
   });
 });
--- a/test/routing/routes.test.ts
+++ b/test/routing/routes.test.ts
@@ -7,7 +7,14 @@
 import { RouteTable } from '../../src/routing/route-table.js';
 import { SplitRotation } from '../../src/routing/split-rotation.js';
 import type { RouterEffect } from '../../src/routing/types.js';
-import { ANSWERED, only, RouterHarness, sent, service, upstream } from './router-harness.js';
+import {
+  ANSWERED,
+  controlMessages,
+  effectsOfType,
+  RouterHarness,
+  service,
+  upstream,
+} from './router-harness.js';
 
 function route(name: string, changes: Partial<RouteDefinition> = {}): RouteDefinition {
   return {
@@ -113,12 +120,15 @@
 describe('requests by route', () => {
   it('are refused as unknown without a route', () => {
     const harness = harnessWith([route('sheets')], ['u1']);
-    expect(only(send(harness, '/none/'), 'refuse')[0]).to.include({ status: 404, reason: 'unknown-route' });
+    expect(effectsOfType(send(harness, '/none/'), 'refuse')[0]).to.include({
+      status: 404,
+      reason: 'unknown-route',
+    });
   });
 
   it('are dispatched to one run only, with the deadline of the route', () => {
     const harness = harnessWith([route('sheets')], ['u1']);
-    expect(only(send(harness, '/sheets/1'), 'dispatch')[0]).to.include({
+    expect(effectsOfType(send(harness, '/sheets/1'), 'dispatch')[0]).to.include({
       instance: 'u1',
       deadlineMillis: 1000,
     });
@@ -126,20 +136,20 @@
 
   it('are not sent again after they may have run, if they must not be repeated', () => {
     const harness = harnessWith([route('orders', { repeatable: false })], ['u1', 'u2']);
-    const attempt = only(send(harness, '/sheets/1'), 'dispatch')[0]?.attempt ?? 0;
+    const attempt = effectsOfType(send(harness, '/sheets/1'), 'dispatch')[0]?.attempt ?? 0;
     const effects = harness.ended(attempt, { type: 'broken' });
-    expect(only(effects, 'dispatch')[0]).to.equal(undefined);
-    expect(only(effects, 'refuse')[0]).to.include({ status: 502, outcome: 'unknown' });
+    expect(effectsOfType(effects, 'dispatch')[0]).to.equal(undefined);
+    expect(effectsOfType(effects, 'refuse')[0]).to.include({ status: 502, outcome: 'unknown' });
   });
 
   it('are sent again after proof that they did not run, as often as the route allows', () => {
     const harness = harnessWith([route('orders', { repeatable: false, maxAttempts: 2 })], ['u1', 'u2']);
     const refused = { type: 'refused', refusal: 'overloaded', retryAfterMillis: null } as const;
-    const first = only(send(harness, '/sheets/1'), 'dispatch')[0];
-    const again = only(harness.ended(first?.attempt ?? 0, refused), 'dispatch')[0];
+    const first = effectsOfType(send(harness, '/sheets/1'), 'dispatch')[0];
+    const again = effectsOfType(harness.ended(first?.attempt ?? 0, refused), 'dispatch')[0];
     expect(again?.instance).to.not.equal(first?.instance);
     const effects = harness.ended(again?.attempt ?? 0, refused);
-    expect(only(effects, 'refuse')[0]).to.include({
+    expect(effectsOfType(effects, 'refuse')[0]).to.include({
       status: 503,
       outcome: 'not-run',
       reason: 'attempts-spent',
@@ -168,67 +178,69 @@
 
   it('go to the owner of the range', () => {
     const harness = keyed();
-    expect(only(send(harness, '/sheets/1', '99'), 'dispatch')[0]?.instance).to.equal('u1');
-    expect(only(send(harness, '/sheets/1', '100'), 'dispatch')[0]?.instance).to.equal('u2');
+    expect(effectsOfType(send(harness, '/sheets/1', '99'), 'dispatch')[0]?.instance).to.equal('u1');
+    expect(effectsOfType(send(harness, '/sheets/1', '100'), 'dispatch')[0]?.instance).to.equal('u2');
   });
 
   it('are refused if the key is not a number in range', () => {
     for (const key of ['65536', 'x', '-1', '']) {
-      expect(only(send(keyed(), '/sheets/1', key), 'refuse')[0], key).to.include({ reason: 'key-required' });
+      expect(effectsOfType(send(keyed(), '/sheets/1', key), 'refuse')[0], key).to.include({
+        reason: 'key-required',
+      });
     }
   });
 
   it('wait while a range has no owner, and go to the next one', () => {
     const harness = keyed();
     harness.change([range(0, 99, null, 6)]);
-    expect(only(send(harness, '/sheets/1', '50'), 'dispatch')[0]).to.equal(undefined);
+    expect(effectsOfType(send(harness, '/sheets/1', '50'), 'dispatch')[0]).to.equal(undefined);
     const effects = harness.change([range(0, 49, 'u1', 7), range(50, 99, 'u2', 7)]);
-    expect(only(effects, 'dispatch')[0]?.instance).to.equal('u2');
+    expect(effectsOfType(effects, 'dispatch')[0]?.instance).to.equal('u2');
   });
 
   it('wait while a range has no owner, and go to the next one of a range that begins at the same key', () => {
     const harness = keyed();
     harness.change([range(0, 99, null, 6)]);
-    expect(only(send(harness, '/sheets/1', '10'), 'dispatch')[0]).to.equal(undefined);
+    expect(effectsOfType(send(harness, '/sheets/1', '10'), 'dispatch')[0]).to.equal(undefined);
     const effects = harness.change([range(0, 49, 'u2', 7), range(50, 99, 'u1', 7)]);
-    expect(only(effects, 'dispatch')[0]?.instance).to.equal('u2');
+    expect(effectsOfType(effects, 'dispatch')[0]?.instance).to.equal('u2');
   });
 
   it('that wait for a busy owner go to the next owner as soon as there is one', () => {
     const harness = keyed();
     const isSent = (key: number): boolean =>
-      only(send(harness, '/sheets/1', String(key)), 'dispatch').length > 0;
+      effectsOfType(send(harness, '/sheets/1', String(key)), 'dispatch').length > 0;
     let key = 1;
     while (key < 30 && isSent(key)) {
       key += 1;
     }
     expect(key).to.be.below(30);
     const effects = harness.change([range(0, 99, 'u2', 7)]);
-    expect(only(effects, 'dispatch')[0]?.instance).to.equal('u2');
+    expect(effectsOfType(effects, 'dispatch')[0]?.instance).to.equal('u2');
   });
 
   it('are refused at once while their owner is full, with a time at which it may have capacity', () => {
     const harness = keyed();
-    const attempt = only(send(harness, '/sheets/1', '50'), 'dispatch')[0]?.attempt ?? 0;
+    const attempt = effectsOfType(send(harness, '/sheets/1', '50'), 'dispatch')[0]?.attempt ?? 0;
     const full = { type: 'refused', refusal: 'overloaded', retryAfterMillis: null, load: 14 } as const;
     harness.ended(attempt, full);
     const effects = send(harness, '/sheets/1', '51');
-    expect(only(effects, 'dispatch')).to.have.length(0);
-    const [refused] = only(effects, 'refuse');
+    expect(effectsOfType(effects, 'dispatch')).to.have.length(0);
+    const [refused] = effectsOfType(effects, 'refuse');
     expect(refused).to.include({ reason: 'would-miss-deadline', outcome: 'not-run' });
     expect(refused?.retryAfterMillis).to.be.within(500, 1200);
     harness.run(1200);
-    expect(only(send(harness, '/sheets/1', '52'), 'dispatch')).to.have.length(1);
-    expect(only(send(harness, '/sheets/1', '100'), 'dispatch')).to.have.length(1);
+    expect(effectsOfType(send(harness, '/sheets/1', '52'), 'dispatch')).to.have.length(1);
+    expect(effectsOfType(send(harness, '/sheets/1', '100'), 'dispatch')).to.have.length(1);
   });
 
   it('keep their attempt when the range loses its owner, which may still finish it', () => {
     const harness = keyed();
-    const attempt = only(send(harness, '/sheets/1', '50'), 'dispatch')[0]?.attempt ?? 0;
+    const attempt = effectsOfType(send(harness, '/sheets/1', '50'), 'dispatch')[0]?.attempt ?? 0;
     harness.change([range(0, 99, null, 6)]);
     const effects = harness.advance(500);
-    expect(only(effects, 'cancel-attempt')[0]).to.equal(undefined);
-    expect(only(harness.ended(attempt, ANSWERED), 'deliver')[0]?.attempt).to.equal(attempt);
+    expect(effectsOfType(effects, 'cancel-attempt')[0]).to.equal(undefined);
+    expect(effectsOfType(harness.ended(attempt, ANSWERED), 'deliver')[0]?.attempt).to.equal(attempt);
   });
 });
 
@@ -250,17 +262,17 @@
 
   it('includes refused requests, and excludes the time that requests waited at their owner', () => {
     const harness = ownedByOne();
-    const [first] = only(send(harness, '/sheets/1', '7'), 'dispatch');
+    const [first] = effectsOfType(send(harness, '/sheets/1', '7'), 'dispatch');
     harness.now += 60;
     harness.ended(first?.attempt ?? 0, ANSWERED);
     harness.run(1700);
     const burst = Array.from({ length: 30 }, () => send(harness, '/sheets/1', '8')).flat();
-    for (const { attempt } of only(burst, 'dispatch')) {
+    for (const { attempt } of effectsOfType(burst, 'dispatch')) {
       harness.now += 100;
       harness.ended(attempt, ANSWERED);
     }
     const reports = [...burst, ...harness.advance(1000)];
-    const loads = sent(reports, 'load-report').flatMap(({ shards }) => shards);
+    const loads = controlMessages(reports, 'load-report').flatMap(({ shards }) => shards);
     const ofKey = loads.filter(({ shard }) => shard === 'menu/numbers@0/8');
     const sum = ofKey.reduce((total, { workMillis }) => total + workMillis, 0);
     expect(sum).to.be.closeTo(30 * 60, 1);
@@ -269,11 +281,11 @@
   it('is reported by key, at once while requests wait for an owner', () => {
     const harness = ownedByOne();
     harness.run(1700);
-    const [early] = only(send(harness, '/sheets/1', '7'), 'dispatch');
+    const [early] = effectsOfType(send(harness, '/sheets/1', '7'), 'dispatch');
     harness.now += 60;
     harness.ended(early?.attempt ?? 0, ANSWERED);
     const effects = [0, 1, 2, 3, 4].flatMap((number) => send(harness, '/sheets/1', String(number)));
-    const [report] = sent(effects, 'load-report');
+    const [report] = controlMessages(effects, 'load-report');
     const workByShard = new Map(report?.shards.map(({ shard, workMillis }) => [shard, workMillis]));
     // Requests that arrived before the first wait are included, at the owner's speed once that was measured.
     expect(workByShard.get('menu/numbers@0/7')).to.equal(10);
--- a/test/routing/short-deadlines.test.ts
+++ b/test/routing/short-deadlines.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { only, RouterHarness, service, upstream } from './router-harness.js';
+import { effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 const ATTEMPTS = 6;
 
@@ -8,20 +8,20 @@
   const record = service('board', { deadlineMillis: serviceDeadlineMillis, retryBudget: 0 });
   const harness = new RouterHarness().start([record], [upstream('u1', 'board'), upstream('u2', 'board')]);
   for (let quick = 0; quick < 60; quick++) {
-    const [dispatch] = only(harness.request('board'), 'dispatch');
+    const [dispatch] = effectsOfType(harness.request('board'), 'dispatch');
     harness.now += 0.1;
     harness.ended(dispatch?.attempt as number);
   }
   for (let slow = 0; slow < ATTEMPTS; slow++) {
     harness.request('board', { deadlineMillis });
-    for (const { attempt } of only(
+    for (const { attempt } of effectsOfType(
       harness.run((deadlineMillis ?? serviceDeadlineMillis) + 1),
       'cancel-attempt',
     )) {
       harness.ended(attempt, { type: 'cancelled' });
     }
   }
-  return only(harness.effects, 'log').filter(({ event }) => event === 'upstream-ejected').length;
+  return effectsOfType(harness.effects, 'log').filter(({ event }) => event === 'upstream-ejected').length;
 }
 
 describe('exceeded deadlines', () => {
--- a/test/routing/slot-limit.test.ts
+++ b/test/routing/slot-limit.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
-import { only, RouterHarness, service, upstream } from './router-harness.js';
+import { effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 const SLOTS = 4;
 
 /** Starts a burst of requests and returns the attempts started at once, which are the slots that the router allows itself. */
 function burst(harness: RouterHarness): number[] {
   const effects = Array.from({ length: 2 * SLOTS }, () => harness.request('board')).flat();
-  return only(effects, 'dispatch').map(({ attempt }) => attempt);
+  return effectsOfType(effects, 'dispatch').map(({ attempt }) => attempt);
 }
 
 /** Answers everything in flight until nothing waits, with the outstanding work that the upstream reports. */
@@ -15,7 +15,7 @@
   for (let attempt = open.shift(); attempt !== undefined; attempt = open.shift()) {
     harness.run(10);
     const effects = harness.ended(attempt, { type: 'answered', status: 200, load, stored: null });
-    open.push(...only(effects, 'dispatch').map((dispatch) => dispatch.attempt));
+    open.push(...effectsOfType(effects, 'dispatch').map((dispatch) => dispatch.attempt));
   }
 }
 
--- a/test/routing/unreachable-upstream.test.ts
+++ b/test/routing/unreachable-upstream.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { StandingEvidence } from '../../src/routing/upstream/leaving-table.js';
-import { ANSWERED, only, RouterHarness, service, upstream } from './router-harness.js';
+import { ANSWERED, effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 function start(): RouterHarness {
   const record = service('board', { slotsPerUpstream: 50, queueLimit: 100, deadlineMillis: 10_000 });
@@ -8,7 +8,7 @@
 }
 
 function failConnection(harness: RouterHarness): string {
-  const [dispatch] = only(harness.request('board'), 'dispatch');
+  const [dispatch] = effectsOfType(harness.request('board'), 'dispatch');
   harness.ended(dispatch?.attempt as number, { type: 'connect-failed' });
   return dispatch?.upstream as string;
 }
@@ -16,7 +16,7 @@
 function upstreamsPicked(harness: RouterHarness, count: number): Set<string> {
   const picked = new Set<string>();
   for (let request = 0; request < count; request += 1) {
-    for (const { upstream: id } of only(harness.request('board'), 'dispatch')) {
+    for (const { upstream: id } of effectsOfType(harness.request('board'), 'dispatch')) {
       picked.add(id);
     }
   }
@@ -38,7 +38,7 @@
     const first = failConnection(harness);
     const failAgain = (): void => {
       for (let tries = 0; tries < 40; tries += 1) {
-        const [dispatch] = only(harness.request('board'), 'dispatch');
+        const [dispatch] = effectsOfType(harness.request('board'), 'dispatch');
         if (dispatch?.upstream === first) {
           harness.ended(dispatch.attempt, { type: 'connect-failed' });
           return;
@@ -69,8 +69,8 @@
   it('is not avoided as unreachable if it only had too many connections', () => {
     const record = service('board', { slotsPerUpstream: 50 });
     const harness = new RouterHarness().start([record], [upstream('u1', 'board'), upstream('u2', 'board')]);
-    const [dispatch] = only(harness.request('board'), 'dispatch');
-    harness.ended(dispatch?.attempt as number, { type: 'connect-failed', turnedAway: true });
+    const [dispatch] = effectsOfType(harness.request('board'), 'dispatch');
+    harness.ended(dispatch?.attempt as number, { type: 'connect-failed', closedOnAccept: true });
     harness.run(100);
     expect([...upstreamsPicked(harness, 40)]).to.have.members(['u1', 'u2']);
   });
