--- a/src/dev/scale/hollow-router.ts
+++ b/src/dev/scale/hollow-router.ts
@@ -56,7 +56,7 @@
       received: (_from, message) => this.receive(message),
       decode: (frame) => options.decoder.decode(frame),
       lost: (from) => {
-        this.lease.memberLost(from, performance.now());
+        this.lease.onMemberLost(from, performance.now());
         this.pump();
       },
     });
@@ -82,14 +82,14 @@
     this.options.onMessage('in');
     const now = performance.now();
     if (message.type === 'change-notice') {
-      this.lease.notice(message.revision, this.revision, now);
+      this.lease.onRevisionNotice(message.revision, this.revision, now);
     } else if (message.type === 'sync-news') {
       const gap = this.applyUpdate({ snapshot: null, delta: message.delta });
-      this.lease.newsApplied(this.revision, gap, now);
+      this.lease.onUpdateApplied(this.revision, gap, now);
     } else if (message.type === 'sync-response') {
       const gap = this.applyUpdate(message);
       this.lease.answered(message, this.revision, gap, now);
-      this.leader.learn(message.leader);
+      this.leader.setHint(message.leader);
     }
     this.pump();
   }
@@ -119,7 +119,7 @@
       return;
     }
     const now = performance.now();
-    const attempt = this.lease.takeSync(now);
+    const attempt = this.lease.startSync(now);
     if (attempt !== undefined) {
       this.options.onMessage('out');
       const { router, zone } = this.options;
@@ -134,7 +134,7 @@
       this.sendReport(now);
     }
     clearTimeout(this.timer);
-    const wait = Math.max(MIN_TICK_MILLIS, Math.ceil(this.lease.nextAt() - performance.now()));
+    const wait = Math.max(MIN_TICK_MILLIS, Math.ceil(this.lease.nextSyncAt() - performance.now()));
     this.timer = setTimeout(() => this.pump(), wait);
   }
 
--- a/src/routing/answers.ts
+++ b/src/routing/answers.ts
@@ -42,7 +42,7 @@
   }
 
   /** Rejects all requests of a group. */
-  refuseWork(group: RequestGroup, reason: RefusalReason, retryAfterMillis: number | null): void {
+  refuseGroup(group: RequestGroup, reason: RefusalReason, retryAfterMillis: number | null): void {
     for (const member of [...group.members]) {
       this.refuse(member, reason, retryAfterMillis);
     }
@@ -51,7 +51,7 @@
   /** Rejects all requests of a group because its request is quarantined. A request that was never sent has not run. */
   refuseQuarantined(group: RequestGroup): void {
     const { fingerprint } = group.request;
-    this.refuseWork(
+    this.refuseGroup(
       group,
       'quarantined',
       fingerprint == null ? null : this.context.crashes.retryAfter(fingerprint),
@@ -146,7 +146,7 @@
   /** Defers the settlement until the attempt's result is known. */
   private settleWhenAttemptEnds(group: RequestGroup): void {
     if (group.claim !== null) {
-      this.claims.awaitEnd(group.claim);
+      this.claims.awaitAttemptEnd(group.claim);
     }
   }
 
--- a/src/routing/attempt-evidence.ts
+++ b/src/routing/attempt-evidence.ts
@@ -25,11 +25,11 @@
   constructor(private readonly context: RouterContext) {}
 
   /** Updates the state of an attempt's upstream from the result of the attempt. */
-  take(attempt: Attempt, result: AttemptResult): void {
+  recordResult(attempt: Attempt, result: AttemptResult): void {
     const { now } = this.context;
     const { upstream, group } = attempt;
     const tookMillis = now - attempt.startedAt;
-    this.context.crashes.take(attempt, result);
+    this.context.crashes.recordResult(attempt, result);
     if (attempt.run !== null && attempt.run !== runNameOf(upstream)) {
       // The result of an attempt at an earlier run does not apply to the current one.
       return;
--- a/src/routing/attempt-results.ts
+++ b/src/routing/attempt-results.ts
@@ -54,7 +54,7 @@
     attempt.upstream.inFlight -= 1;
     attempt.group.service.inFlight -= 1;
     this.notices.ended(attempt, result);
-    this.evidence.take(attempt, result);
+    this.evidence.recordResult(attempt, result);
     if (attempt.abandoned) {
       this.dispatcher.drainUpstream(attempt.upstream);
       return;
@@ -78,7 +78,7 @@
   }
 
   /** Gives up an attempt at a slow upstream, counts it as a failure of that upstream, and requeues the group. */
-  moveOn(attempt: Attempt): void {
+  retryElsewhere(attempt: Attempt): void {
     const { group, upstream } = attempt;
     this.evidence.countFailure(attempt);
     this.detach(attempt);
@@ -170,7 +170,7 @@
     group.sentAttempts += 1;
     group.avoid = upstream;
     if (!group.isRepeatable) {
-      this.answers.refuseWork(group, 'upstream-failed', null);
+      this.answers.refuseGroup(group, 'upstream-failed', null);
       return;
     }
     if (group.shard !== null) {
@@ -200,14 +200,14 @@
       return;
     }
     if (group.sentAttempts >= group.terms.maxAttempts) {
-      this.answers.refuseWork(group, 'attempts-spent', this.admission.retryAfter(group));
+      this.answers.refuseGroup(group, 'attempts-spent', this.admission.retryAfter(group));
       return;
     }
     if (!isOfHotKey(group.rank) && group.service.retryBudget.tryRetry()) {
       this.dispatcher.requeue(group);
       return;
     }
-    this.answers.refuseWork(group, 'retry-budget-spent', this.admission.retryAfter(group));
+    this.answers.refuseGroup(group, 'retry-budget-spent', this.admission.retryAfter(group));
   }
 }
 
--- a/src/routing/claim-flow.ts
+++ b/src/routing/claim-flow.ts
@@ -12,11 +12,11 @@
 
 /** Receives the outcomes of claims. */
 export interface ClaimListener {
-  claimGranted(group: RequestGroup): void;
+  onClaimGranted(group: RequestGroup): void;
   /** Called with any result other than `granted`. */
-  claimDenied(group: RequestGroup, result: ClaimResult): void;
+  onClaimDenied(group: RequestGroup, result: ClaimResult): void;
   /** The ledger did not answer within the limit. The listener must answer the caller, which settles the claim. */
-  claimTimedOut(group: RequestGroup): void;
+  onClaimTimedOut(group: RequestGroup): void;
 }
 
 /** Number of sends within one claim timeout if no member answers. */
@@ -56,7 +56,7 @@
       key: identity.key,
       fingerprint: identity.fingerprint,
       issuedAt: identity.issuedAt,
-      work: group,
+      group: group,
       startedAt: this.context.now,
       state: 'asked',
       wasGranted: false,
@@ -89,7 +89,7 @@
     this.send(claim);
   }
 
-  claimAnswered(response: ClaimResponse, from: Address): void {
+  onClaimResponse(response: ClaimResponse, from: Address): void {
     const claim = this.claims.get(response.claimant);
     if (claim === undefined) {
       return;
@@ -102,23 +102,23 @@
       this.redirect(claim, from, response.leader);
       return;
     }
-    this.context.leader.learn(response.leader);
+    this.context.leader.setHint(response.leader);
     if (isGranted(response.result, claim)) {
       this.granted(claim);
       return;
     }
     this.forget(claim);
-    claim.work.claim = null;
-    this.listener?.claimDenied(claim.work, response.result);
+    claim.group.claim = null;
+    this.listener?.onClaimDenied(claim.group, response.result);
   }
 
-  settleAnswered(response: SettleResponse, from: Address): void {
+  onSettleResponse(response: SettleResponse, from: Address): void {
     const claim = this.claims.get(response.claimant);
     if (claim === undefined || claim.state !== 'settling') {
       return;
     }
     if (response.settled) {
-      this.context.leader.learn(response.leader);
+      this.context.leader.setHint(response.leader);
       this.acknowledged(claim);
       return;
     }
@@ -126,7 +126,7 @@
   }
 
   /** Waits for the end of an attempt without callers, which settles the claim; after a timeout it is settled as unknown. */
-  awaitEnd(claim: Claim): void {
+  awaitAttemptEnd(claim: Claim): void {
     this.context.cancelTimer(claim.timer);
     claim.timer = this.context.schedule(this.context.now + ATTEMPT_END_TIMEOUT_MILLIS, {
       type: 'claim',
@@ -135,7 +135,7 @@
   }
 
   /** Resends messages sent to `member`, whose connection broke, to the next member. */
-  memberLost(member: Address): void {
+  onMemberLost(member: Address): void {
     this.context.leader.avoid(member);
     for (const claim of this.claims.values()) {
       if (claim.target === member && (claim.state === 'asked' || claim.state === 'settling')) {
@@ -145,7 +145,7 @@
   }
 
   /** Compares times exactly as they were scheduled: a difference of two times may be rounded down. */
-  timerFired(claim: Claim): void {
+  onTimer(claim: Claim): void {
     claim.timer = null;
     const { now, config } = this.context;
     if (claim.state === 'lingering') {
@@ -157,7 +157,7 @@
       return;
     }
     if (claim.state === 'asked' && now >= claim.startedAt + config.claimTimeoutMillis) {
-      this.listener?.claimTimedOut(claim.work);
+      this.listener?.onClaimTimedOut(claim.group);
       return;
     }
     if (claim.state === 'settling' && now >= claim.settlingSince + SETTLE_TIMEOUT_MILLIS) {
@@ -174,8 +174,8 @@
     claim.wasGranted = true;
     this.context.cancelTimer(claim.timer);
     claim.timer = null;
-    claim.work.ledger = 'granted';
-    this.listener?.claimGranted(claim.work);
+    claim.group.ledger = 'granted';
+    this.listener?.onClaimGranted(claim.group);
   }
 
   /** Settles again if the claim was granted only after its settlement, which overtook it, had been acknowledged. */
@@ -214,7 +214,7 @@
     if (leader === null || leader === from) {
       return;
     }
-    this.context.leader.learn(leader);
+    this.context.leader.setHint(leader);
     if (claim.redirects < MAX_REDIRECTS) {
       claim.redirects += 1;
       this.send(claim);
--- a/src/routing/claim.ts
+++ b/src/routing/claim.ts
@@ -16,7 +16,7 @@
   readonly fingerprint: string;
   readonly issuedAt: WallMillis;
   /** The request group that waits for the claim; only read while `state` is `asked`. */
-  readonly work: RequestGroup;
+  readonly group: RequestGroup;
   readonly startedAt: number;
   /**
    * `asked`: no answer yet. `granted`: the group may be dispatched. `settling`: the group is never dispatched again.
--- a/src/routing/configuration-lease.ts
+++ b/src/routing/configuration-lease.ts
@@ -71,22 +71,22 @@
   }
 
   /** When the next sync is due. */
-  nextAt(): MonotonicMillis {
+  nextSyncAt(): MonotonicMillis {
     return this.syncDueAt;
   }
 
   /** Returns the sync request to send now, if one is due. Moves on to the next member if the current one has not answered in time. */
-  takeSync(now: MonotonicMillis): SyncAttempt | undefined {
+  startSync(now: MonotonicMillis): SyncAttempt | undefined {
     if (now < this.syncDueAt) {
       return undefined;
     }
     if (this.outstandingSince !== null && now >= this.outstandingSince + this.timings.syncMillis) {
-      this.members.leaveSilent(now);
+      this.members.skipSilent(now);
       this.outstandingSince = null;
     }
     // Until the first confirmed answer any reachable member will do.
     if (this.outstandingSince === null && this.confirmedAt !== null) {
-      this.members.chooseNear(now);
+      this.members.selectOwnZone(now);
     }
     const to = this.members.current;
     if (to === undefined) {
@@ -105,7 +105,7 @@
   }
 
   /** Handles a member's notice that `revision` exists; requests a sync if it is newer than `held`. */
-  notice(revision: Revision, held: Revision, now: MonotonicMillis): void {
+  onRevisionNotice(revision: Revision, held: Revision, now: MonotonicMillis): void {
     if (revision > this.announcedRevision) {
       this.announcedRevision = revision;
       this.announcedAt = now;
@@ -116,22 +116,22 @@
   }
 
   /** Sets the voters as reported by a member; they are used before the members from the settings. */
-  learnMembers(voters: readonly Address[]): void {
-    this.members.learnVoters(voters);
+  setVoters(voters: readonly Address[]): void {
+    this.members.setVoters(voters);
   }
 
   /** Replaces the members from the settings. */
-  useSettings(members: readonly Address[]): void {
-    this.members.useSettings(members);
+  setConfiguredMembers(members: readonly Address[]): void {
+    this.members.setConfiguredMembers(members);
   }
 
   /** Handles a broken connection to a member; an outstanding request to it won't be answered. */
-  memberLost(member: Address, now: MonotonicMillis): void {
+  onMemberLost(member: Address, now: MonotonicMillis): void {
     this.members.lost(member);
     if (member !== this.members.current) {
       return;
     }
-    this.members.leaveSilent(now);
+    this.members.skipSilent(now);
     if (this.outstandingSince !== null) {
       this.outstandingSince = null;
       this.requestSync(now);
@@ -142,13 +142,13 @@
    * Handles a new connection to a member in `zone`. A request sent to it earlier is lost and sent again; before the first
    * confirmed answer, the sync moves to the member that has just connected.
    */
-  memberConnected(member: Address, zone: Zone, now: MonotonicMillis): void {
+  onMemberConnected(member: Address, zone: Zone, now: MonotonicMillis): void {
     this.members.connected(member, zone);
     const isWanted = member === this.members.current || this.confirmedAt === null;
     if (this.outstandingSince === null || !this.members.has(member) || !isWanted) {
       return;
     }
-    this.members.choose(member);
+    this.members.select(member);
     this.outstandingSince = null;
     this.requestSync(now);
   }
@@ -175,7 +175,7 @@
   }
 
   /** Handles an update sent without a sync request, after it has been applied; the arguments are as in `answered`. */
-  newsApplied(held: Revision, gap: boolean, now: MonotonicMillis): void {
+  onUpdateApplied(held: Revision, gap: boolean, now: MonotonicMillis): void {
     this.wantsSnapshot = gap;
     if (gap || held < this.announcedRevision) {
       this.requestSync(now);
@@ -184,7 +184,7 @@
 
   private skipUnconfirmedMember(response: SyncResponse, now: MonotonicMillis): void {
     if (!response.confirmed) {
-      this.members.leaveUnconfirmed(now);
+      this.members.skipUnconfirmed(now);
       this.syncDueAt = Math.min(this.syncDueAt, now + UNCONFIRMED_PAUSE_MILLIS);
     }
   }
--- a/src/routing/control-members.ts
+++ b/src/routing/control-members.ts
@@ -39,7 +39,7 @@
   }
 
   /** Sets the voters as reported by a member; they are used before the members from the settings. */
-  learnVoters(voters: readonly Address[]): void {
+  setVoters(voters: readonly Address[]): void {
     if (voters.length > 0) {
       this.#voters = voters;
       this.#merge();
@@ -47,7 +47,7 @@
   }
 
   /** Replaces the members from the settings. */
-  useSettings(members: readonly Address[]): void {
+  setConfiguredMembers(members: readonly Address[]): void {
     this.#settings = members;
     this.#merge();
   }
@@ -66,30 +66,30 @@
   }
 
   /** Selects a member; ignored if it is unknown. */
-  choose(member: Address): void {
+  select(member: Address): void {
     const index = this.#all.indexOf(member);
     this.#index = index < 0 ? this.#index : index;
   }
 
   /** Selects a connected member of the own zone, unless one has failed recently. */
-  chooseNear(now: MonotonicMillis): void {
+  selectOwnZone(now: MonotonicMillis): void {
     const { current } = this;
     if (now < this.#ownZoneRetryAt || (current !== undefined && this.#connectedInOwnZone.has(current))) {
       return;
     }
     const inOwnZone = this.#all.find((member) => this.#connectedInOwnZone.has(member));
     if (inOwnZone !== undefined) {
-      this.choose(inOwnZone);
+      this.select(inOwnZone);
     }
   }
 
   /** Selects the next member because the current one didn't answer. */
-  leaveSilent(now: MonotonicMillis): void {
+  skipSilent(now: MonotonicMillis): void {
     this.#advance(now + SILENT_RETRY_MILLIS);
   }
 
   /** Selects the next member because the current one has no quorum. */
-  leaveUnconfirmed(now: MonotonicMillis): void {
+  skipUnconfirmed(now: MonotonicMillis): void {
     this.#advance(now + UNCONFIRMED_RETRY_MILLIS);
   }
 
--- a/src/routing/crash-watch.ts
+++ b/src/routing/crash-watch.ts
@@ -95,14 +95,14 @@
   }
 
   /** Returns whether a quarantine may have begun for a waiting request, and resets that flag. */
-  takeNews(): boolean {
+  takeQuarantineChange(): boolean {
     const hasChanged = this.#mayHoldQuarantined;
     this.#mayHoldQuarantined = false;
     return hasChanged;
   }
 
   /** Updates accusations and clearances from the result of an attempt. */
-  take(attempt: Attempt, result: AttemptResult): void {
+  recordResult(attempt: Attempt, result: AttemptResult): void {
     switch (result.type) {
       case 'answered':
         this.runs.answered(attempt);
@@ -143,7 +143,7 @@
   }
 
   /** Reports to control what it has not confirmed yet, and schedules the next report. */
-  tell(): void {
+  sendReport(): void {
     if (this.#context.now < this.#reportAt) {
       return;
     }
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -44,7 +44,7 @@
     const refusal = this.admission.refusalOf(group);
     if (refusal !== undefined) {
       this.context.hasRefusedAtOwner ||= group.shard !== null;
-      this.answers.refuseWork(group, refusal, this.admission.returnAfter(group));
+      this.answers.refuseGroup(group, refusal, this.admission.returnAfter(group));
       return;
     }
     this.enqueue(group, group.isPromisedReturn ? 'front' : 'back');
@@ -133,7 +133,7 @@
     const { key } = group.request;
     const shard = key === null ? undefined : view.shardOfKey(definition.name, key);
     if (shard === undefined) {
-      this.answers.refuseWork(group, 'key-required', null);
+      this.answers.refuseGroup(group, 'key-required', null);
       return false;
     }
     group.shard = shard;
@@ -213,11 +213,11 @@
   private place(group: RequestGroup): Placement {
     const { now, lease } = this.context;
     if (!lease.isValid(now)) {
-      this.answers.refuseWork(group, 'no-configuration', this.admission.unmeasuredRetryAfter());
+      this.answers.refuseGroup(group, 'no-configuration', this.admission.unmeasuredRetryAfter());
       return 'answered';
     }
     if (now >= group.deadline) {
-      this.answers.refuseWork(group, 'deadline-passed', null);
+      this.answers.refuseGroup(group, 'deadline-passed', null);
       return 'answered';
     }
     if (this.context.crashes.isRefusedAtDispatch(group.request)) {
@@ -227,7 +227,7 @@
     }
     if (group.needsClaim && group.claim?.state !== 'granted') {
       // The service was declared non-repeatable while the request waited: the caller has to retry with an idempotency key.
-      this.answers.refuseWork(group, 'idempotency-key-required', null);
+      this.answers.refuseGroup(group, 'idempotency-key-required', null);
       return 'answered';
     }
     return group.shard === null ? this.placeAnywhere(group) : this.placeAtOwner(group, group.shard);
--- a/src/routing/early-requests.ts
+++ b/src/routing/early-requests.ts
@@ -40,7 +40,7 @@
   }
 
   /** Removes and returns a request with its remaining deadline; `undefined` if it isn't held. */
-  take(number: RequestNumber): ArrivedRequest | undefined {
+  dequeue(number: RequestNumber): ArrivedRequest | undefined {
     const early = this.#waiting.get(number);
     if (early === undefined) {
       return undefined;
@@ -54,7 +54,7 @@
   }
 
   /** Removes and returns all requests in order of arrival. */
-  takeAll(): ArrivedRequest[] {
-    return [...this.#waiting.keys()].flatMap((number) => this.take(number) ?? []);
+  dequeueAll(): ArrivedRequest[] {
+    return [...this.#waiting.keys()].flatMap((number) => this.dequeue(number) ?? []);
   }
 }
--- a/src/routing/leader-guess.ts
+++ b/src/routing/leader-guess.ts
@@ -18,7 +18,7 @@
   }
 
   /** Records the leader reported by a member; `null` keeps the previous hint. */
-  learn(leader: Address | null): void {
+  setHint(leader: Address | null): void {
     this.hint = leader ?? this.hint;
   }
 
--- a/src/routing/link-gate.ts
+++ b/src/routing/link-gate.ts
@@ -55,7 +55,7 @@
       return;
     }
     if (waitMillis > this.#remainingMillis(group) - this.#serviceAndTransferMillis(group, bytes)) {
-      answers.refuseWork(group, 'link-full', retryAfterAtLeast(waitMillis, context.random));
+      answers.refuseGroup(group, 'link-full', retryAfterAtLeast(waitMillis, context.random));
       return;
     }
     this.#hold({ group, bytes }, ahead.length);
@@ -74,7 +74,7 @@
         group.service.held.delete(group);
         this.#start(held);
       } else if (waitMillis > group.deadline - context.now - this.#serviceAndTransferMillis(group, bytes)) {
-        answers.refuseWork(group, 'link-full', retryAfterAtLeast(waitMillis, context.random));
+        answers.refuseGroup(group, 'link-full', retryAfterAtLeast(waitMillis, context.random));
       } else {
         ahead += bytes;
       }
@@ -110,7 +110,7 @@
   }
 
   /** Records the transfer of an answer, `tookMillis` from its first byte to its last; only large ones count. */
-  carried(bytes: number, tookMillis: number): void {
+  recordTransfer(bytes: number, tookMillis: number): void {
     if (this.#capacity.isLarge(bytes)) {
       this.#capacity.carried(bytes, tookMillis, this.#parts.context.now);
     }
--- a/src/routing/lost-attempts.ts
+++ b/src/routing/lost-attempts.ts
@@ -61,7 +61,7 @@
     this.sweepScheduled = false;
     for (const attempt of this.current()) {
       if (this.canRetryElsewhere(attempt) && attempt.group.service.retryBudget.tryRetry()) {
-        this.results.moveOn(attempt);
+        this.results.retryElsewhere(attempt);
       }
     }
     this.scheduleSweep();
--- a/src/routing/policy-gate.ts
+++ b/src/routing/policy-gate.ts
@@ -39,7 +39,7 @@
     const decision = this.decide(group);
     if (decision.type === 'refuse') {
       const wait = this.retryAfter(group, decision.retryAfterMillis);
-      this.answers.refuseWork(group, 'policy-refused', wait);
+      this.answers.refuseGroup(group, 'policy-refused', wait);
       return;
     }
     if (decision.type === 'hold' && this.canHold(group, decision.holdMillis)) {
--- a/src/routing/queue/admission.ts
+++ b/src/routing/queue/admission.ts
@@ -94,7 +94,7 @@
     const measured =
       reason === 'would-miss-deadline' || reason === 'upstream-limited' || reason === 'upstream-resting';
     const wait = measured ? this.returnAfter(group) : this.unmeasuredRetryAfter();
-    this.answers.refuseWork(group, reason, wait);
+    this.answers.refuseGroup(group, reason, wait);
   }
 
   /**
@@ -131,7 +131,7 @@
     if (held === null || now + held.millis <= until) {
       return false;
     }
-    this.answers.refuseWork(group, held.reason, this.retryAfter(group));
+    this.answers.refuseGroup(group, held.reason, this.retryAfter(group));
     return true;
   }
 
@@ -179,7 +179,7 @@
         last !== undefined &&
         now + this.estimate.untilLast(service, shardQueue, rank) > last.holdUntil
       ) {
-        this.answers.refuseWork(last, 'would-miss-deadline', this.returnAfter(last));
+        this.answers.refuseGroup(last, 'would-miss-deadline', this.returnAfter(last));
         last = shardQueue.queue.lastOf(rank);
       }
     }
@@ -237,7 +237,7 @@
     if (victim === undefined || victim.mayHaveRun) {
       return false;
     }
-    this.answers.refuseWork(victim, 'gave-way', this.returnAfter(victim));
+    this.answers.refuseGroup(victim, 'gave-way', this.returnAfter(victim));
     return true;
   }
 
--- a/src/routing/request-intake.ts
+++ b/src/routing/request-intake.ts
@@ -96,14 +96,14 @@
 
   /** Receives the requests that waited for the first configuration. */
   receiveEarly(): void {
-    for (const request of this.early.takeAll()) {
+    for (const request of this.early.dequeueAll()) {
       this.receive(request);
     }
   }
 
   /** Refuses a request for which the first configuration didn't arrive in time. */
   timeOutEarly(number: RequestNumber): void {
-    const request = this.early.take(number);
+    const request = this.early.dequeue(number);
     if (request !== undefined) {
       this.refuseUnconfigured(request);
     }
@@ -111,7 +111,7 @@
 
   /** Drops a request that waits for the first configuration, because its caller disconnected. */
   cancelEarly(number: RequestNumber): void {
-    this.early.take(number);
+    this.early.dequeue(number);
   }
 
   private refuseUnconfigured(request: ArrivedRequest): void {
@@ -129,40 +129,40 @@
     this.receive({ ...request, variant: null, deadlineMillis: deadline - this.context.now });
   }
 
-  claimGranted(group: RequestGroup): void {
+  onClaimGranted(group: RequestGroup): void {
     group.service.claiming.delete(group);
     this.policyGate.pass(group);
   }
 
-  claimDenied(group: RequestGroup, result: ClaimResult): void {
+  onClaimDenied(group: RequestGroup, result: ClaimResult): void {
     switch (result.type) {
       case 'duplicate':
         this.answerDuplicate(group, result.record.state, result.record.answer);
         return;
       case 'mismatch':
         group.ledger = 'other-request';
-        this.answers.refuseWork(group, 'idempotency-key-mismatch', null);
+        this.answers.refuseGroup(group, 'idempotency-key-mismatch', null);
         return;
       case 'expired':
-        this.answers.refuseWork(group, 'idempotency-key-expired', null);
+        this.answers.refuseGroup(group, 'idempotency-key-expired', null);
         return;
       case 'unknown-service':
-        this.answers.refuseWork(group, 'unknown-service', null);
+        this.answers.refuseGroup(group, 'unknown-service', null);
         return;
       default:
-        this.answers.refuseWork(group, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
+        this.answers.refuseGroup(group, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
     }
   }
 
-  claimTimedOut(group: RequestGroup): void {
-    this.answers.refuseWork(group, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
+  onClaimTimedOut(group: RequestGroup): void {
+    this.answers.refuseGroup(group, 'ledger-unavailable', this.admission.unmeasuredRetryAfter());
   }
 
   /** Refuses all waiting requests of a service, because the configuration is no longer confirmed. */
   refuseWaiting(service: ServiceState, reason: RefusalReason): void {
     const waiting = [...service.queues.allWork(), ...service.held, ...service.claiming];
     for (const group of waiting) {
-      this.answers.refuseWork(group, reason, this.admission.unmeasuredRetryAfter());
+      this.answers.refuseGroup(group, reason, this.admission.unmeasuredRetryAfter());
     }
   }
 
@@ -303,9 +303,9 @@
     if (state === 'ran') {
       this.answers.deliverStored(group, answer ?? ANSWER_NOT_KEPT);
     } else if (state === 'running') {
-      this.answers.refuseWork(group, 'still-running', this.admission.unmeasuredRetryAfter());
+      this.answers.refuseGroup(group, 'still-running', this.admission.unmeasuredRetryAfter());
     } else {
-      this.answers.refuseWork(group, 'outcome-unknown', null);
+      this.answers.refuseGroup(group, 'outcome-unknown', null);
     }
   }
 }
--- a/src/routing/router-node.ts
+++ b/src/routing/router-node.ts
@@ -85,7 +85,7 @@
     this.endLease();
     this.handleInput(input);
     this.fireTimers();
-    if (this.context.crashes.takeNews()) {
+    if (this.context.crashes.takeQuarantineChange()) {
       this.intake.refuseQuarantined();
     }
     this.lost.scheduleSweep();
@@ -103,7 +103,7 @@
   nextDeadline(): number {
     const { timers, lease } = this.context;
     const leaseEnd = this.serving ? lease.end : Number.POSITIVE_INFINITY;
-    return Math.min(timers.nextAt(), lease.nextAt(), leaseEnd);
+    return Math.min(timers.nextAt(), lease.nextSyncAt(), leaseEnd);
   }
 
   status(): RouterStatus {
@@ -136,7 +136,7 @@
         this.results.ended(input.attempt, input.result);
         return;
       case 'answer-carried':
-        this.context.link?.carried(input.bytes, input.millis);
+        this.context.link?.recordTransfer(input.bytes, input.millis);
         return;
       case 'upstream-notice':
         this.notices.headed(input.attempt, input.notice);
@@ -158,14 +158,14 @@
         this.handleControlMessage(input.from, input.message);
         return;
       case 'control-lost':
-        this.context.lease.memberLost(input.from, this.context.now);
-        this.claims.memberLost(input.from);
+        this.context.lease.onMemberLost(input.from, this.context.now);
+        this.claims.onMemberLost(input.from);
         return;
       case 'control-connected':
-        this.context.lease.memberConnected(input.to, input.zone, this.context.now);
+        this.context.lease.onMemberConnected(input.to, input.zone, this.context.now);
         return;
       case 'control-members':
-        this.context.lease.useSettings(input.members);
+        this.context.lease.setConfiguredMembers(input.members);
         return;
       case 'probe-result':
         this.handleProbe(input.upstream, input.healthy, input.load);
@@ -188,13 +188,13 @@
         this.handleSyncUpdate(message.delta);
         return;
       case 'change-notice':
-        context.lease.notice(message.revision, context.view.revision, context.now);
+        context.lease.onRevisionNotice(message.revision, context.view.revision, context.now);
         return;
       case 'claim-response':
-        this.claims.claimAnswered(message, from);
+        this.claims.onClaimResponse(message, from);
         return;
       case 'settle-response':
-        this.claims.settleAnswered(message, from);
+        this.claims.onSettleResponse(message, from);
         return;
       case 'upstream-permits':
         this.handlePermits(message, from);
@@ -209,7 +209,7 @@
     if (message.upstreams.length === 0) {
       this.context.leader.avoid(from);
     }
-    this.context.leader.learn(message.leader);
+    this.context.leader.setHint(message.leader);
     for (const upstream of this.reports.take(message)) {
       this.dispatcher.drainUpstream(upstream);
       this.admission.refuseHeldBackFor(upstream);
@@ -221,8 +221,8 @@
     const outcome = this.applyResponse(response);
     const hasGap = outcome?.type === 'gap';
     context.lease.answered(response, context.view.revision, hasGap, context.now);
-    context.leader.learn(response.leader);
-    context.lease.learnMembers(response.members);
+    context.leader.setHint(response.leader);
+    context.lease.setVoters(response.members);
     context.turn = response.turn ?? context.turn;
     this.beginLease();
     this.update(outcome);
@@ -234,7 +234,7 @@
   private handleSyncUpdate(delta: RoutingDelta): void {
     const { context } = this;
     const outcome = context.view.applyDelta(delta);
-    context.lease.newsApplied(context.view.revision, outcome.type === 'gap', context.now);
+    context.lease.onUpdateApplied(context.view.revision, outcome.type === 'gap', context.now);
     this.update(outcome);
   }
 
@@ -299,7 +299,7 @@
         this.policyGate.recheck(subject.group);
         return;
       case 'claim':
-        this.claims.timerFired(subject.claim);
+        this.claims.onTimer(subject.claim);
         return;
       case 'early-end':
         this.intake.timeOutEarly(subject.request);
@@ -314,7 +314,7 @@
         this.context.crashes.runs.check(subject.run);
         return;
       case 'crash-report':
-        this.context.crashes.tell();
+        this.context.crashes.sendReport();
         return;
       case 'link-wake':
         this.context.link?.wake();
@@ -345,7 +345,7 @@
 
   private sync(): void {
     const { context } = this;
-    const sync = context.lease.takeSync(context.now);
+    const sync = context.lease.startSync(context.now);
     if (sync === undefined) {
       return;
     }
--- a/test/routing/configuration-lease.test.ts
+++ b/test/routing/configuration-lease.test.ts
@@ -25,7 +25,7 @@
     for (let now = 0; now <= 1000; now += 10) {
       // Requests that fail at a lost server request a sync repeatedly.
       lease.requestSync(now);
-      const attempt = lease.takeSync(now);
+      const attempt = lease.startSync(now);
       if (attempt !== undefined) {
         used.add(attempt.to);
       }
@@ -35,30 +35,30 @@
 
   it('syncs again immediately with a member that has just connected, since earlier requests are lost', () => {
     const lease = new ConfigurationLease(MEMBERS, TIMINGS, 0);
-    expect(lease.takeSync(0)?.to).to.equal(MEMBERS[0]);
-    lease.memberConnected(MEMBERS[2] as string, 'far', 60);
-    expect(lease.takeSync(60)?.to).to.equal(MEMBERS[2]);
-    lease.memberConnected(MEMBERS[1] as string, 'far', 65);
-    expect(lease.takeSync(65)).to.equal(undefined);
-    expect(lease.takeSync(80)?.to).to.equal(MEMBERS[1]);
+    expect(lease.startSync(0)?.to).to.equal(MEMBERS[0]);
+    lease.onMemberConnected(MEMBERS[2] as string, 'far', 60);
+    expect(lease.startSync(60)?.to).to.equal(MEMBERS[2]);
+    lease.onMemberConnected(MEMBERS[1] as string, 'far', 65);
+    expect(lease.startSync(65)).to.equal(undefined);
+    expect(lease.startSync(80)?.to).to.equal(MEMBERS[1]);
   });
 
   it('keeps its member after the first confirmed answer, and resends an unanswered request when that member reconnects', () => {
     const lease = new ConfigurationLease(MEMBERS, TIMINGS, 0);
-    lease.takeSync(0);
+    lease.startSync(0);
     lease.answered(answer(0), 3, false, 5);
-    lease.memberConnected(MEMBERS[1] as string, 'far', 10);
-    expect(lease.takeSync(100)).to.equal(undefined);
-    expect(lease.takeSync(400)?.to).to.equal(MEMBERS[0]);
-    lease.memberConnected(MEMBERS[1] as string, 'far', 410);
-    expect(lease.takeSync(430)).to.equal(undefined);
-    lease.memberConnected(MEMBERS[0] as string, 'far', 440);
-    expect(lease.takeSync(440)?.to).to.equal(MEMBERS[0]);
+    lease.onMemberConnected(MEMBERS[1] as string, 'far', 10);
+    expect(lease.startSync(100)).to.equal(undefined);
+    expect(lease.startSync(400)?.to).to.equal(MEMBERS[0]);
+    lease.onMemberConnected(MEMBERS[1] as string, 'far', 410);
+    expect(lease.startSync(430)).to.equal(undefined);
+    lease.onMemberConnected(MEMBERS[0] as string, 'far', 440);
+    expect(lease.startSync(440)?.to).to.equal(MEMBERS[0]);
   });
 
   it('ends earlier by the time for which its machine was suspended, and syncs immediately', () => {
     const lease = new ConfigurationLease(MEMBERS, TIMINGS, 0);
-    lease.takeSync(0);
+    lease.startSync(0);
     lease.answered(answer(0), 3, false, 5);
     const { end } = lease;
     lease.suspended(1000, 100);
@@ -66,40 +66,40 @@
     expect(lease.isValid(100)).to.equal(true);
     lease.suspended(1000, 110);
     expect(lease.isValid(110)).to.equal(false);
-    expect(lease.takeSync(110)).not.to.equal(undefined);
+    expect(lease.startSync(110)).not.to.equal(undefined);
   });
 
   it('is not renewed by answers to requests sent before a suspension', () => {
     const lease = new ConfigurationLease(MEMBERS, TIMINGS, 0);
-    lease.takeSync(0);
+    lease.startSync(0);
     lease.suspended(5000, 10);
     lease.answered(answer(0), 3, false, 20);
     expect(lease.isValid(20)).to.equal(false);
-    lease.takeSync(30);
+    lease.startSync(30);
     lease.answered(answer(30), 3, false, 40);
     expect(lease.isValid(40)).to.equal(true);
   });
 
   it('has no outstanding request once the last of several requests is answered', () => {
     const lease = new ConfigurationLease(MEMBERS, TIMINGS, 0);
-    lease.takeSync(0);
+    lease.startSync(0);
     lease.requestSync(5);
-    lease.takeSync(20);
+    lease.startSync(20);
     lease.answered(answer(0), 3, false, 25);
     lease.answered(answer(20), 3, false, 30);
-    expect(lease.takeSync(420)?.to).to.equal(MEMBERS[0]);
+    expect(lease.startSync(420)?.to).to.equal(MEMBERS[0]);
     lease.requestSync(430);
-    expect(lease.takeSync(440)?.to).to.equal(MEMBERS[0]);
+    expect(lease.startSync(440)?.to).to.equal(MEMBERS[0]);
   });
 
   it('syncs with the latest connected member until the first confirmed answer, then with the member of its zone', () => {
     const lease = new ConfigurationLease(MEMBERS, TIMINGS, 0, 'serve', 'near');
-    lease.takeSync(0);
-    lease.memberConnected(MEMBERS[0] as string, 'near', 10);
-    expect(lease.takeSync(20)?.to).to.equal(MEMBERS[0]);
-    lease.memberConnected(MEMBERS[1] as string, 'far', 40);
-    expect(lease.takeSync(40)?.to).to.equal(MEMBERS[1]);
+    lease.startSync(0);
+    lease.onMemberConnected(MEMBERS[0] as string, 'near', 10);
+    expect(lease.startSync(20)?.to).to.equal(MEMBERS[0]);
+    lease.onMemberConnected(MEMBERS[1] as string, 'far', 40);
+    expect(lease.startSync(40)?.to).to.equal(MEMBERS[1]);
     lease.answered(answer(40), 3, false, 45);
-    expect(lease.takeSync(440)?.to).to.equal(MEMBERS[0]);
+    expect(lease.startSync(440)?.to).to.equal(MEMBERS[0]);
   });
 });
--- a/test/routing/control-members.test.ts
+++ b/test/routing/control-members.test.ts
@@ -14,59 +14,59 @@
   it('prefers a member of the own zone once it is connected, and keeps it', () => {
     const selection = members();
     selection.connected(FAR, 'a');
-    selection.chooseNear(0);
+    selection.selectOwnZone(0);
     expect(selection.current).to.equal(FAR);
     selection.connected(NEAR, 'b');
-    selection.chooseNear(10);
+    selection.selectOwnZone(10);
     expect(selection.current).to.equal(NEAR);
     selection.connected(OTHER, 'b');
-    selection.chooseNear(20);
+    selection.selectOwnZone(20);
     expect(selection.current).to.equal(NEAR);
   });
 
   it('skips a member that fails, and returns to it after a while', () => {
     const selection = members();
     selection.connected(NEAR, 'b');
-    selection.chooseNear(0);
-    selection.leaveSilent(100);
-    selection.chooseNear(101);
+    selection.selectOwnZone(0);
+    selection.skipSilent(100);
+    selection.selectOwnZone(101);
     expect(selection.current).to.equal(OTHER);
-    selection.chooseNear(5099);
+    selection.selectOwnZone(5099);
     expect(selection.current).to.equal(OTHER);
-    selection.chooseNear(5100);
+    selection.selectOwnZone(5100);
     expect(selection.current).to.equal(NEAR);
   });
 
   it('returns soon to a member that had no quorum', () => {
     const selection = members();
     selection.connected(NEAR, 'b');
-    selection.chooseNear(0);
-    selection.leaveUnconfirmed(100);
-    selection.chooseNear(599);
+    selection.selectOwnZone(0);
+    selection.skipUnconfirmed(100);
+    selection.selectOwnZone(599);
     expect(selection.current).to.equal(OTHER);
-    selection.chooseNear(600);
+    selection.selectOwnZone(600);
     expect(selection.current).to.equal(NEAR);
   });
 
   it('returns immediately to a member that was lost and has reconnected', () => {
     const selection = members();
     selection.connected(NEAR, 'b');
-    selection.chooseNear(0);
+    selection.selectOwnZone(0);
     selection.lost(NEAR);
-    selection.leaveSilent(100);
-    selection.chooseNear(200);
+    selection.skipSilent(100);
+    selection.selectOwnZone(200);
     expect(selection.current).to.equal(OTHER);
     selection.connected(NEAR, 'b');
-    selection.chooseNear(300);
+    selection.selectOwnZone(300);
     expect(selection.current).to.equal(NEAR);
   });
 
   it('uses the members in turn if none is in the own zone', () => {
     const selection = members(2);
     const used = [0, 1, 2].map((now) => {
-      selection.chooseNear(now);
+      selection.selectOwnZone(now);
       const { current } = selection;
-      selection.leaveSilent(now);
+      selection.skipSilent(now);
       return current;
     });
     expect(used).to.deep.equal([OTHER, FAR, NEAR]);
@@ -74,17 +74,17 @@
 
   it('keeps the current member when the list changes, if it is still listed', () => {
     const selection = members(1);
-    selection.learnVoters([OTHER, NEAR]);
+    selection.setVoters([OTHER, NEAR]);
     expect(selection.current).to.equal(NEAR);
-    selection.learnVoters([OTHER]);
-    selection.useSettings([FAR]);
+    selection.setVoters([OTHER]);
+    selection.setConfiguredMembers([FAR]);
     expect(selection.current).to.equal(OTHER);
   });
 
   it('accepts an empty list of members', () => {
     const selection = new ControlMembers([], 0, 'b');
-    selection.chooseNear(0);
-    selection.leaveSilent(0);
+    selection.selectOwnZone(0);
+    selection.skipSilent(0);
     expect(selection.current).to.equal(undefined);
   });
 });
