--- a/src/routing/attempt-evidence.ts
+++ b/src/routing/attempt-evidence.ts
@@ -55,9 +55,9 @@
           this.countRefusal(upstream, 'overloaded', Number.POSITIVE_INFINITY);
           return;
         }
-        upstream.connectionFailed(now);
+        upstream.recordConnectionFailure(now);
         if (result.refused === true) {
-          upstream.warmth.notListening(now);
+          upstream.warmupState.onConnectionRefused(now);
         }
         this.countFailure(attempt);
         return;
@@ -79,7 +79,7 @@
     this.context.crashes.runs.ended(run, refusal);
     // A refusal addressed to an earlier run does not apply to the current one.
     if (upstream.isAnnounced && run === runNameOf(upstream)) {
-      upstream.evidence.runEnded();
+      upstream.evidence.recordRunEnd();
     }
   }
 
@@ -96,12 +96,12 @@
       this.context.reporter.add(group.loadShard, tookMillis);
     }
     if (attempt.foundFreeSlot) {
-      upstream.answeredUnhindered(tookMillis);
+      upstream.recordUnqueuedAnswer(tookMillis);
     }
     if (status >= FIRST_SERVER_ERROR) {
       this.countFailure(attempt);
     } else {
-      upstream.succeeded(this.context.now);
+      upstream.recordSuccess(this.context.now);
     }
   }
 
@@ -116,27 +116,27 @@
     sample: AnswerSample,
   ): void {
     const { now, fleetSums } = this.context;
-    if (group.service.definition.keyed || status >= FIRST_SERVER_ERROR || upstream.warmth.isCold(now)) {
+    if (group.service.definition.keyed || status >= FIRST_SERVER_ERROR || upstream.warmupState.isCold(now)) {
       return;
     }
     const { tookMillis, load } = sample;
     if (load !== null) {
       const rounds = Math.max(1, (load + 1) / upstream.slotLimit.most);
-      fleetSums.worked(upstream.id, measurementNameOf(group), tookMillis / rounds);
+      fleetSums.recordWork(upstream.id, measurementNameOf(group), tookMillis / rounds);
     } else if (foundFreeSlot) {
-      fleetSums.worked(upstream.id, measurementNameOf(group), tookMillis);
+      fleetSums.recordWork(upstream.id, measurementNameOf(group), tookMillis);
     }
   }
 
   private countRefusal(upstream: UpstreamState, refusal: FenceRefusal, load: number | null): void {
     const { now, random } = this.context;
     if (refusal === 'draining') {
-      upstream.evidence.refusedAsDraining(now);
+      upstream.evidence.recordDrainingRefusal(now);
     }
     if (refusal === 'overloaded') {
       upstream.slotLimit.overloaded(now);
       if (upstream.isAnnounced && load !== null) {
-        upstream.refusedAsFull(load, now);
+        upstream.recordOverload(load, now);
       }
       const pause = random.jitter(OVERLOAD_PAUSE_MILLIS, PAUSE_JITTER);
       upstream.pausedUntil = Math.max(upstream.pausedUntil, now + pause);
--- a/src/routing/attempt-results.ts
+++ b/src/routing/attempt-results.ts
@@ -4,7 +4,7 @@
 import { AttemptEvidence } from './attempt-evidence.js';
 import type { Settlement } from './claim.js';
 import type { Dispatcher } from './dispatcher.js';
-import type { NoticeIntake } from './notices/notice-intake.js';
+import type { NoticeHandler } from './notices/notice-handler.js';
 import type { Admission } from './queue/admission.js';
 import type { Attempt, RequestGroup } from './request-group.js';
 import type { RequestIntake } from './request-intake.js';
@@ -22,7 +22,7 @@
   readonly dispatcher: Dispatcher;
   readonly answers: Answers;
   readonly intake: RequestIntake;
-  readonly notices: NoticeIntake;
+  readonly notices: NoticeHandler;
 }
 
 export class AttemptResults {
@@ -31,7 +31,7 @@
   private readonly dispatcher: Dispatcher;
   private readonly answers: Answers;
   private readonly intake: RequestIntake;
-  private readonly notices: NoticeIntake;
+  private readonly notices: NoticeHandler;
   private readonly evidence: AttemptEvidence;
 
   constructor(parts: AttemptResultsParts) {
--- a/src/routing/attempt-starter.ts
+++ b/src/routing/attempt-starter.ts
@@ -40,7 +40,7 @@
       service.retryBudget.firstAttempt();
       service.rankRoom.shares.started(group.terms.priority, context.now);
       if (!service.definition.keyed) {
-        context.fleetSums.asked(service.name, measurementNameOf(group));
+        context.fleetSums.recordDemand(service.name, measurementNameOf(group));
       }
     }
     group.attempts += 1;
--- a/src/routing/configuration-updates.ts
+++ b/src/routing/configuration-updates.ts
@@ -120,7 +120,7 @@
     if (state !== undefined && record?.definition.service === state.record.definition.service) {
       this.recordNextRun(state, record);
       state.update(record, this.context.now);
-      state.useNotices(this.context.notices.of(noticeSourceOf(state.id, runNameOf(state))));
+      state.setNotices(this.context.notices.get(noticeSourceOf(state.id, runNameOf(state))));
       return;
     }
     if (state !== undefined) {
@@ -172,11 +172,11 @@
       coldSince,
       affinityOf(this.context.config.router, record.definition.id),
     );
-    state.warmth.useTerms(service.definition.warmup ?? null);
-    state.hearWarmth(now);
-    state.useFleetView(this.context.fleet);
+    state.warmupState.setTerms(service.definition.warmup ?? null);
+    state.updateWarmup(now);
+    state.setFleetView(this.context.fleet);
     state.evacuated(this.context.view.isEvacuated(state.zone), now);
-    state.useNotices(this.context.notices.resume(noticeSourceOf(state.id, runNameOf(state))));
+    state.setNotices(this.context.notices.resume(noticeSourceOf(state.id, runNameOf(state))));
     upstreams.set(state.id, state);
     if (announced !== undefined) {
       this.context.crashes.runs.recordRunAt(record.definition.address, runNameOf(state) ?? state.id);
@@ -187,7 +187,7 @@
   /** Removes an upstream; attempts in flight there continue. */
   private detach(state: UpstreamState): void {
     this.context.upstreams.delete(state.id);
-    this.context.fleet.forget(state.id);
+    this.context.fleet.removeUpstream(state.id);
     this.context.services.get(state.record.definition.service)?.removeUpstream(state.id);
   }
 
--- a/src/routing/decision-facts.ts
+++ b/src/routing/decision-facts.ts
@@ -11,7 +11,7 @@
   const owner = shard === null ? undefined : context.ownerOf(shard);
   const { confirmedAt } = lease;
   const limit = owner?.upstream.notices?.limit;
-  const restMillis = Math.round(owner?.upstream.notices?.rest.waitMillis(now) ?? 0);
+  const restMillis = Math.round(owner?.upstream.notices?.backoff.waitMillis(now) ?? 0);
   const isByRank = service.presence.isMixed(now) || isOfHotKey(group.rank);
   const suspect = context.crashes.suspectOf(group.request);
   return {
@@ -27,7 +27,7 @@
     usable: service.upstreams.filter(({ evidence }) => evidence.standing(now) === 'usable').length,
     ...(isByRank && { order: orderFactsOf(group, now) }),
     ...(restMillis > 0 && { restMillis }),
-    ...(limit?.isInForce && { limit: { ...limit.heard(now), permits: limit.permitsLeft(now) } }),
+    ...(limit?.isInForce && { limit: { ...limit.lastReport(now), permits: limit.permitsLeft(now) } }),
     ...(context.link !== null && { link: context.link.status() }),
     ...(group.returnOffer !== null && { returns: group.returnOffer }),
     ...(suspect !== null && context.crashes.isQuarantined(suspect) && { fingerprint: suspect }),
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -242,7 +242,7 @@
         ? undefined
         : service.findColdUpstream(config.zone, turn, warmupBounds, now);
     if (cold !== undefined && cold !== group.avoid) {
-      cold.warmth.useTurn(turn.inZone, warmupBounds, now);
+      cold.warmupState.useTimeSlot(turn.inZone, warmupBounds, now);
       this.attempts.start(group, cold, null, null);
       return 'dispatched';
     }
@@ -257,7 +257,7 @@
       now,
       random,
       inTimeMillis: group.terms.inTimeMillis,
-      room: this.context.fleet.roomOf(service.name, config.zone, now),
+      zoneCapacity: this.context.fleet.capacityOf(service.name, config.zone, now),
       weigh,
     });
     this.attempts.start(group, upstream, null, null);
@@ -269,18 +269,18 @@
     const { now, turn, config } = this.context;
     if (
       owner === undefined ||
-      owner.upstream.evidence.isToldLeaving ||
+      owner.upstream.evidence.isDeclaredDraining ||
       !owner.upstream.hasSlot(now, group.rank, waitedShareOf(group, now))
     ) {
       return 'waits';
     }
     const { epoch, incarnation, upstream } = owner;
-    if (upstream.warmth.isCold(now)) {
+    if (upstream.warmupState.isCold(now)) {
       const { warmupBounds = DEFAULT_WARMUP_BOUNDS } = config;
-      if (!upstream.warmth.isOwnerTurn(turn, warmupBounds, now)) {
+      if (!upstream.warmupState.hasOwnerTimeSlot(turn, warmupBounds, now)) {
         return 'waits';
       }
-      upstream.warmth.useTurn(turn.inAll, warmupBounds, now);
+      upstream.warmupState.useTimeSlot(turn.inAll, warmupBounds, now);
     }
     const hasFence = upstream.record.definition.announced === undefined;
     const key = group.request.key as string;
@@ -323,7 +323,9 @@
   /** The next recheck: after a fixed interval, or earlier when an upstream's pause ends. Waiting groups may be near their deadlines. */
   private nextWakeAt(service: ServiceState): number {
     const { now } = this.context;
-    const pauses = service.upstreams.map(({ opensAt }) => opensAt).filter((until) => until > now);
+    const pauses = service.upstreams
+      .map(({ pauseEndsAt: opensAt }) => opensAt)
+      .filter((until) => until > now);
     return Math.min(now + WAKE_MILLIS, ...pauses);
   }
 }
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -8,5 +8,5 @@
 export { type RetryBudget, TokenRetryBudget } from './room/retry-budget.js';
 export { createRouterNode } from './router-node.js';
 export type * from './types.js';
-export { type Standing, type StandingFacts, standingOf } from './upstream/leaving-table.js';
+export { type Standing, type StandingFacts, standingOf } from './upstream/standing.js';
 export { UpstreamState } from './upstream/upstream-state.js';
--- a/src/routing/notices/rest.ts
+++ b/src/routing/notices/backoff.ts
@@ -6,9 +6,9 @@
 import type { AttemptNumber } from '../types.js';
 
 /** A longer back-off is cut to this; an upstream that needs more can request it again. */
-export const LONGEST_REST_MILLIS = 600_000;
+export const MAX_BACKOFF_MILLIS = 600_000;
 
-export class Rest {
+export class Backoff {
   #until: MonotonicMillis = Number.NEGATIVE_INFINITY;
   /** The attempt whose answer last requested a back-off. */
   #requestedBy: AttemptNumber | null = null;
@@ -28,12 +28,12 @@
   }
 
   /** Starts a back-off for the answer to this attempt. Returns `false` if that answer already did. An earlier one that ends later is kept. */
-  ask(restMillis: number, attempt: AttemptNumber, now: MonotonicMillis): boolean {
+  start(restMillis: number, attempt: AttemptNumber, now: MonotonicMillis): boolean {
     if (attempt === this.#requestedBy) {
       return false;
     }
     this.#requestedBy = attempt;
-    this.#until = Math.max(this.#until, now + Math.min(LONGEST_REST_MILLIS, restMillis));
+    this.#until = Math.max(this.#until, now + Math.min(MAX_BACKOFF_MILLIS, restMillis));
     this.#isUnconfirmed = true;
     this.#trialAttempt = null;
     return true;
--- a/src/routing/notices/even-turns.ts
+++ b/src/routing/notices/even-time-slots.ts
@@ -9,7 +9,7 @@
 
 const MILLIS_PER_SECOND = 1000;
 
-export class EvenTurns {
+export class EvenTimeSlots {
   /** Share of a round until the next time slot; `null` before the first round. */
   #remaining: number | null = null;
   #advancedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
--- a/src/routing/notices/notice-intake.ts
+++ b/src/routing/notices/notice-handler.ts
@@ -9,29 +9,29 @@
 import type { RouterContext } from '../router-context.js';
 import type { AttemptNumber, AttemptResult } from '../types.js';
 import { noticeSourceOf, runNameOf } from '../watched-runs.js';
-import type { HeardFrom } from './notice-table.js';
+import type { NoticeSource } from './notice-table.js';
 import type { RunNotices } from './run-notices.js';
 
-export interface NoticeIntakeParts {
+export interface NoticeHandlerParts {
   readonly context: RouterContext;
   readonly admission: Admission;
   readonly dispatcher: Dispatcher;
 }
 
-export class NoticeIntake {
-  readonly #parts: NoticeIntakeParts;
+export class NoticeHandler {
+  readonly #parts: NoticeHandlerParts;
 
-  constructor(parts: NoticeIntakeParts) {
+  constructor(parts: NoticeHandlerParts) {
     this.#parts = parts;
   }
 
   /** Processes the notice in a response head; ignored if the attempt is no longer tracked. */
-  headed(number: AttemptNumber, notice: UpstreamNotice): void {
+  onResponseHead(number: AttemptNumber, notice: UpstreamNotice): void {
     const { context } = this.#parts;
     const attempt = context.attempts.get(number);
     if (attempt !== undefined) {
       const effective = hasSession(attempt) ? { ...notice, isLeaving: false } : notice;
-      this.#applyChange(context.notices.take(effective, this.#sourceOf(attempt), context.now));
+      this.#applyChange(context.notices.recordNotice(effective, this.#sourceOf(attempt), context.now));
     }
   }
 
@@ -40,13 +40,13 @@
     const { notices, now } = this.#parts.context;
     const from = this.#sourceOf(attempt);
     if (result.type === 'refused' && result.refusal === 'overloaded' && result.retryAfterMillis !== null) {
-      this.#applyChange(notices.restAsked(result.retryAfterMillis, from, now));
+      this.#applyChange(notices.recordBackoff(result.retryAfterMillis, from, now));
     }
     const isAnswered = result.type === 'answered' || result.type === 'refused';
-    notices.of(from.run)?.rest.ended(attempt.number, isAnswered);
+    notices.get(from.run)?.backoff.ended(attempt.number, isAnswered);
   }
 
-  #sourceOf({ number, upstream, run, startedAt }: Attempt): HeardFrom {
+  #sourceOf({ number, upstream, run, startedAt }: Attempt): NoticeSource {
     const { latestAttempt } = this.#parts.context;
     return {
       attempt: number,
@@ -69,8 +69,8 @@
     ) {
       return;
     }
-    upstream.useNotices(changed);
-    if (!changed.takesAnything(context.now)) {
+    upstream.setNotices(changed);
+    if (!changed.acceptsRequests(context.now)) {
       context.emit({ type: 'recall-unsent', upstream: upstream.id });
     }
     dispatcher.drainUpstream(upstream);
--- a/src/routing/notices/notice-table.ts
+++ b/src/routing/notices/notice-table.ts
@@ -20,7 +20,7 @@
 }
 
 /** The answer that carried a notice. */
-export interface HeardFrom extends AnswerOrder {
+export interface NoticeSource extends AnswerOrder {
   readonly upstream: UpstreamId;
   readonly run: RunName;
   /** Whether `run` identifies a single run; `false`: it stands for every process that answers as this upstream. */
@@ -33,28 +33,28 @@
   readonly #parts: NoticeTableParts;
   readonly #runs = new Map<RunName, RunNotices>();
   /** Runs that have, or may have, something to report to control. */
-  readonly untold = new Set<RunNotices>();
+  readonly unreported = new Set<RunNotices>();
 
   constructor(parts: NoticeTableParts) {
     this.#parts = parts;
   }
 
   /** Returns the notices of a run; `null` if it has sent none yet. */
-  of(run: RunName): RunNotices | null {
+  get(run: RunName): RunNotices | null {
     return this.#runs.get(run) ?? null;
   }
 
   /** Returns the notices of a run for a newly created upstream state, and schedules them to be reported to control again. */
   resume(run: RunName): RunNotices | null {
-    const notices = this.of(run);
+    const notices = this.get(run);
     if (notices !== null) {
-      this.untold.add(notices);
+      this.unreported.add(notices);
     }
     return notices;
   }
 
   /** Records the notice of a response head. Returns the run's notices if this changes which requests they admit, otherwise `null`. */
-  take(notice: UpstreamNotice, from: HeardFrom, now: MonotonicMillis): RunNotices | null {
+  recordNotice(notice: UpstreamNotice, from: NoticeSource, now: MonotonicMillis): RunNotices | null {
     const { upstream, run, attempt } = from;
     for (const { header, text } of notice.unreadable) {
       this.#parts.log('upstream-notice-unreadable', { upstream, run, attempt, header, text });
@@ -66,20 +66,20 @@
     const notices = existing ?? this.#addRun(from);
     const isLimitChanged = this.#recordLimit(notice, notices, from, now);
     const { restMillis } = notice;
-    const isBackoffNew = restMillis !== null && this.restAsked(restMillis, from, now) !== null;
+    const isBackoffNew = restMillis !== null && this.recordBackoff(restMillis, from, now) !== null;
     const isDrainingNew = notice.isLeaving && this.#recordDraining(notices, from, now);
     return isLimitChanged || isBackoffNew || isDrainingNew ? notices : null;
   }
 
   /** Records that an answer asks for a back-off. Returns the run's notices, or `null` if this answer's request is already recorded. */
-  restAsked(restMillis: number, from: HeardFrom, now: MonotonicMillis): RunNotices | null {
+  recordBackoff(restMillis: number, from: NoticeSource, now: MonotonicMillis): RunNotices | null {
     const notices = this.#runs.get(from.run) ?? this.#addRun(from);
-    const { upstream, run, rest: backoff } = notices;
+    const { upstream, run, backoff } = notices;
     const { attempt } = from;
-    if (!backoff.ask(restMillis, attempt, now)) {
+    if (!backoff.start(restMillis, attempt, now)) {
       return null;
     }
-    this.untold.add(notices);
+    this.unreported.add(notices);
     const answerMillis = Math.round(now - from.startedAt);
     const leftMillis = Math.round(backoff.waitMillis(now));
     this.#parts.log('upstream-rest-asked', { upstream, run, restMillis, leftMillis, attempt, answerMillis });
@@ -87,12 +87,12 @@
   }
 
   /** Applies the latest limit that another router received, forwarded by control. Returns `true` if this changes the limit in force. */
-  takeFromControl(notices: RunNotices, heard: HeardLimit, now: MonotonicMillis): boolean {
+  applyFromControl(notices: RunNotices, heard: HeardLimit, now: MonotonicMillis): boolean {
     const { limit, upstream, run } = notices;
     const before = limit.perSecond;
-    const isChanged = limit.hearFromControl(heard, now);
+    const isChanged = limit.recordFromControl(heard, now);
     if (isChanged) {
-      this.untold.add(notices);
+      this.unreported.add(notices);
       const { perSecond, heardAgoMillis } = heard;
       this.#parts.log('upstream-limit-changed', {
         upstream,
@@ -106,22 +106,22 @@
     return isChanged;
   }
 
-  #addRun({ upstream, run, isNamed }: HeardFrom): RunNotices {
+  #addRun({ upstream, run, isNamed }: NoticeSource): RunNotices {
     const notices = new RunNotices(upstream, run, isNamed, this.#parts.place);
     this.#runs.set(run, notices);
     const [oldest] = this.#runs.values();
     if (this.#runs.size > MAX_RUNS && oldest !== undefined) {
       this.#runs.delete(oldest.run);
-      this.untold.delete(oldest);
+      this.unreported.delete(oldest);
     }
     return notices;
   }
 
-  #recordDraining(notices: RunNotices, { attempt, startedAt }: HeardFrom, now: MonotonicMillis): boolean {
-    if (!notices.leaves(now)) {
+  #recordDraining(notices: RunNotices, { attempt, startedAt }: NoticeSource, now: MonotonicMillis): boolean {
+    if (!notices.recordDraining(now)) {
       return false;
     }
-    this.untold.add(notices);
+    this.unreported.add(notices);
     const { upstream, run } = notices;
     const answerMillis = Math.round(now - startedAt);
     this.#parts.log('upstream-leaving-heard', { upstream, run, attempt, answerMillis });
@@ -131,7 +131,7 @@
   #recordLimit(
     { limit: reported }: UpstreamNotice,
     notices: RunNotices,
-    from: HeardFrom,
+    from: NoticeSource,
     now: MonotonicMillis,
   ): boolean {
     const { limit, upstream, run } = notices;
@@ -139,9 +139,9 @@
       return false;
     }
     const before = limit.perSecond;
-    const isChanged = limit.hear(reported.type === 'named' ? reported.perSecond : null, from, now);
+    const isChanged = limit.recordAnswer(reported.type === 'named' ? reported.perSecond : null, from, now);
     if (isChanged) {
-      this.untold.add(notices);
+      this.unreported.add(notices);
       const answerMillis = Math.round(now - from.startedAt);
       const { perSecond } = limit;
       const { attempt } = from;
--- a/src/routing/notices/notice-wait.ts
+++ b/src/routing/notices/notice-wait.ts
@@ -12,7 +12,7 @@
   /** Milliseconds until the group may be sent, as far as known; 0 if that may be at any moment. */
   readonly millis: number;
   /** Milliseconds after which a rejected caller should retry. */
-  readonly againMillis: number;
+  readonly retryAfterMillis: number;
 }
 
 /** Returns `null` if no upstream notice delays this group. */
@@ -42,13 +42,13 @@
   if (notices === null || notices.isLeaving || notices.admits(now)) {
     return null;
   }
-  if (!notices.rest.admits(now)) {
-    const millis = notices.rest.waitMillis(now);
+  if (!notices.backoff.admits(now)) {
+    const millis = notices.backoff.waitMillis(now);
     // While one request tests whether the back-off is over, the others wait for its answer.
-    return { reason: 'upstream-resting', millis, againMillis: Math.max(millis, upstream.serviceMillis) };
+    return { reason: 'upstream-resting', millis, retryAfterMillis: Math.max(millis, upstream.serviceMillis) };
   }
   const millis = notices.limit.waitMillis(now);
   // If control has reported no wait: the time in which the limit admits one request over all routers.
   const perRequest = MILLIS_PER_SECOND / (notices.limit.perSecond || 1);
-  return { reason: 'upstream-limited', millis, againMillis: Math.max(millis, perRequest) };
+  return { reason: 'upstream-limited', millis, retryAfterMillis: Math.max(millis, perRequest) };
 }
--- a/src/routing/notices/request-limit.ts
+++ b/src/routing/notices/request-limit.ts
@@ -8,7 +8,7 @@
 import type { RoundPlace } from '../../model/router-turn.js';
 import type { HeardLimit } from '../../model/upstream-notice.js';
 import type { AttemptNumber } from '../types.js';
-import { EvenTurns } from './even-turns.js';
+import { EvenTimeSlots } from './even-time-slots.js';
 
 /** Sent requests are counted over this window; the router requests as many permits in advance. */
 const USE_WINDOW_MILLIS = 250;
@@ -30,7 +30,7 @@
 
 export class RequestLimit {
   /** `null` while no limit is in force. */
-  #timeSlots: EvenTurns | null = null;
+  #timeSlots: EvenTimeSlots | null = null;
   readonly #place: () => RoundPlace;
   #perSecond: number | null = null;
   #receivedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
@@ -61,18 +61,18 @@
   }
 
   /** Earliest time at which control may have a permit again. */
-  get nextAt(): MonotonicMillis {
+  get nextPermitAt(): MonotonicMillis {
     return this.#nextAt;
   }
 
   /** The last received limit and its age, to be reported to control. */
-  heard(now: MonotonicMillis): HeardLimit {
+  lastReport(now: MonotonicMillis): HeardLimit {
     const isReceived = this.#receivedAt !== Number.NEGATIVE_INFINITY;
     return { perSecond: this.#perSecond, heardAgoMillis: isReceived ? now - this.#receivedAt : NEVER_MILLIS };
   }
 
   /** Records the limit in an answer (`null` for none). Returns `true` if this changes the limit in force. */
-  hear(perSecond: number | null, { attempt, latest }: AnswerOrder, now: MonotonicMillis): boolean {
+  recordAnswer(perSecond: number | null, { attempt, latest }: AnswerOrder, now: MonotonicMillis): boolean {
     const isLower = perSecond !== null && perSecond < (this.#perSecond ?? Number.POSITIVE_INFINITY);
     if (attempt <= this.#latestWhenReceived && !isLower) {
       return false;
@@ -85,7 +85,7 @@
   }
 
   /** Records a limit that another router received, forwarded by control. Returns `true` if this changes the limit in force. */
-  hearFromControl({ perSecond, heardAgoMillis }: HeardLimit, now: MonotonicMillis): boolean {
+  recordFromControl({ perSecond, heardAgoMillis }: HeardLimit, now: MonotonicMillis): boolean {
     if (now - heardAgoMillis <= this.#receivedAt) {
       return false;
     }
@@ -123,19 +123,19 @@
   }
 
   /** Adds permits from control that are valid until then. */
-  take(count: number, until: MonotonicMillis): void {
+  addPermits(count: number, until: MonotonicMillis): void {
     if (count > 0) {
       this.#permits.push({ count, until });
     }
   }
 
   /** Records that control has no permits before then. */
-  turnedDown(nextAt: MonotonicMillis): void {
+  recordDenial(nextAt: MonotonicMillis): void {
     this.#nextAt = nextAt;
   }
 
   /** Number of permits to request in advance: as many as were used in one recent window, or none if control ran short within the last second. */
-  aheadOf(now: MonotonicMillis): number {
+  permitsToPrefetch(now: MonotonicMillis): number {
     const isScarce = now - this.#nextAt < MILLIS_PER_SECOND;
     this.#moveWindow(now);
     return isScarce ? 0 : Math.max(this.#used, this.#usedInPreviousWindow);
@@ -157,7 +157,7 @@
     // The time until now counts at the previous rate; a new limit has no time slots from before its start.
     const timeSlots = this.#timeSlotsAt(now);
     this.#perSecond = perSecond;
-    this.#timeSlots = perSecond === null ? null : (timeSlots ?? new EvenTurns(this.shift));
+    this.#timeSlots = perSecond === null ? null : (timeSlots ?? new EvenTimeSlots(this.shift));
     this.#timeSlotsAt(now);
     if (perSecond === null) {
       this.#permits = [];
@@ -167,7 +167,7 @@
   }
 
   /** Returns the time slots, advanced to `now`; `null` while no limit is in force. */
-  #timeSlotsAt(now: MonotonicMillis): EvenTurns | null {
+  #timeSlotsAt(now: MonotonicMillis): EvenTimeSlots | null {
     if (this.#perSecond !== null) {
       this.#timeSlots?.advance(this.#place(), sharedPerSecond(this.#perSecond) * EVEN_SHARE, now);
     }
--- a/src/routing/notices/run-notices.ts
+++ b/src/routing/notices/run-notices.ts
@@ -4,8 +4,8 @@
 import type { RoundPlace } from '../../model/router-turn.js';
 import type { AttemptNumber } from '../types.js';
 import { affinityOf } from '../upstream/affinity.js';
+import { Backoff } from './backoff.js';
 import { RequestLimit } from './request-limit.js';
-import { Rest } from './rest.js';
 
 /** Number of different values of `affinityOf`. */
 const AFFINITY_RANGE = 2 ** 32;
@@ -17,7 +17,7 @@
 
 export class RunNotices {
   readonly limit: RequestLimit;
-  readonly rest = new Rest();
+  readonly backoff = new Backoff();
   #isDraining = false;
   #drainingReportedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
@@ -38,7 +38,7 @@
   }
 
   /** Records a draining notice. Returns `true` if the run wasn't draining before. */
-  leaves(now: MonotonicMillis): boolean {
+  recordDraining(now: MonotonicMillis): boolean {
     const isNew = !this.#isDraining;
     this.#isDraining = true;
     this.#drainingReportedAt = now;
@@ -46,24 +46,24 @@
   }
 
   /** Records a successful health check: where runs have no names, it may come from the next run. */
-  foundWell(now: MonotonicMillis): void {
+  onHealthyProbe(now: MonotonicMillis): void {
     const mayBeNextRun = !this.isNamed && now - this.#drainingReportedAt >= NEXT_RUN_MILLIS;
     this.#isDraining &&= !mayBeNextRun;
   }
 
   /** Whether the run is neither draining nor backed off. If `false`, attempts that aren't sent yet are recalled. */
-  takesAnything(now: MonotonicMillis): boolean {
-    return !this.#isDraining && this.rest.waitMillis(now) === 0;
+  acceptsRequests(now: MonotonicMillis): boolean {
+    return !this.#isDraining && this.backoff.waitMillis(now) === 0;
   }
 
   /** Whether the notices admit one more request from this router now. */
   admits(now: MonotonicMillis): boolean {
-    return !this.#isDraining && this.rest.admits(now) && this.limit.admits(now);
+    return !this.#isDraining && this.backoff.admits(now) && this.limit.admits(now);
   }
 
   /** Records a sent request. */
   sent(attempt: AttemptNumber, now: MonotonicMillis): void {
     this.limit.sent(now);
-    this.rest.sent(attempt);
+    this.backoff.sent(attempt);
   }
 }
--- a/src/routing/notices/upstream-reports.ts
+++ b/src/routing/notices/upstream-reporter.ts
@@ -46,7 +46,7 @@
 const LAST_RANK = 1_000_000;
 const NO_REQUESTS: QueuedRequests = { count: 0, rank: LAST_RANK, patienceMillis: 0 };
 
-export class UpstreamReports {
+export class UpstreamReporter {
   readonly #context: RouterContext;
   readonly #lastReports = new Map<RunNotices, LastReport>();
   #reportedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
@@ -60,7 +60,7 @@
   step(): void {
     const { now, leader, notices } = this.#context;
     const to = leader.target();
-    if (notices.untold.size === 0 || to === null) {
+    if (notices.unreported.size === 0 || to === null) {
       return;
     }
     if (now - this.#reportedAt < MIN_REPORT_GAP_MILLIS) {
@@ -79,12 +79,12 @@
   }
 
   /** Handles the timer that `step` scheduled. */
-  woken(): void {
+  onTimer(): void {
     this.#timerAt = Number.POSITIVE_INFINITY;
   }
 
   /** Applies the leader's answer. Returns the upstreams whose queued requests have to be checked. */
-  take({ stamp, waitedMillis, upstreams }: UpstreamPermits): UpstreamState[] {
+  applyPermits({ stamp, waitedMillis, upstreams }: UpstreamPermits): UpstreamState[] {
     const until = stamp + waitedMillis + PERMIT_MILLIS;
     return upstreams.flatMap((issued) => this.#applyIssued(issued, until));
   }
@@ -94,7 +94,7 @@
     until: MonotonicMillis,
   ): UpstreamState[] {
     const { now, notices: table } = this.#context;
-    const notices = table.of(run);
+    const notices = table.get(run);
     if (notices === null) {
       return [];
     }
@@ -102,12 +102,12 @@
     if (last !== undefined) {
       last.pendingPermits = nextInMillis === null ? Math.max(0, last.pendingPermits - granted) : 0;
     }
-    table.takeFromControl(notices, limit, now);
+    table.applyFromControl(notices, limit, now);
     if (now < until) {
-      notices.limit.take(granted, until);
+      notices.limit.addPermits(granted, until);
     }
     if (nextInMillis !== null) {
-      notices.limit.turnedDown(now + nextInMillis);
+      notices.limit.recordDenial(now + nextInMillis);
     }
     const state = this.#stateOf(notices);
     return state === null ? [] : [state];
@@ -115,14 +115,14 @@
 
   #dueReports(): HeardUpstream[] {
     const { notices: table, now } = this.#context;
-    const { untold } = table;
+    const { unreported: untold } = table;
     const due: HeardUpstream[] = [];
     for (const notices of untold) {
       const report = this.#reportOf(notices);
       if (report !== null) {
         due.push(report);
       }
-      const { limit, rest: backoff } = notices;
+      const { limit, backoff } = notices;
       const hasNoticeInForce = limit.isInForce || backoff.isInForce(now) || this.#isDrainingUnshown(notices);
       if (!hasNoticeInForce || this.#stateOf(notices) === null) {
         untold.delete(notices);
@@ -135,7 +135,7 @@
   /** Returns `null` if nothing about this run is due to be reported. */
   #reportOf(notices: RunNotices): HeardUpstream | null {
     const { now } = this.#context;
-    const { limit, rest: backoff, upstream, run } = notices;
+    const { limit, backoff, upstream, run } = notices;
     const last = this.#lastReports.get(notices) ?? NO_REPORT;
     const restMillis = backoff.waitMillis(now);
     const isNewBackoff = restMillis > 0 && backoff.until !== last.backoffUntil;
@@ -158,7 +158,16 @@
       at: now,
       pendingPermits: wanted,
     });
-    return { upstream, run, limit: limit.heard(now), restMillis, isLeaving, wanted, rank, patienceMillis };
+    return {
+      upstream,
+      run,
+      limit: limit.lastReport(now),
+      restMillis,
+      isLeaving,
+      wanted,
+      rank,
+      patienceMillis,
+    };
   }
 
   /**
@@ -177,7 +186,7 @@
     if (waiting === 0 || limit.waitMillis(now) > 0) {
       return 0;
     }
-    return Math.max(0, waiting + limit.aheadOf(now) - limit.permitsLeft(now));
+    return Math.max(0, waiting + limit.permitsToPrefetch(now) - limit.permitsLeft(now));
   }
 
   #queuedFor(notices: RunNotices): QueuedRequests {
--- a/src/routing/picker/least-work-picker.ts
+++ b/src/routing/picker/least-work-picker.ts
@@ -1,7 +1,7 @@
 /** Picks the better of random choices by estimated outstanding work, and prefers the own zone. */
 import type { ZoneRoom } from '../../model/fleet-view.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
-import { SpillTurns } from '../zones/spill-turns.js';
+import { SpillCredits } from '../zones/spill-credits.js';
 import { CapacityDraw } from './capacity-draw.js';
 import type { PickContext, Picker } from './picker.js';
 
@@ -40,14 +40,14 @@
   /** Exponentially decayed number of picks in about the last `REVISIT_MILLIS`. */
   #recentPicks = 0;
   #lastPickAt = Number.NEGATIVE_INFINITY;
-  readonly #spillCredits = new SpillTurns();
+  readonly #spillCredits = new SpillCredits();
   /** Number of requests that may leave the zone beyond the plan. */
   #unplannedAllowance = UNPLANNED_BURST;
 
   pick(context: PickContext): UpstreamState {
     this.#countPick(context.now);
     const local = context.candidates.filter((upstream) => upstream.zone === context.zone);
-    const { room: capacity = null } = context;
+    const { zoneCapacity: capacity = null } = context;
     if (capacity !== null && (capacity.isUneven || capacity.spill.length > 0)) {
       return this.#pickByCapacity(local, context, capacity);
     }
@@ -67,7 +67,7 @@
   /** Picks by demand and capacity as reported by control: the planned share of the requests leaves the zone, and few others do. */
   #pickByCapacity(local: readonly UpstreamState[], context: PickContext, capacity: ZoneRoom): UpstreamState {
     const remote = context.candidates.filter((upstream) => upstream.zone !== context.zone);
-    const spillZone = this.#spillCredits.next(capacity.spill, context.random);
+    const spillZone = this.#spillCredits.nextZone(capacity.spill, context.random);
     const inSpillZone = remote.filter(({ zone }) => zone === spillZone);
     const chosen =
       inSpillZone.length > 0
@@ -97,7 +97,7 @@
 
   /** Whether a request leaves the zone because of the present cost there. */
   #leavesZone(bestLocal: Choice, bestRemote: Choice, context: PickContext): boolean {
-    const { room: capacity = null } = context;
+    const { zoneCapacity: capacity = null } = context;
     const inTimeMillis = context.inTimeMillis ?? 0;
     if (
       bestLocal.cost <= inTimeMillis ||
@@ -105,7 +105,7 @@
     ) {
       return false;
     }
-    const isPlanned = this.#spillCredits.mayGoAhead(bestRemote.upstream.zone);
+    const isPlanned = this.#spillCredits.maySendAhead(bestRemote.upstream.zone);
     if (
       capacity === null ||
       (isPlanned && bestLocal.cost > inTimeMillis * PLANNED_LATE_FACTOR) ||
--- a/src/routing/picker/picker.ts
+++ b/src/routing/picker/picker.ts
@@ -14,7 +14,7 @@
   /** Upstreams that are expected to answer within this many milliseconds count as equally good; `null`: faster is always better. */
   readonly inTimeMillis: number | null;
   /** Demand and capacity of this router's zone; left out or `null` if unknown. */
-  readonly room?: ZoneRoom | null;
+  readonly zoneCapacity?: ZoneRoom | null;
   /** Returns the factor of the service's policy on an upstream's cost; 1 without a policy. */
   weigh(upstream: UpstreamState): number;
 }
--- a/src/routing/queue/admission.ts
+++ b/src/routing/queue/admission.ts
@@ -153,7 +153,7 @@
   retryAfter(group: RequestGroup): number {
     const held = noticeWaitOf(group, this.context);
     if (held !== null) {
-      return retryAfterAtLeast(held.againMillis, this.context.random);
+      return retryAfterAtLeast(held.retryAfterMillis, this.context.random);
     }
     const wait = this.estimate.untilDispatch(group);
     return retryAfterMillis(wait > 0 ? wait : UNMEASURED_RETRY_MILLIS, this.context.random);
@@ -261,7 +261,7 @@
     }
     if (group.shard !== null) {
       const owner = this.context.ownerOf(group.shard);
-      const owned = owner !== undefined && !owner.upstream.evidence.isToldLeaving;
+      const owned = owner !== undefined && !owner.upstream.evidence.isDeclaredDraining;
       return owned ? 'would-miss-deadline' : 'no-owner';
     }
     const isAnyAvailable = group.service.upstreams.some(
--- a/src/routing/queue/wait-estimate.ts
+++ b/src/routing/queue/wait-estimate.ts
@@ -56,7 +56,7 @@
    */
   private untilCapacity(shard: string | null): number {
     const owner = shard === null ? undefined : this.context.ownerOf(shard);
-    return owner?.upstream.roomInMillis(this.context.now) ?? 0;
+    return owner?.upstream.millisUntilCapacity(this.context.now) ?? 0;
   }
 
   private wait(
--- a/src/routing/request-intake.ts
+++ b/src/routing/request-intake.ts
@@ -239,7 +239,7 @@
       return;
     }
     const owner = this.context.ownerOf(shard)?.upstream;
-    const workMillis = owner?.unhinderedMillis ?? service.unhinderedMillis() ?? UNMEASURED_WORK_MILLIS;
+    const workMillis = owner?.unqueuedMillis ?? service.unhinderedMillis() ?? UNMEASURED_WORK_MILLIS;
     this.context.reporter.add(keyLoadName, workMillis);
   }
 
--- a/src/routing/room/hot-keys.ts
+++ b/src/routing/room/hot-keys.ts
@@ -53,7 +53,9 @@
     const isHot = now < (this.#hotUntil.get(key) ?? Number.NEGATIVE_INFINITY);
     // While the surplus of a hot key is held back, its owner isn't crowded; the key then stays hot while there is no slot behind the
     // other keys.
-    const exceedsCapacity = isHot ? !owner.hasSlot(now, rank + HOT_RANK_OFFSET) : owner.isCrowded(now);
+    const exceedsCapacity = isHot
+      ? !owner.hasSlot(now, rank + HOT_RANK_OFFSET)
+      : owner.isProbablyQueueing(now);
     if (exceedsCapacity && share > HOT_SHARE) {
       this.#hotUntil.set(key, now + HOT_MILLIS);
       return rank + HOT_RANK_OFFSET;
--- a/src/routing/router-context.ts
+++ b/src/routing/router-context.ts
@@ -18,7 +18,7 @@
 import type { AttemptNumber, RouterConfig, RouterEffect } from './types.js';
 import { FleetSums } from './upstream/fleet-sums.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
-import { FleetKnowledge } from './zones/fleet-knowledge.js';
+import { FleetViewCache } from './zones/fleet-view-cache.js';
 
 /** The upstream to which a shard's requests are sent, with the epoch and incarnation of its ownership. */
 export interface ShardOwner {
@@ -34,7 +34,7 @@
   readonly random: Random;
   readonly reporter: LoadReporter;
   /** Shared measurements of upstreams without keys, received from and reported to control. */
-  readonly fleet = new FleetKnowledge();
+  readonly fleet = new FleetViewCache();
   readonly fleetSums = new FleetSums();
   readonly crashes: CrashWatch;
   /** Notices that upstreams report in response headers. */
--- a/src/routing/router-node.ts
+++ b/src/routing/router-node.ts
@@ -10,9 +10,9 @@
 import { Dispatcher } from './dispatcher.js';
 import { LinkGate } from './link-gate.js';
 import { LostAttempts } from './lost-attempts.js';
-import { NoticeIntake } from './notices/notice-intake.js';
+import { NoticeHandler } from './notices/notice-handler.js';
 import type { RunNotices } from './notices/run-notices.js';
-import { UpstreamReports } from './notices/upstream-reports.js';
+import { UpstreamReporter } from './notices/upstream-reporter.js';
 import { PolicyGate } from './policy-gate.js';
 import { Admission } from './queue/admission.js';
 import type { Member, RequestGroup } from './request-group.js';
@@ -38,8 +38,8 @@
   private readonly results: AttemptResults;
   private readonly lost: LostAttempts;
   private readonly updates: ConfigurationUpdates;
-  private readonly reports: UpstreamReports;
-  private readonly notices: NoticeIntake;
+  private readonly reports: UpstreamReporter;
+  private readonly notices: NoticeHandler;
   private readonly fleetReports: FleetReports;
   private serving = false;
 
@@ -59,7 +59,7 @@
     const admit = (group: RequestGroup): void => (link === null ? dispatcher.admit(group) : link.pass(group));
     this.policyGate = new PolicyGate({ context, admission, admit, answers });
     this.intake = new RequestIntake({ context, admission, answers, claims, policyGate: this.policyGate });
-    this.notices = new NoticeIntake({ context, admission, dispatcher });
+    this.notices = new NoticeHandler({ context, admission, dispatcher });
     const { intake, notices } = this;
     this.results = new AttemptResults({
       context,
@@ -69,7 +69,7 @@
       intake,
       notices,
     });
-    this.reports = new UpstreamReports(this.context);
+    this.reports = new UpstreamReporter(this.context);
     this.lost = new LostAttempts(this.context, this.results);
     this.updates = new ConfigurationUpdates({
       context: this.context,
@@ -114,7 +114,7 @@
       queued: context.waitingLength(),
       inFlight: context.attempts.size,
       limited: countNotices(context, ({ limit }) => limit.isInForce),
-      resting: countNotices(context, ({ rest }) => rest.isInForce(context.now)),
+      resting: countNotices(context, ({ backoff: rest }) => rest.isInForce(context.now)),
       leaving: countNotices(context, ({ isLeaving }) => isLeaving),
       ...(context.link !== null && { link: context.link.status() }),
       returns: this.admission.returns.counts,
@@ -139,7 +139,7 @@
         this.context.link?.recordTransfer(input.bytes, input.millis);
         return;
       case 'upstream-notice':
-        this.notices.headed(input.attempt, input.notice);
+        this.notices.onResponseHead(input.attempt, input.notice);
         return;
       case 'suspended':
         this.context.lease.suspended(input.millis, this.context.now);
@@ -200,7 +200,7 @@
         this.handlePermits(message, from);
         return;
       case 'fleet-news':
-        context.fleet.take(message, context.now);
+        context.fleet.update(message, context.now);
     }
   }
 
@@ -210,7 +210,7 @@
       this.context.leader.avoid(from);
     }
     this.context.leader.setHint(message.leader);
-    for (const upstream of this.reports.take(message)) {
+    for (const upstream of this.reports.applyPermits(message)) {
       this.dispatcher.drainUpstream(upstream);
       this.admission.refuseHeldBackFor(upstream);
     }
@@ -320,7 +320,7 @@
         this.context.link?.wake();
         return;
       case 'upstream-report':
-        this.reports.woken();
+        this.reports.onTimer();
         return;
       case 'service-wake':
         this.dispatcher.wake(subject.service);
@@ -366,7 +366,7 @@
     const leader = context.leader.target();
     const report = context.reporter.takeReport(context.now, isUrgent);
     if (report !== null && leader !== null) {
-      const fleet = this.fleetReports.take();
+      const fleet = this.fleetReports.nextReport();
       const message = fleet === null ? report : { ...report, fleet };
       context.emit({ type: 'send-control', to: leader, message });
     }
@@ -395,23 +395,23 @@
     if (upstream === undefined) {
       return;
     }
-    upstream.evidence.probeSays(healthy, this.context.now);
+    upstream.evidence.recordProbe(healthy, this.context.now);
     if (healthy) {
-      upstream.notices?.foundWell(this.context.now);
-      upstream.useNotices(upstream.notices);
+      upstream.notices?.onHealthyProbe(this.context.now);
+      upstream.setNotices(upstream.notices);
     }
     if (load !== null) {
-      upstream.hintLoad(load, this.context.now);
+      upstream.recordLoad(load, this.context.now);
     }
   }
 
   private handlePlatformList(leaving: readonly UpstreamId[], live: readonly UpstreamId[]): void {
     const { upstreams, now } = this.context;
     for (const id of live) {
-      upstreams.get(id)?.evidence.platformSays(false, now);
+      upstreams.get(id)?.evidence.recordPlatformState(false, now);
     }
     for (const id of leaving) {
-      upstreams.get(id)?.evidence.platformSays(true, now);
+      upstreams.get(id)?.evidence.recordPlatformState(true, now);
     }
   }
 
--- a/src/routing/service-state.ts
+++ b/src/routing/service-state.ts
@@ -14,7 +14,7 @@
 import { HotKeys } from './room/hot-keys.js';
 import { RankRoom } from './room/rank-room.js';
 import { TokenRetryBudget } from './room/retry-budget.js';
-import type { Standing } from './upstream/leaving-table.js';
+import type { Standing } from './upstream/standing.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
 
 /** Order of the standings, from best to worst. */
@@ -101,14 +101,14 @@
       for (const upstream of this.sortedUpstreams) {
         const { announced } = upstream.record.definition;
         upstream.slotLimit.resize(announced?.slots ?? record.definition.slotsPerUpstream);
-        upstream.warmth.useTerms(record.definition.warmup ?? null);
+        upstream.warmupState.setTerms(record.definition.warmup ?? null);
       }
     }
     return isRemapped;
   }
 
   addUpstream(upstream: UpstreamState): void {
-    upstream.rankRoom = this.rankRoom;
+    upstream.rankHeadroom = this.rankRoom;
     this.sortedUpstreams = [...this.sortedUpstreams, upstream].sort((a, b) => (a.id < b.id ? -1 : 1));
   }
 
@@ -129,12 +129,12 @@
     return this.sortedUpstreams.find(
       (upstream) =>
         upstream.zone === zone &&
-        upstream.warmth.takesTurns(now) &&
+        upstream.warmupState.usesTimeSlots(now) &&
         upstream.hasFreeSlot(now) &&
         upstream.admits(now) &&
         upstream.evidence.standing(now) !== 'leaving' &&
         !upstream.ejection.isEjected(now) &&
-        upstream.warmth.isTurn(turn, bounds, now),
+        upstream.warmupState.hasTimeSlot(turn, bounds, now),
     );
   }
 
@@ -151,7 +151,7 @@
       if (
         standing === STANDING_ORDER.leaving ||
         upstream.ejection.isEjected(now) ||
-        upstream.warmth.takesTurns(now)
+        upstream.warmupState.usesTimeSlots(now)
       ) {
         continue;
       }
@@ -171,7 +171,7 @@
     if (!this.presence.isMixed(now)) {
       return candidates;
     }
-    const clear = candidates.filter((upstream) => upstream.isClear(now));
+    const clear = candidates.filter((upstream) => upstream.isProbablyFree(now));
     return clear.length > 0 ? clear : candidates;
   }
 
@@ -182,12 +182,12 @@
   get isOutOfUse(): boolean {
     const upstreams = this.sortedUpstreams;
     const isAnyOut = upstreams.some(({ isEvacuated }) => isEvacuated);
-    return isAnyOut && upstreams.every(({ evidence }) => evidence.operatorLeaving);
+    return isAnyOut && upstreams.every(({ evidence }) => evidence.isDrainedByOperator);
   }
 
   /** Mean time of requests that find a free slot, in milliseconds; `null` while there were none. */
   unhinderedMillis(): number | null {
-    return meanOf(this.sortedUpstreams, ({ unhinderedMillis }) => unhinderedMillis);
+    return meanOf(this.sortedUpstreams, ({ unqueuedMillis: unhinderedMillis }) => unhinderedMillis);
   }
 
   /** Mean time of an attempt over the upstreams that have answered, in milliseconds; `null` if none has. */
--- a/src/routing/upstream/fleet-sums.ts
+++ b/src/routing/upstream/fleet-sums.ts
@@ -18,17 +18,17 @@
   #demand = new Map<string, Sum>();
 
   /** Records how long an upstream worked on a request, as far as known. */
-  worked(upstream: UpstreamId, kind: string, workMillis: number): void {
+  recordWork(upstream: UpstreamId, kind: string, workMillis: number): void {
     addSample(this.#upstreams, `${upstream}${SEPARATOR}${kind}`, workMillis);
   }
 
   /** Records a request for a service. */
-  asked(service: ServiceName, kind: string): void {
+  recordDemand(service: ServiceName, kind: string): void {
     addSample(this.#demand, `${service}${SEPARATOR}${kind}`, 0);
   }
 
   /** Returns the samples since the last call and resets them. `outOfService`: upstreams that this router avoids. */
-  take(outOfService: readonly UpstreamId[]): { upstreams: UpstreamSample[]; demand: DemandSample[] } {
+  takeSamples(outOfService: readonly UpstreamId[]): { upstreams: UpstreamSample[]; demand: DemandSample[] } {
     const outSamples = outOfService.map((upstream) => ({
       upstream,
       kind: '',
--- a/src/routing/upstream/fleet-view.ts
+++ b/src/routing/upstream/fleet-view.ts
@@ -5,9 +5,9 @@
   /** Relative speed of an upstream, 1 for the mean of its service; `null` if no difference is known. */
   speedOf(upstream: UpstreamId, now: MonotonicMillis): number | null;
   /** Service time of a request at an upstream of speed 1, in milliseconds; `null` if the service's upstreams aren't known to differ. */
-  unevenMillis(service: ServiceName, zone: Zone, now: MonotonicMillis): number | null;
+  meanMillisIfUneven(service: ServiceName, zone: Zone, now: MonotonicMillis): number | null;
   /** Records the load that an answer from a zone reported, relative to its upstream's capacity: 1 if all slots of an upstream of speed 1 are used. */
-  noteTurns(service: ServiceName, zone: Zone, relativeLoad: number, now: MonotonicMillis): void;
+  recordRelativeLoad(service: ServiceName, zone: Zone, relativeLoad: number, now: MonotonicMillis): void;
   /** The usual relative load in a zone; `null` if unknown. */
-  usualTurns(service: ServiceName, zone: Zone): number | null;
+  usualRelativeLoad(service: ServiceName, zone: Zone): number | null;
 }
--- a/src/routing/upstream/reported-load.ts
+++ b/src/routing/upstream/reported-load.ts
@@ -18,7 +18,7 @@
   #reportedAt = Number.NEGATIVE_INFINITY;
 
   /** Decayed number of outstanding requests of other routers. */
-  foreign(now: number): number {
+  foreignLoad(now: number): number {
     return this.#foreignLoad * Math.exp((this.#reportedAt - now) / DECAY_MILLIS);
   }
 
@@ -42,7 +42,7 @@
   /** Records a report of `load` outstanding requests, which include this router's own `inFlight`. */
   report(load: number, inFlight: number, slots: number, now: number): void {
     const weight = 1 - Math.exp((this.#reportedAt - now) / AVERAGING_MILLIS);
-    const previous = this.foreign(now);
+    const previous = this.foreignLoad(now);
     const reported = foreignLoadOf(load, inFlight, slots);
     this.#foreignLoad = previous + weight * (reported - previous);
     this.#usualLoad +=
@@ -51,19 +51,19 @@
   }
 
   /** Records a rejection for lack of capacity; `load` is `Infinity` if the upstream didn't report its load. */
-  refusedAsFull(load: number, inFlight: number, slots: number, now: number): void {
+  recordOverload(load: number, inFlight: number, slots: number, now: number): void {
     this.#foreignLoad = foreignLoadOf(load, inFlight, slots);
     this.#reportedAt = now;
   }
 
   /** Milliseconds until the load of other routers has decayed below `threshold`; 0 if it has already. */
   millisUntilBelow(threshold: number, now: number): number {
-    const foreign = this.foreign(now);
+    const foreign = this.foreignLoad(now);
     return foreign < threshold ? 0 : DECAY_MILLIS * Math.log(foreign / threshold);
   }
 
   /** Discards the reports, which were about an earlier run. */
-  forget(): void {
+  reset(): void {
     this.#reportedAt = Number.NEGATIVE_INFINITY;
   }
 }
--- a/src/routing/upstream/service-times.ts
+++ b/src/routing/upstream/service-times.ts
@@ -20,7 +20,7 @@
   }
 
   /** Smoothed time of attempts that found a free slot, in milliseconds; `null` before the first one. */
-  get unhinderedMillis(): number | null {
+  get unqueuedMillis(): number | null {
     return this.#unqueued;
   }
 
@@ -29,7 +29,7 @@
   }
 
   /** Records the answer to an attempt that found a free slot. */
-  answeredUnhindered(tookMillis: number): void {
+  recordUnqueuedAnswer(tookMillis: number): void {
     this.#unqueued = smooth(this.#unqueued, tookMillis);
   }
 }
--- a/src/routing/upstream/leaving-table.ts
+++ b/src/routing/upstream/standing.ts
@@ -16,24 +16,24 @@
 /** How long a failed connection counts as evidence against an upstream, unless a request succeeds meanwhile. */
 export const FRESH_UNREACHABLE_MILLIS = 1000;
 /** Each further failure in a row counts twice as long, up to this maximum, so that an upstream that is gone is tried less and less often. */
-export const LONGEST_UNREACHABLE_MILLIS = 8000;
+export const MAX_UNREACHABLE_MILLIS = 8000;
 /** A hint of the platform or of a health check expires after this time unless it is repeated. */
 export const HINT_LIFETIME_MILLIS = 15_000;
 
 /** Input of `standingOf`: the columns of its table. */
 export interface StandingFacts {
-  readonly operatorLeaving: boolean;
+  readonly isDrainedByOperator: boolean;
   /** The upstream's address answered as another run, so this run has ended. */
   readonly hasEnded: boolean;
   /** The run reported in an answer that it is draining. */
-  readonly saysLeaving: boolean;
+  readonly reportsDraining: boolean;
   /** The upstream's fence recently refused a request as `draining`, and no request has succeeded since. */
-  readonly ownDraining: boolean;
+  readonly hasDrainingRefusal: boolean;
   /** A request of this router recently succeeded. */
-  readonly ownSuccess: boolean;
+  readonly hasRecentSuccess: boolean;
   /** A connection of this router recently failed, and no request has succeeded since. */
-  readonly ownUnreachable: boolean;
-  readonly platformLeaving: boolean;
+  readonly hasFailedConnection: boolean;
+  readonly platformReportsDraining: boolean;
   readonly probeUnhealthy: boolean;
 }
 
@@ -53,21 +53,21 @@
  * serve, and an upstream that is really draining reports it itself.
  */
 export function standingOf(facts: StandingFacts): Standing {
-  if (facts.operatorLeaving || facts.hasEnded || facts.saysLeaving || facts.ownDraining) {
+  if (facts.isDrainedByOperator || facts.hasEnded || facts.reportsDraining || facts.hasDrainingRefusal) {
     return 'leaving';
   }
-  if (facts.platformLeaving && !facts.ownSuccess) {
+  if (facts.platformReportsDraining && !facts.hasRecentSuccess) {
     return 'last-resort';
   }
-  const isDoubtful = facts.platformLeaving || facts.probeUnhealthy || facts.ownUnreachable;
+  const isDoubtful = facts.platformReportsDraining || facts.probeUnhealthy || facts.hasFailedConnection;
   return isDoubtful ? 'suspect' : 'usable';
 }
 
 /** Evidence about one upstream, with timestamps. */
 export class StandingEvidence {
-  operatorLeaving = false;
+  isDrainedByOperator = false;
   /** The current run reported that it is draining; later successes don't change that. */
-  saysLeaving = false;
+  reportsDraining = false;
   private hasEnded = false;
   private successAt = Number.NEGATIVE_INFINITY;
   private drainingAt = Number.NEGATIVE_INFINITY;
@@ -76,41 +76,41 @@
   private platformLeavingAt = Number.NEGATIVE_INFINITY;
   private unhealthyAt = Number.NEGATIVE_INFINITY;
 
-  succeeded(now: number): void {
+  recordSuccess(now: number): void {
     this.successAt = now;
   }
 
-  refusedAsDraining(now: number): void {
+  recordDrainingRefusal(now: number): void {
     this.drainingAt = now;
   }
 
   /** Records the end of the run, which is certain for upstreams whose runs have ids. */
-  runEnded(): void {
+  recordRunEnd(): void {
     this.hasEnded = true;
   }
 
-  connectionFailed(now: number): void {
+  recordConnectionFailure(now: number): void {
     const isFirst = this.successAt > this.unreachableAt || this.unreachableMillis === 0;
     const isSeparateFailure = now - this.unreachableAt >= FRESH_UNREACHABLE_MILLIS;
     if (isFirst) {
       this.unreachableMillis = FRESH_UNREACHABLE_MILLIS;
     } else if (isSeparateFailure) {
       // Attempts that fail together count as one failure.
-      this.unreachableMillis = Math.min(LONGEST_UNREACHABLE_MILLIS, this.unreachableMillis * 2);
+      this.unreachableMillis = Math.min(MAX_UNREACHABLE_MILLIS, this.unreachableMillis * 2);
     }
     this.unreachableAt = now;
   }
 
-  platformSays(leaving: boolean, now: number): void {
+  recordPlatformState(leaving: boolean, now: number): void {
     this.platformLeavingAt = leaving ? now : Number.NEGATIVE_INFINITY;
   }
 
-  probeSays(healthy: boolean, now: number): void {
+  recordProbe(healthy: boolean, now: number): void {
     this.unhealthyAt = healthy ? Number.NEGATIVE_INFINITY : now;
   }
 
   /** Discards the evidence, which was about an earlier incarnation. */
-  forget(): void {
+  reset(): void {
     this.hasEnded = false;
     this.successAt = Number.NEGATIVE_INFINITY;
     this.drainingAt = Number.NEGATIVE_INFINITY;
@@ -120,20 +120,20 @@
   }
 
   /** Whether an operator or the upstream itself declared it to be draining. */
-  get isToldLeaving(): boolean {
-    return this.operatorLeaving || this.saysLeaving;
+  get isDeclaredDraining(): boolean {
+    return this.isDrainedByOperator || this.reportsDraining;
   }
 
   standing(now: number): Standing {
     return standingOf({
-      operatorLeaving: this.operatorLeaving,
+      isDrainedByOperator: this.isDrainedByOperator,
       hasEnded: this.hasEnded,
-      saysLeaving: this.saysLeaving,
-      ownDraining: now - this.drainingAt < FRESH_DRAINING_MILLIS && this.drainingAt >= this.successAt,
-      ownSuccess: now - this.successAt < FRESH_SUCCESS_MILLIS,
-      ownUnreachable:
+      reportsDraining: this.reportsDraining,
+      hasDrainingRefusal: now - this.drainingAt < FRESH_DRAINING_MILLIS && this.drainingAt >= this.successAt,
+      hasRecentSuccess: now - this.successAt < FRESH_SUCCESS_MILLIS,
+      hasFailedConnection:
         now - this.unreachableAt < this.unreachableMillis && this.unreachableAt >= this.successAt,
-      platformLeaving: now - this.platformLeavingAt < HINT_LIFETIME_MILLIS,
+      platformReportsDraining: now - this.platformLeavingAt < HINT_LIFETIME_MILLIS,
       probeUnhealthy: now - this.unhealthyAt < HINT_LIFETIME_MILLIS,
     });
   }
--- a/src/routing/upstream/upstream-state.ts
+++ b/src/routing/upstream/upstream-state.ts
@@ -6,11 +6,11 @@
 import { SlotLimit } from '../room/slot-limit.js';
 import { hasRoom, mostForeignLoad, type UpstreamUse } from '../room/upstream-room.js';
 import type { FleetView } from './fleet-view.js';
-import { StandingEvidence } from './leaving-table.js';
 import { OutlierEjection } from './outlier-ejection.js';
 import { ReportedLoad } from './reported-load.js';
 import { ServiceTimes } from './service-times.js';
-import { Warmth } from './warmth.js';
+import { StandingEvidence } from './standing.js';
+import { WarmupState } from './warmup-state.js';
 
 /** Part of a service time added to the cost in proportion to the used slots, so that ties go to the less loaded upstream. */
 const TIE_BREAK_SHARE = 0.05;
@@ -25,14 +25,14 @@
   readonly slotLimit: SlotLimit;
   inFlight = 0;
   /** Headroom that the service keeps free for more important requests; `null` if none. */
-  rankRoom: RankRoom | null = null;
+  rankHeadroom: RankRoom | null = null;
   /** Notices of the current run; `null` if it has sent none. */
   notices: RunNotices | null = null;
   /** End of the pause that the upstream requested with a refusal. */
   pausedUntil = Number.NEGATIVE_INFINITY;
   /** Whether a connection has failed since the last success. */
   private wasUnreachable = false;
-  readonly warmth: Warmth;
+  readonly warmupState: WarmupState;
   readonly #serviceTimes = new ServiceTimes();
   readonly #reportedLoad = new ReportedLoad();
   #isEvacuated = false;
@@ -48,7 +48,7 @@
   ) {
     this.id = record.definition.id;
     this.slotLimit = new SlotLimit(slots);
-    this.warmth = new Warmth(this.id);
+    this.warmupState = new WarmupState(this.id);
     this.#updateOperatorLeaving();
   }
 
@@ -56,19 +56,19 @@
   evacuated(isEvacuated: boolean, now: number): void {
     if (this.#isEvacuated && !isEvacuated) {
       // The upstream was idle during the evacuation.
-      this.warmth.idled(now);
+      this.warmupState.markIdle(now);
     }
     this.#isEvacuated = isEvacuated;
     this.#updateOperatorLeaving();
   }
 
   /** Applies the warm-up time that the upstream last announced to control. */
-  hearWarmth(now: number): void {
-    this.warmth.announced(this.record.definition.announced?.warmupMillis ?? 0, now);
+  updateWarmup(now: number): void {
+    this.warmupState.announced(this.record.definition.announced?.warmupMillis ?? 0, now);
   }
 
   /** Sets the source of the fleet's measurements of this upstream. */
-  useFleetView(view: FleetView): void {
+  setFleetView(view: FleetView): void {
     this.#fleetView = view;
   }
 
@@ -105,8 +105,8 @@
   }
 
   /** Smoothed time of requests that found a free slot, in milliseconds; `null` before the first one. */
-  get unhinderedMillis(): number | null {
-    return this.#serviceTimes.unhinderedMillis;
+  get unqueuedMillis(): number | null {
+    return this.#serviceTimes.unqueuedMillis;
   }
 
   /** Whether one more request would find a free slot, according to the reported loads. */
@@ -118,26 +118,26 @@
   update(record: UpstreamRecord, now: number): void {
     const isRestarted = record.incarnation !== null && record.incarnation !== this.record.incarnation;
     if (isRestarted && this.record.incarnation !== null) {
-      this.evidence.forget();
+      this.evidence.reset();
       this.ejection = new OutlierEjection();
       this.pausedUntil = Number.NEGATIVE_INFINITY;
       this.wasUnreachable = false;
       this.coldSince = now;
-      this.#reportedLoad.forget();
+      this.#reportedLoad.reset();
     }
     const isNewRevision = record.revision !== this.record.revision;
     this.record = record;
     this.#updateOperatorLeaving();
     if (isNewRevision) {
-      this.warmth.heard();
-      this.hearWarmth(now);
+      this.warmupState.onUpdate();
+      this.updateWarmup(now);
     }
   }
 
   /** Sets the notices of the current run; `null` if it has sent none. */
-  useNotices(notices: RunNotices | null): void {
+  setNotices(notices: RunNotices | null): void {
     this.notices = notices;
-    this.evidence.saysLeaving = notices?.isLeaving ?? false;
+    this.evidence.reportsDraining = notices?.isLeaving ?? false;
   }
 
   /** Whether the upstream's notices admit one more request from this router now, regardless of capacity. */
@@ -146,8 +146,8 @@
   }
 
   /** End of the pause or back-off that the upstream requested. */
-  get opensAt(): number {
-    return Math.max(this.pausedUntil, this.notices?.rest.until ?? Number.NEGATIVE_INFINITY);
+  get pauseEndsAt(): number {
+    return Math.max(this.pausedUntil, this.notices?.backoff.until ?? Number.NEGATIVE_INFINITY);
   }
 
   /** Whether the upstream has set a rate limit for all routers together. */
@@ -160,21 +160,21 @@
     if (now < this.pausedUntil || !this.admits(now)) {
       return false;
     }
-    const above = this.rankRoom?.ranksAbove(rank, now) ?? 0;
-    if (above > 0 && this.rankRoom?.admits(rank, above, waitedShare, this.#reportedUse(now)) === false) {
+    const above = this.rankHeadroom?.ranksAbove(rank, now) ?? 0;
+    if (above > 0 && this.rankHeadroom?.admits(rank, above, waitedShare, this.#reportedUse(now)) === false) {
       return false;
     }
     return this.isAnnounced ? hasRoom(this.#use(now)) : this.inFlight < this.slotLimit.slots;
   }
 
   /** Whether the upstream probably has a free slot. */
-  isClear(now: number): boolean {
-    return this.rankRoom?.isClear(this.#reportedUse(now)) ?? true;
+  isProbablyFree(now: number): boolean {
+    return this.rankHeadroom?.isClear(this.#reportedUse(now)) ?? true;
   }
 
   /** Whether requests are probably queued at the upstream. */
-  isCrowded(now: number): boolean {
-    return this.rankRoom?.isCrowded(this.#reportedUse(now)) ?? false;
+  isProbablyQueueing(now: number): boolean {
+    return this.rankHeadroom?.isCrowded(this.#reportedUse(now)) ?? false;
   }
 
   dispatched(): void {
@@ -188,30 +188,30 @@
     this.slotLimit.answered(load, this.inFlight + 1, now);
     if (load !== null) {
       const relativeLoad = (load + 1) / (this.slotLimit.most * (this.fleetSpeed(now) ?? 1));
-      this.#fleetView?.noteTurns(this.service, this.zone, relativeLoad, now);
-      this.hintLoad(load, now);
+      this.#fleetView?.recordRelativeLoad(this.service, this.zone, relativeLoad, now);
+      this.recordLoad(load, now);
     }
   }
 
   /** Records the answer to an attempt that found a free slot. */
-  answeredUnhindered(tookMillis: number): void {
-    this.#serviceTimes.answeredUnhindered(tookMillis);
+  recordUnqueuedAnswer(tookMillis: number): void {
+    this.#serviceTimes.recordUnqueuedAnswer(tookMillis);
   }
 
   /** Records the load that an answer or a probe reported. */
-  hintLoad(load: number, now: number): void {
-    this.rankRoom?.reported(load, this.slotLimit.most, now);
+  recordLoad(load: number, now: number): void {
+    this.rankHeadroom?.reported(load, this.slotLimit.most, now);
     this.#reportedLoad.report(load, this.inFlight, this.slotLimit.most, now);
   }
 
   /** Records a rejection for lack of capacity; `load` is the number of outstanding requests, `Infinity` if unknown. */
-  refusedAsFull(load: number, now: number): void {
-    this.rankRoom?.reported(load, this.slotLimit.most, now);
-    this.#reportedLoad.refusedAsFull(load, this.inFlight, this.slotLimit.most, now);
+  recordOverload(load: number, now: number): void {
+    this.rankHeadroom?.reported(load, this.slotLimit.most, now);
+    this.#reportedLoad.recordOverload(load, this.inFlight, this.slotLimit.most, now);
   }
 
   /** Estimated milliseconds until there is capacity for one more request, by the load of other routers; 0 if there may be now. */
-  roomInMillis(now: number): number {
+  millisUntilCapacity(now: number): number {
     const pause = Math.max(0, this.pausedUntil - now);
     if (!this.isAnnounced || this.inFlight > this.slotLimit.most) {
       return pause;
@@ -220,24 +220,24 @@
   }
 
   /** Records a failed connection: the upstream may have stopped, and be cold when it is back. */
-  connectionFailed(now: number): void {
-    this.evidence.connectionFailed(now);
+  recordConnectionFailure(now: number): void {
+    this.evidence.recordConnectionFailure(now);
     this.wasUnreachable = true;
   }
 
-  succeeded(now: number): void {
+  recordSuccess(now: number): void {
     if (this.wasUnreachable) {
       this.wasUnreachable = false;
       this.coldSince = now;
     }
-    this.warmth.succeeded(now);
-    this.evidence.succeeded(now);
+    this.warmupState.recordSuccess(now);
+    this.evidence.recordSuccess(now);
     this.ejection.succeeded(now);
   }
 
   /** Decayed number of outstanding requests of other routers. */
   load(now: number): number {
-    return this.#reportedLoad.foreign(now);
+    return this.#reportedLoad.foreignLoad(now);
   }
 
   /**
@@ -251,20 +251,20 @@
     }
     const outstanding = this.inFlight + 1 + this.load(now);
     // Queueing is counted in rounds below, so the time of one round must not include waiting for other requests.
-    const roundMillis = this.isAnnounced ? (this.unhinderedMillis ?? this.serviceMillis) : this.serviceMillis;
+    const roundMillis = this.isAnnounced ? (this.unqueuedMillis ?? this.serviceMillis) : this.serviceMillis;
     const rounds = this.isAnnounced ? this.roundsOf(outstanding) : outstanding;
     return (rounds * roundMillis) / this.#slowStartShare(now);
   }
 
   /** The same by the fleet's measurements; `null` if they show no difference or have expired. */
   #costByFleet(now: number): number | null {
-    const fleetRoundMillis = this.#fleetView?.unevenMillis(this.service, this.zone, now) ?? null;
+    const fleetRoundMillis = this.#fleetView?.meanMillisIfUneven(this.service, this.zone, now) ?? null;
     if (fleetRoundMillis === null || !this.isAnnounced) {
       return null;
     }
     const speed = this.fleetSpeed(now) ?? 1;
     const { most } = this.slotLimit;
-    const zoneUsual = (this.#fleetView?.usualTurns(this.service, this.zone) ?? 0) * speed * most;
+    const zoneUsual = (this.#fleetView?.usualRelativeLoad(this.service, this.zone) ?? 0) * speed * most;
     const others = this.#reportedLoad.expected(Math.max(0, zoneUsual - this.inFlight - 1), now);
     return (this.roundsOf(this.inFlight + 1 + others) * fleetRoundMillis) / speed;
   }
@@ -295,6 +295,6 @@
   }
 
   #updateOperatorLeaving(): void {
-    this.evidence.operatorLeaving = this.record.definition.leaving || this.#isEvacuated;
+    this.evidence.isDrainedByOperator = this.record.definition.leaving || this.#isEvacuated;
   }
 }
--- a/src/routing/upstream/warmth.ts
+++ b/src/routing/upstream/warmup-state.ts
@@ -5,7 +5,7 @@
 import type { WarmupBounds } from '../../model/warmup-bounds.js';
 import { turnsPerSecond, WarmupTurns } from '../room/warmup-turns.js';
 
-export class Warmth {
+export class WarmupState {
   #terms: WarmupTerms | null = null;
   /** End of the warm-up that the upstream announced or that the router assumes. */
   #coldUntil = Number.NEGATIVE_INFINITY;
@@ -16,7 +16,7 @@
   constructor(private readonly upstream: UpstreamId) {}
 
   /** Sets the service's limits for cold upstreams; `null` if it declares none. */
-  useTerms(terms: WarmupTerms | null): void {
+  setTerms(terms: WarmupTerms | null): void {
     this.#terms = terms;
   }
 
@@ -26,24 +26,24 @@
   }
 
   /** Whether routers use time slots there for requests that any upstream can serve: the upstream is cold, or may be. */
-  takesTurns(now: number): boolean {
+  usesTimeSlots(now: number): boolean {
     return this.#terms !== null && (this.#mayHaveRestarted || now < this.#coldUntil);
   }
 
   /** Whether this router has a time slot now at an upstream that is or may be cold. */
-  isTurn({ inZone }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
+  hasTimeSlot({ inZone }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
     const terms = this.#terms;
     return terms !== null && this.#timeSlotsFrom(now).isDue(inZone, turnsPerSecond(terms, bounds), now);
   }
 
   /** Whether this router may send one more request for its keys to a cold owner. */
-  isOwnerTurn({ inAll }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
+  hasOwnerTimeSlot({ inAll }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
     const terms = this.#terms;
     return terms === null || this.#timeSlotsFrom(now).isLeft(inAll, turnsPerSecond(terms, bounds), now);
   }
 
   /** Records a sent request. `place`: the router's place from which the time slot was derived. */
-  useTurn(place: RoundPlace, bounds: WarmupBounds, now: number): void {
+  useTimeSlot(place: RoundPlace, bounds: WarmupBounds, now: number): void {
     if (this.#terms !== null) {
       this.#timeSlotsFrom(now).use(place, turnsPerSecond(this.#terms, bounds), now);
     }
@@ -59,12 +59,12 @@
   }
 
   /** Records that the upstream was idle for long and may have cooled down. */
-  idled(now: number): void {
+  markIdle(now: number): void {
     this.#becomeCold(now, this.#terms?.millis ?? 0);
   }
 
   /** Records an update from control, after which the run at the upstream's address is known again. */
-  heard(): void {
+  onUpdate(): void {
     this.#mayHaveRestarted = false;
   }
 
@@ -72,14 +72,14 @@
    * Records a refused connection. Until the next update from control, the process that answers next may be cold, and all routers that avoided
    * the upstream would try it at the same moment.
    */
-  notListening(now: number): void {
+  onConnectionRefused(now: number): void {
     if (!this.#mayHaveRestarted) {
       this.#becomeCold(now, 0);
       this.#mayHaveRestarted = true;
     }
   }
 
-  succeeded(now: number): void {
+  recordSuccess(now: number): void {
     if (this.#mayHaveRestarted) {
       this.#mayHaveRestarted = false;
       this.#coldUntil = Math.max(this.#coldUntil, now + (this.#terms?.millis ?? 0));
--- a/src/routing/zones/fleet-reports.ts
+++ b/src/routing/zones/fleet-reports.ts
@@ -23,14 +23,14 @@
       if (effect.type === 'refuse' && effect.facts !== null && CAPACITY_REFUSALS.has(effect.reason)) {
         const { service, route } = effect.facts;
         if (services.get(service)?.definition.keyed === false) {
-          fleetSums.asked(service, route ?? service);
+          fleetSums.recordDemand(service, route ?? service);
         }
       }
     }
   }
 
   /** Builds the next report; `null` if no service without keys has an upstream that announces its slots. */
-  take(): FleetReport | null {
+  nextReport(): FleetReport | null {
     const { services, config, fleet, fleetSums, now } = this.context;
     const upstreams = [...services.values()]
       .filter(({ definition }) => !definition.keyed)
@@ -40,11 +40,16 @@
     }
     const outOfService = upstreams.filter((upstream) => isOutOfService(upstream, now)).map(({ id }) => id);
     this.#number += 1;
-    return { zone: config.zone, number: this.#number, have: fleet.version, ...fleetSums.take(outOfService) };
+    return {
+      zone: config.zone,
+      number: this.#number,
+      have: fleet.version,
+      ...fleetSums.takeSamples(outOfService),
+    };
   }
 }
 
 /** Whether this router avoids the upstream because of its own evidence, rather than because the upstream is declared to be draining. */
 function isOutOfService({ evidence, ejection }: UpstreamState, now: number): boolean {
-  return ejection.isEjected(now) || (!evidence.isToldLeaving && evidence.standing(now) !== 'usable');
+  return ejection.isEjected(now) || (!evidence.isDeclaredDraining && evidence.standing(now) !== 'usable');
 }
--- a/src/routing/zones/fleet-knowledge.ts
+++ b/src/routing/zones/fleet-view-cache.ts
@@ -17,7 +17,7 @@
   at: MonotonicMillis;
 }
 
-export class FleetKnowledge implements FleetView {
+export class FleetViewCache implements FleetView {
   #version: FleetVersion = UNTOLD_VERSION;
   #receivedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   readonly #speeds = new Map<UpstreamId, number>();
@@ -29,7 +29,7 @@
     return this.#version;
   }
 
-  take({ version, isWhole, speeds, zones }: FleetNews, now: MonotonicMillis): void {
+  update({ version, isWhole, speeds, zones }: FleetNews, now: MonotonicMillis): void {
     if (!isWhole && (version.term !== this.#version.term || version.number < this.#version.number)) {
       return;
     }
@@ -49,7 +49,7 @@
   }
 
   /** Removes an upstream: another run under its id may have another speed. */
-  forget(upstream: UpstreamId): void {
+  removeUpstream(upstream: UpstreamId): void {
     this.#speeds.delete(upstream);
   }
 
@@ -58,16 +58,16 @@
   }
 
   /** Demand and capacity of a zone; `null` if they are unknown or expired. */
-  roomOf(service: ServiceName, zone: Zone, now: MonotonicMillis): ZoneRoom | null {
+  capacityOf(service: ServiceName, zone: Zone, now: MonotonicMillis): ZoneRoom | null {
     return this.#isFresh(now) ? (this.#capacities.get(service)?.get(zone) ?? null) : null;
   }
 
-  unevenMillis(service: ServiceName, zone: Zone, now: MonotonicMillis): number | null {
-    const capacity = this.roomOf(service, zone, now);
+  meanMillisIfUneven(service: ServiceName, zone: Zone, now: MonotonicMillis): number | null {
+    const capacity = this.capacityOf(service, zone, now);
     return capacity?.isUneven === true ? capacity.meanMillis : null;
   }
 
-  noteTurns(service: ServiceName, zone: Zone, relativeLoad: number, now: MonotonicMillis): void {
+  recordRelativeLoad(service: ServiceName, zone: Zone, relativeLoad: number, now: MonotonicMillis): void {
     const name = `${service} ${zone}`;
     const usual = this.#usualLoads.get(name);
     if (usual === undefined) {
@@ -79,7 +79,7 @@
     usual.at = now;
   }
 
-  usualTurns(service: ServiceName, zone: Zone): number | null {
+  usualRelativeLoad(service: ServiceName, zone: Zone): number | null {
     return this.#usualLoads.get(`${service} ${zone}`)?.relativeLoad ?? null;
   }
 
--- a/src/routing/zones/spill-turns.ts
+++ b/src/routing/zones/spill-credits.ts
@@ -8,7 +8,7 @@
 /** Limit of a zone's credit, in requests, which grows while no upstream there is reachable. */
 const MAX_CREDIT = 2;
 
-export class SpillTurns {
+export class SpillCredits {
   /** Credit of each zone, in requests. */
   readonly #credits = new Map<Zone, number>();
 
@@ -16,7 +16,7 @@
    * Returns the zone that the next request goes to; `null` for the router's own zone. Credits start at random values, so that the shares are kept
    * over many routers with few requests each.
    */
-  next(parts: readonly SpillPart[], random: Random): Zone | null {
+  nextZone(parts: readonly SpillPart[], random: Random): Zone | null {
     for (const zone of this.#credits.keys()) {
       if (!parts.some((part) => part.zone === zone)) {
         this.#credits.delete(zone);
@@ -39,7 +39,7 @@
   }
 
   /** Whether a request may be sent to a zone before its credit is due; a later one is then left out. */
-  mayGoAhead(zone: Zone): boolean {
+  maySendAhead(zone: Zone): boolean {
     return this.creditOf(zone) > -MAX_DEBT && this.#credits.has(zone);
   }
 
--- a/test/routing/announced-picking.test.ts
+++ b/test/routing/announced-picking.test.ts
@@ -94,7 +94,7 @@
     const loaded = announced('u2', 'a', 2);
     occupy(loaded, 1);
     for (let time = 1; time < 400; time += 20) {
-      loaded.hintLoad(9, time);
+      loaded.recordLoad(9, time);
     }
     expect(loaded.hasSlot(400, 0)).to.equal(false);
     expect(announced('u3', 'a', 2).hasSlot(0, 0)).to.equal(true);
@@ -118,8 +118,8 @@
   it('of the own zone are picked, however slow, while they are expected to answer in time', () => {
     const near = announced('u1', 'a');
     const far = announced('u2', 'b');
-    near.answeredUnhindered(200);
-    far.answeredUnhindered(60);
+    near.recordUnqueuedAnswer(200);
+    far.recordUnqueuedAnswer(60);
     expect(zoneOfPick(near, far)).to.equal('b');
     expect(zoneOfPick(near, far, 240)).to.equal('a');
     occupy(near, 4);
--- a/test/routing/fleet-picking.test.ts
+++ b/test/routing/fleet-picking.test.ts
@@ -7,8 +7,8 @@
 import type { PickContext } from '../../src/routing/picker/picker.js';
 import { Random } from '../../src/routing/random.js';
 import { affinityOf } from '../../src/routing/upstream/affinity.js';
-import { FleetKnowledge } from '../../src/routing/zones/fleet-knowledge.js';
-import { SpillTurns } from '../../src/routing/zones/spill-turns.js';
+import { FleetViewCache } from '../../src/routing/zones/fleet-view-cache.js';
+import { SpillCredits } from '../../src/routing/zones/spill-credits.js';
 import { upstream } from './router-harness.js';
 
 const ROOM: ZoneRoom = { service: 'menu', zone: 'a', meanMillis: 100, isUneven: true, use: 0.5, spill: [] };
@@ -18,12 +18,12 @@
   return { type: 'fleet-news', version, isWhole: true, speeds: [], zones: [ROOM], ...changes };
 }
 
-function upstreamsOf(count: number, fleet: FleetKnowledge, router = 'r1', zone = 'a'): UpstreamState[] {
+function upstreamsOf(count: number, fleet: FleetViewCache, router = 'r1', zone = 'a'): UpstreamState[] {
   return Array.from({ length: count }, (_, index) => {
     const id = `${zone}-${(7919 * (index + 1)).toString(16)}`;
     const record = upstream(id, 'menu', { zone, announced: { slots: 2, warmupMillis: 0 } });
     const state = new UpstreamState(record, 2, Number.NEGATIVE_INFINITY, affinityOf(router, id));
-    state.useFleetView(fleet);
+    state.setFleetView(fleet);
     return state;
   });
 }
@@ -35,26 +35,26 @@
 
 describe('a fleet update from control', () => {
   it('expires if it isn’t renewed for some seconds', () => {
-    const fleet = new FleetKnowledge();
-    fleet.take(updateOf({ speeds: [{ upstream: 'u1', speed: 0.7 }] }), 1000);
+    const fleet = new FleetViewCache();
+    fleet.update(updateOf({ speeds: [{ upstream: 'u1', speed: 0.7 }] }), 1000);
     expect(fleet.speedOf('u1', 5900)).to.equal(0.7);
     expect(fleet.speedOf('u1', 6100)).to.equal(null);
-    expect(fleet.roomOf('menu', 'a', 6100)).to.equal(null);
-    fleet.take(updateOf({ isWhole: false, zones: [] }), 6200);
+    expect(fleet.capacityOf('menu', 'a', 6100)).to.equal(null);
+    fleet.update(updateOf({ isWhole: false, zones: [] }), 6200);
     expect(fleet.speedOf('u1', 6300)).to.equal(0.7);
   });
 
   it('of another leader replaces earlier data', () => {
-    const fleet = new FleetKnowledge();
-    fleet.take(updateOf({ speeds: [{ upstream: 'u1', speed: 0.7 }] }), 0);
-    fleet.take(updateOf({ version: { term: 2, number: 0 }, zones: [] }), 100);
+    const fleet = new FleetViewCache();
+    fleet.update(updateOf({ speeds: [{ upstream: 'u1', speed: 0.7 }] }), 0);
+    fleet.update(updateOf({ version: { term: 2, number: 0 }, zones: [] }), 100);
     expect(fleet.speedOf('u1', 200)).to.equal(null);
   });
 
   it('is ignored if it is older than the present data', () => {
-    const fleet = new FleetKnowledge();
-    fleet.take(updateOf({ version: { term: 1, number: 5 } }), 0);
-    fleet.take(updateOf({ isWhole: false, speeds: [{ upstream: 'u1', speed: 3 }] }), 100);
+    const fleet = new FleetViewCache();
+    fleet.update(updateOf({ version: { term: 1, number: 5 } }), 0);
+    fleet.update(updateOf({ isWhole: false, speeds: [{ upstream: 'u1', speed: 3 }] }), 100);
     expect(fleet.speedOf('u1', 200)).to.equal(null);
   });
 });
@@ -62,15 +62,15 @@
 describe('picks', () => {
   it('are the same as without an update while speeds are equal and no zone lacks capacity', () => {
     const picksWith = (room: ZoneRoom | null): string[] => {
-      const fleet = new FleetKnowledge();
+      const fleet = new FleetViewCache();
       if (room !== null) {
-        fleet.take(updateOf({ zones: [room] }), 0);
+        fleet.update(updateOf({ zones: [room] }), 0);
       }
       const candidates = [...upstreamsOf(30, fleet), ...upstreamsOf(30, fleet, 'r1', 'b')];
       const picker = new LeastWorkPicker();
       const random = new Random(7);
       return Array.from({ length: 500 }, (_, index) => {
-        const picked = picker.pick(contextOf(candidates, { now: index, random, room }));
+        const picked = picker.pick(contextOf(candidates, { now: index, random, zoneCapacity: room }));
         picked.dispatched();
         picked.answered(40 + (index % 7), index % 3, index);
         picked.inFlight -= 1;
@@ -83,19 +83,19 @@
   it('distribute requests in proportion to speed while no loads are known', () => {
     const counts = [0, 0];
     for (let router = 0; router < 200; router += 1) {
-      const fleet = new FleetKnowledge();
+      const fleet = new FleetViewCache();
       const candidates = upstreamsOf(40, fleet, `edge-${router}`);
       const speeds = candidates.map(({ id }, index) => ({
         upstream: id,
         speed: index % 2 === 0 ? 0.5 : 1.5,
       }));
-      fleet.take(updateOf({ speeds }), 0);
+      fleet.update(updateOf({ speeds }), 0);
       // The usual load is twice the capacity of an upstream of speed 1, so the fast ones aren't free.
-      fleet.noteTurns('menu', 'a', 2, 0);
+      fleet.recordRelativeLoad('menu', 'a', 2, 0);
       const picker = new LeastWorkPicker();
       const random = new Random(router);
       for (let pick = 0; pick < 20; pick += 1) {
-        const picked = picker.pick(contextOf(candidates, { random, room: ROOM }));
+        const picked = picker.pick(contextOf(candidates, { random, zoneCapacity: ROOM }));
         counts[candidates.indexOf(picked) % 2] = (counts[candidates.indexOf(picked) % 2] ?? 0) + 1;
       }
     }
@@ -104,22 +104,22 @@
   });
 
   it('go to the fast upstream while it has capacity', () => {
-    const fleet = new FleetKnowledge();
+    const fleet = new FleetViewCache();
     const candidates = upstreamsOf(6, fleet);
     const speeds = candidates.map(({ id }, index) => ({ upstream: id, speed: index === 0 ? 1.6 : 0.8 }));
-    fleet.take(updateOf({ speeds }), 0);
+    fleet.update(updateOf({ speeds }), 0);
     const [first] = candidates;
     const random = new Random(1);
     let fastFirst = 0;
     for (let pick = 0; pick < 1000; pick += 1) {
-      const picked = new LeastWorkPicker().pick(contextOf(candidates, { random, room: ROOM }));
+      const picked = new LeastWorkPicker().pick(contextOf(candidates, { random, zoneCapacity: ROOM }));
       fastFirst += picked === first ? 1 : 0;
     }
     expect(fastFirst / 1000).to.be.above(0.95);
   });
 
   it('leave the zone in the planned share even if each router has few requests', () => {
-    const fleet = new FleetKnowledge();
+    const fleet = new FleetViewCache();
     const spill = [{ zone: 'b', share: 0.25 }];
     const random = new Random(1);
     let remotePicks = 0;
@@ -127,7 +127,7 @@
       const candidates = [...upstreamsOf(4, fleet), ...upstreamsOf(4, fleet, 'r1', 'b')];
       const picker = new LeastWorkPicker();
       for (let pick = 0; pick < 3; pick += 1) {
-        const picked = picker.pick(contextOf(candidates, { random, room: { ...ROOM, spill } }));
+        const picked = picker.pick(contextOf(candidates, { random, zoneCapacity: { ...ROOM, spill } }));
         remotePicks += picked.zone === 'b' ? 1 : 0;
       }
     }
@@ -137,12 +137,12 @@
 
 describe('spill credits', () => {
   it('are dropped for a zone that is removed from the plan', () => {
-    const credits = new SpillTurns();
+    const credits = new SpillCredits();
     const random = new Random(1);
     for (let turn = 0; turn < 10; turn += 1) {
-      credits.next([{ zone: 'b', share: 0.9 }], random);
+      credits.nextZone([{ zone: 'b', share: 0.9 }], random);
     }
-    expect(credits.next([], random)).to.equal(null);
-    expect(credits.mayGoAhead('b')).to.equal(false);
+    expect(credits.nextZone([], random)).to.equal(null);
+    expect(credits.maySendAhead('b')).to.equal(false);
   });
 });
--- a/test/routing/request-limit.test.ts
+++ b/test/routing/request-limit.test.ts
@@ -28,23 +28,23 @@
 
   it('admits this router’s even share while control issues no permits', () => {
     const limit = makeLimit();
-    limit.hear(50, { attempt: 1, latest: 1 }, 0);
+    limit.recordAnswer(50, { attempt: 1, latest: 1 }, 0);
     // A fifth of 50 per second is shared evenly; a tenth of that is this router's: one per second.
     expect(countSent(limit, 0, 20_000)).to.be.within(19, 21);
   });
 
   it('admits as many requests as control issued permits, while the permits are valid', () => {
     const limit = makeLimit();
-    limit.hear(1, { attempt: 1, latest: 1 }, 0);
-    limit.take(3, PERMIT_MILLIS);
+    limit.recordAnswer(1, { attempt: 1, latest: 1 }, 0);
+    limit.addPermits(3, PERMIT_MILLIS);
     expect(countSent(limit, 0, 100)).to.equal(3);
-    limit.take(3, 100 + PERMIT_MILLIS);
+    limit.addPermits(3, 100 + PERMIT_MILLIS);
     expect(countSent(limit, 101 + PERMIT_MILLIS, 1000)).to.equal(0);
   });
 
   it('drops unused time slots', () => {
     const limit = makeLimit();
-    limit.hear(50, { attempt: 1, latest: 1 }, 0);
+    limit.recordAnswer(50, { attempt: 1, latest: 1 }, 0);
     for (let now = 0; now < 10_000; now += 10) {
       limit.admits(now);
     }
@@ -53,42 +53,42 @@
 
   it('has no time slots for a time without a limit', () => {
     const limit = makeLimit(0.1);
-    limit.hear(50, { attempt: 1, latest: 1 }, 0);
-    limit.hear(null, { attempt: 2, latest: 2 }, 100);
-    limit.hear(50, { attempt: 3, latest: 3 }, 60_000);
+    limit.recordAnswer(50, { attempt: 1, latest: 1 }, 0);
+    limit.recordAnswer(null, { attempt: 2, latest: 2 }, 100);
+    limit.recordAnswer(50, { attempt: 3, latest: 3 }, 60_000);
     expect(countSent(limit, 60_000, 500)).to.equal(0);
   });
 
   it('ends with an answer without a limit if its attempt started after the limit was last received', () => {
     const limit = makeLimit();
-    limit.hear(5, { attempt: 4, latest: 9 }, 0);
-    expect(limit.hear(null, { attempt: 9, latest: 20 }, 50)).to.equal(false);
+    limit.recordAnswer(5, { attempt: 4, latest: 9 }, 0);
+    expect(limit.recordAnswer(null, { attempt: 9, latest: 20 }, 50)).to.equal(false);
     expect(limit.perSecond).to.equal(5);
-    expect(limit.hear(null, { attempt: 10, latest: 20 }, 60)).to.equal(true);
+    expect(limit.recordAnswer(null, { attempt: 10, latest: 20 }, 60)).to.equal(true);
     expect(limit.isInForce).to.equal(false);
   });
 
   it('falls at once and rises only by a later answer', () => {
     const limit = makeLimit();
-    limit.hear(5, { attempt: 4, latest: 9 }, 0);
-    expect(limit.hear(2, { attempt: 5, latest: 9 }, 10)).to.equal(true);
-    expect(limit.hear(8, { attempt: 9, latest: 9 }, 20)).to.equal(false);
-    expect(limit.hear(8, { attempt: 10, latest: 10 }, 30)).to.equal(true);
+    limit.recordAnswer(5, { attempt: 4, latest: 9 }, 0);
+    expect(limit.recordAnswer(2, { attempt: 5, latest: 9 }, 10)).to.equal(true);
+    expect(limit.recordAnswer(8, { attempt: 9, latest: 9 }, 20)).to.equal(false);
+    expect(limit.recordAnswer(8, { attempt: 10, latest: 10 }, 30)).to.equal(true);
     expect(limit.perSecond).to.equal(8);
   });
 
   it('applies a limit from control only if it is newer than its own', () => {
     const limit = makeLimit();
-    limit.hear(5, { attempt: 1, latest: 1 }, 1000);
-    expect(limit.hearFromControl({ perSecond: null, heardAgoMillis: 300 }, 1200)).to.equal(false);
-    expect(limit.hearFromControl({ perSecond: 3, heardAgoMillis: 100 }, 1200)).to.equal(true);
-    expect(limit.hearFromControl({ perSecond: null, heardAgoMillis: 0 }, 1200)).to.equal(true);
+    limit.recordAnswer(5, { attempt: 1, latest: 1 }, 1000);
+    expect(limit.recordFromControl({ perSecond: null, heardAgoMillis: 300 }, 1200)).to.equal(false);
+    expect(limit.recordFromControl({ perSecond: 3, heardAgoMillis: 100 }, 1200)).to.equal(true);
+    expect(limit.recordFromControl({ perSecond: null, heardAgoMillis: 0 }, 1200)).to.equal(true);
     expect(limit.isInForce).to.equal(false);
   });
 
   it('of 0 admits an occasional request, so that its end is noticed', () => {
     const limit = makeLimit(0.5, 1);
-    limit.hear(0, { attempt: 1, latest: 1 }, 0);
+    limit.recordAnswer(0, { attempt: 1, latest: 1 }, 0);
     expect(countSent(limit, 0, 60_000)).to.be.within(2, 4);
   });
 });
--- a/test/routing/unreachable-upstream.test.ts
+++ b/test/routing/unreachable-upstream.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { StandingEvidence } from '../../src/routing/upstream/leaving-table.js';
+import { StandingEvidence } from '../../src/routing/upstream/standing.js';
 import { ANSWERED, effectsOfType, RouterHarness, service, upstream } from './router-harness.js';
 
 function start(): RouterHarness {
@@ -57,11 +57,11 @@
   it('is treated as new once another run is there', () => {
     const evidence = new StandingEvidence();
     for (const now of [0, 1000, 3000]) {
-      evidence.connectionFailed(now);
+      evidence.recordConnectionFailure(now);
     }
     expect(evidence.standing(6000)).to.equal('suspect');
-    evidence.forget();
-    evidence.connectionFailed(10_000);
+    evidence.reset();
+    evidence.recordConnectionFailure(10_000);
     expect(evidence.standing(10_900)).to.equal('suspect');
     expect(evidence.standing(11_100)).to.equal('usable');
   });
--- a/test/routing/upstream-load.test.ts
+++ b/test/routing/upstream-load.test.ts
@@ -9,31 +9,31 @@
 describe('load that an upstream reports', () => {
   it('counts at once if it is the first report for a long time', () => {
     const state = makeState();
-    state.hintLoad(8, 1000);
+    state.recordLoad(8, 1000);
     expect(state.load(1000)).to.equal(8);
-    state.hintLoad(2, 60_000);
+    state.recordLoad(2, 60_000);
     expect(state.load(60_000)).to.be.closeTo(2, 0.01);
   });
 
   it('is averaged over reports in quick succession', () => {
     const state = makeState();
     for (let now = 0; now < 1000; now += 10) {
-      state.hintLoad(now % 20 === 0 ? 0 : 8, now);
+      state.recordLoad(now % 20 === 0 ? 0 : 8, now);
     }
     expect(state.load(1000)).to.be.within(3, 5);
   });
 
   it('is capped at the maximum load of an upstream', () => {
     const state = makeState();
-    state.hintLoad(10_000, 1000);
+    state.recordLoad(10_000, 1000);
     expect(state.load(1000)).to.equal(8);
-    state.hintLoad(0, 2000);
+    state.recordLoad(0, 2000);
     expect(state.load(2000)).to.be.below(1);
   });
 
   it('decays over time', () => {
     const state = makeState();
-    state.hintLoad(8, 1000);
+    state.recordLoad(8, 1000);
     expect(state.load(6000)).to.be.below(0.1);
   });
 });
