--- a/src/routing/attempt-evidence.ts
+++ b/src/routing/attempt-evidence.ts
@@ -86,7 +86,7 @@
   private recordUnreportedLoad({ service, terms, askedAt }: RequestGroup): void {
     const { now } = this.context;
     const isInTime = terms.targetMillis === null || now <= askedAt + terms.targetMillis;
-    service.rankRoom.answeredUnreported(terms.priority, isInTime, now);
+    service.rankRoom.onAnswerWithoutLoad(terms.priority, isInTime, now);
   }
 
   private countAnswer(attempt: Attempt, status: number, { tookMillis, load }: AnswerSample): void {
@@ -121,7 +121,7 @@
     }
     const { tookMillis, load } = sample;
     if (load !== null) {
-      const rounds = Math.max(1, (load + 1) / upstream.slotLimit.most);
+      const rounds = Math.max(1, (load + 1) / upstream.slotLimit.totalSlots);
       fleetSums.recordWork(upstream.id, measurementNameOf(group), tookMillis / rounds);
     } else if (foundFreeSlot) {
       fleetSums.recordWork(upstream.id, measurementNameOf(group), tookMillis);
@@ -134,7 +134,7 @@
       upstream.evidence.recordDrainingRefusal(now);
     }
     if (refusal === 'overloaded') {
-      upstream.slotLimit.overloaded(now);
+      upstream.slotLimit.onOverload(now);
       if (upstream.isAnnounced && load !== null) {
         upstream.recordOverload(load, now);
       }
--- a/src/routing/attempt-results.ts
+++ b/src/routing/attempt-results.ts
@@ -2,13 +2,13 @@
 import type { FenceRefusal } from '../lease/types.js';
 import type { Answers } from './answers.js';
 import { AttemptEvidence } from './attempt-evidence.js';
+import { isHotKeyRank } from './capacity/hot-keys.js';
 import type { Settlement } from './claim.js';
 import type { Dispatcher } from './dispatcher.js';
 import type { NoticeHandler } from './notices/notice-handler.js';
 import type { Admission } from './queue/admission.js';
 import type { Attempt, RequestGroup } from './request-group.js';
 import type { RequestIntake } from './request-intake.js';
-import { isOfHotKey } from './room/hot-keys.js';
 import type { RouterContext } from './router-context.js';
 import type { AttemptNumber, AttemptResult } from './types.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
@@ -196,14 +196,14 @@
   }
 
   private retryWithinBudget(group: RequestGroup): void {
-    if (this.admission.refuseHeldBack(group)) {
+    if (this.admission.refuseBlocked(group)) {
       return;
     }
     if (group.sentAttempts >= group.terms.maxAttempts) {
       this.answers.refuseGroup(group, 'attempts-spent', this.admission.retryAfter(group));
       return;
     }
-    if (!isOfHotKey(group.rank) && group.service.retryBudget.tryRetry()) {
+    if (!isHotKeyRank(group.rank) && group.service.retryBudget.tryRetry()) {
       this.dispatcher.requeue(group);
       return;
     }
@@ -213,7 +213,7 @@
 
 /** Estimates how long a busy upstream takes to free a slot. */
 function estimateSlotMillis({ serviceMillis, slotLimit }: UpstreamState): number {
-  return Math.max(UNREACHABLE_PAUSE_MILLIS, serviceMillis / slotLimit.most);
+  return Math.max(UNREACHABLE_PAUSE_MILLIS, serviceMillis / slotLimit.totalSlots);
 }
 
 /** Returns the settlement of a group whose last member left before the attempt ended; the ledger still needs the outcome. */
--- a/src/routing/attempt-starter.ts
+++ b/src/routing/attempt-starter.ts
@@ -34,11 +34,11 @@
       abandoned: false,
     };
     context.latestAttempt = attempt.number;
-    group.shardQueue?.drainRateOf(group.rank).took(context.now);
+    group.shardQueue?.drainRateOf(group.rank).recordDequeue(context.now);
     service.queues.remove(group);
     if (group.attempts === 0) {
       service.retryBudget.firstAttempt();
-      service.rankRoom.shares.started(group.terms.priority, context.now);
+      service.rankRoom.shares.onStart(group.terms.priority, context.now);
       if (!service.definition.keyed) {
         context.fleetSums.recordDemand(service.name, measurementNameOf(group));
       }
--- a/src/routing/room/hot-keys.ts
+++ b/src/routing/capacity/hot-keys.ts
@@ -33,7 +33,7 @@
 }
 
 /** Whether a rank is that of a hot key's requests. */
-export function isOfHotKey(rank: number): boolean {
+export function isHotKeyRank(rank: number): boolean {
   return !Number.isInteger(rank);
 }
 
--- a/src/routing/room/link-room.ts
+++ b/src/routing/capacity/link-pacer.ts
@@ -2,7 +2,7 @@
  * Paces requests for large answers to the width of the router's link, so that short answers aren't delayed behind large ones. Guards
  * against loads in which large answers are requested faster than the link carries them.
  */
-import { LinkWidth } from '../capacity/link-width.js';
+import { LinkWidth } from './link-width.js';
 
 /** An answer is large if it occupies the link for this long, because short answers behind it are late by as much. */
 const LARGE_MILLIS = 100;
@@ -28,7 +28,7 @@
   readonly startedAt: number;
 }
 
-export class LinkRoom {
+export class LinkPacer {
   readonly #width: LinkWidth;
   #shortBytes = 0;
   #shortAt = 0;
@@ -60,7 +60,7 @@
   }
 
   /** Records the request for a large answer with an expected size. */
-  started(bytes: number, now: number): OpenAnswer {
+  onStart(bytes: number, now: number): OpenAnswer {
     this.#freeAt = Math.max(this.#freeAt, now) + bytes / this.#largeBytesPerMilli(now);
     this.#dropFailed(now);
     const answer = { bytes, startedAt: now };
@@ -69,7 +69,7 @@
   }
 
   /** Corrects the size of a requested answer. */
-  sized(answer: OpenAnswer, bytes: number, now: number): void {
+  onSizeKnown(answer: OpenAnswer, bytes: number, now: number): void {
     this.#freeAt += (bytes - answer.bytes) / this.#largeBytesPerMilli(now);
     answer.bytes = bytes;
     if (!this.isLarge(bytes)) {
@@ -78,18 +78,18 @@
   }
 
   /** Records that a requested answer failed. */
-  failed(answer: OpenAnswer, now: number): void {
-    this.sized(answer, 0, now);
+  onFailure(answer: OpenAnswer, now: number): void {
+    this.onSizeKnown(answer, 0, now);
   }
 
   /** Records a received short answer. */
-  short(bytes: number, now: number): void {
+  onShortAnswer(bytes: number, now: number): void {
     this.#shortBytes = this.#decayedShortBytes(now) + bytes;
     this.#shortAt = now;
   }
 
   /** Records a received large answer; `tookMillis` is the time from its first to its last byte. */
-  carried(bytes: number, tookMillis: number, now: number): void {
+  onLargeAnswer(bytes: number, tookMillis: number, now: number): void {
     this.#width.addSample(bytes, tookMillis, now);
     const [earliest] = this.#open;
     if (earliest !== undefined) {
--- a/src/routing/room/rank-room.ts
+++ b/src/routing/capacity/rank-headroom.ts
@@ -7,9 +7,9 @@
  * queue.
  */
 import type { RankPresence } from '../queue/rank-presence.js';
-import { isOfHotKey } from './hot-keys.js';
+import { isHotKeyRank } from './hot-keys.js';
 import { ServedShares } from './served-shares.js';
-import type { UpstreamUse } from './upstream-room.js';
+import type { UpstreamUse } from './upstream-capacity.js';
 
 /** Outstanding requests per slot below which the next rank is sent at once: half the slots are left to more important ranks. */
 const INITIAL_LOAD_LIMIT = 0.5;
@@ -33,12 +33,12 @@
 const IN_TIME_ANSWER_SAMPLE = { perSlot: 0.3, weight: 0.03 } as const;
 
 /** A router's estimate of an upstream's load. */
-export interface KnownUse extends UpstreamUse {
+export interface EstimatedUse extends UpstreamUse {
   /** Weight of the last report from there, falling from 1 to 0 with its age. */
   readonly freshness: number;
 }
 
-export class RankRoom {
+export class RankHeadroom {
   readonly shares = new ServedShares();
   /** Mean outstanding requests per slot over all upstreams of the service, from recent reports. */
   #meanPerSlot = 0;
@@ -50,18 +50,18 @@
   /** Returns the number of more important ranks that compete with `rank`; if it is 0, no headroom is needed. */
   ranksAbove(rank: number, now: number): number {
     const above = this.presence.countAbove(rank, now);
-    return isOfHotKey(rank) ? Math.max(1, above) : above;
+    return isHotKeyRank(rank) ? Math.max(1, above) : above;
   }
 
   /**
    * Whether there is capacity for one more request of `rank` with `above` more important ranks. `waitedShare`: the part of its wait that
    * is over, from 0 to 1.
    */
-  admits(rank: number, above: number, waitedShare: number, use: KnownUse): boolean {
+  admits(rank: number, above: number, waitedShare: number, use: EstimatedUse): boolean {
     if (this.shares.isStarved(Math.floor(rank))) {
       return true;
     }
-    const raiseShare = isOfHotKey(rank) ? HOT_KEY_RAISE_SHARE * waitedShare : waitedShare;
+    const raiseShare = isHotKeyRank(rank) ? HOT_KEY_RAISE_SHARE * waitedShare : waitedShare;
     const loadLimit =
       (INITIAL_LOAD_LIMIT + (FINAL_LOAD_LIMIT - INITIAL_LOAD_LIMIT) * raiseShare) *
       LIMIT_FACTOR_PER_RANK ** (above - 1);
@@ -69,29 +69,29 @@
   }
 
   /** Whether an upstream probably has a free slot. */
-  isClear(use: KnownUse): boolean {
+  isClear(use: EstimatedUse): boolean {
     return this.#outstanding(use) < use.slots * CLEAR_LOAD_LIMIT;
   }
 
   /** Whether an upstream probably has more outstanding requests than any rank but the most important may add to. */
-  isCrowded(use: KnownUse): boolean {
+  isCrowded(use: EstimatedUse): boolean {
     return this.#outstanding(use) >= use.slots * FINAL_LOAD_LIMIT;
   }
 
   /** Returns the mean load and the time since the last report. */
-  known(now: number): { readonly usualLoad: number; readonly loadAgoMillis: number | null } {
+  loadFacts(now: number): { readonly usualLoad: number; readonly loadAgoMillis: number | null } {
     const loadAgoMillis = this.#reportedAt === null ? null : Math.round(now - this.#reportedAt);
     return { usualLoad: Math.round(this.#meanPerSlot * 100) / 100, loadAgoMillis };
   }
 
   /** Records a load report of an upstream. */
-  reported(load: number, slots: number, now: number): void {
+  onLoadReport(load: number, slots: number, now: number): void {
     this.#reportedAt = now;
     this.#updateMean(Math.min(MAX_LOAD_PER_SLOT, load / slots), SMOOTHING);
   }
 
   /** Records an answer of an upstream that reports no load. */
-  answeredUnreported(rank: number, isInTime: boolean, now: number): void {
+  onAnswerWithoutLoad(rank: number, isInTime: boolean, now: number): void {
     if (this.presence.isMixed(now) && this.ranksAbove(rank, now) === 0) {
       const { perSlot, weight } = isInTime ? IN_TIME_ANSWER_SAMPLE : LATE_ANSWER_SAMPLE;
       this.#meanPerSlot += weight * (perSlot - this.#meanPerSlot);
@@ -105,7 +105,7 @@
   }
 
   /** Estimates the outstanding requests at an upstream: the older its report, the more the mean load replaces the reported one. */
-  #outstanding({ slots, inFlight, foreignLoad, freshness }: KnownUse): number {
+  #outstanding({ slots, inFlight, foreignLoad, freshness }: EstimatedUse): number {
     const meanForeign = Math.max(0, this.#meanPerSlot * slots - inFlight);
     return inFlight + foreignLoad + (1 - freshness) * meanForeign;
   }
--- a/src/routing/room/served-shares.ts
+++ b/src/routing/capacity/served-shares.ts
@@ -16,14 +16,14 @@
   #decayedAt = Number.NEGATIVE_INFINITY;
 
   /** Records the first arrival of a request. */
-  came(rank: number, now: number): void {
+  onArrival(rank: number, now: number): void {
     this.#decay(now);
     this.#countsOf(rank).arrived += 1;
     this.#total.arrived += 1;
   }
 
   /** Records that a request was sent for the first time. */
-  started(rank: number, now: number): void {
+  onStart(rank: number, now: number): void {
     this.#decay(now);
     this.#countsOf(rank).started += 1;
     this.#total.started += 1;
--- a/src/routing/room/slot-limit.ts
+++ b/src/routing/capacity/slot-limit.ts
@@ -22,7 +22,7 @@
   }
 
   /** Slots of the upstream, which all routers share. */
-  get most(): number {
+  get totalSlots(): number {
     return this.maximum;
   }
 
@@ -40,7 +40,7 @@
   }
 
   /** Handles an answer; `load` is the outstanding work that it reported, `inFlight` this router's own requests at that time. */
-  answered(load: number | null, inFlight: number, now: number): void {
+  onAnswer(load: number | null, inFlight: number, now: number): void {
     if (load !== null && load > this.maximum * OVERLOAD_RATIO) {
       this.decrease(now);
       return;
@@ -52,7 +52,7 @@
   }
 
   /** Handles a rejection for overload. */
-  overloaded(now: number): void {
+  onOverload(now: number): void {
     this.decrease(now);
   }
 
--- a/src/routing/room/upstream-room.ts
+++ b/src/routing/capacity/upstream-capacity.ts
@@ -21,12 +21,12 @@
  * Whether an upstream has capacity for one more request. It reports its outstanding requests from all routers and has a short queue of its
  * own; requests are sent there up to the limits above, so that some wait in that queue and no slot is idle.
  */
-export function hasRoom({ slots, inFlight, foreignLoad }: UpstreamUse): boolean {
+export function hasCapacity({ slots, inFlight, foreignLoad }: UpstreamUse): boolean {
   const perSlot = inFlight === 0 ? MAX_OUTSTANDING_PER_SLOT_FOR_FIRST : MAX_OUTSTANDING_PER_SLOT;
   return inFlight <= slots && inFlight + foreignLoad < slots * perSlot;
 }
 
 /** Returns the outstanding requests of others below which a router that has requests there may send one more. */
-export function mostForeignLoad({ slots, inFlight }: UpstreamUse): number {
+export function maxForeignLoad({ slots, inFlight }: UpstreamUse): number {
   return slots * MAX_OUTSTANDING_PER_SLOT - inFlight;
 }
--- a/src/routing/room/warmup-turns.ts
+++ b/src/routing/capacity/warmup-time-slots.ts
@@ -30,7 +30,7 @@
 const HASH_NAME = 'turns';
 
 /** Returns the requests per second that all routers of a zone together send to a cold upstream. */
-export function turnsPerSecond(terms: WarmupTerms, bounds: WarmupBounds): number {
+export function timeSlotsPerSecond(terms: WarmupTerms, bounds: WarmupBounds): number {
   const maxRequests = terms.perSecond * bounds.overrunFactor + bounds.marginRequests;
   const maxSlotsAndCarryOver = maxRequests * BOUND_SHARE - NUMBERING_MEMBERS;
   const maxByBound = maxSlotsAndCarryOver / (1 + TIME_SLOT_MILLIS / MILLIS_PER_SECOND);
@@ -38,7 +38,7 @@
 }
 
 /** The time slots of one router at one cold upstream. */
-export class WarmupTurns {
+export class WarmupTimeSlots {
   /** Number of the latest time slot that was used. */
   #lastUsed = Number.NEGATIVE_INFINITY;
   readonly #phaseShift: number;
@@ -62,7 +62,7 @@
    * Whether a request that no other upstream can take may be sent now. Its arrival can't be planned, so an unused time slot stays valid
    * until the next one; over the few seconds for which an upstream is cold, this adds up to about what it bears.
    */
-  isLeft(place: RoundPlace, perSecond: number, now: MonotonicMillis): boolean {
+  isUnused(place: RoundPlace, perSecond: number, now: MonotonicMillis): boolean {
     const { number } = this.#latest(place, perSecond, now);
     return number > this.#lastUsed && number >= 0;
   }
--- a/src/routing/configuration-updates.ts
+++ b/src/routing/configuration-updates.ts
@@ -91,7 +91,7 @@
   private updateRanks(name: string, definition: RouteDefinition | null): void {
     const terms = definition === null ? null : { route: name, ...definition };
     for (const { presence } of this.context.services.values()) {
-      presence.routeChanged(name, terms);
+      presence.onRouteChange(name, terms);
     }
   }
 
--- a/src/routing/decision-facts.ts
+++ b/src/routing/decision-facts.ts
@@ -1,7 +1,8 @@
 /** The facts behind a decision about a request group, for the log. */
+
+import { isHotKeyRank } from './capacity/hot-keys.js';
 import { WaitEstimate } from './queue/wait-estimate.js';
 import type { RequestGroup } from './request-group.js';
-import { isOfHotKey } from './room/hot-keys.js';
 import type { RouterContext } from './router-context.js';
 import type { DecisionFacts, OrderFacts } from './types.js';
 
@@ -12,7 +13,7 @@
   const { confirmedAt } = lease;
   const limit = owner?.upstream.notices?.limit;
   const restMillis = Math.round(owner?.upstream.notices?.backoff.waitMillis(now) ?? 0);
-  const isByRank = service.presence.isMixed(now) || isOfHotKey(group.rank);
+  const isByRank = service.presence.isMixed(now) || isHotKeyRank(group.rank);
   const suspect = context.crashes.suspectOf(group.request);
   return {
     route: group.terms.route,
@@ -38,5 +39,5 @@
   const waiting = service.queues.find(shard)?.queue.countAhead(rank) ?? 0;
   // A queued group is not ahead of itself.
   const ahead = lane === null ? waiting : Math.max(0, waiting - 1);
-  return { rank, ahead, ...service.rankRoom.known(now) };
+  return { rank, ahead, ...service.rankRoom.loadFacts(now) };
 }
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -5,8 +5,8 @@
 import { AttemptStarter } from './attempt-starter.js';
 import { policyContextOf, policyUpstreamOf } from './policy-input.js';
 import type { Admission } from './queue/admission.js';
-import type { Lane } from './queue/lane-table.js';
-import { compareSlack, type TurnOrder } from './queue/ranked-queue.js';
+import { compareSlack, type DispatchOrder } from './queue/ranked-queue.js';
+import type { ShardQueue } from './queue/shard-queues.js';
 import type { RequestGroup } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { ServiceState } from './service-state.js';
@@ -35,7 +35,7 @@
     if (!this.locate(group)) {
       return;
     }
-    this.admission.returns.matchPromise(group);
+    this.admission.returns.matchReservation(group);
     const shardQueue = group.service.queues.find(group.shard);
     const isFirst = shardQueue === undefined || wouldBeFirstIn(shardQueue, group, this.context.now);
     if (isFirst && this.place(group) !== 'waits') {
@@ -44,7 +44,7 @@
     const refusal = this.admission.refusalOf(group);
     if (refusal !== undefined) {
       this.context.hasRefusedAtOwner ||= group.shard !== null;
-      this.answers.refuseGroup(group, refusal, this.admission.returnAfter(group));
+      this.answers.refuseGroup(group, refusal, this.admission.capacityRetryAfter(group));
       return;
     }
     this.enqueue(group, group.isPromisedReturn ? 'front' : 'back');
@@ -56,10 +56,10 @@
       return;
     }
     if (this.context.now >= group.holdUntil || group.service.isOutOfUse) {
-      this.admission.giveUpWaiting(group);
+      this.admission.onWaitEnd(group);
       return;
     }
-    if (this.admission.refuseHeldBack(group)) {
+    if (this.admission.refuseBlocked(group)) {
       return;
     }
     this.enqueue(group, 'front');
@@ -100,13 +100,13 @@
     service.wakeScheduled = false;
     service.queues.prune(this.context.now);
     this.drainService(service);
-    this.admission.refuseHopeless(service);
+    this.admission.refuseExpectedLate(service);
     this.scheduleWake(service);
   }
 
   /** Reassigns waiting groups to queues after keys were mapped to other shards. */
   relocate(service: ServiceState): void {
-    const waitingGroups = service.queues.allWork();
+    const waitingGroups = service.queues.allGroups();
     for (const group of waitingGroups) {
       service.queues.remove(group);
       group.phase = 'new';
@@ -142,7 +142,7 @@
     return true;
   }
 
-  private drainQueue(service: ServiceState, shardQueue: Lane | undefined): void {
+  private drainQueue(service: ServiceState, shardQueue: ShardQueue | undefined): void {
     const order = service.dequeueOrder(this.context.now);
     while (shardQueue !== undefined && this.placeFirst(shardQueue, order)) {
       // Continues until no group in the queue can be dispatched.
@@ -151,7 +151,7 @@
   }
 
   /** Dispatches the first group of a queue that can be sent; returns `false` if none can. */
-  private placeFirst(shardQueue: Lane, order: TurnOrder): boolean {
+  private placeFirst(shardQueue: ShardQueue, order: DispatchOrder): boolean {
     let waitingRank = Number.POSITIVE_INFINITY;
     for (const head of shardQueue.queue.heads(order)) {
       // If a group has to wait, so does every other group of its rank or a less important one.
@@ -175,7 +175,7 @@
     let hasProgress = true;
     while (hasProgress && upstream.hasSlot(this.context.now, TOP_RANK)) {
       hasProgress = false;
-      for (const shardQueue of service.queues.inTurn(upstream.id, order)) {
+      for (const shardQueue of service.queues.readyQueues(upstream.id, order)) {
         hasProgress = this.drainOne(service, shardQueue) || hasProgress;
       }
     }
@@ -187,7 +187,7 @@
     const order = { ...service.dequeueOrder(this.context.now), byDeadline: true };
     let hasProgress = true;
     while (hasProgress && upstream.hasSlot(this.context.now, TOP_RANK)) {
-      const shardQueues = service.queues.inTurn(upstream.id, order);
+      const shardQueues = service.queues.readyQueues(upstream.id, order);
       const heads = shardQueues.flatMap(({ queue }) => queue.peek(order) ?? []);
       const first = heads.reduce<RequestGroup | undefined>(
         (best, group) => (best === undefined || compareSlack(group, best, true) < 0 ? group : best),
@@ -198,7 +198,7 @@
     this.scheduleWake(service);
   }
 
-  private drainOne(service: ServiceState, shardQueue: Lane): boolean {
+  private drainOne(service: ServiceState, shardQueue: ShardQueue): boolean {
     if (
       shardQueue.isPaused(this.context.now) ||
       !this.placeFirst(shardQueue, service.dequeueOrder(this.context.now))
@@ -309,7 +309,7 @@
     }
     service.queues.enqueue(shardQueue, group, place, this.context.now);
     group.phase = 'queued';
-    this.admission.boundWait(group);
+    this.admission.limitWait(group);
     this.scheduleWake(service);
   }
 
@@ -337,6 +337,6 @@
 }
 
 /** Whether a newly arrived group would be first in a queue. */
-function wouldBeFirstIn(shardQueue: Lane, { rank }: RequestGroup, now: number): boolean {
+function wouldBeFirstIn(shardQueue: ShardQueue, { rank }: RequestGroup, now: number): boolean {
   return shardQueue.queue.countAhead(rank) === 0 && !shardQueue.isPaused(now);
 }
--- a/src/routing/link-gate.ts
+++ b/src/routing/link-gate.ts
@@ -1,10 +1,10 @@
 /** Holds requests for large answers while the router's link has no capacity for them, and refuses those that would be late. */
 import type { Answers } from './answers.js';
+import { AnswerSizes } from './capacity/answer-sizes.js';
+import { LinkPacer } from './capacity/link-pacer.js';
 import type { Dispatcher } from './dispatcher.js';
 import { retryAfterAtLeast } from './queue/retry-after.js';
 import type { RequestGroup } from './request-group.js';
-import { AnswerSizes } from './room/answer-sizes.js';
-import { LinkRoom } from './room/link-room.js';
 import type { RouterContext } from './router-context.js';
 import type { LinkStatus } from './types.js';
 
@@ -28,14 +28,14 @@
 export class LinkGate {
   readonly #parts: LinkGateParts;
   readonly #sizes = new AnswerSizes();
-  readonly #capacity: LinkRoom;
+  readonly #capacity: LinkPacer;
   /** In order of rank, the most important first, then of arrival. */
   #waiting: HeldGroup[] = [];
   #isWaking = false;
 
   constructor(parts: LinkGateParts, linkBytesPerMilli: number) {
     this.#parts = parts;
-    this.#capacity = new LinkRoom(linkBytesPerMilli);
+    this.#capacity = new LinkPacer(linkBytesPerMilli);
   }
 
   /** Passes a group on to the dispatcher, holds it, or refuses it. */
@@ -93,18 +93,18 @@
     }
     this.#sizes.add(routeOf(group), bytes);
     if (expected !== null) {
-      this.#capacity.sized(expected, bytes, now);
+      this.#capacity.onSizeKnown(expected, bytes, now);
     } else if (this.#capacity.isLarge(bytes)) {
-      this.#capacity.started(bytes, now);
+      this.#capacity.onStart(bytes, now);
     } else {
-      this.#capacity.short(bytes, now);
+      this.#capacity.onShortAnswer(bytes, now);
     }
   }
 
   /** Frees the capacity reserved for a finished group that got no answer. */
   ended(group: RequestGroup): void {
     if (group.linkAnswer !== null) {
-      this.#capacity.failed(group.linkAnswer, this.#parts.context.now);
+      this.#capacity.onFailure(group.linkAnswer, this.#parts.context.now);
       group.linkAnswer = null;
     }
   }
@@ -112,7 +112,7 @@
   /** Records the transfer of an answer, `tookMillis` from its first byte to its last; only large ones count. */
   recordTransfer(bytes: number, tookMillis: number): void {
     if (this.#capacity.isLarge(bytes)) {
-      this.#capacity.carried(bytes, tookMillis, this.#parts.context.now);
+      this.#capacity.onLargeAnswer(bytes, tookMillis, this.#parts.context.now);
     }
   }
 
@@ -126,7 +126,7 @@
 
   #start({ group, bytes }: HeldGroup): void {
     const { context, dispatcher } = this.#parts;
-    group.linkAnswer = this.#capacity.started(bytes, context.now);
+    group.linkAnswer = this.#capacity.onStart(bytes, context.now);
     group.phase = 'new';
     dispatcher.admit(group);
   }
--- a/src/routing/lost-attempts.ts
+++ b/src/routing/lost-attempts.ts
@@ -91,7 +91,7 @@
       !canRepeat ||
       group.shard !== null ||
       !isOverdue(attempt, now) ||
-      group.service.queues.hasAbove(group.rank)
+      group.service.queues.hasMoreImportant(group.rank)
     ) {
       return false;
     }
--- a/src/routing/notices/notice-handler.ts
+++ b/src/routing/notices/notice-handler.ts
@@ -74,7 +74,7 @@
       context.emit({ type: 'recall-unsent', upstream: upstream.id });
     }
     dispatcher.drainUpstream(upstream);
-    admission.refuseHeldBackFor(upstream);
+    admission.refuseBlockedBy(upstream);
   }
 }
 
--- a/src/routing/notices/upstream-reporter.ts
+++ b/src/routing/notices/upstream-reporter.ts
@@ -203,7 +203,7 @@
   /** Adds a queue, represented by its first and last group. */
   #addQueue({ count, rank, patienceMillis }: QueuedRequests, queue: RankedQueue): QueuedRequests {
     const { now } = this.#context;
-    const ends = queue.ends;
+    const ends = queue.firstAndLast;
     const patiences = ends.map((group) => Math.min(group.holdUntil, group.deadline) - now);
     return {
       count: count + queue.length,
--- a/src/routing/picker/capacity-draw.ts
+++ b/src/routing/picker/capacity-draw.ts
@@ -15,7 +15,7 @@
 
 /** Capacity of an upstream, in slots of speed 1. */
 function capacityOf(upstream: UpstreamState, now: number): number {
-  return upstream.slotLimit.most * (upstream.fleetSpeed(now) ?? 1);
+  return upstream.slotLimit.totalSlots * (upstream.fleetSpeed(now) ?? 1);
 }
 
 export class CapacityDraw {
--- a/src/routing/queue/admission.ts
+++ b/src/routing/queue/admission.ts
@@ -6,9 +6,9 @@
 import type { ServiceState } from '../service-state.js';
 import type { RefusalReason } from '../types.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
-import type { Lane } from './lane-table.js';
 import { retryAfterAtLeast, retryAfterMillis, UNMEASURED_RETRY_MILLIS } from './retry-after.js';
-import { ReturnReservations } from './return-promises.js';
+import { ReturnReservations } from './return-reservations.js';
+import type { ShardQueue } from './shard-queues.js';
 import { WaitEstimate } from './wait-estimate.js';
 import { latestStartOf } from './waiting-class.js';
 
@@ -64,7 +64,7 @@
   }
 
   /** Starts the timer that bounds the wait. The limit counts from the first wait; retries don't extend it. */
-  boundWait(group: RequestGroup): void {
+  limitWait(group: RequestGroup): void {
     if (group.holdTimer === null) {
       const end = this.context.now + this.maxWaitMillis(group);
       group.holdUntil = group.mayHaveRun ? group.holdUntil : Math.min(group.holdUntil, end);
@@ -84,7 +84,7 @@
   }
 
   /** Handles the end of a group's bounded wait. */
-  giveUpWaiting(group: RequestGroup): void {
+  onWaitEnd(group: RequestGroup): void {
     if (this.mayWaitLate(group)) {
       group.holdUntil = group.deadline - group.service.expectedMillis(this.context.now);
       group.holdTimer = this.context.schedule(group.holdUntil, { type: 'hold-end', group: group });
@@ -93,7 +93,7 @@
     const reason = noticeWaitOf(group, this.context)?.reason ?? this.expiryReason(group);
     const measured =
       reason === 'would-miss-deadline' || reason === 'upstream-limited' || reason === 'upstream-resting';
-    const wait = measured ? this.returnAfter(group) : this.unmeasuredRetryAfter();
+    const wait = measured ? this.capacityRetryAfter(group) : this.unmeasuredRetryAfter();
     this.answers.refuseGroup(group, reason, wait);
   }
 
@@ -101,7 +101,7 @@
    * Rejects the last groups of queues that now drain more slowly than they did when the groups were admitted, since they would wait until
    * their limit in vain. A queue whose shard has no owner is skipped: it waits for a configuration update, not for free slots.
    */
-  refuseHopeless(service: ServiceState): void {
+  refuseExpectedLate(service: ServiceState): void {
     for (const shardQueue of service.queues.allWaiting()) {
       this.refuseExpectedLateIn(service, shardQueue);
     }
@@ -110,7 +110,7 @@
   /**
    * Rejects the groups that wait for an upstream and can't be sent there in time because of its own notices or the control plane's.
    */
-  refuseHeldBackFor(upstream: UpstreamState): void {
+  refuseBlockedBy(upstream: UpstreamState): void {
     const service = this.context.services.get(upstream.record.definition.service);
     if (service === undefined) {
       return;
@@ -118,12 +118,12 @@
     const { queues: lanes, definition } = service;
     const waiting = definition.keyed ? lanes.waitingFor(upstream.id) : lanes.allWaiting();
     for (const group of waiting.flatMap(({ queue }) => queue.toArray())) {
-      this.refuseHeldBack(group);
+      this.refuseBlocked(group);
     }
   }
 
   /** Rejects a group that can't be sent in time because of upstream notices; returns whether it did. */
-  refuseHeldBack(group: RequestGroup): boolean {
+  refuseBlocked(group: RequestGroup): boolean {
     const { now } = this.context;
     const held = noticeWaitOf(group, this.context);
     const hold = Number.isFinite(group.holdUntil) ? group.holdUntil : now + this.maxWaitMillis(group);
@@ -139,7 +139,7 @@
    * Returns when a group that is rejected for lack of capacity may come back, or `null` if no time is useful to it. In mode `reserved`
    * each caller gets a time of its own; otherwise the times are spread around the moment at which capacity is expected.
    */
-  returnAfter(group: RequestGroup): number | null {
+  capacityRetryAfter(group: RequestGroup): number | null {
     if (this.context.config.returnTimes !== 'reserved') {
       return this.retryAfter(group);
     }
@@ -163,7 +163,7 @@
     return retryAfterMillis(UNMEASURED_RETRY_MILLIS, this.context.random);
   }
 
-  private refuseExpectedLateIn(service: ServiceState, shardQueue: Lane): void {
+  private refuseExpectedLateIn(service: ServiceState, shardQueue: ShardQueue): void {
     const { now } = this.context;
     const isServed = shardQueue.shard === null || this.context.ownerOf(shardQueue.shard) !== undefined;
     const head = shardQueue.queue.peek(service.dequeueOrder(now));
@@ -179,7 +179,7 @@
         last !== undefined &&
         now + this.estimate.untilLast(service, shardQueue, rank) > last.holdUntil
       ) {
-        this.answers.refuseGroup(last, 'would-miss-deadline', this.returnAfter(last));
+        this.answers.refuseGroup(last, 'would-miss-deadline', this.capacityRetryAfter(last));
         last = shardQueue.queue.lastOf(rank);
       }
     }
@@ -237,7 +237,7 @@
     if (victim === undefined || victim.mayHaveRun) {
       return false;
     }
-    this.answers.refuseGroup(victim, 'gave-way', this.returnAfter(victim));
+    this.answers.refuseGroup(victim, 'gave-way', this.capacityRetryAfter(victim));
     return true;
   }
 
--- a/src/routing/queue/drain-rate.ts
+++ b/src/routing/queue/drain-rate.ts
@@ -33,7 +33,7 @@
   }
 
   /** Records that an item was dequeued for dispatch. */
-  took(now: number): void {
+  recordDequeue(now: number): void {
     if (this.since === null) {
       this.since = now;
       return;
--- a/src/routing/queue/rank-presence.ts
+++ b/src/routing/queue/rank-presence.ts
@@ -32,7 +32,7 @@
   constructor(private readonly isOn: boolean) {}
 
   /** Records an arrived request. */
-  note({ route, priority, targetMillis }: RouteTerms, now: number): void {
+  recordArrival({ route, priority, targetMillis }: RouteTerms, now: number): void {
     const existing = this.#presences.get(route);
     if (existing !== undefined && hasEqualTerms(existing, { route, priority, targetMillis })) {
       const before = countOf(existing, now);
@@ -47,7 +47,7 @@
   }
 
   /** Handles a change of a route's terms, or its removal (`null`). */
-  routeChanged(route: string, terms: RouteTerms | null): void {
+  onRouteChange(route: string, terms: RouteTerms | null): void {
     const existing = this.#presences.get(route);
     if (existing !== undefined && (terms === null || !hasEqualTerms(existing, terms))) {
       this.#presences.delete(route);
--- a/src/routing/queue/ranked-queue.ts
+++ b/src/routing/queue/ranked-queue.ts
@@ -8,7 +8,7 @@
 import { classTermsOf, WaitingClass } from './waiting-class.js';
 
 /** Parameters of the dispatch order other than rank. */
-export interface TurnOrder {
+export interface DispatchOrder {
   readonly now: number;
   /** Expected service time; `null` if late groups aren't moved behind the others. */
   readonly expectedMillis: number | null;
@@ -52,7 +52,7 @@
   }
 
   /** Returns the first groups of all classes, in dispatch order. */
-  heads(order: TurnOrder): RequestGroup[] {
+  heads(order: DispatchOrder): RequestGroup[] {
     const heads: Head[] = [];
     for (const { timely, late } of this.#classesWithLateSplit(order)) {
       const head = timely.peek();
@@ -70,7 +70,7 @@
   }
 
   /** Returns the group to dispatch next. */
-  peek(order: TurnOrder): RequestGroup | undefined {
+  peek(order: DispatchOrder): RequestGroup | undefined {
     return this.#classes.length === 1 && order.expectedMillis === null
       ? (this.#classes[0]?.timely.peek() ?? this.#classes[0]?.late.peek())
       : this.heads(order)[0];
@@ -105,7 +105,7 @@
   }
 
   /** The first and last waiting groups of each class. */
-  get ends(): RequestGroup[] {
+  get firstAndLast(): RequestGroup[] {
     return this.#classes.flatMap(({ timely, late }) => [
       ...(timely.peek() === undefined
         ? []
@@ -138,7 +138,7 @@
     return this.#classes.flatMap((waitingClass) => waitingClass.toArray());
   }
 
-  #classesWithLateSplit({ now, expectedMillis }: TurnOrder): readonly WaitingClass[] {
+  #classesWithLateSplit({ now, expectedMillis }: DispatchOrder): readonly WaitingClass[] {
     if (expectedMillis !== null) {
       for (const waitingClass of this.#classes) {
         waitingClass.moveLate(now, expectedMillis);
@@ -152,7 +152,7 @@
   }
 }
 
-function compareHeads(one: Head, other: Head, { byDeadline = false }: TurnOrder): number {
+function compareHeads(one: Head, other: Head, { byDeadline = false }: DispatchOrder): number {
   const byStanding = Number(one.isLate) - Number(other.isLate);
   const byRank = one.group.rank - other.group.rank;
   return byStanding || byRank || compareSlack(one.group, other.group, byDeadline);
--- a/src/routing/queue/return-promises.ts
+++ b/src/routing/queue/return-reservations.ts
@@ -3,7 +3,7 @@
 import type { RequestGroup } from '../request-group.js';
 import type { RouterContext } from '../router-context.js';
 import { MAX_RETRY_MILLIS, MIN_RETRY_MILLIS } from './retry-after.js';
-import { type ReturnCounts, ReturnSchedules, type ReturnTarget } from './return-times.js';
+import { type ReturnCounts, ReturnSchedules, type ReturnTarget } from './return-schedules.js';
 import type { WaitEstimate } from './wait-estimate.js';
 import { latestStartOf } from './waiting-class.js';
 
@@ -25,7 +25,7 @@
   }
 
   /** Marks an arriving group if a reservation for it is due; its target then counts from the first arrival of its caller. */
-  matchPromise(group: RequestGroup): void {
+  matchReservation(group: RequestGroup): void {
     if (this.#schedules.isEmpty) {
       return;
     }
--- a/src/routing/queue/route-tallies.ts
+++ b/src/routing/queue/route-tallies.ts
@@ -20,7 +20,7 @@
   readonly #tallies = new Map<string, RouteTally>();
 
   /** `service` is the route name of requests addressed to the service itself. */
-  of({ route, priority }: RequestTerms, service: string): RouteTally {
+  tallyFor({ route, priority }: RequestTerms, service: string): RouteTally {
     const name = route ?? service;
     const existing = this.#tallies.get(keyOf(name, priority));
     return existing ?? this.#create(this.#tallies.size < MAX_ROUTES ? name : OTHERS, priority);
--- a/src/routing/queue/lane-table.ts
+++ b/src/routing/queue/shard-queues.ts
@@ -5,13 +5,13 @@
 import type { ShardId, UpstreamId } from '../../model/identifiers.js';
 import type { RequestGroup } from '../request-group.js';
 import { DrainRate } from './drain-rate.js';
-import { RankedQueue, type TurnOrder } from './ranked-queue.js';
+import { type DispatchOrder, RankedQueue } from './ranked-queue.js';
 
 /** Initial and maximum pause of a queue whose owner rejected a request. */
 const INITIAL_PAUSE_MILLIS = 20;
 const MAX_PAUSE_MILLIS = 200;
 
-export class Lane {
+export class ShardQueue {
   readonly queue = new RankedQueue();
   readonly #drainRates = new Map<number, DrainRate>();
   owner: UpstreamId | null = null;
@@ -59,9 +59,9 @@
 /** Index key of queues whose shard has no owner. */
 const NO_OWNER_KEY = '';
 
-export class LaneTable {
-  private readonly byShard = new Map<ShardId | null, Lane>();
-  private readonly waiting = new Map<UpstreamId, Set<Lane>>();
+export class ShardQueues {
+  private readonly byShard = new Map<ShardId | null, ShardQueue>();
+  private readonly waiting = new Map<UpstreamId, Set<ShardQueue>>();
   private count = 0;
 
   /** Number of groups waiting in all queues. */
@@ -70,15 +70,15 @@
   }
 
   /** Returns the queue of a shard, if there is one. */
-  find(shard: ShardId | null): Lane | undefined {
+  find(shard: ShardId | null): ShardQueue | undefined {
     return this.byShard.get(shard);
   }
 
   /** Returns the queue of a shard and creates it if necessary. `owner` applies only to a new queue. */
-  obtain(shard: ShardId | null, owner: UpstreamId | null): Lane {
+  obtain(shard: ShardId | null, owner: UpstreamId | null): ShardQueue {
     let shardQueue = this.byShard.get(shard);
     if (shardQueue === undefined) {
-      shardQueue = new Lane(shard);
+      shardQueue = new ShardQueue(shard);
       shardQueue.owner = owner;
       this.byShard.set(shard, shardQueue);
     }
@@ -90,7 +90,7 @@
     return this.waiting.get(owner ?? NO_OWNER_KEY)?.size ?? 0;
   }
 
-  enqueue(shardQueue: Lane, group: RequestGroup, place: 'front' | 'back', now: number): void {
+  enqueue(shardQueue: ShardQueue, group: RequestGroup, place: 'front' | 'back', now: number): void {
     shardQueue.drainRateOf(group.rank).start(now);
     group.shardQueue = shardQueue;
     group.node = shardQueue.queue.push(group, place);
@@ -120,7 +120,7 @@
   }
 
   /** Moves a queue to its shard's new owner. */
-  reassign(shardQueue: Lane, owner: UpstreamId | null): void {
+  reassign(shardQueue: ShardQueue, owner: UpstreamId | null): void {
     if (shardQueue.owner !== owner) {
       shardQueue.forgetRates();
     }
@@ -143,12 +143,12 @@
   }
 
   /** Returns the non-empty queues of one owner, least recently served first. */
-  waitingFor(owner: UpstreamId | null): Lane[] {
+  waitingFor(owner: UpstreamId | null): ShardQueue[] {
     return [...this.waitingOf(owner)];
   }
 
   /** Returns the unpaused queues of one owner whose first group has the most important rank among them. */
-  inTurn(owner: UpstreamId | null, order: TurnOrder): Lane[] {
+  readyQueues(owner: UpstreamId | null, order: DispatchOrder): ShardQueue[] {
     const open = this.waitingFor(owner).filter((shardQueue) => !shardQueue.isPaused(order.now));
     const firstRanks = open.map(({ queue }) => queue.peek(order)?.rank ?? Number.POSITIVE_INFINITY);
     const mostImportant = Math.min(...firstRanks);
@@ -156,7 +156,7 @@
   }
 
   /** Moves a queue behind the others of its owner. */
-  rotate(shardQueue: Lane): void {
+  rotate(shardQueue: ShardQueue): void {
     const set = this.waitingOf(shardQueue.owner);
     if (set.delete(shardQueue)) {
       set.add(shardQueue);
@@ -164,12 +164,12 @@
   }
 
   /** Returns all non-empty queues. */
-  allWaiting(): Lane[] {
+  allWaiting(): ShardQueue[] {
     return [...this.byShard.values()].filter((shardQueue) => shardQueue.queue.length > 0);
   }
 
   /** Whether a group more important than `rank` is waiting. */
-  hasAbove(rank: number): boolean {
+  hasMoreImportant(rank: number): boolean {
     return this.count > 0 && this.allWaiting().some(({ queue }) => (queue.ranks[0] ?? rank) < rank);
   }
 
@@ -186,11 +186,11 @@
   }
 
   /** Returns all waiting groups, queue by queue. */
-  allWork(): RequestGroup[] {
+  allGroups(): RequestGroup[] {
     return this.allWaiting().flatMap((shardQueue) => shardQueue.queue.toArray());
   }
 
-  private waitingOf(owner: UpstreamId | null): Set<Lane> {
+  private waitingOf(owner: UpstreamId | null): Set<ShardQueue> {
     const key = owner ?? NO_OWNER_KEY;
     let set = this.waiting.get(key);
     if (set === undefined) {
--- a/src/routing/queue/wait-estimate.ts
+++ b/src/routing/queue/wait-estimate.ts
@@ -3,7 +3,7 @@
 import type { RequestGroup } from '../request-group.js';
 import type { RouterContext } from '../router-context.js';
 import type { ServiceState } from '../service-state.js';
-import type { Lane } from './lane-table.js';
+import type { ShardQueue } from './shard-queues.js';
 
 /** A position in the dispatch order of a queue. */
 interface QueuePosition {
@@ -42,7 +42,7 @@
   }
 
   /** Returns milliseconds until the last waiting group of a rank is dispatched. */
-  untilLast(service: ServiceState, shardQueue: Lane, rank: number): number {
+  untilLast(service: ServiceState, shardQueue: ShardQueue, rank: number): number {
     return this.wait(service, shardQueue, {
       shard: shardQueue.shard,
       rank,
@@ -61,7 +61,7 @@
 
   private wait(
     service: ServiceState,
-    shardQueue: Lane | undefined,
+    shardQueue: ShardQueue | undefined,
     { shard, rank, place }: QueuePosition,
   ): number {
     const { now } = this.context;
--- a/src/routing/request-group.ts
+++ b/src/routing/request-group.ts
@@ -1,13 +1,13 @@
 /** Requests on their way to an upstream, grouped where identical reads share attempts, and the attempts made for them. */
 import type { RunName } from '../model/crash-suspect.js';
 import type { Epoch, Revision, ShardId } from '../model/identifiers.js';
+import type { OpenAnswer } from './capacity/link-pacer.js';
 import type { Claim } from './claim.js';
 import type { LedgerWord } from './outcome-table.js';
-import type { Lane } from './queue/lane-table.js';
 import type { QueueNode } from './queue/linked-queue.js';
 import type { RouteTally } from './queue/route-tallies.js';
+import type { ShardQueue } from './queue/shard-queues.js';
 import type { RequestTerms } from './request-terms.js';
-import type { OpenAnswer } from './room/link-room.js';
 import type { RouterTimer } from './router-timer.js';
 import type { ServiceState } from './service-state.js';
 import type { ArrivedRequest, AttemptNumber } from './types.js';
@@ -107,7 +107,7 @@
   arrivedAt = 0;
   /** Estimated time of the caller's first try: a retry has a shorter deadline by the time already used. */
   askedAt = 0;
-  shardQueue: Lane | null = null;
+  shardQueue: ShardQueue | null = null;
   node: QueueNode<RequestGroup> | null = null;
   /** Link capacity accounted for its answer in advance; `null`: none is. */
   linkAnswer: OpenAnswer | null = null;
--- a/src/routing/request-intake.ts
+++ b/src/routing/request-intake.ts
@@ -79,7 +79,7 @@
       this.join(joinable, request);
       return;
     }
-    const group = new RequestGroup(service, terms, context.tallies.of(terms, service.name));
+    const group = new RequestGroup(service, terms, context.tallies.tallyFor(terms, service.name));
     group.arrivedAt = context.now;
     group.shard = shard;
     group.shardRevision = context.view.revision;
@@ -160,7 +160,7 @@
 
   /** Refuses all waiting requests of a service, because the configuration is no longer confirmed. */
   refuseWaiting(service: ServiceState, reason: RefusalReason): void {
-    const waiting = [...service.queues.allWork(), ...service.held, ...service.claiming];
+    const waiting = [...service.queues.allGroups(), ...service.held, ...service.claiming];
     for (const group of waiting) {
       this.answers.refuseGroup(group, reason, this.admission.unmeasuredRetryAfter());
     }
@@ -169,7 +169,7 @@
   /** Refuses waiting requests that are newly quarantined. Requests already sent may still succeed and be cleared by that. */
   refuseQuarantined(): void {
     for (const { queues, held, claiming } of this.context.services.values()) {
-      for (const group of [...queues.allWork(), ...held, ...claiming]) {
+      for (const group of [...queues.allGroups(), ...held, ...claiming]) {
         if (this.context.crashes.isRefused(group.request)) {
           this.answers.refuseQuarantined(group);
         }
@@ -248,10 +248,10 @@
     const { service, terms, arrivedAt, request } = group;
     const remainingMillis = request.deadlineMillis ?? terms.deadlineMillis;
     group.askedAt = arrivedAt - Math.max(0, terms.deadlineMillis - remainingMillis);
-    service.presence.note(terms, arrivedAt);
+    service.presence.recordArrival(terms, arrivedAt);
     this.applyHotKeyRank(group);
     if (group.askedAt >= arrivedAt - MIN_RETURN_MILLIS) {
-      service.rankRoom.shares.came(terms.priority, arrivedAt);
+      service.rankRoom.shares.onArrival(terms.priority, arrivedAt);
     }
   }
 
--- a/src/routing/router-node.ts
+++ b/src/routing/router-node.ts
@@ -212,7 +212,7 @@
     this.context.leader.setHint(message.leader);
     for (const upstream of this.reports.applyPermits(message)) {
       this.dispatcher.drainUpstream(upstream);
-      this.admission.refuseHeldBackFor(upstream);
+      this.admission.refuseBlockedBy(upstream);
     }
   }
 
@@ -339,7 +339,7 @@
     const { group } = subject;
     group.holdTimer = null;
     if (group.phase === 'queued') {
-      this.admission.giveUpWaiting(group);
+      this.admission.onWaitEnd(group);
     }
   }
 
--- a/src/routing/service-state.ts
+++ b/src/routing/service-state.ts
@@ -5,15 +5,15 @@
 import type { WarmupBounds } from '../model/warmup-bounds.js';
 import { compilePolicy, PolicyError, type PolicyProgram } from '../policy/index.js';
 import type { ServiceRecord } from '../registry/types.js';
+import { HotKeys } from './capacity/hot-keys.js';
+import { RankHeadroom } from './capacity/rank-headroom.js';
+import { TokenRetryBudget } from './capacity/retry-budget.js';
 import { createPicker } from './picker/create-picker.js';
 import type { Picker, PickerName } from './picker/picker.js';
-import { LaneTable } from './queue/lane-table.js';
 import { RankPresence } from './queue/rank-presence.js';
-import type { TurnOrder } from './queue/ranked-queue.js';
+import type { DispatchOrder } from './queue/ranked-queue.js';
+import { ShardQueues } from './queue/shard-queues.js';
 import type { RequestGroup } from './request-group.js';
-import { HotKeys } from './room/hot-keys.js';
-import { RankRoom } from './room/rank-room.js';
-import { TokenRetryBudget } from './room/retry-budget.js';
 import type { Standing } from './upstream/standing.js';
 import type { UpstreamState } from './upstream/upstream-state.js';
 
@@ -35,10 +35,10 @@
 
 export class ServiceState {
   readonly name: ServiceName;
-  readonly queues = new LaneTable();
+  readonly queues = new ShardQueues();
   /** Terms of recently arrived requests. */
   readonly presence: RankPresence;
-  readonly rankRoom: RankRoom;
+  readonly rankRoom: RankHeadroom;
   #returnWindowEnd = Number.NEGATIVE_INFINITY;
   readonly hotKeys: HotKeys;
   readonly picker: Picker;
@@ -60,7 +60,7 @@
   /** `roomByRank`: whether less important requests, and those of a hot key, leave headroom for the others. */
   constructor(record: ServiceRecord, pickerName: PickerName, roomByRank: boolean) {
     this.presence = new RankPresence(roomByRank);
-    this.rankRoom = new RankRoom(this.presence);
+    this.rankRoom = new RankHeadroom(this.presence);
     this.hotKeys = new HotKeys(roomByRank);
     this.name = record.definition.name;
     this.current = record;
@@ -216,7 +216,7 @@
   }
 
   /** Order in which waiting groups are dequeued. */
-  dequeueOrder(now: number): TurnOrder {
+  dequeueOrder(now: number): DispatchOrder {
     return {
       now,
       expectedMillis:
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -23,7 +23,7 @@
 import type { PolicyTraceRecord } from '../policy/index.js';
 import type { ConnectionBreak } from './connection-break.js';
 import type { PickerName } from './picker/picker.js';
-import type { ReturnCounts } from './queue/return-times.js';
+import type { ReturnCounts } from './queue/return-schedules.js';
 import type { RouteTally } from './queue/route-tallies.js';
 import type { ReturnOffer } from './request-group.js';
 
--- a/src/routing/upstream/upstream-state.ts
+++ b/src/routing/upstream/upstream-state.ts
@@ -1,10 +1,10 @@
 /** A router's state of one upstream from its own requests; hints from other sources are kept separately. */
 import type { Incarnation, ServiceName, UpstreamId } from '../../model/identifiers.js';
 import type { UpstreamRecord } from '../../registry/types.js';
+import type { EstimatedUse, RankHeadroom } from '../capacity/rank-headroom.js';
+import { SlotLimit } from '../capacity/slot-limit.js';
+import { hasCapacity, maxForeignLoad, type UpstreamUse } from '../capacity/upstream-capacity.js';
 import type { RunNotices } from '../notices/run-notices.js';
-import type { KnownUse, RankRoom } from '../room/rank-room.js';
-import { SlotLimit } from '../room/slot-limit.js';
-import { hasRoom, mostForeignLoad, type UpstreamUse } from '../room/upstream-room.js';
 import type { FleetView } from './fleet-view.js';
 import { OutlierEjection } from './outlier-ejection.js';
 import { ReportedLoad } from './reported-load.js';
@@ -25,7 +25,7 @@
   readonly slotLimit: SlotLimit;
   inFlight = 0;
   /** Headroom that the service keeps free for more important requests; `null` if none. */
-  rankHeadroom: RankRoom | null = null;
+  rankHeadroom: RankHeadroom | null = null;
   /** Notices of the current run; `null` if it has sent none. */
   notices: RunNotices | null = null;
   /** End of the pause that the upstream requested with a refusal. */
@@ -111,7 +111,7 @@
 
   /** Whether one more request would find a free slot, according to the reported loads. */
   hasFreeSlot(now: number): boolean {
-    return this.inFlight + this.load(now) < this.slotLimit.most;
+    return this.inFlight + this.load(now) < this.slotLimit.totalSlots;
   }
 
   /** Applies a changed record. A new incarnation starts cold and without earlier evidence. */
@@ -164,7 +164,7 @@
     if (above > 0 && this.rankHeadroom?.admits(rank, above, waitedShare, this.#reportedUse(now)) === false) {
       return false;
     }
-    return this.isAnnounced ? hasRoom(this.#use(now)) : this.inFlight < this.slotLimit.slots;
+    return this.isAnnounced ? hasCapacity(this.#use(now)) : this.inFlight < this.slotLimit.slots;
   }
 
   /** Whether the upstream probably has a free slot. */
@@ -185,9 +185,9 @@
   answered(tookMillis: number, load: number | null, now: number): void {
     this.#serviceTimes.answered(tookMillis);
     // The answered request no longer counts as in flight, but it had used a slot of the limit.
-    this.slotLimit.answered(load, this.inFlight + 1, now);
+    this.slotLimit.onAnswer(load, this.inFlight + 1, now);
     if (load !== null) {
-      const relativeLoad = (load + 1) / (this.slotLimit.most * (this.fleetSpeed(now) ?? 1));
+      const relativeLoad = (load + 1) / (this.slotLimit.totalSlots * (this.fleetSpeed(now) ?? 1));
       this.#fleetView?.recordRelativeLoad(this.service, this.zone, relativeLoad, now);
       this.recordLoad(load, now);
     }
@@ -200,23 +200,23 @@
 
   /** Records the load that an answer or a probe reported. */
   recordLoad(load: number, now: number): void {
-    this.rankHeadroom?.reported(load, this.slotLimit.most, now);
-    this.#reportedLoad.report(load, this.inFlight, this.slotLimit.most, now);
+    this.rankHeadroom?.onLoadReport(load, this.slotLimit.totalSlots, now);
+    this.#reportedLoad.report(load, this.inFlight, this.slotLimit.totalSlots, now);
   }
 
   /** Records a rejection for lack of capacity; `load` is the number of outstanding requests, `Infinity` if unknown. */
   recordOverload(load: number, now: number): void {
-    this.rankHeadroom?.reported(load, this.slotLimit.most, now);
-    this.#reportedLoad.recordOverload(load, this.inFlight, this.slotLimit.most, now);
+    this.rankHeadroom?.onLoadReport(load, this.slotLimit.totalSlots, now);
+    this.#reportedLoad.recordOverload(load, this.inFlight, this.slotLimit.totalSlots, now);
   }
 
   /** Estimated milliseconds until there is capacity for one more request, by the load of other routers; 0 if there may be now. */
   millisUntilCapacity(now: number): number {
     const pause = Math.max(0, this.pausedUntil - now);
-    if (!this.isAnnounced || this.inFlight > this.slotLimit.most) {
+    if (!this.isAnnounced || this.inFlight > this.slotLimit.totalSlots) {
       return pause;
     }
-    return Math.max(pause, this.#reportedLoad.millisUntilBelow(mostForeignLoad(this.#use(now)), now));
+    return Math.max(pause, this.#reportedLoad.millisUntilBelow(maxForeignLoad(this.#use(now)), now));
   }
 
   /** Records a failed connection: the upstream may have stopped, and be cold when it is back. */
@@ -263,7 +263,7 @@
       return null;
     }
     const speed = this.fleetSpeed(now) ?? 1;
-    const { most } = this.slotLimit;
+    const { totalSlots: most } = this.slotLimit;
     const zoneUsual = (this.#fleetView?.usualRelativeLoad(this.service, this.zone) ?? 0) * speed * most;
     const others = this.#reportedLoad.expected(Math.max(0, zoneUsual - this.inFlight - 1), now);
     return (this.roundsOf(this.inFlight + 1 + others) * fleetRoundMillis) / speed;
@@ -276,7 +276,7 @@
 
   /** Number of service times until this many requests are done, as the slots work in parallel. Ties go to the less loaded upstream. */
   private roundsOf(outstanding: number): number {
-    const { most } = this.slotLimit;
+    const { totalSlots: most } = this.slotLimit;
     return Math.max(1, outstanding / most) + (TIE_BREAK_SHARE * outstanding) / most;
   }
 
@@ -287,10 +287,10 @@
   }
 
   #use(now: number): UpstreamUse {
-    return { slots: this.slotLimit.most, inFlight: this.inFlight, foreignLoad: this.load(now) };
+    return { slots: this.slotLimit.totalSlots, inFlight: this.inFlight, foreignLoad: this.load(now) };
   }
 
-  #reportedUse(now: number): KnownUse {
+  #reportedUse(now: number): EstimatedUse {
     return { ...this.#use(now), freshness: this.#reportedLoad.freshness(now) };
   }
 
--- a/src/routing/upstream/warmup-state.ts
+++ b/src/routing/upstream/warmup-state.ts
@@ -3,7 +3,7 @@
 import type { RoundPlace, RouterTurn } from '../../model/router-turn.js';
 import type { WarmupTerms } from '../../model/service.js';
 import type { WarmupBounds } from '../../model/warmup-bounds.js';
-import { turnsPerSecond, WarmupTurns } from '../room/warmup-turns.js';
+import { timeSlotsPerSecond, WarmupTimeSlots } from '../capacity/warmup-time-slots.js';
 
 export class WarmupState {
   #terms: WarmupTerms | null = null;
@@ -11,7 +11,7 @@
   #coldUntil = Number.NEGATIVE_INFINITY;
   /** The upstream was unreachable, so the next answer may come from a new process. */
   #mayHaveRestarted = false;
-  #timeSlots: WarmupTurns | null = null;
+  #timeSlots: WarmupTimeSlots | null = null;
 
   constructor(private readonly upstream: UpstreamId) {}
 
@@ -33,19 +33,19 @@
   /** Whether this router has a time slot now at an upstream that is or may be cold. */
   hasTimeSlot({ inZone }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
     const terms = this.#terms;
-    return terms !== null && this.#timeSlotsFrom(now).isDue(inZone, turnsPerSecond(terms, bounds), now);
+    return terms !== null && this.#timeSlotsFrom(now).isDue(inZone, timeSlotsPerSecond(terms, bounds), now);
   }
 
   /** Whether this router may send one more request for its keys to a cold owner. */
   hasOwnerTimeSlot({ inAll }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
     const terms = this.#terms;
-    return terms === null || this.#timeSlotsFrom(now).isLeft(inAll, turnsPerSecond(terms, bounds), now);
+    return terms === null || this.#timeSlotsFrom(now).isUnused(inAll, timeSlotsPerSecond(terms, bounds), now);
   }
 
   /** Records a sent request. `place`: the router's place from which the time slot was derived. */
   useTimeSlot(place: RoundPlace, bounds: WarmupBounds, now: number): void {
     if (this.#terms !== null) {
-      this.#timeSlotsFrom(now).use(place, turnsPerSecond(this.#terms, bounds), now);
+      this.#timeSlotsFrom(now).use(place, timeSlotsPerSecond(this.#terms, bounds), now);
     }
   }
 
@@ -86,14 +86,14 @@
     }
   }
 
-  #timeSlotsFrom(now: number): WarmupTurns {
-    this.#timeSlots ??= new WarmupTurns(this.upstream, now);
+  #timeSlotsFrom(now: number): WarmupTimeSlots {
+    this.#timeSlots ??= new WarmupTimeSlots(this.upstream, now);
     return this.#timeSlots;
   }
 
   #becomeCold(now: number, millis: number): void {
     if (now >= this.#coldUntil && !this.#mayHaveRestarted) {
-      this.#timeSlots = new WarmupTurns(this.upstream, now);
+      this.#timeSlots = new WarmupTimeSlots(this.upstream, now);
     }
     this.#coldUntil = Math.max(this.#coldUntil, now + millis);
   }
--- a/test/routing/competing-callers.test.ts
+++ b/test/routing/competing-callers.test.ts
@@ -1,6 +1,6 @@
 /** Callers of two ranks that compete for too few slots: what each rank gets for various numbers of routers, and during failures. */
 import { expect } from 'chai';
-import { RankRoom } from '../../src/routing/room/rank-room.js';
+import { RankHeadroom } from '../../src/routing/capacity/rank-headroom.js';
 import { type CallerKind, inTimeShare, type KindResult, type RankLoad, RankLoadWorld } from './rank-load.js';
 
 interface Row {
@@ -147,13 +147,13 @@
 
 describe('the tests of competing callers', function () {
   this.timeout(60_000);
-  function sabotaged(methods: Partial<RankRoom>, act: () => void): void {
-    const { admits } = RankRoom.prototype;
-    Object.assign(RankRoom.prototype, methods);
+  function sabotaged(methods: Partial<RankHeadroom>, act: () => void): void {
+    const { admits } = RankHeadroom.prototype;
+    Object.assign(RankHeadroom.prototype, methods);
     try {
       act();
     } finally {
-      Object.assign(RankRoom.prototype, { admits });
+      Object.assign(RankHeadroom.prototype, { admits });
     }
   }
 
--- a/test/routing/link-room.test.ts
+++ b/test/routing/link-pacer.test.ts
@@ -3,9 +3,9 @@
  * the link must not idle, and callers that can't be served in time must be refused at once.
  */
 import { expect } from 'chai';
+import { AnswerSizes } from '../../src/routing/capacity/answer-sizes.js';
+import { LinkPacer } from '../../src/routing/capacity/link-pacer.js';
 import { LinkWidth } from '../../src/routing/capacity/link-width.js';
-import { AnswerSizes } from '../../src/routing/room/answer-sizes.js';
-import { LinkRoom } from '../../src/routing/room/link-room.js';
 import { type LinkLoad, LinkWorld } from './link-load.js';
 
 const WIDTH_MEGABITS = 4.2;
@@ -126,27 +126,27 @@
 
 describe('pacing of a link', () => {
   it('follows the rate at which the link carries large answers', () => {
-    const pacer = new LinkRoom(500);
+    const pacer = new LinkPacer(500);
     expect(pacer.waitMillis(0, 0)).to.equal(0);
-    pacer.started(90_000, 0);
+    pacer.onStart(90_000, 0);
     expect(pacer.waitMillis(0, 0)).to.be.closeTo(50, 1);
     expect(pacer.waitMillis(90_000, 0)).to.be.closeTo(250, 1);
     expect(pacer.waitMillis(0, 100)).to.equal(0);
   });
 
   it('is corrected for an answer that was smaller or failed', () => {
-    const pacer = new LinkRoom(500);
-    pacer.started(90_000, 0);
-    pacer.failed(pacer.started(90_000, 0), 0);
+    const pacer = new LinkPacer(500);
+    pacer.onStart(90_000, 0);
+    pacer.onFailure(pacer.onStart(90_000, 0), 0);
     expect(pacer.waitMillis(0, 0)).to.be.closeTo(50, 1);
   });
 
   it('subtracts the traffic of short answers, and leaves at least a tenth', () => {
-    const pacer = new LinkRoom(500);
-    pacer.short(200_000, 0);
-    pacer.started(90_000, 0);
+    const pacer = new LinkPacer(500);
+    pacer.onShortAnswer(200_000, 0);
+    pacer.onStart(90_000, 0);
     expect(pacer.waitMillis(0, 0)).to.be.closeTo(90_000 / 250 - 150, 1);
-    pacer.short(10_000_000, 0);
+    pacer.onShortAnswer(10_000_000, 0);
     expect(pacer.waitMillis(90_000, 0)).to.be.closeTo(360 + 90_000 / 50 - 150, 1);
   });
 });
--- a/test/routing/retry-budget.test.ts
+++ b/test/routing/retry-budget.test.ts
@@ -1,6 +1,6 @@
 /** Retries stay within their share, and within the number of retries that may be saved up. */
 import { expect } from 'chai';
-import { TokenRetryBudget } from '../../src/routing/room/retry-budget.js';
+import { TokenRetryBudget } from '../../src/routing/capacity/retry-budget.js';
 
 function spend(budget: TokenRetryBudget): number {
   let spent = 0;
--- a/test/routing/return-times.test.ts
+++ b/test/routing/return-schedules.test.ts
@@ -4,7 +4,11 @@
  */
 import { expect } from 'chai';
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
-import { GRACE_MILLIS, type ReturnRequest, ReturnSchedules } from '../../src/routing/queue/return-times.js';
+import {
+  GRACE_MILLIS,
+  type ReturnRequest,
+  ReturnSchedules,
+} from '../../src/routing/queue/return-schedules.js';
 
 const PLACE_MILLIS = 100;
 const REQUEST: ReturnRequest = {
--- a/test/routing/warmup-turns.test.ts
+++ b/test/routing/warmup-time-slots.test.ts
@@ -4,13 +4,13 @@
  */
 import { expect } from 'chai';
 import type { RoundPlace } from '../../src/model/router-turn.js';
+import { timeSlotsPerSecond, WarmupTimeSlots } from '../../src/routing/capacity/warmup-time-slots.js';
 import { Random } from '../../src/routing/random.js';
-import { turnsPerSecond, WarmupTurns } from '../../src/routing/room/warmup-turns.js';
 
 const TERMS = { perSecond: 4.2, millis: 3000 };
 const BOUNDS = { overrunFactor: 1.5, marginRequests: 8 };
 const MAX_PER_SECOND = TERMS.perSecond * BOUNDS.overrunFactor + BOUNDS.marginRequests;
-const RATE = turnsPerSecond(TERMS, BOUNDS);
+const RATE = timeSlotsPerSecond(TERMS, BOUNDS);
 const STEP_MILLIS = 5;
 /** Maximum difference between the times at which connected routers receive the same update. */
 const UPDATE_SPREAD_MILLIS = 120;
@@ -28,7 +28,7 @@
 
 /** The time slots of rounds, as implemented. */
 const byTimeSlots: Strategy = (place, updatedAt) => {
-  const timeSlots = new WarmupTurns('u1', updatedAt);
+  const timeSlots = new WarmupTimeSlots('u1', updatedAt);
   return (now) => {
     const isDue = now >= updatedAt && timeSlots.isDue(place, RATE, now);
     if (isDue) {
@@ -117,9 +117,9 @@
 
   it('for keys of a cold owner admit a low load as it arrives, and limit a hot key', () => {
     const keyed: Strategy = (place, updatedAt) => {
-      const timeSlots = new WarmupTurns('u1', updatedAt);
+      const timeSlots = new WarmupTimeSlots('u1', updatedAt);
       return (now) => {
-        const isLeft = now >= updatedAt && timeSlots.isLeft(place, RATE, now);
+        const isLeft = now >= updatedAt && timeSlots.isUnused(place, RATE, now);
         if (isLeft) {
           timeSlots.use(place, RATE, now);
         }
@@ -130,7 +130,7 @@
   });
 
   it('are rarer if the bound is lower', () => {
-    const tight = turnsPerSecond(TERMS, { overrunFactor: 1, marginRequests: 2 });
+    const tight = timeSlotsPerSecond(TERMS, { overrunFactor: 1, marginRequests: 2 });
     expect(tight).to.be.below(RATE);
     expect(2 * tight + 3).to.be.at.most((TERMS.perSecond + 2) * 0.8 + 0.001);
   });
