--- a/src/control/fleet-room/fleet-room.ts
+++ b/src/control/fleet-room/fleet-room.ts
@@ -175,8 +175,8 @@
     const speeds = this.#speedsOf(service);
     const slots = sum(upstreams.map((upstream) => upstream.slots));
     const mean =
-      sum(upstreams.map((upstream) => upstream.slots * speeds.of(upstream.id))) / Math.max(1, slots);
-    return new Map(upstreams.map(({ id }) => [id, speeds.of(id) / mean]));
+      sum(upstreams.map((upstream) => upstream.slots * speeds.speedOf(upstream.id))) / Math.max(1, slots);
+    return new Map(upstreams.map(({ id }) => [id, speeds.speedOf(id) / mean]));
   }
 
   #publishSpeed({ id, service, zone }: RoomUpstream, measured: number, version: Version): boolean {
--- a/src/control/leader-duties.ts
+++ b/src/control/leader-duties.ts
@@ -200,12 +200,12 @@
     now: MonotonicMillis,
   ): void {
     this.#lastResponseAt.set(upstream, now);
-    this.#granter.answered(upstream, sequence, answer, now);
+    this.#granter.handleAnswer(upstream, sequence, answer, now);
     this.#coordinator.sessionChanged(upstream);
   }
 
   onSessionFailure(upstream: UpstreamId, sequence: number, now: MonotonicMillis): void {
-    this.#granter.failed(upstream, sequence, now);
+    this.#granter.handleFailure(upstream, sequence, now);
     this.#coordinator.sessionChanged(upstream);
   }
 
@@ -279,7 +279,7 @@
 
   /** Runs one round at a time; renewals that become due during a round share the next one. */
   #confirmLeadership(now: MonotonicMillis): void {
-    if (this.#isRoundPending || now < this.#roundNotBefore || !this.#granter.wantsRound(now)) {
+    if (this.#isRoundPending || now < this.#roundNotBefore || !this.#granter.needsRound(now)) {
       return;
     }
     this.#isRoundPending = true;
@@ -288,7 +288,7 @@
     this.#parts.raft.read(now, (confirmed, settledAt) => {
       this.#isRoundPending = false;
       if (confirmed && !this.#hasEnded) {
-        this.#granter.confirmed(mark, settledAt);
+        this.#granter.confirmRound(mark, settledAt);
       } else {
         this.#roundNotBefore = settledAt + ROUND_RETRY_MILLIS;
       }
--- a/src/control/needs/upstream-needs.ts
+++ b/src/control/needs/upstream-needs.ts
@@ -1,7 +1,7 @@
 /** Constraints that upstreams report (rate limits, back-offs, draining), and what they mean for routers and for the placement of keys. */
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import type { HeardUpstream } from '../../model/upstream-notice.js';
-import type { Bearing } from '../../placement/ranges/bearing.js';
+import type { CapacityLimit } from '../../placement/ranges/capacity-limit.js';
 import type { UpstreamReport } from '../messages.js';
 import type { ReportingRouter } from '../router-requests.js';
 import type { ConnectionId, NeedyUpstream } from '../types.js';
@@ -59,8 +59,8 @@
   }
 
   /** Capacity limits of upstreams with a current or recent constraint. */
-  bearings(): ReadonlyMap<UpstreamId, Bearing> {
-    const limits = new Map<UpstreamId, Bearing>();
+  bearings(): ReadonlyMap<UpstreamId, CapacityLimit> {
+    const limits = new Map<UpstreamId, CapacityLimit>();
     for (const [upstream, perSecond] of this.#issuer.limits.bearable()) {
       limits.set(upstream, { perSecond });
     }
--- a/src/control/ranges/holder-table.ts
+++ b/src/control/ranges/holder-table.ts
@@ -38,7 +38,7 @@
   ) {}
 
   onCallSent(call: HolderCall, now: MonotonicMillis): void {
-    this.#holderOf(call.upstream).history.sent(call.id, call.kind === 'grant', now);
+    this.#holderOf(call.upstream).history.recordSent(call.id, call.kind === 'grant', now);
   }
 
   /**
@@ -49,34 +49,34 @@
     const holder = this.#holderOf(call.upstream);
     const current = this.runOf(call.upstream);
     if (outcome.type === 'ended' && current !== null && call.run !== current) {
-      holder.history.notSent(call.id, now);
-      holder.history.spoke(now);
+      holder.history.recordNotSent(call.id, now);
+      holder.history.recordContact(now);
       return;
     }
     holder.isConnectionRefused = outcome.type === 'refused';
     switch (outcome.type) {
       case 'accepted':
       case 'superseded':
-        holder.history.answered(call.id, now);
+        holder.history.recordAnswer(call.id, now);
         holder.lastSeenAt = now;
         holder.hasEnded = false;
         break;
       case 'rejected':
       case 'silent':
         // Whether the upstream accepted the call is unknown, whichever process responded.
-        holder.history.unanswered(call.id, now);
+        holder.history.recordNoAnswer(call.id, now);
         holder.failedRun = call.run;
         break;
       case 'unbound':
-        holder.history.forgotten(call.id);
+        holder.history.discardCall(call.id);
         break;
       case 'refused':
       case 'not-sent':
-        holder.history.notSent(call.id, now);
+        holder.history.recordNotSent(call.id, now);
         holder.failedRun = call.run;
         break;
       case 'ended':
-        holder.history.notSent(call.id, now);
+        holder.history.recordNotSent(call.id, now);
         holder.hasEnded = true;
         break;
     }
@@ -87,7 +87,7 @@
     const holder = this.#holderOf(upstream);
     holder.lastSeenAt = now;
     holder.hasEnded = false;
-    holder.history.spoke(now);
+    holder.history.recordContact(now);
   }
 
   /**
@@ -158,7 +158,7 @@
 
   /** Records that the upstream may hold keys until `end` by other means than calls. */
   extendHold(upstream: UpstreamId, end: MonotonicMillis): void {
-    this.#holderOf(upstream).history.holdUntil(end);
+    this.#holderOf(upstream).history.extendHoldUntil(end);
   }
 
   /** Drops an upstream that no longer exists. */
--- a/src/control/ranges/range-coordinator.ts
+++ b/src/control/ranges/range-coordinator.ts
@@ -11,7 +11,7 @@
   type UpstreamId,
 } from '../../model/identifiers.js';
 import { RANGE_KEYSPACE } from '../../model/key-range.js';
-import type { Bearing } from '../../placement/ranges/bearing.js';
+import type { CapacityLimit } from '../../placement/ranges/capacity-limit.js';
 import type { Registry, ServiceRecord } from '../../registry/types.js';
 import type { LoadReport } from '../messages.js';
 import type { ProposeCommand } from '../propose-command.js';
@@ -62,7 +62,7 @@
   readonly call: (call: HolderCall) => void;
   readonly log: LogRanges;
   /** Load limits of constrained upstreams; none if omitted. */
-  readonly bearings?: () => ReadonlyMap<UpstreamId, Bearing>;
+  readonly bearings?: () => ReadonlyMap<UpstreamId, CapacityLimit>;
   readonly timings: RangeTimings;
 }
 
@@ -382,8 +382,8 @@
   }
 }
 
-const NO_LOAD_LIMITS: ReadonlyMap<UpstreamId, Bearing> = new Map();
-const noLoadLimits = (): ReadonlyMap<UpstreamId, Bearing> => NO_LOAD_LIMITS;
+const NO_LOAD_LIMITS: ReadonlyMap<UpstreamId, CapacityLimit> = new Map();
+const noLoadLimits = (): ReadonlyMap<UpstreamId, CapacityLimit> => NO_LOAD_LIMITS;
 
 /** Returns whether the keys of a service are numbers owned in ranges. */
 export function hasRanges(record: ServiceRecord | undefined): record is ServiceRecord {
--- a/src/control/ranges/range-servers.ts
+++ b/src/control/ranges/range-servers.ts
@@ -1,7 +1,7 @@
 /** Tracks the upstreams of one service that may be assigned keys, and whether enough have joined to divide all keys. */
 import type { MonotonicMillis, ServiceName, UpstreamId } from '../../model/identifiers.js';
 import type { KeyRange } from '../../model/key-range.js';
-import type { Bearing } from '../../placement/ranges/bearing.js';
+import type { CapacityLimit } from '../../placement/ranges/capacity-limit.js';
 import { capacityOf, type RangeServer } from '../../placement/ranges/owner-loads.js';
 import type { OwnerSpeeds } from '../../placement/ranges/owner-speeds.js';
 import type { Registry } from '../../registry/types.js';
@@ -30,7 +30,7 @@
   readonly registry: () => Registry;
   readonly evidence: HolderEvidence;
   /** Load limits of constrained upstreams. */
-  readonly loadLimits: () => ReadonlyMap<UpstreamId, Bearing>;
+  readonly loadLimits: () => ReadonlyMap<UpstreamId, CapacityLimit>;
   /** Usual time between two heartbeats of an upstream. */
   readonly heartbeatMillis: number;
 }
@@ -71,7 +71,7 @@
         if (loadLimit !== undefined || (limitsCold && announced.warmupMillis > 0)) {
           limited.add(id);
         }
-        const server = { upstream: id, slots: announced.slots, speed: this.speeds.of(id), isFull };
+        const server = { upstream: id, slots: announced.slots, speed: this.speeds.speedOf(id), isFull };
         servers.push(loadLimit === undefined ? server : withLoadLimit(server, loadLimit, meanMillis));
       }
     }
@@ -105,17 +105,17 @@
  * take 4 (on trouble days with 98 owners, 106 times in a day).
  */
 function markFull(server: RangeServer, limited: ReadonlySet<UpstreamId>): RangeServer {
-  return limited.has(server.upstream) ? { ...server, isFull: true } : server;
+  return limited.has(server.upstream) ? { ...server, isExcludedAsTarget: true } : server;
 }
 
 /** Limits the load of a constrained server. `meanMillis` is the time a request takes at the mean upstream. */
 function withLoadLimit(
   server: RangeServer,
-  { perSecond, share = 1 }: Bearing,
+  { perSecond, share = 1 }: CapacityLimit,
   meanMillis: number,
 ): RangeServer {
   const byLimit = perSecond === undefined ? Number.POSITIVE_INFINITY : perSecond * meanMillis;
-  return { ...server, mostLoad: Math.min(byLimit, capacityOf(server) * share) };
+  return { ...server, maxLoad: Math.min(byLimit, capacityOf(server) * share) };
 }
 
 function countRanges(ranges: readonly KeyRange[]): Map<UpstreamId, number> {
--- a/src/control/ranges/range-service.ts
+++ b/src/control/ranges/range-service.ts
@@ -6,8 +6,8 @@
 import type { Epoch, MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
 import { findRange, type KeyRange, type KeySpan } from '../../model/key-range.js';
 import { BalancePlanner } from '../../placement/ranges/balance-planner.js';
-import { MoveEvidence } from '../../placement/ranges/move-evidence.js';
-import type { MoveTerms } from '../../placement/ranges/move-worth.js';
+import { MoveEstimator } from '../../placement/ranges/move-estimator.js';
+import type { MoveCostParameters } from '../../placement/ranges/move-worth.js';
 import { OwnerLoads, type RangeServer } from '../../placement/ranges/owner-loads.js';
 import { OwnerSpeeds } from '../../placement/ranges/owner-speeds.js';
 import {
@@ -75,7 +75,7 @@
   /** Start of this leadership, or of this way of granting. */
   readonly #startedAt: MonotonicMillis;
   readonly #balance = new BalancePlanner();
-  readonly #evidence = new MoveEvidence();
+  readonly #evidence = new MoveEstimator();
   readonly #speeds = new OwnerSpeeds();
   readonly #carrier: RangeCarrier;
   readonly #releases = new RangeReleases();
@@ -203,14 +203,14 @@
   }
 
   #recordStart(move: PendingMove): void {
-    this.#balance.began(move);
+    this.#balance.recordMove(move);
     const { from, to, owner, target, weighed } = move;
     if (weighed !== undefined) {
       this.#weighed.started += 1;
       this.#weighed.gainMillis += weighed.gainMillis;
       this.#weighed.costMillis += weighed.costMillis;
       const { service } = this.#parts;
-      const terms = { ...weighed, ...this.#evidence.times };
+      const terms = { ...weighed, ...this.#evidence.estimate };
       this.#parts.log('range-move-weighed', { service, from, to, owner, target, ...terms });
     }
   }
@@ -241,7 +241,7 @@
   /** Returns the percentage of its capacity that each upstream uses, for the log. */
   describeUse(): Readonly<Record<UpstreamId, number>> {
     const { use } = this.#currentLoads();
-    const percent = (server: RangeServer): number => Math.round(use.useOf(server) * 100);
+    const percent = (server: RangeServer): number => Math.round(use.utilisationOf(server) * 100);
     return Object.fromEntries(this.#servers.list.map((server) => [server.upstream, percent(server)]));
   }
 
@@ -324,7 +324,7 @@
   #spread(range: KeyRange, owner: UpstreamId | null): PlannedSpan[] {
     const { use, owners } = this.#currentLoads();
     const ownerLoad = owner === null ? undefined : owners.get(owner);
-    return spreadSpan(range, this.#balance.steady, use, ownerLoad ?? use.ofSpan(range));
+    return spreadSpan(range, this.#balance.steady, use, ownerLoad ?? use.loadOfSpan(range));
   }
 
   /** Assigns pieces released by their previous owner to the next one. */
@@ -345,17 +345,17 @@
     const { use } = this.#currentLoads();
     const planned = this.#servers.has(piece.target)
       ? piece.target
-      : (use.leastUsed(null)?.upstream ?? piece.target);
+      : (use.leastUtilised(null)?.upstream ?? piece.target);
     const target = this.#carrier.canNotify(planned, now) ? planned : this.#substituteFor(piece, now);
     if (target === undefined) {
       return [];
     }
     if (target !== piece.target) {
-      use.add(target, piece);
+      use.addSpan(target, piece);
     }
     const hasHandover = this.#carrier.transferHandover(piece, range);
     if (piece.freedBy === FREE_PROOFS.released) {
-      this.#evidence.moved(now - piece.since, hasHandover);
+      this.#evidence.recordMove(now - piece.since, hasHandover);
     }
     return [spanUpdate(range, piece, target, null)];
   }
@@ -371,9 +371,10 @@
       return undefined;
     }
     const { use } = this.#currentLoads();
-    const substitute = use.leastUsedOf((server) => this.#carrier.canNotify(server.upstream, now));
-    const most = use.meanUse() * SUBSTITUTE_USE_FACTOR + SUBSTITUTE_USE_MARGIN;
-    const isBusy = substitute !== undefined && use.useOf(substitute) > most && waited < heartbeatMillis;
+    const substitute = use.leastUtilisedWhere((server) => this.#carrier.canNotify(server.upstream, now));
+    const most = use.meanUtilisation() * SUBSTITUTE_USE_FACTOR + SUBSTITUTE_USE_MARGIN;
+    const isBusy =
+      substitute !== undefined && use.utilisationOf(substitute) > most && waited < heartbeatMillis;
     return isBusy ? undefined : substitute?.upstream;
   }
 
@@ -414,17 +415,22 @@
 
   #planMoves(ranges: readonly KeyRange[]): PlannedSpan[] {
     const underWay = this.#releases.open();
-    return this.#balance.plan({ ranges, servers: this.#servers.list, underWay, terms: this.#moveTerms() });
+    return this.#balance.plan({
+      ranges,
+      servers: this.#servers.list,
+      underWay,
+      costParameters: this.#moveTerms(),
+    });
   }
 
   /** Returns the terms for weighing moves; `null` if the service declares no cost of moves. */
-  #moveTerms(): MoveTerms | null {
+  #moveTerms(): MoveCostParameters | null {
     const { registry, service } = this.#parts;
     const slowMillis = registry().services().get(service)?.definition.unwarmedKeyMillis;
     const workMillis = this.#speeds.meanMillis;
     return slowMillis === undefined || workMillis === null || workMillis === 0
       ? null
-      : { ...this.#evidence.times, slowMillis, workMillis };
+      : { ...this.#evidence.estimate, slowMillis, workMillis };
   }
 
   #isBeingRevoked({ from, to }: KeySpan): boolean {
@@ -444,7 +450,7 @@
   for (const range of ranges) {
     const owner = range.owner ?? range.former;
     if (owner !== null) {
-      loads.set(owner, (loads.get(owner) ?? 0) + use.ofSpan(range));
+      loads.set(owner, (loads.get(owner) ?? 0) + use.loadOfSpan(range));
     }
   }
   return loads;
--- a/src/control/ranges/service-in-charge.ts
+++ b/src/control/ranges/service-in-charge.ts
@@ -4,7 +4,7 @@
 import { DEFAULT_GRANT_CARRIER, GRANT_CARRIERS, type GrantCarrier } from '../../model/grant-carrier.js';
 import type { MonotonicMillis, ServiceName, UpstreamId } from '../../model/identifiers.js';
 import type { RangeGrantTerms } from '../../model/service.js';
-import type { Bearing } from '../../placement/ranges/bearing.js';
+import type { CapacityLimit } from '../../placement/ranges/capacity-limit.js';
 import type { Registry, ServiceRecord } from '../../registry/types.js';
 import { CallCarrier } from './call-carrier.js';
 import { HeartbeatCarrier } from './heartbeat-carrier.js';
@@ -28,7 +28,7 @@
   readonly holders: HolderTable;
   readonly log: LogRanges;
   /** Load limits of constrained upstreams. */
-  readonly loadLimits: () => ReadonlyMap<UpstreamId, Bearing>;
+  readonly loadLimits: () => ReadonlyMap<UpstreamId, CapacityLimit>;
 }
 
 /** Returns how the ranges of a service are granted. */
--- a/src/control/service-coordinator.ts
+++ b/src/control/service-coordinator.ts
@@ -179,7 +179,7 @@
   }
 
   #updateLoads(now: MonotonicMillis): void {
-    this.#planner.setLeastLoad(this.#loads.weightOf(MIN_SHARD_LOAD, now));
+    this.#planner.setMinShardLoad(this.#loads.weightForLoad(MIN_SHARD_LOAD, now));
     for (const { shard, load } of this.#loads.takeChanged()) {
       this.#planner.setLoad(shard, load);
     }
--- a/src/dev/bench/models/placement/coordinator-rig.ts
+++ b/src/dev/bench/models/placement/coordinator-rig.ts
@@ -109,7 +109,7 @@
     for (const call of granter.takeCalls(this.now)) {
       this.#answer(call);
     }
-    granter.confirmed(granter.markRound(), this.now);
+    granter.confirmRound(granter.markRound(), this.now);
   }
 
   /** Ends the leases of servers and grants their shards to others. */
@@ -155,10 +155,10 @@
     const { granter, coordinator } = this.#leader();
     const holder = this.#holders.get(upstream);
     if (holder === undefined || this.#lost.has(upstream)) {
-      granter.failed(upstream, request.sequence, this.now);
+      granter.handleFailure(upstream, request.sequence, this.now);
     } else {
       const answer = holder.handleSession(request, this.now);
-      granter.answered(upstream, request.sequence, answer, this.now);
+      granter.handleAnswer(upstream, request.sequence, answer, this.now);
       this.answers += 1;
     }
     coordinator.sessionChanged(upstream);
--- a/src/dev/bench/models/placement/placement-world.ts
+++ b/src/dev/bench/models/placement/placement-world.ts
@@ -190,7 +190,7 @@
     for (const reporter of this.#reporters) {
       this.#tracker.report(reporter.takeReport(now)?.shards ?? [], now);
     }
-    planner.setLeastLoad(this.#tracker.weightOf(MIN_LOAD, now));
+    planner.setMinShardLoad(this.#tracker.weightForLoad(MIN_LOAD, now));
     for (const { shard, load } of this.#tracker.takeChanged()) {
       planner.setLoad(shard, load);
     }
--- a/src/lease/lease-granter.ts
+++ b/src/lease/lease-granter.ts
@@ -73,7 +73,7 @@
   }
 
   /** Processes the answer to a call. Returns `false` if the call isn't outstanding or the answer can't be relied on. */
-  answered(upstream: UpstreamId, sequence: number, answer: SessionAnswer, now: MonotonicMillis): boolean {
+  handleAnswer(upstream: UpstreamId, sequence: number, answer: SessionAnswer, now: MonotonicMillis): boolean {
     const session = this.#sessions.get(upstream);
     const request = session === undefined ? undefined : takeOutstanding(session, sequence);
     if (session === undefined || request === undefined) {
@@ -91,7 +91,7 @@
   }
 
   /** Processes a call that had no answer. */
-  failed(upstream: UpstreamId, sequence: number, now: MonotonicMillis): void {
+  handleFailure(upstream: UpstreamId, sequence: number, now: MonotonicMillis): void {
     const session = this.#sessions.get(upstream);
     const request = session === undefined ? undefined : takeOutstanding(session, sequence);
     if (session !== undefined && request !== undefined) {
@@ -106,7 +106,7 @@
   }
 
   /** Processes the confirmation of the leadership by a quorum round that began at `mark`. */
-  confirmed(mark: number, now: MonotonicMillis): void {
+  confirmRound(mark: number, now: MonotonicMillis): void {
     for (const session of this.#schedule.awaitingRound()) {
       const { received, answer, incarnation } = session;
       if (received !== null && received.order <= mark && answer?.incarnation === incarnation) {
@@ -117,7 +117,7 @@
   }
 
   /** Returns whether a renewal that is due or nearly due waits for a quorum round. */
-  wantsRound(now: MonotonicMillis): boolean {
+  needsRound(now: MonotonicMillis): boolean {
     return this.#schedule.needsRound(now);
   }
 
--- a/src/lease/timed-grants.ts
+++ b/src/lease/timed-grants.ts
@@ -90,18 +90,18 @@
   }
 
   /** Records contact initiated by the server: it is alive, so it may accept unanswered grants late, and calls should be retried. */
-  spoke(now: MonotonicMillis): void {
+  recordContact(now: MonotonicMillis): void {
     this.#silentSince = null;
     this.#lastContactAt = Math.max(this.#lastContactAt ?? now, now);
     this.#extendByLateGrants();
   }
 
-  sent(call: number, isGrant: boolean, now: MonotonicMillis): void {
+  recordSent(call: number, isGrant: boolean, now: MonotonicMillis): void {
     this.#openCalls.set(call, { sentAt: now, isGrant });
   }
 
   /** Records an answer with any content. */
-  answered(call: number, now: MonotonicMillis): void {
+  recordAnswer(call: number, now: MonotonicMillis): void {
     const sent = this.#openCalls.get(call);
     this.#openCalls.delete(call);
     if (sent === undefined) {
@@ -112,13 +112,13 @@
     this.#failedAt = Number.NEGATIVE_INFINITY;
     this.#lastContactAt = Math.max(this.#lastContactAt ?? sent.sentAt, sent.sentAt);
     if (sent.isGrant) {
-      this.holdUntil(now + this.#maxHoldMillis());
+      this.extendHoldUntil(now + this.#maxHoldMillis());
     }
     this.#extendByLateGrants();
   }
 
   /** Records that a call had no timely answer and its connection was reset. */
-  unanswered(call: number, now: MonotonicMillis): void {
+  recordNoAnswer(call: number, now: MonotonicMillis): void {
     const sent = this.#openCalls.get(call);
     this.#openCalls.delete(call);
     if (sent === undefined) {
@@ -132,7 +132,7 @@
   }
 
   /** Records that no connection was established for a call. */
-  notSent(call: number, now: MonotonicMillis): void {
+  recordNotSent(call: number, now: MonotonicMillis): void {
     const sent = this.#openCalls.get(call);
     this.#openCalls.delete(call);
     if (sent !== undefined) {
@@ -141,7 +141,7 @@
   }
 
   /** Discards a call that the granter itself didn't send. */
-  forgotten(call: number): void {
+  discardCall(call: number): void {
     this.#openCalls.delete(call);
   }
 
@@ -156,14 +156,14 @@
     const lastContactAt = this.#lastContactAt ?? Number.NEGATIVE_INFINITY;
     for (const sentAt of this.#unansweredGrants) {
       if (sentAt < lastContactAt) {
-        this.holdUntil(sentAt + this.timings.lateMillis + this.#maxHoldMillis());
+        this.extendHoldUntil(sentAt + this.timings.lateMillis + this.#maxHoldMillis());
       }
     }
     this.#unansweredGrants = this.#unansweredGrants.filter((sentAt) => sentAt >= lastContactAt);
   }
 
   /** Extends the bound to `end`. */
-  holdUntil(end: MonotonicMillis): void {
+  extendHoldUntil(end: MonotonicMillis): void {
     this.#heldUntil = Math.max(this.#heldUntil, end);
   }
 
--- a/src/placement/baselines/recomputing-planner.ts
+++ b/src/placement/baselines/recomputing-planner.ts
@@ -50,7 +50,7 @@
   }
 
   /** No minimum load is needed, since idle shards are spread by their hashes. */
-  setLeastLoad(): void {}
+  setMinShardLoad(): void {}
 
   removeShard(shard: ShardId): void {
     this.#shards.delete(shard);
--- a/src/placement/load-tracker.ts
+++ b/src/placement/load-tracker.ts
@@ -47,13 +47,13 @@
   }
 
   /** Returns the weight of a steady load in milliseconds of work per second. */
-  weightOf(load: number, now: MonotonicMillis): number {
+  weightForLoad(load: number, now: MonotonicMillis): number {
     return (load / MILLIS_PER_SECOND) * this.#coveredMillis(now) * this.#scale(now);
   }
 
   /** Returns the load of a shard in milliseconds of work per second. */
   load(shard: ShardId, now: MonotonicMillis): number {
-    return this.weight(shard) / this.weightOf(1, now);
+    return this.weight(shard) / this.weightForLoad(1, now);
   }
 
   /** Returns the weights that changed since the last call; after a reset of the scale, all of them. */
--- a/src/placement/ranges/balance-planner.ts
+++ b/src/placement/ranges/balance-planner.ts
@@ -3,8 +3,8 @@
 import { planFirstRanges } from './first-ranges.js';
 import { HotKeyMoves } from './hot-key-moves.js';
 import { KeyLoads } from './key-loads.js';
-import { MoveWeigher } from './move-weighing.js';
-import type { MoveTerms } from './move-worth.js';
+import { MoveWeigher } from './move-weigher.js';
+import type { MoveCostParameters } from './move-worth.js';
 import type { RangeServer } from './owner-loads.js';
 import { EVEN_GOAL, type PlannedSpan, planMoves, RELIEF_GOAL } from './range-planner.js';
 
@@ -18,7 +18,7 @@
   /** Spans without an owner, with their next owners. */
   readonly underWay: readonly PlannedSpan[];
   /** Parameters for weighing; `null` if moves aren't weighed. */
-  readonly terms: MoveTerms | null;
+  readonly costParameters: MoveCostParameters | null;
 }
 
 export class BalancePlanner {
@@ -37,7 +37,7 @@
    * Plans moves from servers that are much busier than the others. First ranges for servers that own none have priority, then
    * the relief of servers that have just become overloaded.
    */
-  plan({ ranges, servers, underWay, terms }: BalanceInput): PlannedSpan[] {
+  plan({ ranges, servers, underWay, costParameters: terms }: BalanceInput): PlannedSpan[] {
     const first = planFirstRanges(ranges, this.steady, servers, underWay);
     if (first.length > 0) {
       return first;
@@ -49,7 +49,7 @@
   }
 
   /** Records that a planned move has begun. */
-  began({ from, to, weighed }: PlannedSpan): void {
+  recordMove({ from, to, weighed }: PlannedSpan): void {
     if (weighed !== undefined && from === to) {
       this.#hotKeys.recordMove(from, this.recent.loadOf(from));
     }
--- a/src/placement/ranges/first-ranges.ts
+++ b/src/placement/ranges/first-ranges.ts
@@ -22,7 +22,7 @@
     ...underWay.map(({ target }) => target),
   ]);
   const newcomers = servers
-    .filter(({ upstream, isFull }) => !supplied.has(upstream) && isFull !== true)
+    .filter(({ upstream, isExcludedAsTarget: isFull }) => !supplied.has(upstream) && isFull !== true)
     .slice(0, MAX_FIRST_RANGES);
   const use = new OwnerLoads(servers, ranges, loads);
   const planned: PlannedSpan[] = [];
@@ -48,7 +48,7 @@
   const [busiest] = use.busiest(0).filter(({ upstream }) => !sources.has(upstream));
   const owned = ranges.filter(({ owner, from, to }) => owner === busiest?.upstream && to > from);
   const heaviest = owned.reduce<KeyRange | undefined>(
-    (best, range) => (best === undefined || use.ofSpan(range) > use.ofSpan(best) ? range : best),
+    (best, range) => (best === undefined || use.loadOfSpan(range) > use.loadOfSpan(best) ? range : best),
     undefined,
   );
   if (busiest === undefined || heaviest === undefined) {
--- a/src/placement/ranges/move-evidence.ts
+++ b/src/placement/ranges/move-estimator.ts
@@ -15,16 +15,16 @@
 /** Weight of the latest move in the moving average. */
 const MOVE_WEIGHT = 0.1;
 
-export class MoveEvidence {
+export class MoveEstimator {
   #unownedMillis = INITIAL_UNOWNED_MILLIS;
   #handoverShare = INITIAL_HANDOVER_SHARE;
 
-  get times(): MoveEstimate {
+  get estimate(): MoveEstimate {
     return { unownedMillis: this.#unownedMillis, handoverShare: this.#handoverShare };
   }
 
   /** Records that keys which were moved off an owner on purpose have their next owner. */
-  moved(unownedMillis: number, hasHandover: boolean): void {
+  recordMove(unownedMillis: number, hasHandover: boolean): void {
     this.#unownedMillis += (unownedMillis - this.#unownedMillis) * MOVE_WEIGHT;
     this.#handoverShare += (Number(hasHandover) - this.#handoverShare) * MOVE_WEIGHT;
   }
--- a/src/placement/ranges/move-weighing.ts
+++ b/src/placement/ranges/move-weigher.ts
@@ -3,7 +3,7 @@
 import { heatAgeMillis, remainingMillis } from './heat-age.js';
 import { HotKeyMoves } from './hot-key-moves.js';
 import type { KeyLoads } from './key-loads.js';
-import { isWorthwhile, type MoveTerms, type MoveWorth, worthOf } from './move-worth.js';
+import { isWorthwhile, type MoveCostParameters, type MoveWorth, worthOf } from './move-worth.js';
 import type { OwnerLoads, RangeServer } from './owner-loads.js';
 import type { PlannedSpan } from './range-planner.js';
 
@@ -37,10 +37,14 @@
 
 export class MoveWeigher {
   readonly #averages: LoadAverages;
-  readonly #parameters: MoveTerms;
+  readonly #parameters: MoveCostParameters;
   readonly #hotKeys: HotKeyMoves;
 
-  constructor(averages: LoadAverages, parameters: MoveTerms, hotKeys: HotKeyMoves = new HotKeyMoves()) {
+  constructor(
+    averages: LoadAverages,
+    parameters: MoveCostParameters,
+    hotKeys: HotKeyMoves = new HotKeyMoves(),
+  ) {
     this.#averages = averages;
     this.#parameters = parameters;
     this.#hotKeys = hotKeys;
--- a/src/placement/ranges/move-worth.ts
+++ b/src/placement/ranges/move-worth.ts
@@ -3,11 +3,11 @@
  * saved while the load lasts. The cost is the waiting time while the keys have no owner, and the additional time of slow
  * requests after a move without a handover.
  */
-import type { MoveEstimate } from './move-evidence.js';
+import type { MoveEstimate } from './move-estimator.js';
 import { capacityOf, type RangeServer } from './owner-loads.js';
 
 /** Parameters for weighing the moves of a service's keys. */
-export interface MoveTerms extends MoveEstimate {
+export interface MoveCostParameters extends MoveEstimate {
   /** Time for which keys are slow after a move without a handover from their previous owner. */
   readonly slowMillis: number;
   /** Mean work of a request over all upstreams, in milliseconds. */
@@ -62,7 +62,7 @@
 }
 
 /** Returns the cost and the gain of a move. */
-export function worthOf(move: WeighedMove, parameters: MoveTerms): MoveWorth {
+export function worthOf(move: WeighedMove, parameters: MoveCostParameters): MoveWorth {
   const { from, fromLoad, to, toLoad, load, remainingMillis } = move;
   const before = waitPerSecond(from, fromLoad) + waitPerSecond(to, toLoad);
   const after = waitPerSecond(from, fromLoad - load) + waitPerSecond(to, toLoad + load);
@@ -71,13 +71,13 @@
 }
 
 /** Requests that arrive while the keys have no owner wait for half of that time on average. */
-function waitUnowned(load: number, { unownedMillis, workMillis }: MoveTerms): number {
+function waitUnowned(load: number, { unownedMillis, workMillis }: MoveCostParameters): number {
   const requests = ((load / workMillis) * unownedMillis) / MILLIS_PER_SECOND;
   return (requests * unownedMillis) / 2;
 }
 
 /** Slow keys take longer themselves, and they take capacity from the keys that their next owner already serves. */
-function waitSlow({ to, toLoad, load }: WeighedMove, parameters: MoveTerms): number {
+function waitSlow({ to, toLoad, load }: WeighedMove, parameters: MoveCostParameters): number {
   const slowLoad = load * SLOW_FACTOR;
   const extraWait =
     waitPerSecond(to, toLoad + slowLoad) - waitPerSecond(to, toLoad + load) + (slowLoad - load);
--- a/src/placement/ranges/owner-loads.ts
+++ b/src/placement/ranges/owner-loads.ts
@@ -11,9 +11,9 @@
   /** Speed as a factor on the mean of its service. */
   readonly speed: number;
   /** Maximum load in milliseconds of the mean upstream's work per second; absent if only its slots limit it. */
-  readonly mostLoad?: number;
+  readonly maxLoad?: number;
   /** Whether it must not get further ranges, because it owns many, is cold, or has a reduced capacity. */
-  readonly isFull?: boolean;
+  readonly isExcludedAsTarget?: boolean;
 }
 
 const MILLIS_PER_SECOND = 1000;
@@ -32,7 +32,11 @@
 }
 
 /** Returns the capacity of a server in milliseconds of the mean upstream's work per second. */
-export function capacityOf({ slots, speed, mostLoad = Number.POSITIVE_INFINITY }: RangeServer): number {
+export function capacityOf({
+  slots,
+  speed,
+  maxLoad: mostLoad = Number.POSITIVE_INFINITY,
+}: RangeServer): number {
   return Math.max(MIN_CAPACITY, Math.min(mostLoad, slots * speed * MILLIS_PER_SECOND));
 }
 
@@ -47,12 +51,12 @@
   ) {
     for (const range of ranges) {
       if (range.owner !== null) {
-        this.add(range.owner, range);
+        this.addSpan(range.owner, range);
       }
     }
   }
 
-  add(upstream: UpstreamId, span: KeySpan): void {
+  addSpan(upstream: UpstreamId, span: KeySpan): void {
     this.addLoad(upstream, this.loads.loadOfSpan(span) + idleLoad(span));
   }
 
@@ -65,26 +69,26 @@
   }
 
   /** Returns the load of a span, including the load attributed to idle keys. */
-  ofSpan(span: KeySpan): number {
+  loadOfSpan(span: KeySpan): number {
     return this.loads.loadOfSpan(span) + idleLoad(span);
   }
 
   /** Returns a server's load as a share of its capacity. */
-  useOf(server: RangeServer): number {
+  utilisationOf(server: RangeServer): number {
     return this.loadOf(server.upstream) / capacityOf(server);
   }
 
   /** Returns the least utilised server other than `except`; `undefined` if there is none. */
-  leastUsed(except: UpstreamId | null): RangeServer | undefined {
-    return this.leastUsedOf(({ upstream }) => upstream !== except);
+  leastUtilised(except: UpstreamId | null): RangeServer | undefined {
+    return this.leastUtilisedWhere(({ upstream }) => upstream !== except);
   }
 
   /** Returns the least utilised server that satisfies `fits` and may get ranges; `undefined` if there is none. */
-  leastUsedOf(fits: (server: RangeServer) => boolean): RangeServer | undefined {
+  leastUtilisedWhere(fits: (server: RangeServer) => boolean): RangeServer | undefined {
     let best: RangeServer | undefined;
     for (const server of this.servers) {
-      const isCandidate = server.isFull !== true && fits(server);
-      if (isCandidate && (best === undefined || this.useOf(server) < this.useOf(best))) {
+      const isCandidate = server.isExcludedAsTarget !== true && fits(server);
+      if (isCandidate && (best === undefined || this.utilisationOf(server) < this.utilisationOf(best))) {
         best = server;
       }
     }
@@ -95,7 +99,7 @@
   largest(fits: (server: RangeServer) => boolean): RangeServer | undefined {
     let best: RangeServer | undefined;
     for (const server of this.servers) {
-      const isCandidate = server.isFull !== true && fits(server);
+      const isCandidate = server.isExcludedAsTarget !== true && fits(server);
       if (isCandidate && (best === undefined || capacityOf(server) > capacityOf(best))) {
         best = server;
       }
@@ -105,12 +109,12 @@
 
   /** Returns the servers with a utilisation above `threshold`, in descending order. */
   busiest(threshold: number): RangeServer[] {
-    const busy = this.servers.filter((server) => this.useOf(server) > threshold);
-    return busy.sort((one, other) => this.useOf(other) - this.useOf(one));
+    const busy = this.servers.filter((server) => this.utilisationOf(server) > threshold);
+    return busy.sort((one, other) => this.utilisationOf(other) - this.utilisationOf(one));
   }
 
   /** Returns the load of all servers as a share of their capacity. */
-  meanUse(): number {
+  meanUtilisation(): number {
     const capacity = this.servers.reduce((sum, server) => sum + capacityOf(server), 0);
     const load = this.servers.reduce((sum, { upstream }) => sum + this.loadOf(upstream), 0);
     return load / Math.max(1, capacity);
--- a/src/placement/ranges/owner-speeds.ts
+++ b/src/placement/ranges/owner-speeds.ts
@@ -41,7 +41,7 @@
   }
 
   /** Returns the speed of an upstream, as a factor on the mean. */
-  of(owner: UpstreamId): number {
+  speedOf(owner: UpstreamId): number {
     const totals = this.#owners.get(owner);
     const mean = this.meanMillis;
     if (totals === undefined || mean === null) {
--- a/src/placement/ranges/range-planner.ts
+++ b/src/placement/ranges/range-planner.ts
@@ -5,7 +5,7 @@
 import type { UpstreamId } from '../../model/identifiers.js';
 import { type KeyRange, type KeySpan, spanLength } from '../../model/key-range.js';
 import type { KeyLoads } from './key-loads.js';
-import type { MoveWeigher, WeighedSpan } from './move-weighing.js';
+import type { MoveWeigher, WeighedSpan } from './move-weigher.js';
 import { capacityOf, idleLoad, OwnerLoads, type RangeServer } from './owner-loads.js';
 import { shortestSpan } from './span-search.js';
 
@@ -94,12 +94,12 @@
   for (let piece = 1; from <= span.to; piece += 1) {
     const isLast = piece === SPREAD_PIECES;
     const to = isLast ? span.to : pieceEnd({ from, to: span.to }, loads, ownerLoad / SPREAD_PIECES);
-    const target = servers.leastUsed(null);
+    const target = servers.leastUtilised(null);
     if (target === undefined) {
       return [];
     }
     planned.push({ from, to, target: target.upstream });
-    servers.add(target.upstream, { from, to });
+    servers.addSpan(target.upstream, { from, to });
     from = to + 1;
   }
   return planned;
@@ -136,7 +136,7 @@
 ): PlannedSpan[] {
   const use = new OwnerLoads(servers, ranges, loads);
   for (const span of underWay) {
-    use.add(span.target, span);
+    use.addSpan(span.target, span);
   }
   const owned = rangesByOwner(ranges);
   if (weigher !== null) {
@@ -183,7 +183,7 @@
 
 function nextMove(search: MoveSearch): PlannedSpan | undefined {
   const { loads, use, goal, weigher } = search;
-  const mean = use.meanUse();
+  const mean = use.meanUtilisation();
   const most = Math.max(goal.minBusyUse, mean * BUSY_FACTOR, mean + BUSY_MARGIN);
   for (const busy of use.busiest(most)) {
     const move = hotKeyMove(search, busy) ?? spanMove(search, busy);
@@ -239,7 +239,7 @@
 }
 
 function spanMove(search: MoveSearch, busy: RangeServer): PlannedSpan | undefined {
-  const idle = search.use.leastUsed(busy.upstream);
+  const idle = search.use.leastUtilised(busy.upstream);
   return idle === undefined ? undefined : spanToMove(search, busy, idle);
 }
 
@@ -299,9 +299,9 @@
  */
 function spanToMove(search: MoveSearch, busy: RangeServer, idle: RangeServer): PlannedSpan | undefined {
   const { loads, use, goal, planned, weigher } = search;
-  const targetUse = Math.max(use.meanUse(), goal.minTargetUse) * TARGET_FACTOR;
-  const surplus = (use.useOf(busy) - targetUse) * capacityOf(busy);
-  const spareCapacity = (targetUse - use.useOf(idle)) * capacityOf(idle);
+  const targetUse = Math.max(use.meanUtilisation(), goal.minTargetUse) * TARGET_FACTOR;
+  const surplus = (use.utilisationOf(busy) - targetUse) * capacityOf(busy);
+  const spareCapacity = (targetUse - use.utilisationOf(idle)) * capacityOf(idle);
   const most = (use.loadOf(busy.upstream) - use.loadOf(idle.upstream)) * MAX_DIFFERENCE_SHARE;
   const owned = search.owned.get(busy.upstream) ?? [];
   for (const share of SURPLUS_SHARES) {
--- a/src/placement/stateful-planner.ts
+++ b/src/placement/stateful-planner.ts
@@ -34,7 +34,7 @@
     this.state.setLoad(shard, load);
   }
 
-  setLeastLoad(load: number): void {
+  setMinShardLoad(load: number): void {
     this.state.minShardLoad = load;
   }
 
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -69,7 +69,7 @@
   setShard(shard: PlacementShard): void;
   setLoad(shard: ShardId, load: number): void;
   /** Sets the minimum load that each shard counts with, in the unit of the loads, so that negligible loads cause no moves. */
-  setLeastLoad(load: number): void;
+  setMinShardLoad(load: number): void;
   removeShard(shard: ShardId): void;
   /** Returns the moves to begin now. Each counts as in progress until `setShard` is called for its shard. */
   plan(now: MonotonicMillis): PlacementMove[];
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -13,7 +13,7 @@
 import type { UpstreamId } from '../../src/model/identifiers.js';
 import { LARGEST_KEY } from '../../src/model/key-range.js';
 import type { UpstreamDefinition } from '../../src/model/service.js';
-import type { Bearing } from '../../src/placement/ranges/bearing.js';
+import type { CapacityLimit } from '../../src/placement/ranges/capacity-limit.js';
 import type { Command, Registry } from '../../src/registry/index.js';
 import { createRegistry } from '../../src/registry/index.js';
 
@@ -110,7 +110,7 @@
   readonly #firstGrantRuns = new Map<string, number | null>();
 
   /** Load limits of constrained upstreams. */
-  readonly bearings = new Map<UpstreamId, Bearing>();
+  readonly bearings = new Map<UpstreamId, CapacityLimit>();
 
   /** Sabotage: a refused connection counts as the end of the run at the address. */
   countsRefusalAsEnd = false;
--- a/test/lease/stalled-granter.test.ts
+++ b/test/lease/stalled-granter.test.ts
@@ -14,7 +14,7 @@
   function runSilent(from: number, to: number): void {
     for (let now = from; now < to; now += STEP_MILLIS) {
       for (const { upstream, request } of granter.takeCalls(now)) {
-        granter.failed(upstream, request.sequence, now);
+        granter.handleFailure(upstream, request.sequence, now);
       }
     }
   }
--- a/test/lease/timed-grants.test.ts
+++ b/test/lease/timed-grants.test.ts
@@ -25,8 +25,8 @@
 /** Returns a history whose server has responded, so that grants of the previous granter count as accepted late too. */
 function respondedHistory(): HolderHistory {
   const held = history();
-  held.sent(0, false, 8000);
-  held.answered(0, 8010);
+  held.recordSent(0, false, 8000);
+  held.recordAnswer(0, 8010);
   expect(held.heldUntil()).to.equal(PREVIOUS_LATE_BOUND);
   return held;
 }
@@ -35,42 +35,42 @@
   it('counts grants of the previous granter, as late ones too once the server has responded after them', () => {
     const held = history();
     expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + MAX_HOLD);
-    held.sent(1, false, SINCE + DEPOSED_GRANTER_MILLIS);
-    held.answered(1, SINCE + DEPOSED_GRANTER_MILLIS + 10);
+    held.recordSent(1, false, SINCE + DEPOSED_GRANTER_MILLIS);
+    held.recordAnswer(1, SINCE + DEPOSED_GRANTER_MILLIS + 10);
     expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + MAX_HOLD);
-    held.sent(2, false, SINCE + DEPOSED_GRANTER_MILLIS + 1);
-    held.answered(2, SINCE + DEPOSED_GRANTER_MILLIS + 20);
+    held.recordSent(2, false, SINCE + DEPOSED_GRANTER_MILLIS + 1);
+    held.recordAnswer(2, SINCE + DEPOSED_GRANTER_MILLIS + 20);
     expect(held.heldUntil()).to.equal(PREVIOUS_LATE_BOUND);
   });
 
   it('counts no late grants of the previous granter for a server that never responds', () => {
     const held = history();
     for (let call = 1; call <= 5; call += 1) {
-      held.sent(call, true, SINCE + DEPOSED_GRANTER_MILLIS + call);
-      held.notSent(call, 10_300);
+      held.recordSent(call, true, SINCE + DEPOSED_GRANTER_MILLIS + call);
+      held.recordNotSent(call, 10_300);
     }
     expect(held.heldUntil()).to.equal(SINCE + DEPOSED_GRANTER_MILLIS + MAX_HOLD);
   });
 
   it('counts an answered grant from its answer', () => {
     const held = history();
-    held.sent(1, true, 10_000);
-    held.answered(1, 10_040);
+    held.recordSent(1, true, 10_000);
+    held.recordAnswer(1, 10_040);
     expect(held.heldUntil()).to.equal(10_040 + MAX_HOLD);
     expect(held.silentSince).to.equal(null);
   });
 
   it('counts a grant in progress', () => {
     const held = history();
-    held.sent(1, true, 10_000);
+    held.recordSent(1, true, 10_000);
     expect(held.heldUntil()).to.equal(10_000 + MAX_HOLD);
   });
 
   it('does not count a grant that was never sent', () => {
     const held = history();
     const before = held.heldUntil();
-    held.sent(1, true, 10_000);
-    held.notSent(1, 10_300);
+    held.recordSent(1, true, 10_000);
+    held.recordNotSent(1, 10_300);
     expect(held.heldUntil()).to.equal(before);
     expect(held.silentSince).to.equal(10_000);
   });
@@ -78,29 +78,29 @@
   it('counts an unanswered grant as late only once the server has responded after it', () => {
     const held = history();
     const before = held.heldUntil();
-    held.sent(1, true, 10_000);
-    held.unanswered(1, 10_300);
+    held.recordSent(1, true, 10_000);
+    held.recordNoAnswer(1, 10_300);
     expect(held.heldUntil()).to.equal(before);
-    held.sent(2, false, 10_500);
-    held.answered(2, 10_510);
+    held.recordSent(2, false, 10_500);
+    held.recordAnswer(2, 10_510);
     expect(held.heldUntil()).to.equal(10_000 + TIMINGS.lateMillis + MAX_HOLD);
   });
 
   it('does not count an answer to an earlier call as a later sign of life', () => {
     const held = respondedHistory();
     const before = held.heldUntil();
-    held.sent(1, false, 9000);
-    held.sent(2, true, 10_000);
-    held.unanswered(2, 10_300);
-    held.answered(1, 10_200);
+    held.recordSent(1, false, 9000);
+    held.recordSent(2, true, 10_000);
+    held.recordNoAnswer(2, 10_300);
+    held.recordAnswer(1, 10_200);
     expect(held.heldUntil()).to.equal(before);
   });
 
   it('does not count a release', () => {
     const held = respondedHistory();
     const before = held.heldUntil();
-    held.sent(1, false, 10_000);
-    held.answered(1, 10_010);
+    held.recordSent(1, false, 10_000);
+    held.recordAnswer(1, 10_010);
     expect(held.heldUntil()).to.equal(before);
   });
 });
--- a/test/placement/load-tracker.test.ts
+++ b/test/placement/load-tracker.test.ts
@@ -55,6 +55,6 @@
   it('returns the weight that a reportSteadyWork load would have', () => {
     const tracker = new LoadTracker();
     reportSteadyWork(tracker, 200, 1, 60);
-    expect(tracker.weightOf(200, 60_000) / tracker.weight('k')).to.be.closeTo(1, 0.05);
+    expect(tracker.weightForLoad(200, 60_000) / tracker.weight('k')).to.be.closeTo(1, 0.05);
   });
 });
--- a/test/placement/move-costs.test.ts
+++ b/test/placement/move-costs.test.ts
@@ -3,7 +3,7 @@
 import { LARGEST_KEY, spanLength } from '../../src/model/key-range.js';
 import { heatAgeMillis, MAX_HEAT_MILLIS, remainingMillis } from '../../src/placement/ranges/heat-age.js';
 import { KeyLoads } from '../../src/placement/ranges/key-loads.js';
-import { MoveEvidence } from '../../src/placement/ranges/move-evidence.js';
+import { MoveEstimator } from '../../src/placement/ranges/move-estimator.js';
 import { worthOf } from '../../src/placement/ranges/move-worth.js';
 import { divideSpan, EVEN_GOAL, planMoves, RELIEF_GOAL } from '../../src/placement/ranges/range-planner.js';
 import { type KeysLoad, type KeysOutcome, type MoveMode, MovingKeysModel } from './moving-keys-model.js';
@@ -247,11 +247,11 @@
 
 describe('move estimator', () => {
   it('estimates how long keys have no owner, and the share of handovers', () => {
-    const evidence = new MoveEvidence();
+    const evidence = new MoveEstimator();
     for (let moves = 0; moves < 50; moves += 1) {
-      evidence.moved(900, false);
+      evidence.recordMove(900, false);
     }
-    expect(evidence.times.unownedMillis).to.be.within(850, 900);
-    expect(evidence.times.handoverShare).to.be.below(0.05);
+    expect(evidence.estimate.unownedMillis).to.be.within(850, 900);
+    expect(evidence.estimate.handoverShare).to.be.below(0.05);
   });
 });
--- a/test/placement/moving-keys-model.ts
+++ b/test/placement/moving-keys-model.ts
@@ -6,7 +6,7 @@
 import { RandomSource } from '../../src/dev/virtual/random-source.js';
 import { findRange, type KeyRange, LARGEST_KEY } from '../../src/model/key-range.js';
 import { BalancePlanner } from '../../src/placement/ranges/balance-planner.js';
-import type { MoveTerms } from '../../src/placement/ranges/move-worth.js';
+import type { MoveCostParameters } from '../../src/placement/ranges/move-worth.js';
 import type { RangeServer } from '../../src/placement/ranges/owner-loads.js';
 import { OwnerSpeeds } from '../../src/placement/ranges/owner-speeds.js';
 import { divideSpan, type PlannedSpan } from '../../src/placement/ranges/range-planner.js';
@@ -138,7 +138,7 @@
     const { owners, slots } = this.#load;
     return Array.from({ length: owners }, (_, index) => {
       const upstream = `u${index}`;
-      return { upstream, slots, speed: this.#speeds.of(upstream) };
+      return { upstream, slots, speed: this.#speeds.speedOf(upstream) };
     });
   }
 
@@ -203,10 +203,10 @@
     this.#reported.clear();
   }
 
-  #costParameters(): MoveTerms | null {
+  #costParameters(): MoveCostParameters | null {
     const { unownedMillis, handsOver, slowMillis, workMillis } = this.#load;
     const handoverShare = Number(handsOver);
-    const PARAMETERS_BY_MODE: Record<MoveMode, MoveTerms | null> = {
+    const PARAMETERS_BY_MODE: Record<MoveMode, MoveCostParameters | null> = {
       none: null,
       unweighed: null,
       weighed: { unownedMillis, handoverShare, slowMillis, workMillis },
@@ -224,7 +224,7 @@
       ranges: this.#ranges,
       servers: this.#servers(),
       underWay: this.#underWay,
-      terms: this.#costParameters(),
+      costParameters: this.#costParameters(),
     });
     for (const move of planned) {
       this.#begin(move);
@@ -232,7 +232,7 @@
   }
 
   #begin(move: PlannedSpan): void {
-    this.#planner.began(move);
+    this.#planner.recordMove(move);
     this.#moves += 1;
     this.#keysMoved += move.to - move.from + 1;
     if (move.from === move.to) {
--- a/test/placement/owner-speeds.test.ts
+++ b/test/placement/owner-speeds.test.ts
@@ -16,16 +16,16 @@
   it('are factors on the mean', () => {
     const speeds = speedsAfter({ slow: 150, usual: 90, fast: 60 }, 20);
     expect(speeds.meanMillis).to.be.closeTo(100, 1);
-    expect(speeds.of('slow')).to.be.closeTo(0.67, 0.03);
-    expect(speeds.of('fast')).to.be.closeTo(1.67, 0.1);
+    expect(speeds.speedOf('slow')).to.be.closeTo(0.67, 0.03);
+    expect(speeds.speedOf('fast')).to.be.closeTo(1.67, 0.1);
   });
 
   it('stay near the mean while little or nothing was speedsAfter', () => {
     const speeds = speedsAfter({ usual: 90 }, 20);
-    expect(speeds.of('new')).to.equal(1);
+    expect(speeds.speedOf('new')).to.equal(1);
     speeds.add('new', 1, 900, 9000);
-    expect(speeds.of('new')).to.be.within(0.4, 1);
-    expect(new OwnerSpeeds().of('any')).to.equal(1);
+    expect(speeds.speedOf('new')).to.be.within(0.4, 1);
+    expect(new OwnerSpeeds().speedOf('any')).to.equal(1);
     expect(new OwnerSpeeds().meanMillis).to.equal(null);
   });
 
@@ -37,13 +37,13 @@
       speeds.add('third', 10, 900, second * 1000);
       speeds.add('fourth', 10, 900, second * 1000);
     }
-    expect(speeds.of('one')).to.be.below(0.6);
-    expect(speeds.of('other')).to.be.above(1.2);
+    expect(speeds.speedOf('one')).to.be.below(0.6);
+    expect(speeds.speedOf('other')).to.be.above(1.2);
   });
 
   it('are forgotten with their upstreams', () => {
     const speeds = speedsAfter({ slow: 150, usual: 90 }, 20);
     speeds.keepOnly(new Set(['usual']));
-    expect(speeds.of('slow')).to.equal(1);
+    expect(speeds.speedOf('slow')).to.equal(1);
   });
 });
--- a/test/placement/range-planner.test.ts
+++ b/test/placement/range-planner.test.ts
@@ -119,7 +119,7 @@
       use.addLoad('u0', -loads.loadOfSpan(move));
       use.addLoad(move.target, loads.loadOfSpan(move));
     }
-    expect(Math.max(...list.map((server) => use.useOf(server)))).to.be.below(0.9);
+    expect(Math.max(...list.map((server) => use.utilisationOf(server)))).to.be.below(0.9);
   });
 
   it('relieves an owner within a second after its keys became hot', () => {
@@ -157,7 +157,7 @@
         ranges = moves.reduce(withMove, ranges);
       }
       const use = new OwnerLoads(list, ranges, loads);
-      const busiest = Math.max(...list.map((server) => use.useOf(server)));
+      const busiest = Math.max(...list.map((server) => use.utilisationOf(server)));
       expect(busiest, `${count} servers`).to.be.below(0.9);
     }
   });
@@ -244,7 +244,7 @@
     const rest = list.slice(1);
     const loads = loadsWith([first.from, first.from + 99, 10]);
     const use = new OwnerLoads(rest, dividedAmong(list).slice(1), loads);
-    const spans = spreadSpan(first, loads, use, use.ofSpan(first));
+    const spans = spreadSpan(first, loads, use, use.loadOfSpan(first));
     expect(new Set(spans.map(({ target }) => target)).size).to.equal(4);
     expect(spans[0]?.from).to.equal(first.from);
     expect(spans.at(-1)?.to).to.equal(first.to);
