--- a/src/control/leader-duties.ts
+++ b/src/control/leader-duties.ts
@@ -16,11 +16,11 @@
 import { UpstreamNeeds } from './needs/upstream-needs.js';
 import type { ProposeCommand } from './propose-command.js';
 import type { RaftAdapter } from './raft-adapter.js';
-import type { HeardHeartbeat } from './ranges/heard-heartbeat.js';
 import type { HolderCall, HolderCallId, HolderOutcome } from './ranges/holder-call.js';
 import type { AnswerHeartbeat } from './ranges/open-heartbeats.js';
 import { RangeCoordinator } from './ranges/range-coordinator.js';
-import type { LogRanges } from './ranges/range-service.js';
+import type { LogRangeEvent } from './ranges/range-service.js';
+import type { ReceivedHeartbeat } from './ranges/received-heartbeat.js';
 import type { ReportingRouter } from './router-requests.js';
 import type { ServiceMeasures } from './service-measures.js';
 import { ShardCoordinator } from './shard-coordinator.js';
@@ -46,7 +46,7 @@
   /** Approximate number of routers. */
   readonly routers: () => number;
   readonly sendRouter: (connection: ConnectionId, message: ControlToRouter) => void;
-  readonly log: LogRanges;
+  readonly log: LogRangeEvent;
 }
 
 /** A session with the time of the upstream's last response of any kind in this leadership. */
@@ -110,7 +110,7 @@
           parts.raft.read(now, (confirmed) => settle(confirmed && !this.#hasEnded), mayWait),
         call: parts.callHolder,
         log: parts.log,
-        bearings: () => this.#needs.bearings(),
+        capacityLimits: () => this.#needs.bearings(),
         timings: config.ranges ?? DEFAULT_RANGE_TIMINGS,
       },
       electedAt,
@@ -127,7 +127,7 @@
   /** Handles changes of the routing data. */
   onRegistryChange(changes: readonly RegistryChange[], now: MonotonicMillis): void {
     if (this.#isReady) {
-      this.#ranges.registryChanged(now);
+      this.#ranges.onRegistryChange(now);
       this.#coordinator.registryChanged(changes);
     }
   }
@@ -135,7 +135,7 @@
   onLoadReport(report: LoadReport, now: MonotonicMillis): void {
     if (this.#isReady) {
       this.#coordinator.loadReported(report, now);
-      this.#ranges.loadReported(report, now);
+      this.#ranges.onLoadReport(report, now);
     }
   }
 
@@ -175,9 +175,9 @@
   }
 
   /** Handles a heartbeat of an upstream; `answer` is called once with what the heartbeat renews. */
-  onHeartbeat(heartbeat: HeardHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
+  onHeartbeat(heartbeat: ReceivedHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     if (this.#isReady) {
-      this.#ranges.heard(heartbeat, answer, now);
+      this.#ranges.onHeartbeat(heartbeat, answer, now);
     } else {
       answer(null, now);
     }
@@ -185,7 +185,7 @@
 
   /** Handles the end of a call to an upstream that uses plain grants. */
   onHolderCallEnd(call: HolderCallId, outcome: HolderOutcome, now: MonotonicMillis): void {
-    this.#ranges.callEnded(call, outcome, now);
+    this.#ranges.onCallEnd(call, outcome, now);
   }
 
   /** Whether an upstream may hold ranges of keys; `true` for any upstream until this leader has caught up. */
--- a/src/control/operator-requests.ts
+++ b/src/control/operator-requests.ts
@@ -14,9 +14,9 @@
 import type { ProposalOutcome, SettleProposal } from './pending-proposals.js';
 import type { ProposeCommand } from './propose-command.js';
 import type { RaftAdapter } from './raft-adapter.js';
-import type { HeardHeartbeat } from './ranges/heard-heartbeat.js';
+import { grantTermsOf } from './ranges/leader-service.js';
 import type { AnswerHeartbeat } from './ranges/open-heartbeats.js';
-import { termsOf } from './ranges/service-in-charge.js';
+import type { ReceivedHeartbeat } from './ranges/received-heartbeat.js';
 import { findShards } from './shard-query.js';
 import type { ControlConfig, OperationId, OperatorRequest, OperatorResponse } from './types.js';
 
@@ -28,7 +28,7 @@
   readonly answer: (operation: OperationId, response: OperatorResponse) => void;
   readonly status: (now: MonotonicMillis) => OperatorResponse;
   /** Handles an upstream's heartbeat that reached the leader; calls `answer` once with the grants that it renews. */
-  readonly heard: (heartbeat: HeardHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis) => void;
+  readonly heard: (heartbeat: ReceivedHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis) => void;
   /** Returns whether an upstream may hold keys, judged by the leader's current state. */
   readonly mayHold: (upstream: UpstreamId, now: MonotonicMillis) => boolean;
   /** Requests the identity of the upstream at an address; `onIdentityResponse` receives the response. */
@@ -273,7 +273,7 @@
    */
   #setsSequence({ definition, report }: AnnounceRequest): boolean {
     const service = this.#parts.raft.registry.services().get(definition.service);
-    const isByHeartbeat = service !== undefined && termsOf(service).carrier === GRANT_CARRIERS.heartbeat;
+    const isByHeartbeat = service !== undefined && grantTermsOf(service).carrier === GRANT_CARRIERS.heartbeat;
     return !isByHeartbeat || report === null || saysOfKeys(report);
   }
 
--- a/src/control/ranges/heartbeat-carrier.ts
+++ b/src/control/ranges/heartbeat-carrier.ts
@@ -9,12 +9,12 @@
 import type { KeyRange } from '../../model/key-range.js';
 import type { PlannedSpan } from '../../placement/ranges/range-planner.js';
 import { FREE_PROOFS, type FreeProof } from './free-proof.js';
+import { HeartbeatGrants } from './heartbeat-grants.js';
 import type { HeartbeatHolders, ReportingHeartbeat } from './heartbeat-holders.js';
 import { type AnswerHeartbeat, OpenHeartbeats } from './open-heartbeats.js';
 import type { RangeCarrier, RangeCarrierParts } from './range-carrier.js';
 import { RangeIndex } from './range-index.js';
 import type { ReleasedPiece } from './range-releases.js';
-import { HeartbeatGrants } from './told-grants.js';
 
 /** Time an owner needs to release keys and report it; subtracted from how long the next owner's heartbeat may wait. */
 const RELEASE_MILLIS = 250;
@@ -54,7 +54,7 @@
   /** Handles a heartbeat. One without current information is answered at once and renews nothing. */
   onHeartbeat(heartbeat: ReportingHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     const { upstream, report } = heartbeat;
-    if (!this.#parts.holders.heard(heartbeat, now)) {
+    if (!this.#parts.holders.onHeartbeat(heartbeat, now)) {
       answer(null, now);
       return;
     }
@@ -71,7 +71,7 @@
     return due.map((upstream) => {
       const keys = this.#keysOf(upstream);
       if (keys !== null) {
-        this.#parts.holders.granted(upstream, now);
+        this.#parts.holders.onGranted(upstream, now);
       }
       this.#open.close(upstream, keys, now);
       const sequence = this.#parts.holders.sequence(upstream);
@@ -117,7 +117,7 @@
     const { holders } = this.#parts;
     const afterSequence = this.#lastNamedIn.get(piece) ?? holders.grantedSequence(former);
     this.#lastNamedIn.set(piece, afterSequence);
-    const proof = holders.freeBy(former, piece, { since: piece.since, afterSequence }, now);
+    const proof = holders.freeProof(former, piece, { since: piece.since, afterSequence }, now);
     piece.isReleased = proof !== null;
     return proof;
   }
--- a/src/control/ranges/heartbeat-holders.ts
+++ b/src/control/ranges/heartbeat-holders.ts
@@ -18,10 +18,10 @@
 import type { MonotonicMillis, UpstreamId, WallMillis } from '../../model/identifiers.js';
 import { type KeySpan, overlaps } from '../../model/key-range.js';
 import { FREE_PROOFS, type FreeProof } from './free-proof.js';
-import type { HeardHeartbeat } from './heard-heartbeat.js';
+import type { ReceivedHeartbeat } from './received-heartbeat.js';
 
 /** A heartbeat that reports which keys its upstream holds. */
-export type ReportingHeartbeat = HeardHeartbeat & { readonly report: HeldKeys };
+export type ReportingHeartbeat = ReceivedHeartbeat & { readonly report: HeldKeys };
 
 /** Since when keys are unowned, and the last heartbeat of the previous owner whose response may have named them. */
 export interface ReleaseTerms {
@@ -71,7 +71,7 @@
    * Records a heartbeat. Returns `false` if it carries no current information: a later one arrived before, or it has
    * no information on keys although its upstream still holds some, so another sender wrote it.
    */
-  heard({ upstream, born, report }: ReportingHeartbeat, now: MonotonicMillis): boolean {
+  onHeartbeat({ upstream, born, report }: ReportingHeartbeat, now: MonotonicMillis): boolean {
     if (!this.#updateRun(upstream, born)) {
       return false;
     }
@@ -90,7 +90,7 @@
   }
 
   /** Records that a response granting keys is decided now, for the latest heartbeat. */
-  granted(upstream: UpstreamId, now: MonotonicMillis): void {
+  onGranted(upstream: UpstreamId, now: MonotonicMillis): void {
     const holder = this.#holderOf(upstream);
     holder.isNewRun = false;
     holder.grantedAt = Math.max(holder.grantedAt, now);
@@ -119,7 +119,7 @@
   }
 
   /** Report of the latest in-order heartbeat with information on keys; `null` if there was none in this leadership. */
-  latest(upstream: UpstreamId): HeldKeys | null {
+  latestReport(upstream: UpstreamId): HeldKeys | null {
     return this.#holders.get(upstream)?.latestReport ?? null;
   }
 
@@ -135,7 +135,7 @@
    * the keys, or no grant lasts that long. The first heartbeat of an upstream in a leadership proves nothing: it may
    * be late, and the previous leader may have answered a later one.
    */
-  freeBy(
+  freeProof(
     former: UpstreamId,
     span: KeySpan,
     { since, afterSequence }: ReleaseTerms,
--- a/src/control/ranges/holder-table.ts
+++ b/src/control/ranges/holder-table.ts
@@ -45,7 +45,7 @@
    * Records the outcome of a call. For a call to an earlier run, the outcome `ended` shows nothing about the current
    * run except that the call was not taken.
    */
-  ended(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void {
+  onCallEnd(call: HolderCall, outcome: HolderOutcome, now: MonotonicMillis): void {
     const holder = this.#holderOf(call.upstream);
     const current = this.runOf(call.upstream);
     if (outcome.type === 'ended' && current !== null && call.run !== current) {
--- a/src/control/ranges/service-in-charge.ts
+++ b/src/control/ranges/leader-service.ts
@@ -10,7 +10,7 @@
 import { HeartbeatCarrier } from './heartbeat-carrier.js';
 import { HeartbeatHolders } from './heartbeat-holders.js';
 import type { HolderTable } from './holder-table.js';
-import { type LogRanges, RangeService } from './range-service.js';
+import { type LogRangeEvent, RangeService } from './range-service.js';
 
 export interface LeaderService {
   readonly terms: RangeGrantTerms;
@@ -26,13 +26,13 @@
   readonly timings: RangeTimings;
   /** Results of calls and heartbeats of all upstreams. */
   readonly holders: HolderTable;
-  readonly log: LogRanges;
+  readonly log: LogRangeEvent;
   /** Load limits of constrained upstreams. */
   readonly loadLimits: () => ReadonlyMap<UpstreamId, CapacityLimit>;
 }
 
 /** Returns how the ranges of a service are granted. */
-export function termsOf({ definition }: ServiceRecord): RangeGrantTerms {
+export function grantTermsOf({ definition }: ServiceRecord): RangeGrantTerms {
   return definition.rangeGrants ?? { carrier: DEFAULT_GRANT_CARRIER, hasChanged: false };
 }
 
--- a/src/control/ranges/range-coordinator.ts
+++ b/src/control/ranges/range-coordinator.ts
@@ -16,13 +16,13 @@
 import type { LoadReport } from '../messages.js';
 import type { ProposeCommand } from '../propose-command.js';
 import type { RangeWork } from '../types.js';
-import type { HeardHeartbeat } from './heard-heartbeat.js';
 import type { HolderCall, HolderCallId, HolderOutcome } from './holder-call.js';
 import { HolderTable } from './holder-table.js';
+import { createLeaderService, grantTermsOf, type LeaderService } from './leader-service.js';
 import type { AnswerHeartbeat } from './open-heartbeats.js';
 import type { PlannedCall } from './range-carrier.js';
-import type { LogRanges, RangeService } from './range-service.js';
-import { createLeaderService, type LeaderService, termsOf } from './service-in-charge.js';
+import type { LogRangeEvent, RangeService } from './range-service.js';
+import type { ReceivedHeartbeat } from './received-heartbeat.js';
 
 /** A confirmation of this leadership permits calls for this long; no other leader is elected so soon after a heartbeat. */
 const CONFIRMATION_VALID_MILLIS = 300;
@@ -60,9 +60,9 @@
   /** Requests confirmation of this leadership by a quorum; with `mayWait`, along with the next heartbeats. */
   readonly confirm: (now: MonotonicMillis, mayWait: boolean, settle: (confirmed: boolean) => void) => void;
   readonly call: (call: HolderCall) => void;
-  readonly log: LogRanges;
+  readonly log: LogRangeEvent;
   /** Load limits of constrained upstreams; none if omitted. */
-  readonly bearings?: () => ReadonlyMap<UpstreamId, CapacityLimit>;
+  readonly capacityLimits?: () => ReadonlyMap<UpstreamId, CapacityLimit>;
   readonly timings: RangeTimings;
 }
 
@@ -106,7 +106,7 @@
   }
 
   /** Handles a change of the registry; new owners are notified at once. */
-  registryChanged(now: MonotonicMillis): void {
+  onRegistryChange(now: MonotonicMillis): void {
     this.#decideSoon(now);
     this.#sendAt = now;
   }
@@ -115,7 +115,7 @@
    * Handles a heartbeat of an upstream. `answer` is called exactly once, at the latest when the heartbeat reaches its
    * longest wait; its keys matter only for services that are granted ranges by heartbeats.
    */
-  heard(heartbeat: HeardHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
+  onHeartbeat(heartbeat: ReceivedHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis): void {
     const { upstream, report } = heartbeat;
     this.#holders.onHeartbeat(upstream, now);
     this.#updateServices(now);
@@ -142,7 +142,7 @@
     }
   }
 
-  loadReported({ shards }: LoadReport, now: MonotonicMillis): void {
+  onLoadReport({ shards }: LoadReport, now: MonotonicMillis): void {
     for (const { shard, ...work } of shards) {
       const parts = parseShardId(shard);
       if (parts?.keyspace === RANGE_KEYSPACE) {
@@ -151,7 +151,7 @@
     }
   }
 
-  callEnded(id: HolderCallId, outcome: HolderOutcome, now: MonotonicMillis): void {
+  onCallEnd(id: HolderCallId, outcome: HolderOutcome, now: MonotonicMillis): void {
     const open = this.#calls.get(id);
     this.#calls.delete(id);
     if (open === undefined) {
@@ -160,7 +160,7 @@
     const { call, service } = open;
     const isRoutine =
       call.kind === 'grant' && outcome.type === 'accepted' && this.#holders.isResponsive(call.upstream);
-    this.#holders.ended(call, outcome, now);
+    this.#holders.onCallEnd(call, outcome, now);
     const ranges = this.#services.get(service)?.ranges;
     ranges?.onCallEnd(call, outcome, now);
     if (!isRoutine) {
@@ -245,7 +245,7 @@
     const services = registry().services();
     for (const [name, { terms, heartbeats }] of [...this.#services]) {
       const record = services.get(name);
-      if (!hasRanges(record) || termsOf(record).carrier !== terms.carrier) {
+      if (!hasRanges(record) || grantTermsOf(record).carrier !== terms.carrier) {
         heartbeats?.end(now);
         this.#services.delete(name);
       }
@@ -258,10 +258,10 @@
   }
 
   #createService(service: ServiceName, record: ServiceRecord, now: MonotonicMillis): LeaderService {
-    const { registry, timings, log, bearings: loadLimits = noLoadLimits } = this.#parts;
+    const { registry, timings, log, capacityLimits: loadLimits = noLoadLimits } = this.#parts;
     const parts = {
       service,
-      terms: termsOf(record),
+      terms: grantTermsOf(record),
       registry,
       timings,
       holders: this.#holders,
--- a/src/control/ranges/range-service.ts
+++ b/src/control/ranges/range-service.ts
@@ -63,11 +63,11 @@
 ) => RangeCarrier;
 
 /** Logs a decision. */
-export type LogRanges = (event: string, fields: Readonly<Record<string, unknown>>) => void;
+export type LogRangeEvent = (event: string, fields: Readonly<Record<string, unknown>>) => void;
 
 export interface RangeServiceParts extends RangeServersParts {
   readonly createCarrier: CreateCarrier;
-  readonly log: LogRanges;
+  readonly log: LogRangeEvent;
 }
 
 export class RangeService {
--- a/src/control/ranges/heard-heartbeat.ts
+++ b/src/control/ranges/received-heartbeat.ts
@@ -2,7 +2,7 @@
 import type { HeldKeys } from '../../model/held-keys.js';
 import type { UpstreamId, WallMillis } from '../../model/identifiers.js';
 
-export interface HeardHeartbeat {
+export interface ReceivedHeartbeat {
   readonly upstream: UpstreamId;
   /** Start of the upstream's run by its own clock; `null` if only the id identifies the run. */
   readonly born: WallMillis | null;
--- a/test/contract/held-keys.test.ts
+++ b/test/contract/held-keys.test.ts
@@ -57,10 +57,10 @@
     const hear = (sequence: number, holds: readonly Row[]): boolean => {
       const report = heldKeysOf(FIELDS.parse({ sequence, holds }));
       expect(report).not.to.equal(null);
-      return report !== null && holders.heard({ upstream: 'u1', born: null, report }, sequence * 100);
+      return report !== null && holders.onHeartbeat({ upstream: 'u1', born: null, report }, sequence * 100);
     };
     const isFree = (): boolean =>
-      holders.freeBy('u1', taken, { since: 4250, afterSequence: 42 }, 4500) !== null;
+      holders.freeProof('u1', taken, { since: 4250, afterSequence: 42 }, 4500) !== null;
     hear(43, TOLD);
     hear(44, TOLD);
     expect(isFree()).to.equal(false);
--- a/test/control/call-carrier.test.ts
+++ b/test/control/call-carrier.test.ts
@@ -43,7 +43,7 @@
   }
 
   end(call: HolderCall, outcome: HolderOutcome, now: number): void {
-    this.#holders.ended(call, outcome, now);
+    this.#holders.onCallEnd(call, outcome, now);
     this.carrier.onCallEnd(call, outcome, now);
   }
 
--- a/test/control/heartbeat-answers.test.ts
+++ b/test/control/heartbeat-answers.test.ts
@@ -67,7 +67,7 @@
     0,
   );
   const report: HeldKeys = { sequence: 1, held: [], released: [] };
-  coordinator.heard({ upstream: 'u1', born: null, report }, (keys) => answers.push(keys), 10);
+  coordinator.onHeartbeat({ upstream: 'u1', born: null, report }, (keys) => answers.push(keys), 10);
   for (const now of [10, 20, 700, 800]) {
     coordinator.run(now);
   }
--- a/test/control/heartbeat-world.ts
+++ b/test/control/heartbeat-world.ts
@@ -120,7 +120,7 @@
     this.registry.apply(this.registry.revision + 1, { requestId: null, actor: 'test', at: 0, command });
     for (const { coordinator, isDeposed } of this.#leaderships) {
       if (!isDeposed) {
-        coordinator.registryChanged(this.now);
+        coordinator.onRegistryChange(this.now);
       }
     }
   }
@@ -152,7 +152,7 @@
   }
 
   report(report: LoadReport): void {
-    this.#leaderships.at(-1)?.coordinator.loadReported(report, this.now);
+    this.#leaderships.at(-1)?.coordinator.onLoadReport(report, this.now);
   }
 
   after(millis: number, run: () => void): void {
@@ -328,7 +328,7 @@
       const known = member.registry().upstreams().get(id);
       const deliver = (): void => {
         member.claims.heard(id, this.now);
-        member.coordinator.heard({ upstream: id, born: null, report: received }, answer, this.now);
+        member.coordinator.onHeartbeat({ upstream: id, born: null, report: received }, answer, this.now);
       };
       const isNew = known === undefined || (leaving && !known.definition.leaving);
       if (!isNew || this.registry.isDeparted(id)) {
@@ -386,7 +386,7 @@
       dark: { type: 'not-sent' },
       ended: { type: 'refused' },
     };
-    this.after(2 * NETWORK_MILLIS, () => leadership.coordinator.callEnded(id, outcomes[condition], this.now));
+    this.after(2 * NETWORK_MILLIS, () => leadership.coordinator.onCallEnd(id, outcomes[condition], this.now));
   }
 
   #check(): void {
--- a/test/control/late-call-answers.test.ts
+++ b/test/control/late-call-answers.test.ts
@@ -73,7 +73,7 @@
   run(from: number, to: number): void {
     for (let now = from; now <= to; now += 10) {
       for (const upstream of ['u1', 'u2', 'u3']) {
-        this.coordinator.heard({ upstream, born: null, report: null }, () => {}, now);
+        this.coordinator.onHeartbeat({ upstream, born: null, report: null }, () => {}, now);
       }
       this.coordinator.run(now);
     }
@@ -101,7 +101,7 @@
     const later = new Leadership(registry, 2, 210);
     expect(later.releaseOf('u1')).to.not.equal(undefined);
     for (const { id } of earlier.calls) {
-      later.coordinator.callEnded(id, { type: 'accepted', handover: null }, 420);
+      later.coordinator.onCallEnd(id, { type: 'accepted', handover: null }, 420);
     }
     later.run(420, 1000);
     const proposedUpdates = later.proposed.flatMap((command) =>
--- a/test/control/limited-owners.test.ts
+++ b/test/control/limited-owners.test.ts
@@ -60,7 +60,7 @@
   it('keeps keys for about its limit within seconds, and the others own the rest', () => {
     const owners = new LimitedOwners();
     expect(owners.demandOf('u1')).to.be.above(2 * LIMIT);
-    owners.world.bearings.set('u1', { perSecond: LIMIT });
+    owners.world.capacityLimits.set('u1', { perSecond: LIMIT });
     owners.run(4000);
     expect(owners.demandOf('u1')).to.be.at.most(1.5 * LIMIT);
     expect(owners.world.servedShare()).to.equal(1);
@@ -68,7 +68,7 @@
 
   it('receives no keys of draining owners', () => {
     const owners = new LimitedOwners();
-    owners.world.bearings.set('u1', { perSecond: LIMIT });
+    owners.world.capacityLimits.set('u1', { perSecond: LIMIT });
     owners.run(6000);
     const before = owners.demandOf('u1');
     const drained = owners.world.holders.get('u2');
@@ -83,7 +83,7 @@
 
   it('keeps the same keys while its limit is constant', () => {
     const owners = new LimitedOwners();
-    owners.world.bearings.set('u1', { perSecond: LIMIT });
+    owners.world.capacityLimits.set('u1', { perSecond: LIMIT });
     owners.run(6000);
     const before = owners.moves();
     owners.run(6000);
@@ -93,7 +93,7 @@
   it('still owns keys if all owners have a limit, and all keys have an owner', () => {
     const owners = new LimitedOwners();
     for (let number = 1; number <= OWNERS; number += 1) {
-      owners.world.bearings.set(`u${number}`, { perSecond: LIMIT });
+      owners.world.capacityLimits.set(`u${number}`, { perSecond: LIMIT });
     }
     owners.run(4000);
     expect(owners.world.servedShare()).to.equal(1);
@@ -107,19 +107,19 @@
     const share = (): number => backoffs.shares(ROUTERS).get('u1') ?? 1;
     const before = owners.demandOf('u1');
     backoffs.asked('u1', 'c1', 3000, owners.world.now);
-    owners.world.bearings.set('u1', { share: share() });
+    owners.world.capacityLimits.set('u1', { share: share() });
     owners.run(2000);
     expect(owners.demandOf('u1'), 'one of many routers').to.be.above(before * 0.75);
     for (let router = 1; router <= ROUTERS / 2; router += 1) {
       backoffs.asked('u1', `c${router}`, 3000, owners.world.now);
     }
-    owners.world.bearings.set('u1', { share: share() });
+    owners.world.capacityLimits.set('u1', { share: share() });
     owners.run(4000);
     expect(owners.demandOf('u1'), 'half of the routers').to.be.at.most(before * 0.2);
     expect(owners.world.servedShare()).to.equal(1);
     backoffs.forget(owners.world.now + 10_000);
     expect(share()).to.equal(1);
-    owners.world.bearings.delete('u1');
+    owners.world.capacityLimits.delete('u1');
     owners.run(8000);
     expect(owners.demandOf('u1'), 'after the back-offs').to.be.above(before * 0.3);
   });
--- a/test/control/range-load.ts
+++ b/test/control/range-load.ts
@@ -109,7 +109,7 @@
         propose: (command, settle) =>
           this.#after(COMMIT_MILLIS, () => {
             this.#apply(command);
-            this.#leader.registryChanged(this.now);
+            this.#leader.onRegistryChange(this.now);
             settle({ type: 'applied', result: { type: 'accepted', revision: 1 }, revision: 1 }, this.now);
           }),
         confirm: (_now, _mayWait, settle) => this.#after(QUORUM_MILLIS, () => settle(true)),
@@ -190,14 +190,14 @@
     this.longestRenewalMillis = Math.max(this.longestRenewalMillis, this.now - before);
     this.#grantedAt.set(call.from, this.now);
     this.#after(MIN_RESPONSE_MILLIS + (call.id % RESPONSE_SPREAD_MILLIS), () =>
-      this.#leader.callEnded(call.id, { type: 'accepted', handover: null }, this.now),
+      this.#leader.onCallEnd(call.id, { type: 'accepted', handover: null }, this.now),
     );
   }
 
   #sendHeartbeat(upstream: string, millis: number): void {
     this.#events.after(millis, () => {
       const report = this.#carrier === GRANT_CARRIERS.heartbeat ? this.#reportOf(upstream) : null;
-      this.#post(() => this.#leader.heard({ upstream, born: null, report }, () => {}, this.now));
+      this.#post(() => this.#leader.onHeartbeat({ upstream, born: null, report }, () => {}, this.now));
       this.#sendHeartbeat(upstream, TIMINGS.heartbeatMillis);
     });
   }
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -110,7 +110,7 @@
   readonly #firstGrantRuns = new Map<string, number | null>();
 
   /** Load limits of constrained upstreams. */
-  readonly bearings = new Map<UpstreamId, CapacityLimit>();
+  readonly capacityLimits = new Map<UpstreamId, CapacityLimit>();
 
   /** Sabotage: a refused connection counts as the end of the run at the address. */
   countsRefusalAsEnd = false;
@@ -145,7 +145,7 @@
 
   apply(command: Command): void {
     this.registry.apply(this.registry.revision + 1, { requestId: null, actor: 'test', at: 0, command });
-    this.#leader?.registryChanged(this.now);
+    this.#leader?.onRegistryChange(this.now);
   }
 
   /** Ends a run and starts the next one under the same id, which announces itself at once, or at its next heartbeat. */
@@ -156,7 +156,7 @@
       return;
     }
     this.announce(holder);
-    this.#leader?.heard({ upstream: id, born: holder.born, report: null }, () => {}, this.now);
+    this.#leader?.onHeartbeat({ upstream: id, born: holder.born, report: null }, () => {}, this.now);
   }
 
   /** Delivers a heartbeat and a withdrawal of the previous run now. */
@@ -229,7 +229,7 @@
         confirm: (_now, _mayWait, settle) => this.after(2 * NETWORK_MILLIS, () => settle(isLeading())),
         call: (call) => this.#handleCall(call, leadership),
         log: (event, fields) => this.records.push({ event, ...fields }),
-        bearings: () => this.bearings,
+        capacityLimits: () => this.capacityLimits,
         timings: TIMINGS,
       },
       this.now,
@@ -237,7 +237,7 @@
   }
 
   report(report: LoadReport): void {
-    this.#leader?.loadReported(report, this.now);
+    this.#leader?.onLoadReport(report, this.now);
   }
 
   after(millis: number, run: () => void): void {
@@ -315,7 +315,7 @@
     }
     if (isReceived && this.registry.upstreams().has(holder.id)) {
       this.#claims?.heard(holder.id, this.now);
-      this.#leader?.heard({ upstream: holder.id, born: holder.born, report: null }, () => {}, this.now);
+      this.#leader?.onHeartbeat({ upstream: holder.id, born: holder.born, report: null }, () => {}, this.now);
     }
     if (holder.isAlive) {
       this.after(HEARTBEAT_MILLIS, () => this.#sendHeartbeat(holder));
@@ -327,7 +327,7 @@
     const answerAfter = (millis: number, outcome: HolderOutcome): void =>
       this.after(millis, () => {
         if (this.#leadership === leadership) {
-          this.#leader?.callEnded(call.id, outcome, this.now);
+          this.#leader?.onCallEnd(call.id, outcome, this.now);
         }
       });
     const holder = this.holders.get(call.upstream);
