--- a/src/control/address-claims.ts
+++ b/src/control/address-claims.ts
@@ -87,7 +87,7 @@
    * Discards heartbeat times, claims and open questions when a leadership begins or ends, and rejects the claims that wait. An answer
    * that arrives later may be older than a registration by a leader in between.
    */
-  roleChanged(now: MonotonicMillis): void {
+  onRoleChange(now: MonotonicMillis): void {
     const open = [...this.#openQuestions.values()];
     this.#lastHeartbeatAt.clear();
     this.#claims.clear();
@@ -98,7 +98,7 @@
   }
 
   /** Records a heartbeat of a registered run. */
-  heard(upstream: UpstreamId, now: MonotonicMillis): void {
+  onHeartbeat(upstream: UpstreamId, now: MonotonicMillis): void {
     this.#lastHeartbeatAt.set(upstream, now);
     const known = this.#parts.registry().upstreams();
     if (this.#lastHeartbeatAt.size > known.size + MAX_STALE_TIMES) {
@@ -130,7 +130,7 @@
   }
 
   /** Handles the result of a question. */
-  answered(question: QuestionId, answer: IdentityAnswer, now: MonotonicMillis): void {
+  onAnswer(question: QuestionId, answer: IdentityAnswer, now: MonotonicMillis): void {
     const open = this.#openQuestions.get(question);
     this.#openQuestions.delete(question);
     if (open === undefined) {
--- a/src/control/automatic-repair.ts
+++ b/src/control/automatic-repair.ts
@@ -6,7 +6,7 @@
 import type { Address, MonotonicMillis, ReplicaId } from '../model/identifiers.js';
 
 /** How long a join request of a replica counts; replicas repeat it until they are members. */
-export const WAITING_REPLICA_MILLIS = 5000;
+export const JOIN_REQUEST_LIFETIME_MILLIS = 5000;
 
 /** A replica that requested to join. */
 export interface WaitingReplica {
@@ -59,7 +59,7 @@
   /** Replicas that currently request to join and aren't members. */
   waiting({ membership }: RaftStatus, now: MonotonicMillis): readonly WaitingReplica[] {
     for (const { replica, requestedAt } of this.#waiting.values()) {
-      if (membership.addresses[replica] !== undefined || now - requestedAt > WAITING_REPLICA_MILLIS) {
+      if (membership.addresses[replica] !== undefined || now - requestedAt > JOIN_REQUEST_LIFETIME_MILLIS) {
         this.#waiting.delete(replica);
       }
     }
--- a/src/control/daemon/join-task.ts
+++ b/src/control/daemon/join-task.ts
@@ -50,7 +50,7 @@
   private check(): void {
     const status = this.options.status();
     this.watch.look(status);
-    if (this.watch.isAsking) {
+    if (this.watch.shouldRequestJoin) {
       this.ask(status);
     } else {
       this.disconnect();
--- a/src/control/departed-routers.ts
+++ b/src/control/departed-routers.ts
@@ -14,11 +14,11 @@
 export class DepartedRouters {
   readonly #routers = new Map<RouterId, DepartedRouter>();
 
-  left(router: DepartedRouter): void {
+  onDisconnect(router: DepartedRouter): void {
     this.#routers.set(router.router, router);
   }
 
-  isBack(router: RouterId): void {
+  onReconnect(router: RouterId): void {
     this.#routers.delete(router);
   }
 
--- a/src/control/first-grants.ts
+++ b/src/control/first-grants.ts
@@ -11,7 +11,7 @@
 export interface Readiness {
   readonly anyReady: boolean;
   /** Each upstream is ready, draining, or responded before and no longer does. One that never responded may still be starting. */
-  readonly allHeardOf: boolean;
+  readonly allReported: boolean;
 }
 
 export class FirstGrants {
@@ -25,7 +25,7 @@
   }
 
   /** Starts over for a new key map, whose shards are all new. */
-  startOver(): void {
+  reset(): void {
     this.#shards.clear();
     this.#readySince = undefined;
     this.#isSettled = false;
@@ -44,16 +44,16 @@
   }
 
   /** Records that an upstream was added, which gets time to respond. */
-  upstreamAdded(now: MonotonicMillis): void {
+  onUpstreamAdded(now: MonotonicMillis): void {
     this.#addedAt = now;
   }
 
   /** Removes and returns up to `limit` of the shards held back, once the wait is over. */
-  takeSettled(readiness: Readiness, limit: number, now: MonotonicMillis): ShardId[] {
+  takeDue(readiness: Readiness, limit: number, now: MonotonicMillis): ShardId[] {
     if (!this.#isSettled && this.#shards.size > 0 && readiness.anyReady) {
       this.#readySince ??= now;
       const isTimeUp = now >= this.#readySince + SETTLE_MILLIS;
-      const isComplete = readiness.allHeardOf && now >= this.#addedAt + SETTLE_MILLIS;
+      const isComplete = readiness.allReported && now >= this.#addedAt + SETTLE_MILLIS;
       this.#isSettled = isTimeUp || isComplete;
     }
     return this.#isSettled ? this.#takeUpTo(limit) : [];
--- a/src/control/fleet-room/fleet-room.ts
+++ b/src/control/fleet-room/fleet-room.ts
@@ -5,7 +5,7 @@
 import type { FleetReport, FleetVersion, UpstreamSpeed, ZoneRoom } from '../../model/fleet-view.js';
 import type { MonotonicMillis, ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
 import { OwnerSpeeds } from '../../placement/ranges/owner-speeds.js';
-import type { FleetNews, LoadReport } from '../messages.js';
+import type { FleetUpdate, LoadReport } from '../messages.js';
 import type { ConnectionId } from '../types.js';
 import { KindWork } from './kind-work.js';
 import { planSpill, type ZoneBalance } from './spill-plan.js';
@@ -70,7 +70,7 @@
   }
 
   /** Records a router's report; returns the update for the router, or `null` if its report has no fleet part. */
-  take(report: LoadReport, from: ConnectionId, now: MonotonicMillis): FleetNews | null {
+  take(report: LoadReport, from: ConnectionId, now: MonotonicMillis): FleetUpdate | null {
     const { fleet, intervalMillis } = report;
     if (fleet === undefined) {
       return null;
@@ -101,7 +101,7 @@
     return { speeds: this.#publishedSpeeds.dated().map(aged), zones: this.#publishedZones.dated().map(aged) };
   }
 
-  #updateSince(have: FleetVersion): FleetNews {
+  #updateSince(have: FleetVersion): FleetUpdate {
     const { term } = this.#parts;
     const isWhole = have.term !== term || have.number > this.#number;
     const since = isWhole ? Number.NEGATIVE_INFINITY : have.number;
--- a/src/control/heartbeat-news.ts
+++ b/src/control/heartbeat-filter.ts
@@ -20,7 +20,7 @@
   readonly at: MonotonicMillis;
 }
 
-export class HeartbeatNews {
+export class HeartbeatFilter {
   readonly #latest = new Map<UpstreamId, LatestHeartbeat>();
 
   constructor(private readonly registry: () => Registry) {}
@@ -38,7 +38,7 @@
   }
 
   /** Whether a heartbeat contains a change that has to be committed. */
-  isNews(definition: UpstreamDefinition, now: MonotonicMillis): boolean {
+  hasUpdate(definition: UpstreamDefinition, now: MonotonicMillis): boolean {
     const { id, announced, leaving } = definition;
     const registry = this.registry();
     if (registry.isDeparted(id, announced?.born)) {
@@ -53,7 +53,7 @@
   }
 
   /** Records a heartbeat that isn't late. A `sequence` of `null` keeps the last sequence number of the run. */
-  heard({ id, announced }: UpstreamDefinition, sequence: number | null, now: MonotonicMillis): void {
+  record({ id, announced }: UpstreamDefinition, sequence: number | null, now: MonotonicMillis): void {
     const { born = null, warmupMillis = 0 } = announced ?? {};
     const before = this.#latest.get(id);
     const known = before?.born === born ? before.sequence : null;
--- a/src/control/join-watch.ts
+++ b/src/control/join-watch.ts
@@ -10,17 +10,17 @@
  */
 export class JoinWatch {
   #hadLeader = true;
-  #isAsking = false;
+  #shouldRequestJoin = false;
 
-  get isAsking(): boolean {
-    return this.#isAsking;
+  get shouldRequestJoin(): boolean {
+    return this.#shouldRequestJoin;
   }
 
   /** Checks the status of this replica; called about once a second. */
   look({ self, leader, membership }: RaftStatus): void {
     const hasLeader = leader !== null;
     const isMember = membership.addresses[self] !== undefined;
-    this.#isAsking = !isMember || !(hasLeader || this.#hadLeader);
+    this.#shouldRequestJoin = !isMember || !(hasLeader || this.#hadLeader);
     this.#hadLeader = hasLeader;
   }
 
--- a/src/control/leader-duties.ts
+++ b/src/control/leader-duties.ts
@@ -271,7 +271,7 @@
   #proposeChanges(now: MonotonicMillis): void {
     for (const change of this.#granter.changes(now)) {
       const name = `session ${change.upstream}`;
-      if (this.#proposals.isFree(name)) {
+      if (this.#proposals.canPropose(name)) {
         this.#proposals.propose([name], toCommand(change));
       }
     }
--- a/src/control/leader-proposals.ts
+++ b/src/control/leader-proposals.ts
@@ -5,7 +5,7 @@
 import type { ProposeCommand } from './propose-command.js';
 
 /** Delay before a command that wasn't accepted may be proposed again. */
-export const RETRY_MILLIS = 200;
+export const PROPOSAL_RETRY_MILLIS = 200;
 
 export class LeaderProposals {
   readonly #propose: ProposeCommand;
@@ -18,7 +18,7 @@
   }
 
   /** Whether a command under this name may be proposed. */
-  isFree(name: string): boolean {
+  canPropose(name: string): boolean {
     return !this.#blocked.has(name);
   }
 
@@ -56,7 +56,7 @@
     if (isMade) {
       this.#blocked.delete(name);
     } else {
-      this.#retries.set(name, now + RETRY_MILLIS);
+      this.#retries.set(name, now + PROPOSAL_RETRY_MILLIS);
     }
   }
 }
--- a/src/control/membership-changes.ts
+++ b/src/control/membership-changes.ts
@@ -151,7 +151,7 @@
       raft.proposeMembership({ type: 'add-learner', replica, address }, (outcome) => {
         this.#isAddingSpare = false;
         if (outcome.type !== 'applied') {
-          this.#retry.refused(now);
+          this.#retry.onRejected(now);
         }
       });
     }
--- a/src/control/membership-retry.ts
+++ b/src/control/membership-retry.ts
@@ -8,7 +8,7 @@
 export class MembershipRetry {
   #notBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
-  refused(now: MonotonicMillis): void {
+  onRejected(now: MonotonicMillis): void {
     this.#notBefore = now + MEMBERSHIP_POLL_MILLIS;
   }
 
--- a/src/control/messages.ts
+++ b/src/control/messages.ts
@@ -57,7 +57,7 @@
  * The changes since the last revision that the router holds, sent immediately. They are committed, but not confirmed to be the
  * latest ones; the `SyncResponse` to a request follows separately.
  */
-export interface SyncNews {
+export interface SyncUpdate {
   readonly type: 'sync-news';
   readonly delta: RoutingDelta;
 }
@@ -83,7 +83,7 @@
   readonly fleet?: FleetReport;
 }
 /** Response to a `LoadReport` with a `FleetReport`: the changes since the version in that report. Sent only to its sender. */
-export interface FleetNews {
+export interface FleetUpdate {
   readonly type: 'fleet-news';
   readonly version: FleetVersion;
   /** Whether this is the complete view, which replaces any earlier one. */
@@ -170,12 +170,12 @@
 /** Messages from control members to routers. */
 export type ControlToRouter =
   | SyncResponse
-  | SyncNews
+  | SyncUpdate
   | ChangeNotice
   | ClaimResponse
   | SettleResponse
   | UpstreamPermits
-  | FleetNews;
+  | FleetUpdate;
 
 /** First frame of a connection, in both directions. */
 export interface Greeting {
--- a/src/control/operator-requests.ts
+++ b/src/control/operator-requests.ts
@@ -8,7 +8,7 @@
 import type { CommandResult, DeclarationChange, EvacuationCommand, Registry } from '../registry/types.js';
 import { AddressClaims } from './address-claims.js';
 import { changeRecord, type ProposalTimes, type TracedRequest } from './change-trace.js';
-import { HeartbeatNews } from './heartbeat-news.js';
+import { HeartbeatFilter } from './heartbeat-filter.js';
 import type { IdentityAnswer, IdentityQuestion, QuestionId } from './identity-question.js';
 import type { MembershipChanges } from './membership-changes.js';
 import type { ProposalOutcome, SettleProposal } from './pending-proposals.js';
@@ -70,13 +70,13 @@
 export class OperatorRequests {
   readonly #parts: OperatorRequestsParts;
   readonly #addresses: AddressClaims;
-  readonly #heartbeats: HeartbeatNews;
+  readonly #heartbeats: HeartbeatFilter;
   #waiting: WaitingChange[] = [];
 
   constructor(parts: OperatorRequestsParts) {
     this.#parts = parts;
     const registry = (): Registry => parts.raft.registry;
-    this.#heartbeats = new HeartbeatNews(registry);
+    this.#heartbeats = new HeartbeatFilter(registry);
     this.#addresses = new AddressClaims({
       registry,
       timings: parts.config.ranges ?? DEFAULT_RANGE_TIMINGS,
@@ -88,12 +88,12 @@
 
   /** Handles the begin or end of a leadership, of this member or another. */
   roleChanged(now: MonotonicMillis): void {
-    this.#addresses.roleChanged(now);
+    this.#addresses.onRoleChange(now);
   }
 
   /** Handles the response to an identity request. */
   identified(question: QuestionId, answer: IdentityAnswer, now: MonotonicMillis): void {
-    this.#addresses.answered(question, answer, now);
+    this.#addresses.onAnswer(question, answer, now);
   }
 
   begin(operation: OperationId, request: OperatorRequest, now: MonotonicMillis): void {
@@ -232,8 +232,8 @@
       answer(operation, { type: 'result', result: { type: 'invalid', message: error }, inForce: false });
       return;
     }
-    const hasChanged = this.#heartbeats.isNews(definition, now);
-    this.#heartbeats.heard(definition, this.#setsSequence(request) ? sequence : null, now);
+    const hasChanged = this.#heartbeats.hasUpdate(definition, now);
+    this.#heartbeats.record(definition, this.#setsSequence(request) ? sequence : null, now);
     if (!hasChanged) {
       this.#acceptHeartbeat(operation, request, now);
       return;
@@ -284,7 +284,7 @@
   ): void {
     const { heard: handleHeartbeat, answer } = this.#parts;
     const { id: upstream, announced } = definition;
-    this.#addresses.heard(upstream, now);
+    this.#addresses.onHeartbeat(upstream, now);
     const heartbeat = { upstream, born: announced?.born ?? null, report };
     handleHeartbeat(heartbeat, (keys) => answer(operation, { type: 'heartbeat-taken', keys }), now);
   }
--- a/src/control/placement-proposals.ts
+++ b/src/control/placement-proposals.ts
@@ -3,7 +3,7 @@
 import type { Epoch, Incarnation, MonotonicMillis, ShardId, UpstreamId } from '../model/identifiers.js';
 import type { PlacementMove } from '../placement/index.js';
 import type { LeaderCommand, Registry } from '../registry/types.js';
-import { type LeaderProposals, RETRY_MILLIS } from './leader-proposals.js';
+import { type LeaderProposals, PROPOSAL_RETRY_MILLIS } from './leader-proposals.js';
 
 /** Maximum number of shards in a command, which keeps its entry far below the maximum frame size. */
 const SHARDS_PER_COMMAND = 1000;
@@ -59,7 +59,7 @@
    */
   release(releases: readonly ShardRelease[], now: MonotonicMillis): void {
     const { proposals } = this.#parts;
-    const due = releases.filter((release) => proposals.isFree(proposalName(release)));
+    const due = releases.filter((release) => proposals.canPropose(proposalName(release)));
     for (const batch of inBatches(due)) {
       proposals.propose(batch.map(proposalName), { type: 'shard-release', releases: batch });
       const targets = batch.flatMap(({ shard }) => this.#targetOf(shard));
@@ -81,7 +81,7 @@
       return incarnation === null ? [] : [{ shard, to, incarnation, expectedEpoch: this.#epochOf(shard) }];
     });
     if (grants.length < batch.length) {
-      this.#scheduleRecheck(batch, now + RETRY_MILLIS);
+      this.#scheduleRecheck(batch, now + PROPOSAL_RETRY_MILLIS);
     }
     if (grants.length > 0) {
       this.#send(grants, { type: 'grant-batch', grants });
@@ -97,7 +97,7 @@
       if (isApplied) {
         onApplied();
       }
-      this.#scheduleRecheck(shards, isApplied ? now : now + RETRY_MILLIS);
+      this.#scheduleRecheck(shards, isApplied ? now : now + PROPOSAL_RETRY_MILLIS);
     });
   }
 
--- a/src/control/replica-replacement.ts
+++ b/src/control/replica-replacement.ts
@@ -183,7 +183,7 @@
         replacement.stage = after;
       } else if (outcome.type === 'rejected') {
         replacement.stage = before;
-        this.#parts.retry.refused(now);
+        this.#parts.retry.onRejected(now);
       } else if (this.#replacement === replacement) {
         this.#finish(replacement.operation, proposalFailure(outcome, this.#parts.raft.leaderAddress()));
       }
--- a/src/control/router-requests.ts
+++ b/src/control/router-requests.ts
@@ -105,7 +105,7 @@
     this.#routers.delete(connection);
     this.#sentRevisions.delete(connection);
     if (router !== undefined && !this.routers().some((other) => other.router === router.router)) {
-      this.#departed.left(router);
+      this.#departed.onDisconnect(router);
     }
     this.#syncs.removeConnection(connection);
   }
@@ -175,7 +175,7 @@
   #sync(connection: ConnectionId, request: SyncRequest, now: MonotonicMillis): void {
     const { router, incarnation, zone, have } = request;
     this.#routers.set(connection, { router, incarnation, zone, revision: have, heardAt: now });
-    this.#departed.isBack(router);
+    this.#departed.onReconnect(router);
     const delta = this.#deltaSince(have);
     if (delta !== null) {
       this.#parts.send(connection, { type: 'sync-news', delta });
--- a/src/control/service-coordinator.ts
+++ b/src/control/service-coordinator.ts
@@ -165,7 +165,7 @@
   #place(now: MonotonicMillis): void {
     if (this.#firstGrants.size > 0) {
       const readiness = this.#roster.readiness();
-      for (const shard of this.#firstGrants.takeSettled(readiness, SHARDS_PER_RUN, now)) {
+      for (const shard of this.#firstGrants.takeDue(readiness, SHARDS_PER_RUN, now)) {
         this.shardChanged(shard, now);
       }
     }
@@ -197,7 +197,7 @@
     this.#planner = createPlanner(settingsOf(this.#service), now + BALANCE_DELAY_MILLIS);
     this.#roster.setPlanner(this.#planner);
     this.#loads = new LoadTracker();
-    this.#firstGrants.startOver();
+    this.#firstGrants.reset();
     this.#scan = new RegistryLoad(this.#scan.remainingUpstreams(), this.#shardsToScan());
   }
 
@@ -226,7 +226,7 @@
       return 0;
     }
     if (this.#scan.isDone) {
-      this.#firstGrants.upstreamAdded(now);
+      this.#firstGrants.onUpstreamAdded(now);
     }
     const registry = this.#parts.registry();
     const shards = [...registry.shardsOwnedBy(id), ...registry.shardsMovingTo(id)];
--- a/src/control/upstream-roster.ts
+++ b/src/control/upstream-roster.ts
@@ -117,7 +117,7 @@
     const members = [...this.#members.values()];
     return {
       anyReady: members.some(({ state }) => state === 'ready'),
-      allHeardOf: members.every((member) => this.#isStateKnown(member)),
+      allReported: members.every((member) => this.#isStateKnown(member)),
     };
   }
 
--- a/src/routing/zones/fleet-view-cache.ts
+++ b/src/routing/zones/fleet-view-cache.ts
@@ -2,7 +2,7 @@
  * The latest update from control about the speeds of upstreams and the capacity of zones. It expires: without updates the router decides by its
  * own measurements alone.
  */
-import type { FleetNews } from '../../control/messages.js';
+import type { FleetUpdate } from '../../control/messages.js';
 import { type FleetVersion, UNTOLD_VERSION, type ZoneRoom } from '../../model/fleet-view.js';
 import type { MonotonicMillis, ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
 import type { FleetView } from '../upstream/fleet-view.js';
@@ -29,7 +29,7 @@
     return this.#version;
   }
 
-  update({ version, isWhole, speeds, zones }: FleetNews, now: MonotonicMillis): void {
+  update({ version, isWhole, speeds, zones }: FleetUpdate, now: MonotonicMillis): void {
     if (!isWhole && (version.term !== this.#version.term || version.number < this.#version.number)) {
       return;
     }
--- a/src/wire/router/fleet-news.ts
+++ b/src/wire/router/fleet-news.ts
@@ -1,6 +1,6 @@
 /** The leader's response to a report of upstreams without keys. */
 import * as restructure from 'restructure';
-import type { FleetNews } from '../../control/messages.js';
+import type { FleetUpdate } from '../../control/messages.js';
 import type { FleetVersion, UpstreamSpeed, ZoneRoom } from '../../model/fleet-view.js';
 import { flag, json, list, real, safeInteger, text } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
@@ -9,7 +9,7 @@
 const versionField = new restructure.Struct<FleetVersion>({ term: safeInteger, number: safeInteger });
 const speedField = new restructure.Struct<UpstreamSpeed>({ upstream: text, speed: real });
 
-export const fleetNewsCodec = defineMessage<FleetNews>(FRAME_KINDS.fleetNews, 'fleet-news', {
+export const fleetNewsCodec = defineMessage<FleetUpdate>(FRAME_KINDS.fleetNews, 'fleet-news', {
   version: versionField,
   isWhole: flag,
   speeds: list(speedField),
--- a/test/control/address-claims.test.ts
+++ b/test/control/address-claims.test.ts
@@ -150,9 +150,9 @@
     const settled: boolean[] = [];
     claims.claim(definitionOf('run-3'), 0, (isAccepted) => settled.push(isAccepted));
     expect(settled).to.deep.equal([]);
-    claims.roleChanged(10);
+    claims.onRoleChange(10);
     expect(settled).to.deep.equal([false]);
-    claims.answered(questions[0]?.id ?? 0, { type: 'named', upstream: 'run-3' }, 20);
+    claims.onAnswer(questions[0]?.id ?? 0, { type: 'named', upstream: 'run-3' }, 20);
     expect(settled).to.deep.equal([false]);
   });
 
--- a/test/control/cluster-harness.ts
+++ b/test/control/cluster-harness.ts
@@ -95,7 +95,7 @@
   }
 
   /** Sends a join request of the replica to every member. */
-  askToJoin(id: ReplicaId): void {
+  requestJoin(id: ReplicaId): void {
     const address = addressOf(id);
     for (const member of this.members.values()) {
       if (member.id !== id && !this.cut.has(member.id)) {
--- a/test/control/cluster-server.ts
+++ b/test/control/cluster-server.ts
@@ -10,7 +10,7 @@
   readonly backlog: (() => void)[] = [];
   readonly epochs = new Map<ShardId, Epoch>();
   /** Whether a `warm` event is followed by `markWarmed` at once. */
-  warms = true;
+  warmsImmediately = true;
   incarnationNumber = 1;
 
   constructor(
@@ -41,7 +41,7 @@
     for (const event of this.holder.takeEvents()) {
       if (event.type === 'granted') {
         this.epochs.set(event.shard, event.epoch);
-      } else if (event.type === 'warm' && this.warms) {
+      } else if (event.type === 'warm' && this.warmsImmediately) {
         this.holder.markWarmed(event.shard);
       }
     }
--- a/test/control/fleet-room.test.ts
+++ b/test/control/fleet-room.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { FleetRoom, type RoomUpstream } from '../../src/control/fleet-room/fleet-room.js';
 import { planSpill } from '../../src/control/fleet-room/spill-plan.js';
-import type { FleetNews, LoadReport } from '../../src/control/messages.js';
+import type { FleetUpdate, LoadReport } from '../../src/control/messages.js';
 import { type FleetReport, type FleetVersion, UNTOLD_VERSION } from '../../src/model/fleet-view.js';
 import { Random } from '../../src/routing/random.js';
 
@@ -48,7 +48,7 @@
     return report;
   }
 
-  update: FleetNews | null = null;
+  update: FleetUpdate | null = null;
 
   /** Reports a second in which each upstream answered `requests` requests of `millisOf` milliseconds each. */
   second(millisOf: (id: string) => number, requests = 5, have: FleetVersion = UNTOLD_VERSION): void {
--- a/test/control/heartbeat-news.test.ts
+++ b/test/control/heartbeat-filter.test.ts
@@ -1,6 +1,6 @@
 /** Heartbeats that need a log entry, and late ones, which are ignored. */
 import { expect } from 'chai';
-import { HeartbeatNews } from '../../src/control/heartbeat-news.js';
+import { HeartbeatFilter } from '../../src/control/heartbeat-filter.js';
 import type { UpstreamDefinition } from '../../src/model/service.js';
 import { createRegistry } from '../../src/registry/index.js';
 
@@ -21,7 +21,7 @@
 /** A member that receives the heartbeats of one upstream. */
 class Receiver {
   readonly registry = createRegistry();
-  readonly filter = new HeartbeatNews(() => this.registry);
+  readonly filter = new HeartbeatFilter(() => this.registry);
 
   constructor(declaresWarmup: boolean) {
     const warmup = declaresWarmup ? { warmupPerSecond: 4.2, warmupSeconds: 3 } : {};
@@ -43,8 +43,8 @@
     if (this.filter.isLate(definition, sequence)) {
       return 'late';
     }
-    const hasUpdate = this.filter.isNews(definition, now);
-    this.filter.heard(definition, sequence, now);
+    const hasUpdate = this.filter.hasUpdate(definition, now);
+    this.filter.record(definition, sequence, now);
     if (hasUpdate) {
       this.#apply({ type: 'upstream-announce', definition });
     }
@@ -86,7 +86,7 @@
   it('of an earlier run are late also at a member that has the next run only from the log', () => {
     const receiver = new Receiver(true);
     receiver.receive(definitionOf({ born: 200 }), 1, 0);
-    const other = new HeartbeatNews(() => receiver.registry);
+    const other = new HeartbeatFilter(() => receiver.registry);
     expect(other.isLate(definitionOf({ born: 100 }), 50)).to.equal(true);
     expect(other.isLate(definitionOf({ born: 200 }), 1)).to.equal(false);
   });
--- a/test/control/heartbeat-world.ts
+++ b/test/control/heartbeat-world.ts
@@ -327,7 +327,7 @@
       }
       const known = member.registry().upstreams().get(id);
       const deliver = (): void => {
-        member.claims.heard(id, this.now);
+        member.claims.onHeartbeat(id, this.now);
         member.coordinator.onHeartbeat({ upstream: id, born: null, report: received }, answer, this.now);
       };
       const isNew = known === undefined || (leaving && !known.definition.leaving);
@@ -358,7 +358,7 @@
       (upstream) => upstream.address === address && upstream.isAlive,
     );
     const answerAfter = (millis: number, answer: IdentityAnswer): void =>
-      this.after(millis, () => claims.answered(id, answer, this.now));
+      this.after(millis, () => claims.onAnswer(id, answer, this.now));
     if (this.sabotage === SABOTAGES.wordTakenUnproved) {
       answerAfter(2 * NETWORK_MILLIS, { type: 'named', upstream: claimant });
     } else if (liveUpstream?.condition !== 'up') {
--- a/test/control/ownership-measures.test.ts
+++ b/test/control/ownership-measures.test.ts
@@ -183,8 +183,8 @@
 
   it('count a move that a lost leader began as other', () => {
     const { cluster, shards } = startCluster(3);
-    cluster.server('u2').warms = false;
-    cluster.server('u3').warms = false;
+    cluster.server('u2').warmsImmediately = false;
+    cluster.server('u3').warmsImmediately = false;
     const drained = cluster.shards().filter(({ owner }) => owner === 'u1').length;
     const definition = upstream('u1', { leaving: true });
     cluster.change({ type: 'upstream-apply', definition, expected: null });
--- a/test/control/placement.test.ts
+++ b/test/control/placement.test.ts
@@ -87,8 +87,8 @@
 
   it('hands over a drained shard cold if its target does not warm in time', () => {
     const { cluster, shards } = startCluster(3, { service: MANY });
-    cluster.server('u2').warms = false;
-    cluster.server('u3').warms = false;
+    cluster.server('u2').warmsImmediately = false;
+    cluster.server('u3').warmsImmediately = false;
     cluster.change({
       type: 'upstream-apply',
       definition: upstream('u1', { leaving: true }),
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -291,7 +291,7 @@
       (holder) => holder.address === address && holder.isAlive,
     );
     const answerAfter = (millis: number, answer: IdentityAnswer): void =>
-      this.after(millis, () => claims.answered(id, answer, this.now));
+      this.after(millis, () => claims.onAnswer(id, answer, this.now));
     if (this.acceptsAnyClaim) {
       answerAfter(2 * NETWORK_MILLIS, { type: 'named', upstream: claimant });
     } else if (liveHolder?.state !== 'up') {
@@ -314,7 +314,7 @@
       this.announce(holder);
     }
     if (isReceived && this.registry.upstreams().has(holder.id)) {
-      this.#claims?.heard(holder.id, this.now);
+      this.#claims?.onHeartbeat(holder.id, this.now);
       this.#leader?.onHeartbeat({ upstream: holder.id, born: holder.born, report: null }, () => {}, this.now);
     }
     if (holder.isAlive) {
--- a/test/control/replacement.test.ts
+++ b/test/control/replacement.test.ts
@@ -59,7 +59,7 @@
 /** Runs the cluster while the replica requests to join, as its daemon does. */
 function runAsking(cluster: Cluster, id: ReplicaId, millis: number): void {
   for (let passed = 0; passed < millis; passed += ASK_MILLIS) {
-    cluster.askToJoin(id);
+    cluster.requestJoin(id);
     cluster.run(ASK_MILLIS);
   }
 }
@@ -199,15 +199,15 @@
     }
 
     isAsking(id: ReplicaId): boolean {
-      return this.#watches.get(id)?.isAsking ?? false;
+      return this.#watches.get(id)?.shouldRequestJoin ?? false;
     }
 
     #look(id: ReplicaId, status: RaftStatus): void {
       const watch = this.#watches.get(id) ?? new JoinWatch();
       this.#watches.set(id, watch);
       watch.look(status);
-      if (watch.isAsking && !this.cluster.cut.has(id)) {
-        this.cluster.askToJoin(id);
+      if (watch.shouldRequestJoin && !this.cluster.cut.has(id)) {
+        this.cluster.requestJoin(id);
       }
     }
   }
@@ -266,7 +266,7 @@
     const { members } = asking.cluster;
     const status = members.get('m1')?.core.status() as RaftStatus;
     starting.look({ ...status, leader: null });
-    expect(starting.isAsking).to.equal(false);
+    expect(starting.shouldRequestJoin).to.equal(false);
   });
 
   it('contacts the members in its log and in its settings, each once and never itself', () => {
--- a/test/routing/fleet-picking.test.ts
+++ b/test/routing/fleet-picking.test.ts
@@ -1,6 +1,6 @@
 /** Picks by the speeds and capacities that control reports, and by the router's own measurements without such reports. */
 import { expect } from 'chai';
-import type { FleetNews } from '../../src/control/messages.js';
+import type { FleetUpdate } from '../../src/control/messages.js';
 import type { ZoneRoom } from '../../src/model/fleet-view.js';
 import { UpstreamState } from '../../src/routing/index.js';
 import { LeastWorkPicker } from '../../src/routing/picker/least-work-picker.js';
@@ -13,7 +13,7 @@
 
 const ROOM: ZoneRoom = { service: 'menu', zone: 'a', meanMillis: 100, isUneven: true, use: 0.5, spill: [] };
 
-function updateOf(changes: Partial<FleetNews> = {}): FleetNews {
+function updateOf(changes: Partial<FleetUpdate> = {}): FleetUpdate {
   const version = { term: 1, number: 1 };
   return { type: 'fleet-news', version, isWhole: true, speeds: [], zones: [ROOM], ...changes };
 }
--- a/test/routing/uneven-fleet.ts
+++ b/test/routing/uneven-fleet.ts
@@ -3,7 +3,7 @@
  * Results count answers to callers and arrivals at upstreams, not the state of routers.
  */
 import { FleetRoom } from '../../src/control/fleet-room/fleet-room.js';
-import type { ControlToRouter, FleetNews, RouterToControl } from '../../src/control/messages.js';
+import type { ControlToRouter, FleetUpdate, RouterToControl } from '../../src/control/messages.js';
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import { RandomSource } from '../../src/dev/virtual/random-source.js';
 import type { RegistryChange, UpstreamRecord } from '../../src/registry/types.js';
@@ -376,7 +376,7 @@
   #answerTo(
     router: FleetRouter,
     report: Extract<RouterToControl, { type: 'load-report' }>,
-  ): FleetNews | null {
+  ): FleetUpdate | null {
     const { fleet } = report;
     if (this.#leader === null && this.#options.sabotage === 'spill-never-lapses' && fleet !== undefined) {
       return { type: 'fleet-news', version: fleet.have, isWhole: false, speeds: [], zones: [] };
@@ -384,7 +384,7 @@
     return this.#leader?.take(report, `c${router.index}.${router.run}`, this.#time.now) ?? null;
   }
 
-  #sabotaged(answer: FleetNews): ControlToRouter {
+  #sabotaged(answer: FleetUpdate): ControlToRouter {
     if (this.#options.sabotage !== 'speeds-ignored') {
       return answer;
     }
--- a/test/wire/fleet-rows.test.ts
+++ b/test/wire/fleet-rows.test.ts
@@ -1,6 +1,6 @@
 /** Compatibility of reports of upstreams without keys between two versions. */
 import { expect } from 'chai';
-import type { FleetNews, LoadReport } from '../../src/control/messages.js';
+import type { FleetUpdate, LoadReport } from '../../src/control/messages.js';
 import { real } from '../../src/wire/fields.js';
 import { FRAME_KINDS } from '../../src/wire/frame.js';
 import { controlToRouterCodecs, routerToControlCodecs } from '../../src/wire/index.js';
@@ -52,7 +52,7 @@
   });
 
   it('get a minimal response if nothing has changed', () => {
-    const update: FleetNews = {
+    const update: FleetUpdate = {
       type: 'fleet-news',
       version: { term: 7, number: 12 },
       isWhole: false,
@@ -65,7 +65,7 @@
   });
 
   it('get a response with speeds and zone capacity', () => {
-    const update: FleetNews = {
+    const update: FleetUpdate = {
       type: 'fleet-news',
       version: { term: 7, number: 13 },
       isWhole: true,
