--- a/src/control/control-node.ts
+++ b/src/control/control-node.ts
@@ -31,7 +31,7 @@
   OperatorResponse,
   RangeWork,
 } from './types.js';
-import { UnownedClock } from './unowned-clock.js';
+import { UnownedTracker } from './unowned-tracker.js';
 
 const MAX_ENTRIES_PER_APPEND = 256;
 const MAX_APPENDS_IN_FLIGHT = 8;
@@ -79,7 +79,7 @@
   #effects: ControlEffect[] = [];
   #wall: WallMillis = 0;
   #now: MonotonicMillis = 0;
-  readonly #unowned = new UnownedClock();
+  readonly #unowned = new UnownedTracker();
   /** When the leader, or the lack of one, last changed at this member. */
   #leaderSince: MonotonicMillis;
   #leaderId: ReplicaId | null = null;
@@ -104,7 +104,7 @@
       answer,
       membership: this.#membership,
       status: (now) => controlStatus(this.#statusSource(now), now),
-      heard: (heartbeat, answer, now) =>
+      onHeartbeat: (heartbeat, answer, now) =>
         this.#leaderDuties === null
           ? answer(null, now)
           : this.#leaderDuties.onHeartbeat(heartbeat, answer, now),
@@ -142,7 +142,7 @@
     this.#runUntilIdle(now);
     if (this.#hasRegistryChange) {
       this.#hasRegistryChange = false;
-      this.#unowned.look(this.#raft.registry, now);
+      this.#unowned.update(this.#raft.registry, now);
       this.#routers.notify(now);
     }
     return this.#effects;
@@ -219,7 +219,7 @@
       call: (call: SessionCall) => this.#emit({ type: 'call-upstream', ...call }),
       log: (event: string, fields: Readonly<Record<string, unknown>>) => this.#log('info', event, fields),
       callHolder: (call: HolderCall) => this.#emit({ type: 'call-holder', call }),
-      routers: () => this.#routers.count,
+      routers: () => this.#routers.estimatedTotal,
       sendRouter: (connection: ConnectionId, message: ControlToRouter) =>
         this.#emit({ type: 'send-router', connection, message }),
     };
@@ -241,10 +241,10 @@
         this.#raft.feed({ type: 'persisted', persistId: input.persistId });
         break;
       case 'router-message':
-        this.#routers.take(input.connection, input.message, now);
+        this.#routers.handleMessage(input.connection, input.message, now);
         break;
       case 'router-gone':
-        this.#routers.gone(input.connection);
+        this.#routers.removeConnection(input.connection);
         this.#leaderDuties?.onRouterDisconnect(input.connection);
         break;
       case 'upstream-answer':
@@ -257,7 +257,7 @@
         this.#leaderDuties?.onHolderCallEnd(input.call, input.outcome, now);
         break;
       case 'identity-answer':
-        this.#operators.identified(input.question, input.answer, now);
+        this.#operators.onIdentityResponse(input.question, input.answer, now);
         break;
       case 'operator-request':
         this.#operators.begin(input.operation, input.request, now);
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -8,8 +8,8 @@
 import type { ObservedSession } from './leader-duties.js';
 import type { ConnectedRouter } from './router-requests.js';
 import type { ServiceMeasures } from './service-measures.js';
-import type { NeedyUpstream, OperatorResponse, UpstreamHealth } from './types.js';
-import type { UnownedShards } from './unowned-clock.js';
+import type { ConstrainedUpstream, OperatorResponse, UpstreamHealth } from './types.js';
+import type { UnownedShards } from './unowned-tracker.js';
 
 /** Input of the status. */
 export interface ControlStatusSource {
@@ -21,7 +21,7 @@
   readonly services: readonly ServiceMeasures[];
   readonly routers: readonly ConnectedRouter[];
   /** Empty on members that don't lead. */
-  readonly needs: readonly NeedyUpstream[];
+  readonly needs: readonly ConstrainedUpstream[];
   /** `null` on members that don't lead. */
   readonly fleet: FleetStatus | null;
   readonly departed: readonly DepartedRouter[];
--- a/src/control/daemon/settings.ts
+++ b/src/control/daemon/settings.ts
@@ -121,6 +121,6 @@
     replaceAfterMillis,
     ranges,
     quarantine,
-    mostVoters,
+    maxVoters: mostVoters,
   };
 }
--- a/src/control/leader-duties.ts
+++ b/src/control/leader-duties.ts
@@ -24,7 +24,7 @@
 import type { ReportingRouter } from './router-requests.js';
 import type { ServiceMeasures } from './service-measures.js';
 import { ShardCoordinator } from './shard-coordinator.js';
-import type { ConnectionId, ControlConfig, NeedyUpstream, RangeWork } from './types.js';
+import type { ConnectionId, ConstrainedUpstream, ControlConfig, RangeWork } from './types.js';
 
 /**
  * Minimum time between the starts of two quorum rounds. Renewals request their round a sixteenth of the renewal time ahead, so this
@@ -165,7 +165,7 @@
   }
 
   /** Upstreams with a request limit or a back-off in effect. */
-  needs(now: MonotonicMillis): NeedyUpstream[] {
+  needs(now: MonotonicMillis): ConstrainedUpstream[] {
     return this.#needs.list(now);
   }
 
--- a/src/control/membership-changes.ts
+++ b/src/control/membership-changes.ts
@@ -40,7 +40,7 @@
     const { raft, config, answer } = parts;
     this.#replacement = new ReplicaReplacement({ raft, answer, retry: this.#retry });
     this.#transfer = new LeadershipTransfer({ raft, answer, config });
-    this.#repair = new AutomaticRepair(config.replaceAfterMillis, config.mostVoters);
+    this.#repair = new AutomaticRepair(config.replaceAfterMillis, config.maxVoters);
   }
 
   /** Begins a change requested by an operator; `answer` is called at its end. Only the leader performs changes. */
--- a/src/control/needs/upstream-needs.ts
+++ b/src/control/needs/upstream-needs.ts
@@ -4,7 +4,7 @@
 import type { CapacityLimit } from '../../placement/ranges/capacity-limit.js';
 import type { UpstreamReport } from '../messages.js';
 import type { ReportingRouter } from '../router-requests.js';
-import type { ConnectionId, NeedyUpstream } from '../types.js';
+import type { ConnectionId, ConstrainedUpstream } from '../types.js';
 import { LeavingUpstreams, type LeavingUpstreamsParts } from './leaving-upstreams.js';
 import { PermitIssuer, type PermitIssuerParts } from './permit-issuer.js';
 import { RestingUpstreams } from './resting-upstreams.js';
@@ -71,7 +71,7 @@
   }
 
   /** Upstreams with a current constraint. */
-  list(now: MonotonicMillis): NeedyUpstream[] {
+  list(now: MonotonicMillis): ConstrainedUpstream[] {
     const limited = this.#issuer.limits.inForce(now).map((limit) => ({ ...limit, restingRouters: 0 }));
     const resting = this.#backoffs.list(now).map(({ upstream, routers }) => ({
       upstream,
--- a/src/control/operator-requests.ts
+++ b/src/control/operator-requests.ts
@@ -28,7 +28,7 @@
   readonly answer: (operation: OperationId, response: OperatorResponse) => void;
   readonly status: (now: MonotonicMillis) => OperatorResponse;
   /** Handles an upstream's heartbeat that reached the leader; calls `answer` once with the grants that it renews. */
-  readonly heard: (heartbeat: ReceivedHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis) => void;
+  readonly onHeartbeat: (heartbeat: ReceivedHeartbeat, answer: AnswerHeartbeat, now: MonotonicMillis) => void;
   /** Returns whether an upstream may hold keys, judged by the leader's current state. */
   readonly mayHold: (upstream: UpstreamId, now: MonotonicMillis) => boolean;
   /** Requests the identity of the upstream at an address; `onIdentityResponse` receives the response. */
@@ -92,7 +92,7 @@
   }
 
   /** Handles the response to an identity request. */
-  identified(question: QuestionId, answer: IdentityAnswer, now: MonotonicMillis): void {
+  onIdentityResponse(question: QuestionId, answer: IdentityAnswer, now: MonotonicMillis): void {
     this.#addresses.onAnswer(question, answer, now);
   }
 
@@ -282,7 +282,7 @@
     { definition, report }: AnnounceRequest,
     now: MonotonicMillis,
   ): void {
-    const { heard: handleHeartbeat, answer } = this.#parts;
+    const { onHeartbeat: handleHeartbeat, answer } = this.#parts;
     const { id: upstream, announced } = definition;
     this.#addresses.onHeartbeat(upstream, now);
     const heartbeat = { upstream, born: announced?.born ?? null, report };
--- a/src/control/registry-load.ts
+++ b/src/control/registry-scan.ts
@@ -5,11 +5,11 @@
 export const SHARDS_PER_RUN = 2000;
 
 /** An upstream with all of its shards, or a single shard. */
-export type LoadItem =
+export type ScanItem =
   | { readonly type: 'upstream'; readonly upstream: UpstreamId }
   | { readonly type: 'shard'; readonly shard: ShardId };
 
-export class RegistryLoad {
+export class RegistryScan {
   readonly #upstreams: readonly UpstreamId[];
   readonly #shards: readonly ShardId[];
   #position = 0;
@@ -24,7 +24,7 @@
   }
 
   /** Returns the next item to read; `undefined` if nothing is left. */
-  next(): LoadItem | undefined {
+  next(): ScanItem | undefined {
     const upstream = this.#upstreams[this.#position];
     const shard = this.#shards[this.#position - this.#upstreams.length];
     this.#position += Number(!this.isDone);
--- a/src/control/router-requests.ts
+++ b/src/control/router-requests.ts
@@ -77,7 +77,7 @@
     });
   }
 
-  take(connection: ConnectionId, message: RouterToControl, now: MonotonicMillis): void {
+  handleMessage(connection: ConnectionId, message: RouterToControl, now: MonotonicMillis): void {
     switch (message.type) {
       case 'sync-request':
         this.#sync(connection, message, now);
@@ -100,7 +100,7 @@
     }
   }
 
-  gone(connection: ConnectionId): void {
+  removeConnection(connection: ConnectionId): void {
     const router = this.#routers.get(connection);
     this.#routers.delete(connection);
     this.#sentRevisions.delete(connection);
@@ -159,7 +159,7 @@
   }
 
   /** Estimated number of all routers: those connected here times the number of members, since routers prefer the member of their zone. */
-  get count(): number {
+  get estimatedTotal(): number {
     return this.#routers.size * Math.max(1, this.#parts.raft.voterAddresses().length);
   }
 
--- a/src/control/service-coordinator.ts
+++ b/src/control/service-coordinator.ts
@@ -9,7 +9,7 @@
 import { FirstGrants } from './first-grants.js';
 import type { LeaderProposals } from './leader-proposals.js';
 import { PlacementProposals } from './placement-proposals.js';
-import { RegistryLoad, SHARDS_PER_RUN } from './registry-load.js';
+import { RegistryScan, SHARDS_PER_RUN } from './registry-scan.js';
 import type { ServiceMeasures } from './service-measures.js';
 import { neverGrantedRecord, ServiceMeter } from './service-meter.js';
 import { ShardHandovers } from './shard-handovers.js';
@@ -39,7 +39,7 @@
   readonly #meter: ServiceMeter;
   #service: ServiceRecord;
   /** Placement waits until the scan of the registry is complete. */
-  #scan: RegistryLoad;
+  #scan: RegistryScan;
   #isPlanDue = true;
 
   constructor(parts: CoordinatorParts, service: ServiceRecord, now: MonotonicMillis) {
@@ -61,7 +61,7 @@
     const upstreams = [...parts.registry().upstreams().values()]
       .filter(({ definition }) => definition.service === service.definition.name)
       .map(({ definition }) => definition.id);
-    this.#scan = new RegistryLoad(upstreams, this.#shardsToScan());
+    this.#scan = new RegistryScan(upstreams, this.#shardsToScan());
   }
 
   /** Called when the service is removed or no longer keyed. */
@@ -198,7 +198,7 @@
     this.#roster.setPlanner(this.#planner);
     this.#loads = new LoadTracker();
     this.#firstGrants.reset();
-    this.#scan = new RegistryLoad(this.#scan.remainingUpstreams(), this.#shardsToScan());
+    this.#scan = new RegistryScan(this.#scan.remainingUpstreams(), this.#shardsToScan());
   }
 
   #scanRegistry(now: MonotonicMillis): void {
--- a/src/control/shard-coordinator.ts
+++ b/src/control/shard-coordinator.ts
@@ -7,7 +7,7 @@
 import type { RegistryChange, ServiceRecord } from '../registry/types.js';
 import type { LoadReport } from './messages.js';
 import { hasRanges } from './ranges/range-coordinator.js';
-import { SHARDS_PER_RUN } from './registry-load.js';
+import { SHARDS_PER_RUN } from './registry-scan.js';
 import { type CoordinatorParts, ServiceCoordinator } from './service-coordinator.js';
 import type { ServiceMeasures } from './service-measures.js';
 
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -42,7 +42,7 @@
 import type { ConfigLeaseTimings, ControlToRouter, RouterToControl } from './messages.js';
 import type { HolderCall, HolderCallId, HolderOutcome } from './ranges/holder-call.js';
 import type { ServiceMeasures } from './service-measures.js';
-import type { UnownedShards } from './unowned-clock.js';
+import type { UnownedShards } from './unowned-tracker.js';
 
 /** Identifies a router connection; assigned by the I/O layer. */
 export type ConnectionId = string;
@@ -109,7 +109,7 @@
 }
 
 /** An upstream with a rate limit or back-offs, as of the last reports to the leader. */
-export interface NeedyUpstream {
+export interface ConstrainedUpstream {
   readonly upstream: UpstreamId;
   /** Maximum number of requests per second from all routers together; `null`: it reports no limit. */
   readonly perSecond: number | null;
@@ -162,7 +162,7 @@
       /** The evacuated zones. */
       readonly evacuations?: readonly Zone[];
       /** Leader only: upstreams with a rate limit or back-offs. */
-      readonly needs?: readonly NeedyUpstream[];
+      readonly needs?: readonly ConstrainedUpstream[];
       /** Speeds of upstreams and capacity of zones, as last sent to routers; `null` on members that don't lead. */
       readonly fleet?: FleetStatus | null;
       /** Number of requests suspected of crashing upstreams, and how many of them routers reject. */
@@ -238,7 +238,7 @@
    */
   readonly replaceAfterMillis: number;
   /** Spares become additional voters up to this number of voters; if omitted, they only replace other voters. */
-  readonly mostVoters?: number;
+  readonly maxVoters?: number;
   /** Maximum wait of a planned move for its target to load the shard; 0: no wait, the target is granted the shard cold. */
   readonly warmTimeoutMillis?: number;
   /** Timings of grants to upstreams that announce themselves; the defaults if omitted. */
--- a/src/control/unowned-clock.ts
+++ b/src/control/unowned-tracker.ts
@@ -10,11 +10,11 @@
   readonly sinceMillis: number;
 }
 
-export class UnownedClock {
+export class UnownedTracker {
   readonly #since = new Map<ServiceName, MonotonicMillis>();
 
   /** To be called after each change of the registry. */
-  look(registry: Registry, now: MonotonicMillis): void {
+  update(registry: Registry, now: MonotonicMillis): void {
     for (const service of this.#since.keys()) {
       if (!registry.services().has(service)) {
         this.#since.delete(service);
--- a/test/control/coordinator-slices.test.ts
+++ b/test/control/coordinator-slices.test.ts
@@ -1,6 +1,6 @@
 /** Coordination of more shards than one run handles: all shards are granted, and a new leader voids no grant. */
 import { expect } from 'chai';
-import { SHARDS_PER_RUN } from '../../src/control/registry-load.js';
+import { SHARDS_PER_RUN } from '../../src/control/registry-scan.js';
 import { CoordinatorRig } from '../../src/dev/bench/models/placement/coordinator-rig.js';
 import { SERVICE, upstream } from './cluster-harness.js';
 
--- a/test/control/ownership-measures.test.ts
+++ b/test/control/ownership-measures.test.ts
@@ -1,7 +1,7 @@
 /** Counts of owner changes and of unowned time, from records and from a whole cluster. */
 import { expect } from 'chai';
 import { OwnershipMeasures } from '../../src/control/ownership-measures.js';
-import { SHARDS_PER_RUN } from '../../src/control/registry-load.js';
+import { SHARDS_PER_RUN } from '../../src/control/registry-scan.js';
 import type { ServiceMeasures } from '../../src/control/service-measures.js';
 import { CoordinatorRig } from '../../src/dev/bench/models/placement/coordinator-rig.js';
 import type { ServiceDefinition } from '../../src/model/service.js';
