--- a/src/cli/daemons/run-control.ts
+++ b/src/cli/daemons/run-control.ts
@@ -88,7 +88,7 @@
   const opened = { replica, restored, files: store, stopWaiting: () => waits.stop() };
   const member = new ControlDaemon(daemon, opened, createControlNode);
   const layers = settingsLayers(invocation);
-  const reload = (): void => member.usePeers(peersOf(loadControlSettings(layers)));
+  const reload = (): void => member.setPeers(peersOf(loadControlSettings(layers)));
   const watch = new SettingsWatch({ io: invocation.io, file: layers.file, reload });
   try {
     return await runDaemon(member, invocation.io);
--- a/src/control/needs/leaving-upstreams.ts
+++ b/src/control/constraints/draining-upstreams.ts
@@ -5,23 +5,23 @@
 import type { Registry } from '../../registry/types.js';
 import type { ProposeCommand } from '../propose-command.js';
 
-export interface LeavingUpstreamsParts {
+export interface DrainingUpstreamsParts {
   readonly registry: () => Registry;
   readonly propose: ProposeCommand;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-export class LeavingUpstreams {
-  readonly #parts: LeavingUpstreamsParts;
+export class DrainingUpstreams {
+  readonly #parts: DrainingUpstreamsParts;
   /** Runs whose withdrawal is proposed and not yet applied or rejected. */
   readonly #proposed = new Set<RunName>();
 
-  constructor(parts: LeavingUpstreamsParts) {
+  constructor(parts: DrainingUpstreamsParts) {
     this.#parts = parts;
   }
 
   /** Records a router's report. Reports about any run but the one in the registry are ignored. */
-  take({ upstream, run, isLeaving }: HeardUpstream, router: string | null): void {
+  recordReport({ upstream, run, isLeaving }: HeardUpstream, router: string | null): void {
     const { registry, propose } = this.#parts;
     const definition = registry().upstreams().get(upstream)?.definition;
     const isCurrentRun = definition?.announced !== undefined && runOfAnnounced(definition) === run;
--- a/src/control/needs/limited-upstreams.ts
+++ b/src/control/constraints/limited-upstreams.ts
@@ -33,7 +33,7 @@
   readonly #runs = new Map<RunName, LimitRecord>();
 
   /** Records a router's report; returns `true` if it changes the limit. */
-  hear({ upstream, run, limit }: HeardUpstream, now: MonotonicMillis): boolean {
+  recordReport({ upstream, run, limit }: HeardUpstream, now: MonotonicMillis): boolean {
     const known = this.#runs.get(run);
     const observedAt = now - limit.heardAgoMillis;
     if (known === undefined) {
@@ -63,7 +63,7 @@
   }
 
   /** The latest report about a run, as sent to routers. */
-  heard(run: RunName, now: MonotonicMillis): HeardLimit {
+  lastReport(run: RunName, now: MonotonicMillis): HeardLimit {
     const known = this.#runs.get(run);
     if (known === undefined || known.observedAt === Number.NEGATIVE_INFINITY) {
       return NO_REPORT;
@@ -72,7 +72,7 @@
   }
 
   /** Limits that placement has to respect, by upstream: those in force, and those that ended less than `RECOVERY_MILLIS` ago. */
-  bearable(): ReadonlyMap<UpstreamId, number> {
+  limitsForPlacement(): ReadonlyMap<UpstreamId, number> {
     const limits = new Map<UpstreamId, number>();
     for (const { upstream, perSecond, lastPerSecond } of this.#runs.values()) {
       const limit = perSecond ?? lastPerSecond;
@@ -82,7 +82,7 @@
   }
 
   /** Removes expired limits; returns the runs that were removed. */
-  forget(now: MonotonicMillis): RunName[] {
+  removeExpired(now: MonotonicMillis): RunName[] {
     const removed: RunName[] = [];
     for (const [run, known] of this.#runs) {
       if (known.perSecond !== null && now - known.reportedAt >= REPORT_EXPIRY_MILLIS) {
--- a/src/control/needs/permit-bucket.ts
+++ b/src/control/constraints/permit-bucket.ts
@@ -21,7 +21,7 @@
   }
 
   /** Consumes a permit; returns `false` if there is none. */
-  take(): boolean {
+  tryConsume(): boolean {
     if (this.#permits < 1) {
       return false;
     }
@@ -35,7 +35,7 @@
   }
 
   /** The time at which `count` permits are available at this rate. */
-  filledUntil(count: number, perSecond: number): MonotonicMillis {
+  availableAt(count: number, perSecond: number): MonotonicMillis {
     return this.#refilledAt + this.millisUntil(count, perSecond);
   }
 }
--- a/src/control/needs/permit-issuer.ts
+++ b/src/control/constraints/permit-issuer.ts
@@ -63,13 +63,13 @@
     this.#nextExpiryAt = electedAt + EXPIRY_INTERVAL_MILLIS;
   }
 
-  take(
+  recordReport(
     { stamp, upstreams }: UpstreamReport,
     { connection, router }: ReportingRouter,
     now: MonotonicMillis,
   ): void {
     for (const report of upstreams) {
-      if (this.limits.hear(report, now)) {
+      if (this.limits.recordReport(report, now)) {
         const { run, limit } = report;
         this.#parts.log('upstream-limit-reported', { run, router, ...limit });
       }
@@ -80,7 +80,7 @@
   }
 
   /** A router disconnected: its permit requests are dropped. */
-  gone(connection: ConnectionId): void {
+  onRouterDisconnected(connection: ConnectionId): void {
     for (const { requests } of this.#runs.values()) {
       requests.delete(connection);
     }
@@ -94,7 +94,7 @@
     }
     if (now >= this.#nextExpiryAt) {
       this.#nextExpiryAt = now + EXPIRY_INTERVAL_MILLIS;
-      for (const run of this.limits.forget(now)) {
+      for (const run of this.limits.removeExpired(now)) {
         this.#runs.delete(run);
       }
     }
@@ -155,7 +155,7 @@
   #grant({ requests, bucket }: RunPermits, outcomes: Map<ConnectionId, Outcome>, now: MonotonicMillis): void {
     while (now >= this.#issuesFrom) {
       const request = mostImportant(requests.values());
-      if (request === undefined || !bucket.take()) {
+      if (request === undefined || !bucket.tryConsume()) {
         return;
       }
       const outcome = outcomes.get(request.connection) ?? { request, granted: 0, nextInMillis: null };
@@ -194,7 +194,7 @@
     { request, granted, nextInMillis }: Outcome,
     now: MonotonicMillis,
   ): void {
-    const limit = this.limits.heard(run, now);
+    const limit = this.limits.lastReport(run, now);
     const { connection, stamp, requestedAt } = request;
     const waitedMillis = now - requestedAt;
     const issued: IssuedPermits = { upstream, run, granted, nextInMillis, limit };
@@ -228,7 +228,7 @@
     if (perSecond === null) {
       return Number.NEGATIVE_INFINITY;
     }
-    return Math.min(firstExpiry, Math.max(this.#issuesFrom, bucket.filledUntil(1, perSecond)));
+    return Math.min(firstExpiry, Math.max(this.#issuesFrom, bucket.availableAt(1, perSecond)));
   }
 
   /** Permits per second; `null` if the run has no limit. */
--- a/src/control/needs/resting-upstreams.ts
+++ b/src/control/constraints/upstream-backoffs.ts
@@ -13,12 +13,17 @@
 /** A back-off still counts for this long after its end, so that repeated back-offs don't cause keys to move back and forth. */
 const RECOVERY_MILLIS = 5000;
 
-export class RestingUpstreams {
+export class UpstreamBackoffs {
   /** The end of each router's back-off, by upstream. */
   readonly #backoffs = new Map<UpstreamId, Map<ConnectionId, MonotonicMillis>>();
 
   /** Records a router's back-off; returns `true` if the upstream had no other. */
-  asked(upstream: UpstreamId, router: ConnectionId, restMillis: number, now: MonotonicMillis): boolean {
+  recordBackoff(
+    upstream: UpstreamId,
+    router: ConnectionId,
+    restMillis: number,
+    now: MonotonicMillis,
+  ): boolean {
     const backoffs = this.#backoffs.get(upstream) ?? new Map<ConnectionId, MonotonicMillis>();
     const isFirst = !this.#backoffs.has(upstream);
     this.#backoffs.set(upstream, backoffs);
@@ -27,7 +32,7 @@
   }
 
   /** Usable share of the capacity of each upstream with back-offs; all others have their full capacity. `routers`: the number of routers. */
-  shares(routers: number): ReadonlyMap<UpstreamId, number> {
+  capacityShares(routers: number): ReadonlyMap<UpstreamId, number> {
     const shares = new Map<UpstreamId, number>();
     for (const [upstream, { size }] of this.#backoffs) {
       const backingOff = size / Math.max(size, routers, MIN_ROUTERS);
@@ -37,7 +42,7 @@
   }
 
   /** Removes back-offs that ended at least `RECOVERY_MILLIS` ago. */
-  forget(now: MonotonicMillis): void {
+  removeExpired(now: MonotonicMillis): void {
     for (const [upstream, backoffs] of this.#backoffs) {
       for (const [router, until] of backoffs) {
         if (now >= until + RECOVERY_MILLIS) {
--- a/src/control/needs/upstream-needs.ts
+++ b/src/control/constraints/upstream-constraints.ts
@@ -5,51 +5,51 @@
 import type { UpstreamReport } from '../messages.js';
 import type { ReportingRouter } from '../router-requests.js';
 import type { ConnectionId, ConstrainedUpstream } from '../types.js';
-import { LeavingUpstreams, type LeavingUpstreamsParts } from './leaving-upstreams.js';
+import { DrainingUpstreams, type DrainingUpstreamsParts } from './draining-upstreams.js';
 import { PermitIssuer, type PermitIssuerParts } from './permit-issuer.js';
-import { RestingUpstreams } from './resting-upstreams.js';
+import { UpstreamBackoffs } from './upstream-backoffs.js';
 
 /** How often expired back-offs are removed. */
 const EXPIRY_INTERVAL_MILLIS = 1000;
 
-export interface UpstreamNeedsParts extends PermitIssuerParts, LeavingUpstreamsParts {
+export interface UpstreamConstraintsParts extends PermitIssuerParts, DrainingUpstreamsParts {
   /** The approximate number of routers. */
   readonly routers: () => number;
 }
 
-export class UpstreamNeeds {
-  readonly #parts: UpstreamNeedsParts;
+export class UpstreamConstraints {
+  readonly #parts: UpstreamConstraintsParts;
   readonly #issuer: PermitIssuer;
-  readonly #backoffs = new RestingUpstreams();
-  readonly #draining: LeavingUpstreams;
+  readonly #backoffs = new UpstreamBackoffs();
+  readonly #draining: DrainingUpstreams;
   #nextExpiryAt: MonotonicMillis;
 
-  constructor(parts: UpstreamNeedsParts, electedAt: MonotonicMillis) {
+  constructor(parts: UpstreamConstraintsParts, electedAt: MonotonicMillis) {
     this.#parts = parts;
     this.#issuer = new PermitIssuer(parts, electedAt);
-    this.#draining = new LeavingUpstreams(parts);
+    this.#draining = new DrainingUpstreams(parts);
     this.#nextExpiryAt = electedAt + EXPIRY_INTERVAL_MILLIS;
   }
 
   /** Records a router's report. */
-  take(report: UpstreamReport, from: ReportingRouter, now: MonotonicMillis): void {
+  recordReport(report: UpstreamReport, from: ReportingRouter, now: MonotonicMillis): void {
     for (const upstreamReport of report.upstreams) {
       this.#recordBackoff(upstreamReport, from, now);
-      this.#draining.take(upstreamReport, from.router);
+      this.#draining.recordReport(upstreamReport, from.router);
     }
-    this.#issuer.take(report, from, now);
+    this.#issuer.recordReport(report, from, now);
   }
 
   /** A router disconnected. Its back-offs remain until they end. */
-  gone(connection: ConnectionId): void {
-    this.#issuer.gone(connection);
+  onRouterDisconnected(connection: ConnectionId): void {
+    this.#issuer.onRouterDisconnected(connection);
   }
 
   run(now: MonotonicMillis): void {
     this.#issuer.run(now);
     if (now >= this.#nextExpiryAt) {
       this.#nextExpiryAt = now + EXPIRY_INTERVAL_MILLIS;
-      this.#backoffs.forget(now);
+      this.#backoffs.removeExpired(now);
     }
   }
 
@@ -59,12 +59,12 @@
   }
 
   /** Capacity limits of upstreams with a current or recent constraint. */
-  bearings(): ReadonlyMap<UpstreamId, CapacityLimit> {
+  capacityLimits(): ReadonlyMap<UpstreamId, CapacityLimit> {
     const limits = new Map<UpstreamId, CapacityLimit>();
-    for (const [upstream, perSecond] of this.#issuer.limits.bearable()) {
+    for (const [upstream, perSecond] of this.#issuer.limits.limitsForPlacement()) {
       limits.set(upstream, { perSecond });
     }
-    for (const [upstream, share] of this.#backoffs.shares(this.#parts.routers())) {
+    for (const [upstream, share] of this.#backoffs.capacityShares(this.#parts.routers())) {
       limits.set(upstream, { ...limits.get(upstream), share });
     }
     return limits;
@@ -88,7 +88,7 @@
     now: MonotonicMillis,
   ): void {
     const { connection, router } = from;
-    if (restMillis > 0 && this.#backoffs.asked(upstream, connection, restMillis, now)) {
+    if (restMillis > 0 && this.#backoffs.recordBackoff(upstream, connection, restMillis, now)) {
       this.#parts.log('upstream-rest-reported', { upstream, run, router, restMillis });
     }
   }
--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -4,7 +4,7 @@
 import type { Registry } from '../registry/types.js';
 import type { WaitingReplica } from './automatic-repair.js';
 import type { DepartedRouter } from './departed-routers.js';
-import type { FleetStatus } from './fleet-room/fleet-room.js';
+import type { FleetStatus } from './fleet-capacity/fleet-capacity.js';
 import type { ObservedSession } from './leader-duties.js';
 import type { ConnectedRouter } from './router-requests.js';
 import type { ServiceMeasures } from './service-measures.js';
--- a/src/control/daemon/control-daemon.ts
+++ b/src/control/daemon/control-daemon.ts
@@ -163,8 +163,8 @@
   }
 
   /** Replaces the members that join requests are sent to while this replica is not a member. */
-  usePeers(peers: readonly Address[]): void {
-    this.joining.usePeers(peers);
+  setPeers(peers: readonly Address[]): void {
+    this.joining.setPeers(peers);
   }
 
   /** Executes an operator's request. */
--- a/src/control/daemon/core-task.ts
+++ b/src/control/daemon/core-task.ts
@@ -70,8 +70,8 @@
       this.onEffect(effect);
     }
     const endedAt = performance.now();
-    this.meter.stepped(input.type, startedAt, endedAt);
-    const report = this.meter.take(endedAt);
+    this.meter.recordStep(input.type, startedAt, endedAt);
+    const report = this.meter.takeReport(endedAt);
     if (report !== null) {
       this.onReport(report);
     }
@@ -90,7 +90,7 @@
   /** Measures the event loop delay with a separate timer, because each input reschedules the tick timer. */
   private probe(dueAt: MonotonicMillis): void {
     const now = performance.now();
-    this.meter.probed(dueAt, now);
+    this.meter.recordTimerDelay(dueAt, now);
     this.delayTimer = setTimeout(() => this.probe(now + DELAY_INTERVAL_MILLIS), DELAY_INTERVAL_MILLIS);
   }
 }
--- a/src/control/daemon/join-task.ts
+++ b/src/control/daemon/join-task.ts
@@ -30,7 +30,7 @@
   }
 
   /** Replaces the members that join requests are sent to. */
-  usePeers(peers: readonly Address[]): void {
+  setPeers(peers: readonly Address[]): void {
     if (peers.join() !== this.peers.join()) {
       this.peers = peers;
       this.disconnect();
--- a/src/control/daemon/step-meter.ts
+++ b/src/control/daemon/step-meter.ts
@@ -31,7 +31,7 @@
     this.#since = now;
   }
 
-  stepped(input: ControlInput['type'], startedAt: MonotonicMillis, endedAt: MonotonicMillis): void {
+  recordStep(input: ControlInput['type'], startedAt: MonotonicMillis, endedAt: MonotonicMillis): void {
     const durationMillis = endedAt - startedAt;
     this.#steps += 1;
     this.#busyMillis += durationMillis;
@@ -42,12 +42,12 @@
   }
 
   /** Records the delay of a timer that was due at `dueAt` and fired now. */
-  probed(dueAt: MonotonicMillis, now: MonotonicMillis): void {
+  recordTimerDelay(dueAt: MonotonicMillis, now: MonotonicMillis): void {
     this.#lateMillis = Math.max(this.#lateMillis, now - dueAt);
   }
 
   /** Returns the report since the previous one and starts the next; `null` if too little time has passed. */
-  take(now: MonotonicMillis): StepReport | null {
+  takeReport(now: MonotonicMillis): StepReport | null {
     const spanMillis = now - this.#since;
     if (spanMillis < REPORT_MILLIS) {
       return null;
--- a/src/control/fleet-room/fleet-room.ts
+++ b/src/control/fleet-capacity/fleet-capacity.ts
@@ -7,9 +7,9 @@
 import { OwnerSpeeds } from '../../placement/ranges/owner-speeds.js';
 import type { FleetUpdate, LoadReport } from '../messages.js';
 import type { ConnectionId } from '../types.js';
-import { KindWork } from './kind-work.js';
+import { KindDurations } from './kind-durations.js';
+import { type DatedValue, PublishedValues, type Version } from './published-values.js';
 import { planSpill, type ZoneBalance } from './spill-plan.js';
-import { type DatedValue, ToldValues, type Version } from './told-values.js';
 import { ZoneDemand } from './zone-demand.js';
 
 /** How often speeds and capacity are recomputed. */
@@ -28,7 +28,7 @@
 const OUT_OF_ORDER_MILLIS = 3000;
 
 /** An upstream of a service without keys. */
-export interface RoomUpstream {
+export interface KeylessUpstream {
   readonly id: UpstreamId;
   readonly service: ServiceName;
   readonly zone: Zone;
@@ -37,9 +37,9 @@
   readonly isUsable: boolean;
 }
 
-export interface FleetRoomParts {
+export interface FleetCapacityParts {
   readonly term: number;
-  readonly upstreams: () => readonly RoomUpstream[];
+  readonly upstreams: () => readonly KeylessUpstream[];
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
@@ -49,33 +49,33 @@
   readonly zones: readonly (ZoneRoom & { readonly sinceMillis: number })[];
 }
 
-export class FleetRoom {
-  readonly #parts: FleetRoomParts;
+export class FleetCapacity {
+  readonly #parts: FleetCapacityParts;
   readonly #speeds = new Map<ServiceName, OwnerSpeeds>();
-  readonly #kindDurations = new KindWork();
+  readonly #kindDurations = new KindDurations();
   readonly #demand = new ZoneDemand();
   readonly #outOfOrderAt = new Map<UpstreamId, MonotonicMillis>();
-  readonly #publishedSpeeds = new ToldValues<UpstreamSpeed>((one, other) =>
+  readonly #publishedSpeeds = new PublishedValues<UpstreamSpeed>((one, other) =>
     isWithin(one.speed, other.speed, SPEED_STEP),
   );
-  readonly #publishedZones = new ToldValues<ZoneRoom>(isSameCapacity);
+  readonly #publishedZones = new PublishedValues<ZoneRoom>(isSameCapacity);
   #number = 0;
   #recomputedAt: MonotonicMillis;
-  #upstreams: ReadonlyMap<UpstreamId, RoomUpstream> = new Map();
+  #upstreams: ReadonlyMap<UpstreamId, KeylessUpstream> = new Map();
 
-  constructor(parts: FleetRoomParts, now: MonotonicMillis) {
+  constructor(parts: FleetCapacityParts, now: MonotonicMillis) {
     this.#parts = parts;
     this.#recomputedAt = now;
     this.#readUpstreams();
   }
 
   /** Records a router's report; returns the update for the router, or `null` if its report has no fleet part. */
-  take(report: LoadReport, from: ConnectionId, now: MonotonicMillis): FleetUpdate | null {
+  recordReport(report: LoadReport, from: ConnectionId, now: MonotonicMillis): FleetUpdate | null {
     const { fleet, intervalMillis } = report;
     if (fleet === undefined) {
       return null;
     }
-    if (this.#demand.isNext(from, fleet.number)) {
+    if (this.#demand.isNewer(from, fleet.number)) {
       this.#recordSamples(fleet, now);
       this.#recordDemand(fleet, from, Math.max(1, intervalMillis), now);
     }
@@ -86,8 +86,8 @@
     return this.#updateSince(fleet.have);
   }
 
-  gone(from: ConnectionId): void {
-    this.#demand.gone(from);
+  onRouterDisconnected(from: ConnectionId): void {
+    this.#demand.onRouterDisconnected(from);
   }
 
   status(now: MonotonicMillis): FleetStatus {
@@ -98,7 +98,10 @@
       ...value,
       sinceMillis: Math.round(now - at),
     });
-    return { speeds: this.#publishedSpeeds.dated().map(aged), zones: this.#publishedZones.dated().map(aged) };
+    return {
+      speeds: this.#publishedSpeeds.withTimes().map(aged),
+      zones: this.#publishedZones.withTimes().map(aged),
+    };
   }
 
   #updateSince(have: FleetVersion): FleetUpdate {
@@ -123,7 +126,7 @@
       if (requests > 0) {
         const speed = this.#publishedSpeeds.get(upstream)?.speed ?? 1;
         this.#kindDurations.add(kind, requests, workMillis, speed);
-        const usualMillis = this.#kindDurations.millisOf(kind) ?? workMillis / requests;
+        const usualMillis = this.#kindDurations.meanMillisOf(kind) ?? workMillis / requests;
         this.#speedsOf(known.service).add(upstream, requests, workMillis / usualMillis, now);
       }
       if (isOut && known.zone === zone) {
@@ -143,7 +146,7 @@
     const services = demand.map(({ service, kind, requests }) => ({
       service,
       requests,
-      workMillis: requests * (this.#kindDurations.millisOf(kind) ?? 0),
+      workMillis: requests * (this.#kindDurations.meanMillisOf(kind) ?? 0),
     }));
     this.#demand.add(from, { zone, number, demand: services }, spanMillis, now);
   }
@@ -171,7 +174,7 @@
   }
 
   /** Speeds scaled to a slot-weighted mean of 1, regardless of how the requests are distributed. */
-  #relativeSpeeds(service: ServiceName, upstreams: readonly RoomUpstream[]): Map<UpstreamId, number> {
+  #relativeSpeeds(service: ServiceName, upstreams: readonly KeylessUpstream[]): Map<UpstreamId, number> {
     const speeds = this.#speedsOf(service);
     const slots = sum(upstreams.map((upstream) => upstream.slots));
     const mean =
@@ -179,13 +182,13 @@
     return new Map(upstreams.map(({ id }) => [id, speeds.speedOf(id) / mean]));
   }
 
-  #publishSpeed({ id, service, zone }: RoomUpstream, measured: number, version: Version): boolean {
+  #publishSpeed({ id, service, zone }: KeylessUpstream, measured: number, version: Version): boolean {
     const before = this.#publishedSpeeds.get(id)?.speed ?? null;
     if (before === null && isWithin(measured, 1, FIRST_SPEED_STEP)) {
       return false;
     }
     const speed = rounded(measured);
-    if (!this.#publishedSpeeds.put(id, { upstream: id, speed }, version)) {
+    if (!this.#publishedSpeeds.publish(id, { upstream: id, speed }, version)) {
       return false;
     }
     this.#parts.log('upstream-speed-changed', { service, upstream: id, zone, speed, before: before ?? 1 });
@@ -196,7 +199,7 @@
     let hasUpdate = false;
     for (const capacity of capacities) {
       const before = this.#publishedZones.get(`${capacity.service} ${capacity.zone}`);
-      if (this.#publishedZones.put(`${capacity.service} ${capacity.zone}`, capacity, version)) {
+      if (this.#publishedZones.publish(`${capacity.service} ${capacity.zone}`, capacity, version)) {
         hasUpdate = true;
         this.#logSpillChange(capacity, before);
       }
@@ -206,7 +209,7 @@
 
   #zonesOf(
     service: ServiceName,
-    upstreams: readonly RoomUpstream[],
+    upstreams: readonly KeylessUpstream[],
     speeds: ReadonlyMap<UpstreamId, number>,
     demand: ReadonlyMap<Zone, number>,
     now: MonotonicMillis,
@@ -243,13 +246,13 @@
     }
   }
 
-  #isWorking({ id, isUsable }: RoomUpstream, now: MonotonicMillis): boolean {
+  #isWorking({ id, isUsable }: KeylessUpstream, now: MonotonicMillis): boolean {
     return isUsable && now - (this.#outOfOrderAt.get(id) ?? Number.NEGATIVE_INFINITY) > OUT_OF_ORDER_MILLIS;
   }
 
   #removeStale(services: ReadonlySet<ServiceName>): void {
     const ids = new Set(this.#upstreams.keys());
-    this.#publishedSpeeds.keepOnly(ids);
+    this.#publishedSpeeds.retainOnly(ids);
     for (const [service, speeds] of this.#speeds) {
       if (services.has(service)) {
         speeds.keepOnly(ids);
--- a/src/control/fleet-room/room-upstreams.ts
+++ b/src/control/fleet-capacity/keyless-upstreams.ts
@@ -1,10 +1,10 @@
 /** The upstreams of services without keys in the registry: routers may choose any of them. */
 import type { Registry } from '../../registry/types.js';
-import type { RoomUpstream } from './fleet-room.js';
+import type { KeylessUpstream } from './fleet-capacity.js';
 
 /** Returns the upstreams of services without keys that announce their number of slots. */
-export function roomUpstreams(registry: Registry): RoomUpstream[] {
-  return [...registry.upstreams().values()].flatMap(({ definition }): RoomUpstream[] => {
+export function keylessUpstreams(registry: Registry): KeylessUpstream[] {
+  return [...registry.upstreams().values()].flatMap(({ definition }): KeylessUpstream[] => {
     const { id, service, zone, announced } = definition;
     const record = registry.services().get(service);
     if (announced === undefined || record === undefined || record.definition.keyed) {
--- a/src/control/fleet-room/kind-work.ts
+++ b/src/control/fleet-capacity/kind-durations.ts
@@ -10,7 +10,7 @@
   requests: number;
 }
 
-export class KindWork {
+export class KindDurations {
   readonly #means = new Map<string, Mean>();
 
   /** Records requests that took `workMillis` together at an upstream of this speed. */
@@ -25,7 +25,7 @@
   }
 
   /** Mean duration in milliseconds; `null` before the first measurement. */
-  millisOf(kind: string): number | null {
+  meanMillisOf(kind: string): number | null {
     return this.#means.get(kind)?.millis ?? null;
   }
 }
--- a/src/control/fleet-room/told-values.ts
+++ b/src/control/fleet-capacity/published-values.ts
@@ -19,7 +19,7 @@
   readonly at: MonotonicMillis;
 }
 
-export class ToldValues<Value> {
+export class PublishedValues<Value> {
   readonly #entries = new Map<string, Entry<Value>>();
 
   constructor(private readonly isSame: (one: Value, other: Value) => boolean) {}
@@ -29,7 +29,7 @@
   }
 
   /** Publishes a value under version `number` if it differs enough from the published one; returns whether it does. */
-  put(name: string, value: Value, { number, now }: Version): boolean {
+  publish(name: string, value: Value, { number, now }: Version): boolean {
     const before = this.#entries.get(name);
     if (before !== undefined && this.isSame(before.value, value)) {
       return false;
@@ -42,11 +42,11 @@
     return [...this.#entries.values()].filter((entry) => entry.number > number).map(({ value }) => value);
   }
 
-  dated(): DatedValue<Value>[] {
+  withTimes(): DatedValue<Value>[] {
     return [...this.#entries.values()].map(({ value, at }) => ({ value, at }));
   }
 
-  keepOnly(names: ReadonlySet<string>): void {
+  retainOnly(names: ReadonlySet<string>): void {
     for (const name of this.#entries.keys()) {
       if (!names.has(name)) {
         this.#entries.delete(name);
--- a/src/control/fleet-room/zone-demand.ts
+++ b/src/control/fleet-capacity/zone-demand.ts
@@ -10,7 +10,7 @@
 const MEAN_REQUESTS = 200;
 
 /** Requests for a service and their total duration at an upstream of speed 1. */
-export interface ServiceWork {
+export interface ServiceDemand {
   readonly service: ServiceName;
   readonly requests: number;
   readonly workMillis: number;
@@ -29,13 +29,13 @@
   readonly #meanMillis = new Map<ServiceName, number>();
 
   /** Whether a report is newer than the router's last one; `number` counts a router's reports. */
-  isNext(from: ConnectionId, number: number): boolean {
+  isNewer(from: ConnectionId, number: number): boolean {
     return number > (this.#routers.get(from)?.number ?? Number.NEGATIVE_INFINITY);
   }
 
   add(
     from: ConnectionId,
-    report: { readonly zone: Zone; readonly number: number; readonly demand: readonly ServiceWork[] },
+    report: { readonly zone: Zone; readonly number: number; readonly demand: readonly ServiceDemand[] },
     spanMillis: number,
     now: MonotonicMillis,
   ): void {
@@ -58,7 +58,7 @@
     }
   }
 
-  gone(from: ConnectionId): void {
+  onRouterDisconnected(from: ConnectionId): void {
     this.#routers.delete(from);
   }
 
--- a/src/control/leader-duties.ts
+++ b/src/control/leader-duties.ts
@@ -9,11 +9,11 @@
 import type { SessionAnswer } from '../lease/types.js';
 import type { MonotonicMillis, Term, UpstreamId } from '../model/identifiers.js';
 import type { LeaderCommand, RegistryChange } from '../registry/types.js';
-import { FleetRoom, type FleetStatus } from './fleet-room/fleet-room.js';
-import { roomUpstreams } from './fleet-room/room-upstreams.js';
+import { UpstreamConstraints } from './constraints/upstream-constraints.js';
+import { FleetCapacity, type FleetStatus } from './fleet-capacity/fleet-capacity.js';
+import { keylessUpstreams } from './fleet-capacity/keyless-upstreams.js';
 import { LeaderProposals } from './leader-proposals.js';
 import type { ControlToRouter, LoadReport, UpstreamReport } from './messages.js';
-import { UpstreamNeeds } from './needs/upstream-needs.js';
 import type { ProposeCommand } from './propose-command.js';
 import type { RaftAdapter } from './raft-adapter.js';
 import type { HolderCall, HolderCallId, HolderOutcome } from './ranges/holder-call.js';
@@ -61,8 +61,8 @@
   readonly #proposals: LeaderProposals;
   readonly #coordinator: ShardCoordinator;
   readonly #ranges: RangeCoordinator;
-  readonly #needs: UpstreamNeeds;
-  readonly #fleet: FleetRoom;
+  readonly #needs: UpstreamConstraints;
+  readonly #fleet: FleetCapacity;
   #isReady = false;
   #isRoundPending = false;
   #roundNotBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
@@ -86,7 +86,7 @@
       registry: () => parts.raft.registry,
       warmTimeoutMillis: config.warmTimeoutMillis,
     });
-    this.#needs = new UpstreamNeeds(
+    this.#needs = new UpstreamConstraints(
       {
         send: parts.sendRouter,
         log: parts.log,
@@ -97,8 +97,8 @@
       },
       electedAt,
     );
-    this.#fleet = new FleetRoom(
-      { term, upstreams: () => roomUpstreams(parts.raft.registry), log: parts.log },
+    this.#fleet = new FleetCapacity(
+      { term, upstreams: () => keylessUpstreams(parts.raft.registry), log: parts.log },
       electedAt,
     );
     this.#ranges = new RangeCoordinator(
@@ -110,7 +110,7 @@
           parts.raft.read(now, (confirmed) => settle(confirmed && !this.#hasEnded), mayWait),
         call: parts.callHolder,
         log: parts.log,
-        capacityLimits: () => this.#needs.bearings(),
+        capacityLimits: () => this.#needs.capacityLimits(),
         timings: config.ranges ?? DEFAULT_RANGE_TIMINGS,
       },
       electedAt,
@@ -144,7 +144,7 @@
     if (this.#hasEnded) {
       return;
     }
-    const update = this.#fleet.take(report, from, now);
+    const update = this.#fleet.recordReport(report, from, now);
     if (update !== null) {
       this.#parts.sendRouter(from, update);
     }
@@ -160,7 +160,7 @@
     if (this.#hasEnded) {
       return false;
     }
-    this.#needs.take(report, from, now);
+    this.#needs.recordReport(report, from, now);
     return true;
   }
 
@@ -170,8 +170,8 @@
   }
 
   onRouterDisconnect(connection: ConnectionId): void {
-    this.#needs.gone(connection);
-    this.#fleet.gone(connection);
+    this.#needs.onRouterDisconnected(connection);
+    this.#fleet.onRouterDisconnected(connection);
   }
 
   /** Handles a heartbeat of an upstream; `answer` is called once with what the heartbeat renews. */
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -37,7 +37,7 @@
   ShardRecord,
   UpstreamRecord,
 } from '../registry/types.js';
-import type { FleetStatus } from './fleet-room/fleet-room.js';
+import type { FleetStatus } from './fleet-capacity/fleet-capacity.js';
 import type { IdentityAnswer, IdentityQuestion, QuestionId } from './identity-question.js';
 import type { ConfigLeaseTimings, ControlToRouter, RouterToControl } from './messages.js';
 import type { HolderCall, HolderCallId, HolderOutcome } from './ranges/holder-call.js';
--- a/test/cli/uneven-status.test.ts
+++ b/test/cli/uneven-status.test.ts
@@ -4,7 +4,7 @@
 import { controlFindings } from '../../src/cli/status/control-findings.js';
 import type { Finding } from '../../src/cli/status/finding.js';
 import { toStatusView } from '../../src/cli/status/status-view.js';
-import type { FleetStatus } from '../../src/control/fleet-room/fleet-room.js';
+import type { FleetStatus } from '../../src/control/fleet-capacity/fleet-capacity.js';
 
 const ADDRESS = '10.0.0.1:7400';
 
--- a/test/control/fleet-room.test.ts
+++ b/test/control/fleet-capacity.test.ts
@@ -1,14 +1,14 @@
 /** Speeds and zone demand that the control leader derives from routers' reports of upstreams without keys. */
 import { expect } from 'chai';
-import { FleetRoom, type RoomUpstream } from '../../src/control/fleet-room/fleet-room.js';
-import { planSpill } from '../../src/control/fleet-room/spill-plan.js';
+import { FleetCapacity, type KeylessUpstream } from '../../src/control/fleet-capacity/fleet-capacity.js';
+import { planSpill } from '../../src/control/fleet-capacity/spill-plan.js';
 import type { FleetUpdate, LoadReport } from '../../src/control/messages.js';
 import { type FleetReport, type FleetVersion, UNTOLD_VERSION } from '../../src/model/fleet-view.js';
 import { Random } from '../../src/routing/random.js';
 
 const WORK_MILLIS = 100;
 
-function upstreamsOf(zones: readonly string[], each: number): RoomUpstream[] {
+function upstreamsOf(zones: readonly string[], each: number): KeylessUpstream[] {
   return zones.flatMap((zone) =>
     Array.from({ length: each }, (_, index) => ({
       id: `${zone}${index}`,
@@ -21,16 +21,16 @@
 }
 
 class Reports {
-  readonly capacity: FleetRoom;
+  readonly capacity: FleetCapacity;
   now = 0;
   number = 0;
   readonly logged: string[] = [];
 
-  constructor(upstreams: readonly RoomUpstream[], term = 1) {
+  constructor(upstreams: readonly KeylessUpstream[], term = 1) {
     const log = (event: string): void => {
       this.logged.push(event);
     };
-    this.capacity = new FleetRoom({ term, upstreams: () => upstreams, log }, 0);
+    this.capacity = new FleetCapacity({ term, upstreams: () => upstreams, log }, 0);
   }
 
   report(changes: Partial<FleetReport> = {}, from = 'c1'): LoadReport {
@@ -44,7 +44,7 @@
       ...changes,
     };
     const report: LoadReport = { type: 'load-report', intervalMillis: 1000, shards: [], fleet };
-    this.update = this.capacity.take(report, from, this.now);
+    this.update = this.capacity.recordReport(report, from, this.now);
     return report;
   }
 
@@ -195,7 +195,7 @@
         { upstream: 'a0', kind: 'sheets', requests: 1, workMillis: WORK_MILLIS, isOut: false },
       ];
       const report = reports.report({ demand, upstreams }, 'c-a');
-      reports.capacity.take(report, 'c-a', reports.now + 300);
+      reports.capacity.recordReport(report, 'c-a', reports.now + 300);
     }
     expect(spillOf(reports, 'a')).to.equal(0);
   });
--- a/test/control/limited-owners.test.ts
+++ b/test/control/limited-owners.test.ts
@@ -1,6 +1,6 @@
 /** Keys of an owner that reports a rate limit or requests back-off. */
 import { expect } from 'chai';
-import { RestingUpstreams } from '../../src/control/needs/resting-upstreams.js';
+import { UpstreamBackoffs } from '../../src/control/constraints/upstream-backoffs.js';
 import { formatShardId } from '../../src/model/identifiers.js';
 import { LARGEST_KEY, RANGE_KEYSPACE } from '../../src/model/key-range.js';
 import { RangeWorld, SERVICE } from './range-world.js';
@@ -103,21 +103,21 @@
 describe('an owner that rejects requests and requests back-off', () => {
   it('loses keys in demand once half of the routers report it, and regains some later', () => {
     const owners = new LimitedOwners();
-    const backoffs = new RestingUpstreams();
-    const share = (): number => backoffs.shares(ROUTERS).get('u1') ?? 1;
+    const backoffs = new UpstreamBackoffs();
+    const share = (): number => backoffs.capacityShares(ROUTERS).get('u1') ?? 1;
     const before = owners.demandOf('u1');
-    backoffs.asked('u1', 'c1', 3000, owners.world.now);
+    backoffs.recordBackoff('u1', 'c1', 3000, owners.world.now);
     owners.world.capacityLimits.set('u1', { share: share() });
     owners.run(2000);
     expect(owners.demandOf('u1'), 'one of many routers').to.be.above(before * 0.75);
     for (let router = 1; router <= ROUTERS / 2; router += 1) {
-      backoffs.asked('u1', `c${router}`, 3000, owners.world.now);
+      backoffs.recordBackoff('u1', `c${router}`, 3000, owners.world.now);
     }
     owners.world.capacityLimits.set('u1', { share: share() });
     owners.run(4000);
     expect(owners.demandOf('u1'), 'half of the routers').to.be.at.most(before * 0.2);
     expect(owners.world.servedShare()).to.equal(1);
-    backoffs.forget(owners.world.now + 10_000);
+    backoffs.removeExpired(owners.world.now + 10_000);
     expect(share()).to.equal(1);
     owners.world.capacityLimits.delete('u1');
     owners.run(8000);
--- a/test/control/permit-issuer.test.ts
+++ b/test/control/permit-issuer.test.ts
@@ -1,7 +1,7 @@
 /** Which routers receive permits and when, and the responses to routers that receive none. */
 import { expect } from 'chai';
+import { PermitIssuer } from '../../src/control/constraints/permit-issuer.js';
 import type { UpstreamPermits } from '../../src/control/messages.js';
-import { PermitIssuer } from '../../src/control/needs/permit-issuer.js';
 import { PERMIT_SHARE } from '../../src/model/limit-shares.js';
 import type { HeardUpstream } from '../../src/model/upstream-notice.js';
 
@@ -41,7 +41,7 @@
 
   report(router: string, upstream: HeardUpstream, now: number): void {
     const message = { type: 'upstream-report', stamp: now, upstreams: [upstream] } as const;
-    this.issuer.take(message, { connection: router, router }, now);
+    this.issuer.recordReport(message, { connection: router, router }, now);
     this.issuer.run(now);
   }
 
@@ -119,7 +119,7 @@
     world.report('r1', reportOf({ wanted: 9 }), READY);
     world.report('r2', reportOf({ wanted: 9 }), READY);
     const before = world.grantedTo('r1');
-    world.issuer.gone('r1');
+    world.issuer.onRouterDisconnected('r1');
     world.run(READY, READY + 3000);
     expect(world.grantedTo('r1')).to.equal(before);
   });
@@ -137,12 +137,12 @@
 
   it('come with limits for placement, which apply for a while after the limit has ended', () => {
     world.report('r1', reportOf({ wanted: 0 }), READY);
-    expect(world.issuer.limits.bearable().get('u1')).to.equal(PER_SECOND);
+    expect(world.issuer.limits.limitsForPlacement().get('u1')).to.equal(PER_SECOND);
     world.report('r1', reportOf({ limit: { perSecond: null, heardAgoMillis: 0 }, wanted: 0 }), READY + 100);
     world.run(READY + 100, READY + 9000);
-    expect(world.issuer.limits.bearable().get('u1')).to.equal(PER_SECOND);
+    expect(world.issuer.limits.limitsForPlacement().get('u1')).to.equal(PER_SECOND);
     world.run(READY + 9000, READY + 12_000);
-    expect(world.issuer.limits.bearable().has('u1')).to.equal(false);
+    expect(world.issuer.limits.limitsForPlacement().has('u1')).to.equal(false);
   });
 
   it('expire with a limit that isn’t reported any more, and a report of any age restores it', () => {
--- a/test/routing/limited-fleet.ts
+++ b/test/routing/limited-fleet.ts
@@ -3,8 +3,8 @@
  * arrivals at the upstream and answers to callers, not from the state of the routers.
  */
 
+import { PermitIssuer } from '../../src/control/constraints/permit-issuer.js';
 import type { ControlToRouter, UpstreamPermits } from '../../src/control/messages.js';
-import { PermitIssuer } from '../../src/control/needs/permit-issuer.js';
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import { SILENT_NOTICE, type UpstreamNotice } from '../../src/model/upstream-notice.js';
 import { Random } from '../../src/routing/random.js';
@@ -270,7 +270,7 @@
       // If two members act as the leader, the routers are divided between them.
       const target = acting[router.index % Math.max(1, acting.length)];
       this.#time.after(this.#controlMillis, () => {
-        target?.issuer.take(message as never, connection, this.#time.now);
+        target?.issuer.recordReport(message as never, connection, this.#time.now);
         target?.issuer.run(this.#time.now);
       });
     }
--- a/test/routing/uneven-fleet.ts
+++ b/test/routing/uneven-fleet.ts
@@ -2,7 +2,7 @@
  * Router cores in two zones, the control core that collects speeds and capacity, and upstreams of unequal speed on one virtual clock.
  * Results count answers to callers and arrivals at upstreams, not the state of routers.
  */
-import { FleetRoom } from '../../src/control/fleet-room/fleet-room.js';
+import { FleetCapacity } from '../../src/control/fleet-capacity/fleet-capacity.js';
 import type { ControlToRouter, FleetUpdate, RouterToControl } from '../../src/control/messages.js';
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import { RandomSource } from '../../src/dev/virtual/random-source.js';
@@ -148,7 +148,7 @@
   readonly #records: UpstreamRecord[] = [];
   readonly #routers: FleetRouter[] = [];
   readonly #arrivals: Arrival[] = [];
-  #leader: FleetRoom | null = null;
+  #leader: FleetCapacity | null = null;
   #term = 0;
   readonly #counts = {
     a: { arrived: 0, inTime: 0, refused: 0, sent: 0, across: 0 },
@@ -209,7 +209,7 @@
 
   #elect(): void {
     this.#term += 1;
-    this.#leader = new FleetRoom(
+    this.#leader = new FleetCapacity(
       {
         term: this.#term,
         upstreams: () =>
@@ -381,7 +381,7 @@
     if (this.#leader === null && this.#options.sabotage === 'spill-never-lapses' && fleet !== undefined) {
       return { type: 'fleet-news', version: fleet.have, isWhole: false, speeds: [], zones: [] };
     }
-    return this.#leader?.take(report, `c${router.index}.${router.run}`, this.#time.now) ?? null;
+    return this.#leader?.recordReport(report, `c${router.index}.${router.run}`, this.#time.now) ?? null;
   }
 
   #sabotaged(answer: FleetUpdate): ControlToRouter {
