--- a/src/router/attempts/answer-stream.ts
+++ b/src/router/attempts/answer-stream.ts
@@ -23,12 +23,12 @@
   /** Adds a caller; only possible before the stream starts. */
   add(reader: AnswerWriter): void {
     if (this.isOver || this.started) {
-      reader.breakOff();
+      reader.abort();
       return;
     }
     this.readers.add(reader);
-    reader.onRoom = () => this.unblock(reader);
-    reader.onGone = () => this.remove(reader);
+    reader.onWritable = () => this.unblock(reader);
+    reader.onClose = () => this.remove(reader);
   }
 
   /** Writes the chunks read so far, then resumes reading. */
@@ -46,7 +46,7 @@
       this.write(chunk);
     }
     for (const reader of this.readers) {
-      if (!reader.hasRoom()) {
+      if (!reader.isWritable()) {
         this.blocked.add(reader);
       }
     }
@@ -75,7 +75,7 @@
   breakOff(): void {
     this.isOver = true;
     for (const reader of this.readers) {
-      reader.breakOff();
+      reader.abort();
     }
   }
 
--- a/src/router/attempts/attempt.ts
+++ b/src/router/attempts/attempt.ts
@@ -102,14 +102,18 @@
     if (this.complete) {
       const body = concatChunks(this.chunks);
       if (head.isUnframed) {
-        exchange.answerUnframed(head.status, headers, body);
+        exchange.sendUnframedAnswer(head.status, headers, body);
         return;
       }
-      exchange.answerWhole(head.status, withContentLength(headers, head, body, exchange.head.method), body);
+      exchange.sendWholeAnswer(
+        head.status,
+        withContentLength(headers, head, body, exchange.head.method),
+        body,
+      );
       return;
     }
-    if (head.contentLength === null && !exchange.takesChunks) {
-      exchange.breakOff('needs-length');
+    if (head.contentLength === null && !exchange.supportsChunkedEncoding) {
+      exchange.abort('needs-length');
       return;
     }
     const bytes = head.contentLength ?? this.size;
@@ -229,7 +233,7 @@
     if (bytes > effect.wholeAnswerBytes) {
       return false;
     }
-    return bytes <= SMALL_ANSWER_BYTES || storedAnswerBytes !== null || held.hasFree(bytes);
+    return bytes <= SMALL_ANSWER_BYTES || storedAnswerBytes !== null || held.hasFreeBytes(bytes);
   }
 
   private wholeResult(): AttemptResult {
--- a/src/router/attempts/read-notice.ts
+++ b/src/router/attempts/read-notice.ts
@@ -7,7 +7,7 @@
   type UnreadableHeader,
   type UpstreamNotice,
 } from '../../model/upstream-notice.js';
-import { findHeader, isCalled } from '../caller/header-rules.js';
+import { findHeader, isHeaderNamed } from '../caller/header-rules.js';
 
 /** A decimal number, with or without fraction. */
 const DECIMAL = /^\d+(?:\.\d+)?$/;
@@ -37,11 +37,11 @@
   const drainingValues: string[] = [];
   for (let index = 0; index < headers.length; index += 2) {
     const name = headers[index] as string;
-    if (isCalled(name, names.limit)) {
+    if (isHeaderNamed(name, names.limit)) {
       limits.push((headers[index + 1] as string).trim());
-    } else if (isCalled(name, names.leaving)) {
+    } else if (isHeaderNamed(name, names.leaving)) {
       drainingValues.push((headers[index + 1] as string).trim());
-    } else if (OVERLOAD_STATUSES.has(status) && isCalled(name, 'retry-after')) {
+    } else if (OVERLOAD_STATUSES.has(status) && isHeaderNamed(name, 'retry-after')) {
       backoffs.push((headers[index + 1] as string).trim());
     }
   }
--- a/src/router/caller/answer-writer.ts
+++ b/src/router/caller/answer-writer.ts
@@ -27,9 +27,9 @@
 
 export class AnswerWriter {
   /** Called when more may be written after `write` returned `false`. */
-  onRoom: () => void = NOOP;
+  onWritable: () => void = NOOP;
   /** Called when the request ends, for example because its caller disconnected; not after `abort`. */
-  onGone: () => void = NOOP;
+  onClose: () => void = NOOP;
   readonly #options: AnswerWriterOptions;
   #chunks: Buffer[] = [];
   #bufferedBytes = 0;
@@ -76,7 +76,7 @@
   }
 
   /** Whether more may be written now. If not, `onWritable` is called later. */
-  hasRoom(): boolean {
+  isWritable(): boolean {
     return this.#closed || this.#hasCapacity();
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** Aborts the answer, so that its caller can't mistake a part for the whole. */
-  breakOff(): void {
+  abort(): void {
     if (!this.#closed) {
       this.#close();
       this.#options.onBroken(this.#started);
@@ -97,7 +97,7 @@
   close(): void {
     if (!this.#closed) {
       this.#close();
-      this.onGone();
+      this.onClose();
     }
   }
 
@@ -123,7 +123,7 @@
   #notifyWritable(): void {
     if (!this.#closed && this.#hasCapacity()) {
       this.#options.account.cancelWait(this.#onReleased);
-      this.onRoom();
+      this.onWritable();
     }
   }
 
--- a/src/router/caller/body-reader.ts
+++ b/src/router/caller/body-reader.ts
@@ -1,6 +1,6 @@
 /** Reads request bodies whole, with limits for each body and for all of them together. */
 import type { IncomingMessage } from 'node:http';
-import { BodiesHeldError, BodyTooLargeError, type RejectedRequestError } from './bad-request-error.js';
+import { BodiesHeldError, BodyTooLargeError, type RejectedRequestError } from './rejected-request-errors.js';
 
 export const NO_BODY = Buffer.alloc(0);
 
@@ -15,7 +15,7 @@
   constructor(private limits: BodyLimits) {}
 
   /** Sets another limit for one body. */
-  resize(maxBodyBytes: number): void {
+  setMaxBodyBytes(maxBodyBytes: number): void {
     this.limits = { ...this.limits, maxBodyBytes };
   }
 
--- a/src/router/caller/caller-connection.ts
+++ b/src/router/caller/caller-connection.ts
@@ -1,7 +1,7 @@
 /** One connection of a caller with its pipelined requests. */
 import type { Socket } from 'node:net';
 import type { BufferAccount } from './answer-writer.js';
-import type { BreakReason, CallerExchange } from './caller-exchange.js';
+import type { AbortReason, CallerExchange } from './caller-exchange.js';
 import type { HeldBytes } from './held-bytes.js';
 import type { PausedConnection, PausedConnections } from './paused-connections.js';
 import { type PipelineLimits, PipelineOrder, type SocketReadMode } from './pipeline-order.js';
@@ -18,7 +18,7 @@
   /** Called when the answer of a request was written whole, or can't be written any more. */
   readonly ended: (exchange: CallerExchange, wasDispatched: boolean) => void;
   /** Called when an answer is aborted, with the number of requests lost behind it. */
-  readonly broken: (exchange: CallerExchange, reason: BreakReason, lostBehind: number) => void;
+  readonly broken: (exchange: CallerExchange, reason: AbortReason, lostBehind: number) => void;
 }
 
 export class CallerConnection implements BufferAccount, PausedConnection {
@@ -92,7 +92,7 @@
   }
 
   /** Called when an answer is aborted, and the connection with it. */
-  onAborted(exchange: CallerExchange, reason: BreakReason): void {
+  onAborted(exchange: CallerExchange, reason: AbortReason): void {
     this.#options.broken(exchange, reason, this.closeAfter(exchange));
   }
 
@@ -188,7 +188,7 @@
 
   #onTimeout(): void {
     if (this.#order.front?.answered === true) {
-      this.#order.front.breakOff('caller-stalled');
+      this.#order.front.abort('caller-stalled');
     }
   }
 
--- a/src/router/caller/caller-exchange.ts
+++ b/src/router/caller/caller-exchange.ts
@@ -5,14 +5,14 @@
 import type { RefusalReason, RequestNumber } from '../../routing/types.js';
 import type { FaultAnswer, RequestFault } from '../../wire/http/request-faults.js';
 import { AnswerWriter } from './answer-writer.js';
-import type { RejectedRequestError } from './bad-request-error.js';
 import { NO_BODY } from './body-reader.js';
 import type { CallerConnection } from './caller-connection.js';
 import { forwardedRequestHeaders } from './header-rules.js';
+import type { RejectedRequestError } from './rejected-request-errors.js';
 import type { CallerRequestHead } from './request-head.js';
 
 /** An answer that the router generates itself. */
-export interface OwnAnswer {
+export interface RouterAnswer {
   readonly status: number;
   readonly outcome: Outcome;
   readonly reason: RefusalReason | RejectedRequestError['reason'];
@@ -26,7 +26,7 @@
   'too-slow': 'the request did not come whole in time',
 };
 /** Replaces an answer that failed after its upstream had started it, but before any of it was written. Its result is unknown. */
-const ANSWER_BROKEN: OwnAnswer = {
+const ANSWER_BROKEN: RouterAnswer = {
   status: 502,
   outcome: 'unknown',
   reason: 'upstream-failed',
@@ -50,7 +50,7 @@
 }
 
 /** Why an answer was aborted. */
-export type BreakReason = 'upstream-broke' | 'caller-stalled' | 'unwritable' | 'needs-length';
+export type AbortReason = 'upstream-broke' | 'caller-stalled' | 'unwritable' | 'needs-length';
 
 export class CallerExchange {
   /** Time when the head arrived, on the monotonic clock. */
@@ -126,7 +126,7 @@
   }
 
   /** Whether the caller supports chunked encoding, and so can tell the end of an answer without a length from a broken connection. */
-  get takesChunks(): boolean {
+  get supportsChunkedEncoding(): boolean {
     return this.request.httpVersion !== '1.0';
   }
 
@@ -140,7 +140,7 @@
   }
 
   /** Sends an upstream's answer that was read whole. */
-  answerWhole(status: number, headers: string[], body: Buffer): void {
+  sendWholeAnswer(status: number, headers: string[], body: Buffer): void {
     if (body.length > LARGE_ANSWER_BYTES) {
       const writer = this.startStream(status, headers, body.length);
       writer.write(body);
@@ -156,7 +156,7 @@
    * Sends an answer whose upstream gave no length. The router can't check that it is complete, so it sends no length either:
    * the answer ends when the connection closes.
    */
-  answerUnframed(status: number, headers: string[], body: Buffer): void {
+  sendUnframedAnswer(status: number, headers: string[], body: Buffer): void {
     this.response.useChunkedEncodingByDefault = false;
     this.closesConnection = true;
     this.connection.closeAfter(this);
@@ -190,12 +190,12 @@
       this.writer?.start();
     } catch {
       // The upstream's headers can't be written.
-      this.breakOff('unwritable');
+      this.abort('unwritable');
     }
   }
 
   /** Sends an answer stored in the ledger. */
-  answerStored(answer: StoredAnswer): void {
+  sendStoredAnswer(answer: StoredAnswer): void {
     const body = Buffer.from(answer.body, 'base64');
     const headers = [HEADERS.outcome, 'ran', 'content-length', String(body.length)];
     if (answer.contentType !== '') {
@@ -204,11 +204,11 @@
     if (answer.truncated) {
       headers.push(HEADERS.reason, BODY_NOT_STORED);
     }
-    this.answerWhole(answer.status, headers, body);
+    this.sendWholeAnswer(answer.status, headers, body);
   }
 
   /** Aborts the answer. The caller's connection closes once the requests in front are answered. */
-  breakOff(reason: BreakReason): void {
+  abort(reason: AbortReason): void {
     this.answerStarted = true;
     this.writer?.close();
     this.connection.onAborted(this, reason);
@@ -216,14 +216,14 @@
   }
 
   /** Sends a rejection and accepts no more requests on the connection. */
-  reject(answer: OwnAnswer): void {
+  reject(answer: RouterAnswer): void {
     this.closesConnection = true;
     this.connection.close();
-    this.answerOwn(answer);
+    this.sendRouterAnswer(answer);
   }
 
   /** Sends an answer that the router generates itself. */
-  answerOwn(answer: OwnAnswer): void {
+  sendRouterAnswer(answer: RouterAnswer): void {
     this.startAnswer(0);
     writeRouterAnswer(this.response, answer, this.streams.retryAfterUnit);
   }
@@ -251,9 +251,9 @@
   private onStreamBroken(started: boolean): void {
     this.writer = null;
     if (started) {
-      this.breakOff('upstream-broke');
+      this.abort('upstream-broke');
     } else {
-      this.answerOwn(ANSWER_BROKEN);
+      this.sendRouterAnswer(ANSWER_BROKEN);
     }
   }
 }
@@ -278,7 +278,7 @@
 
 export function writeRouterAnswer(
   response: ServerResponse,
-  answer: OwnAnswer,
+  answer: RouterAnswer,
   unit: RetryAfterUnit = 'whole-seconds',
 ): void {
   const { status, outcome, reason, retryAfterMillis, message } = answer;
--- a/src/router/caller/caller-exchanges.ts
+++ b/src/router/caller/caller-exchanges.ts
@@ -7,21 +7,21 @@
 import { NumberedTable } from '../../routing/numbered-table.js';
 import type { ArrivedRequest, RequestNumber } from '../../routing/types.js';
 import type { RouterMetrics } from '../metrics.js';
-import { isRejectedRequestError, type RejectedRequestError } from './bad-request-error.js';
 import type { BodyReader } from './body-reader.js';
 import { CallerConnection, type CallerConnectionOptions } from './caller-connection.js';
 import {
-  type BreakReason,
+  type AbortReason,
   CallerExchange,
   type CallerStreams,
-  type OwnAnswer,
   type RetryAfterUnit,
+  type RouterAnswer,
   writeRouterAnswer,
 } from './caller-exchange.js';
 import type { HeldBytes } from './held-bytes.js';
 import { idempotencyFingerprint } from './idempotency.js';
 import { PausedConnections } from './paused-connections.js';
 import type { PipelineLimits } from './pipeline-order.js';
+import { isRejectedRequestError, type RejectedRequestError } from './rejected-request-errors.js';
 import { fingerprintRequest } from './request-fingerprint.js';
 import { type AddressingOptions, type CallerRequestHead, readCallerRequest } from './request-head.js';
 import { variantOf } from './request-variant.js';
@@ -118,7 +118,7 @@
     } catch (thrown) {
       // The upstream's headers can't be written. A broken connection can't be mistaken for an answer.
       this.parts.log.error('answer-failed', { request: number, reason: toError(thrown) });
-      exchange.breakOff('unwritable');
+      exchange.abort('unwritable');
     }
   }
 
@@ -188,7 +188,7 @@
     this.parts.closed(exchange.number);
   }
 
-  private broken(exchange: CallerExchange, reason: BreakReason, lostBehind: number): void {
+  private broken(exchange: CallerExchange, reason: AbortReason, lostBehind: number): void {
     this.parts.metrics.brokenOff(reason);
     const { head, number } = exchange;
     this.parts.log.info('answer-broken-off', { request: number, id: head.requestId, reason, lostBehind });
@@ -209,7 +209,7 @@
     });
   }
 
-  private reject(error: RejectedRequestError, send: (answer: OwnAnswer) => void): void {
+  private reject(error: RejectedRequestError, send: (answer: RouterAnswer) => void): void {
     const { status, reason, message } = error;
     const retryAfterMillis = reason === 'queue-full' ? BODIES_HELD_RETRY_MILLIS : null;
     send({ status, outcome: 'not-run', reason, retryAfterMillis, message });
--- a/src/router/caller/header-rules.ts
+++ b/src/router/caller/header-rules.ts
@@ -30,14 +30,14 @@
 }
 
 /** Whether `header`, as received, is `name` (lower case). Comparing lengths first avoids most conversions to lower case. */
-export function isCalled(header: string, name: string): boolean {
+export function isHeaderNamed(header: string, name: string): boolean {
   return header.length === name.length && header.toLowerCase() === name;
 }
 
 /** Value of the first header with `name` (lower case). */
 export function findHeader(rawHeaders: readonly string[], name: string): string | undefined {
   for (let index = 0; index < rawHeaders.length; index += 2) {
-    if (isCalled(rawHeaders[index] as string, name)) {
+    if (isHeaderNamed(rawHeaders[index] as string, name)) {
       return rawHeaders[index + 1];
     }
   }
@@ -53,7 +53,7 @@
 export function countHeader(rawHeaders: readonly string[], name: string): number {
   let count = 0;
   for (let index = 0; index < rawHeaders.length; index += 2) {
-    if (isCalled(rawHeaders[index] as string, name)) {
+    if (isHeaderNamed(rawHeaders[index] as string, name)) {
       count += 1;
     }
   }
--- a/src/router/caller/held-bytes.ts
+++ b/src/router/caller/held-bytes.ts
@@ -38,7 +38,7 @@
   }
 
   /** Whether `bytes` are free. */
-  hasFree(bytes: number): boolean {
+  hasFreeBytes(bytes: number): boolean {
     return bytes < this.#limits.heldAnswerBytes - this.#used;
   }
 
--- a/src/router/caller/idempotency.ts
+++ b/src/router/caller/idempotency.ts
@@ -3,7 +3,7 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type { WallMillis } from '../../model/identifiers.js';
 import { HEADERS } from '../../model/outcome.js';
-import { BadRequestError } from './bad-request-error.js';
+import { BadRequestError } from './rejected-request-errors.js';
 
 export interface IdempotencyHead {
   readonly key: string;
--- a/src/router/caller/request-head.ts
+++ b/src/router/caller/request-head.ts
@@ -6,9 +6,9 @@
 import type { IncomingMessage } from 'node:http';
 import type { HeaderNames } from '../../model/header-names.js';
 import type { ServiceName } from '../../model/identifiers.js';
-import { BadRequestError } from './bad-request-error.js';
 import { countHeader } from './header-rules.js';
 import { type IdempotencyHead, readIdempotency } from './idempotency.js';
+import { BadRequestError } from './rejected-request-errors.js';
 
 export interface CallerRequestHead {
   readonly method: string;
--- a/src/router/hints/upstream-directory.ts
+++ b/src/router/hints/upstream-directory.ts
@@ -8,7 +8,7 @@
   private revision: Revision = 0;
 
   /** Applies a control member's response. Returns whether any address may have changed. */
-  update(response: Pick<SyncResponse, 'snapshot' | 'delta'>): boolean {
+  applyUpdate(response: Pick<SyncResponse, 'snapshot' | 'delta'>): boolean {
     const { snapshot, delta } = response;
     if (snapshot !== null && snapshot.revision >= this.revision) {
       this.revision = snapshot.revision;
--- a/src/router/metrics.ts
+++ b/src/router/metrics.ts
@@ -3,7 +3,7 @@
 import { droppedLogLines } from '../logging/logger.js';
 import type { ServiceName } from '../model/identifiers.js';
 import type { AttemptResult, RouterStatus } from '../routing/types.js';
-import type { BreakReason } from './caller/caller-exchange.js';
+import type { AbortReason } from './caller/caller-exchange.js';
 import type { ConnectionsUsage } from './caller/caller-exchanges.js';
 
 const SECONDS_BUCKETS = [0.001, 0.002, 0.004, 0.008, 0.016, 0.032, 0.064, 0.128, 0.256, 0.512, 1, 2, 4, 8];
@@ -173,7 +173,7 @@
   }
 
   /** Counts an answer that ended in closing the connection of its caller. */
-  brokenOff(reason: BreakReason): void {
+  brokenOff(reason: AbortReason): void {
     this.broken.inc({ reason });
   }
 
--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -143,7 +143,7 @@
    * at least that of its header.
    */
   private applyCallerLimits({ headerBytes, bodyBytes, headerMillis, idleMillis }: CallerLimits): void {
-    this.bodies.resize(bodyBytes);
+    this.bodies.setMaxBodyBytes(bodyBytes);
     this.http = {
       ...this.http,
       maxHeaderBytes: headerBytes,
@@ -244,9 +244,9 @@
   private updateDirectory(message: ControlToRouter): boolean {
     switch (message.type) {
       case 'sync-response':
-        return this.directory.update(message);
+        return this.directory.applyUpdate(message);
       case 'sync-news':
-        return this.directory.update({ snapshot: null, delta: message.delta });
+        return this.directory.applyUpdate({ snapshot: null, delta: message.delta });
       default:
         return false;
     }
--- a/src/router/router-task.ts
+++ b/src/router/router-task.ts
@@ -18,7 +18,7 @@
 import { UpstreamAttempts } from './attempts/upstream-attempts.js';
 import type { UpstreamPools } from './attempts/upstream-pools.js';
 import type { BodyReader } from './caller/body-reader.js';
-import type { CallerExchange, OwnAnswer } from './caller/caller-exchange.js';
+import type { CallerExchange, RouterAnswer } from './caller/caller-exchange.js';
 import { CallerExchanges, type ConnectionsUsage } from './caller/caller-exchanges.js';
 import { HeldBytes } from './caller/held-bytes.js';
 import type { ControlLinks } from './control-links.js';
@@ -49,7 +49,7 @@
 /** Smaller answers aren't used to estimate the link: it transfers them faster than their upstream writes them. */
 const MIN_TRANSFER_SAMPLE_BYTES = 16_384;
 /** Sent in place of an answer that is missing although it was reported to the core. */
-const ANSWER_MISSING: OwnAnswer = {
+const ANSWER_MISSING: RouterAnswer = {
   status: 502,
   outcome: 'unknown',
   reason: 'upstream-failed',
@@ -215,13 +215,13 @@
         return;
       case 'deliver-stored':
         this.callers.answer(effect.request, (exchange) => {
-          exchange.answerStored(effect.answer);
+          exchange.sendStoredAnswer(effect.answer);
           metrics.answered(exchange.head.service, secondsOf(exchange), 'stored');
         });
         return;
       case 'refuse':
         this.callers.answer(effect.request, (exchange) => {
-          exchange.answerOwn(effect);
+          exchange.sendRouterAnswer(effect);
           this.trails.get(exchange.number)?.logRefused(effect);
           metrics.refused(exchange.head.service, effect.outcome, effect.reason);
         });
@@ -288,7 +288,7 @@
   private sendMissingAnswer(exchange: CallerExchange, attempt: AttemptNumber): void {
     const request: RequestNumber = exchange.number;
     this.options.log.error('answer-missing', { request, attempt });
-    exchange.answerOwn(ANSWER_MISSING);
+    exchange.sendRouterAnswer(ANSWER_MISSING);
   }
 }
 
