--- a/src/cli/daemons/run-router.ts
+++ b/src/cli/daemons/run-router.ts
@@ -71,7 +71,7 @@
   identifyProcess({ process: settings.router, zone: settings.zone });
   const router = new RouterDaemon(daemon, createRouterNode, 'koa');
   const layers = settingsLayers(invocation);
-  const reload = (): void => router.useControl(loadRouterSettings(layers).control);
+  const reload = (): void => router.setControlMembers(loadRouterSettings(layers).control);
   const watch = new SettingsWatch({ io: invocation.io, file: layers.file, reload });
   try {
     return await runDaemon(router, invocation.io);
--- a/src/router/attempts/answer-stream.ts
+++ b/src/router/attempts/answer-stream.ts
@@ -8,7 +8,7 @@
   /** Resumes reading from the upstream. */
   readonly resume: () => void;
   /** Called when no caller is left. */
-  readonly abandoned: () => void;
+  readonly onAbandoned: () => void;
 }
 
 export class AnswerStream {
@@ -38,7 +38,7 @@
     }
     if (this.readers.size === 0) {
       this.isOver = true;
-      this.options.abandoned();
+      this.options.onAbandoned();
       return;
     }
     this.started = true;
@@ -101,7 +101,7 @@
     this.readers.delete(reader);
     if (this.readers.size === 0 && !this.isOver) {
       this.isOver = true;
-      this.options.abandoned();
+      this.options.onAbandoned();
     }
     this.unblock(reader);
   }
--- a/src/router/attempts/attempt.ts
+++ b/src/router/attempts/attempt.ts
@@ -221,7 +221,7 @@
   private beginStream(): boolean {
     this.stream = new AnswerStream({
       resume: () => this.resume(),
-      abandoned: () => this.abort('no-reader'),
+      onAbandoned: () => this.abort('no-reader'),
     });
     this.report(this.answeredResult(null));
     return false;
--- a/src/router/attempts/upstream-attempts.ts
+++ b/src/router/attempts/upstream-attempts.ts
@@ -66,7 +66,7 @@
     });
     this.latestAttempt = effect.attempt;
     this.attempts.set(effect.attempt, attempt);
-    attempt.start(pools.of(effect.address));
+    attempt.start(pools.poolFor(effect.address));
   }
 
   cancel(number: AttemptNumber): void {
--- a/src/router/attempts/upstream-pools.ts
+++ b/src/router/attempts/upstream-pools.ts
@@ -29,7 +29,7 @@
   constructor(private readonly options: UpstreamPoolOptions) {}
 
   /** Returns the pool of an upstream, which it creates if needed. */
-  of(address: Address): Pool {
+  poolFor(address: Address): Pool {
     const known = this.pools.get(address);
     if (known !== undefined) {
       return known;
--- a/src/router/caller/caller-exchanges.ts
+++ b/src/router/caller/caller-exchanges.ts
@@ -189,7 +189,7 @@
   }
 
   private broken(exchange: CallerExchange, reason: AbortReason, lostBehind: number): void {
-    this.parts.metrics.brokenOff(reason);
+    this.parts.metrics.recordBrokenAnswer(reason);
     const { head, number } = exchange;
     this.parts.log.info('answer-broken-off', { request: number, id: head.requestId, reason, lostBehind });
   }
@@ -213,7 +213,7 @@
     const { status, reason, message } = error;
     const retryAfterMillis = reason === 'queue-full' ? BODIES_HELD_RETRY_MILLIS : null;
     send({ status, outcome: 'not-run', reason, retryAfterMillis, message });
-    this.parts.metrics.refused('', 'not-run', reason);
+    this.parts.metrics.recordRefusal('', 'not-run', reason);
   }
 }
 
--- a/src/router/control-links.ts
+++ b/src/router/control-links.ts
@@ -60,12 +60,12 @@
   }
 
   /** Sets the members reported by a control member; some may be missing in the settings. */
-  learn(members: readonly Address[]): void {
+  setReportedMembers(members: readonly Address[]): void {
     this.reportedMembers = members;
   }
 
   /** Replaces the members of the settings. */
-  useSettings(members: readonly Address[]): void {
+  setConfiguredMembers(members: readonly Address[]): void {
     this.configuredMembers = members;
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Members with a connection or with attempts to connect. */
-  get linked(): readonly Address[] {
+  get linkedMembers(): readonly Address[] {
     return [...this.links.keys()];
   }
 
--- a/src/router/router-daemon.ts
+++ b/src/router/router-daemon.ts
@@ -175,8 +175,8 @@
   }
 
   /** Replaces the control members after the settings were reloaded. */
-  useControl(members: readonly Address[]): void {
-    this.links.useSettings(members);
+  setControlMembers(members: readonly Address[]): void {
+    this.links.setConfiguredMembers(members);
     this.task.post({ type: 'control-members', members });
   }
 
@@ -230,7 +230,7 @@
 
   private handleControlMessage(from: Address, message: ControlToRouter): void {
     if (message.type === 'sync-response') {
-      this.links.learn(message.members);
+      this.links.setReportedMembers(message.members);
     }
     if (this.updateDirectory(message)) {
       const addresses = this.directory.list();
--- a/src/router/router-task.ts
+++ b/src/router/router-task.ts
@@ -25,7 +25,7 @@
 import type { RouterMetrics } from './metrics.js';
 import { RequestTrail } from './request-trail.js';
 import type { CompleteRouterSettings } from './settings.js';
-import { SuspensionLooks } from './suspension-looks.js';
+import { SuspensionDetector } from './suspension-detector.js';
 
 export interface RouterTaskOptions {
   readonly settings: CompleteRouterSettings;
@@ -63,7 +63,7 @@
   private readonly trails = new NumberedTable<RequestTrail>();
   /** The request of each attempt in progress. */
   private readonly requestOfAttempt = new NumberedTable<RequestNumber>();
-  private readonly suspensionDetector = new SuspensionLooks();
+  private readonly suspensionDetector = new SuspensionDetector();
   private timer: NodeJS.Timeout | undefined;
   private tickDue = Number.POSITIVE_INFINITY;
   private stepping = false;
@@ -97,7 +97,7 @@
       storedAnswerBytes: settings.limits.storedAnswerBytes,
       held,
       ended: (attempt, result) => {
-        metrics.attemptEnded(result.type);
+        metrics.recordAttempt(result.type);
         this.detachTrail(attempt)?.recordEnd(attempt, result);
         this.post({ type: 'attempt-ended', attempt, result });
       },
@@ -216,14 +216,14 @@
       case 'deliver-stored':
         this.callers.answer(effect.request, (exchange) => {
           exchange.sendStoredAnswer(effect.answer);
-          metrics.answered(exchange.head.service, secondsOf(exchange), 'stored');
+          metrics.recordAnswer(exchange.head.service, secondsOf(exchange), 'stored');
         });
         return;
       case 'refuse':
         this.callers.answer(effect.request, (exchange) => {
           exchange.sendRouterAnswer(effect);
           this.trails.get(exchange.number)?.logRefused(effect);
-          metrics.refused(exchange.head.service, effect.outcome, effect.reason);
+          metrics.recordRefusal(exchange.head.service, effect.outcome, effect.reason);
         });
         return;
       case 'limit-callers':
@@ -278,7 +278,7 @@
 
   private deliver(exchange: CallerExchange, attempt: AttemptNumber): void {
     if (this.attempts.deliver(attempt, exchange)) {
-      this.options.metrics.answered(exchange.head.service, secondsOf(exchange), 'upstream');
+      this.options.metrics.recordAnswer(exchange.head.service, secondsOf(exchange), 'upstream');
       this.trails.get(exchange.number)?.logDelivered(attempt);
       return;
     }
--- a/src/router/suspension-looks.ts
+++ b/src/router/suspension-detector.ts
@@ -12,7 +12,7 @@
 /** Smallest jump of the wall clock, which includes suspensions and counts whole milliseconds, that triggers a check. */
 const MIN_WALL_JUMP_MILLIS = 20;
 
-export class SuspensionLooks {
+export class SuspensionDetector {
   readonly #watch: SuspensionWatch;
   #checkedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   /** Wall clock minus monotonic clock at the last check. */
--- a/test/fleet/outgoing.test.ts
+++ b/test/fleet/outgoing.test.ts
@@ -17,7 +17,7 @@
     const options = { connectionsPerUpstream: 1, connectMillis: 1000, streamStallMillis: 1000 };
     const pools = new UpstreamPools({ ...options, localAddress: OWN_HOST });
     pools
-      .of(address)
+      .poolFor(address)
       .request({ path: '/', method: 'GET' })
       .catch(() => {});
     return () => pools.stop();
--- a/test/router/caller/answer-stream.test.ts
+++ b/test/router/caller/answer-stream.test.ts
@@ -47,7 +47,7 @@
       resume: () => {
         resumed += 1;
       },
-      abandoned: () => {},
+      onAbandoned: () => {},
     });
     stream.add(
       new AnswerWriter({
--- a/test/router/metrics.test.ts
+++ b/test/router/metrics.test.ts
@@ -29,7 +29,7 @@
   it('include every answer and its duration at once, for any number of answers', async () => {
     const metrics = new RouterMetrics(() => STATUS);
     for (let answer = 1; answer <= MANY; answer += 1) {
-      metrics.answered('orders', answer <= 10 ? 3 : 0.5, 'upstream');
+      metrics.recordAnswer('orders', answer <= 10 ? 3 : 0.5, 'upstream');
       if (answer === 1 || answer === MANY) {
         expect(await read(metrics, ANSWERED)).to.equal(answer);
         expect(await read(metrics, DURATION_COUNT)).to.equal(answer);
@@ -40,8 +40,8 @@
 
   it('are unchanged by a second scrape', async () => {
     const metrics = new RouterMetrics(() => STATUS);
-    metrics.answered('orders', 0.5, 'upstream');
-    metrics.attemptEnded('answered');
+    metrics.recordAnswer('orders', 0.5, 'upstream');
+    metrics.recordAttempt('answered');
     for (const _scrape of [1, 2]) {
       expect(await read(metrics, ANSWERED)).to.equal(1);
       expect(await read(metrics, WITHIN_ONE_SECOND)).to.equal(1);
@@ -51,7 +51,7 @@
 
   it('have no series without observations', async () => {
     const metrics = new RouterMetrics(() => STATUS);
-    metrics.answered('orders', 0.5, 'upstream');
+    metrics.recordAnswer('orders', 0.5, 'upstream');
     const stored = 'ternmount_router_requests_total{service="orders",answer="stored",reason=""}';
     expect(await read(metrics, stored)).to.be.NaN;
   });
--- a/test/router/suspension-looks.test.ts
+++ b/test/router/suspension-detector.test.ts
@@ -1,12 +1,12 @@
 /** How often a router checks for a suspension of its machine, and what counts as one. */
 import { expect } from 'chai';
-import { SuspensionLooks } from '../../src/router/suspension-looks.js';
+import { SuspensionDetector } from '../../src/router/suspension-detector.js';
 
 const WALL = 1_700_000_000_000;
 
 function machine() {
   const clocks = { steady: 0, boot: 1000, wallBehind: 0, bootReads: 0 };
-  const detector = new SuspensionLooks({
+  const detector = new SuspensionDetector({
     steady: () => clocks.steady,
     sinceBoot: () => {
       clocks.bootReads += 1;
--- a/test/router/upstream-pools.test.ts
+++ b/test/router/upstream-pools.test.ts
@@ -42,7 +42,7 @@
   });
 
   async function exchange(): Promise<void> {
-    const { body } = await pools.of(address).request({ path: '/', method: 'GET' });
+    const { body } = await pools.poolFor(address).request({ path: '/', method: 'GET' });
     await body.text();
   }
 
