--- a/src/clock/lease-clock.ts
+++ b/src/clock/lease-clock.ts
@@ -6,7 +6,7 @@
 
 /** The clocks of this process. Reading the time since boot takes about 5 microseconds. */
 export const PROCESS_CLOCKS: ClockSources = {
-  steady: () => performance.now(),
+  monotonic: () => performance.now(),
   sinceBoot: () => uptime() * MILLIS_PER_SECOND,
 };
 
@@ -16,6 +16,6 @@
   let suspendedMillis = 0;
   return () => {
     suspendedMillis += watch.look();
-    return sources.steady() + suspendedMillis;
+    return sources.monotonic() + suspendedMillis;
   };
 }
--- a/src/clock/suspension-watch.ts
+++ b/src/clock/suspension-watch.ts
@@ -7,7 +7,7 @@
 /** Both clocks of one process in milliseconds, with arbitrary origins. */
 export interface ClockSources {
   /** The monotonic clock. */
-  readonly steady: () => number;
+  readonly monotonic: () => number;
   /** The time since the machine was booted, including suspensions. */
   readonly sinceBoot: () => number;
 }
@@ -27,7 +27,7 @@
 
   constructor(sources: ClockSources) {
     this.#sources = sources;
-    this.#difference = sources.sinceBoot() - sources.steady();
+    this.#difference = sources.sinceBoot() - sources.monotonic();
   }
 
   /** Whether the time since boot is reliable. */
@@ -44,7 +44,7 @@
     if (!this.#isUsable) {
       return 0;
     }
-    const growthMillis = this.#sources.sinceBoot() - this.#sources.steady() - this.#difference;
+    const growthMillis = this.#sources.sinceBoot() - this.#sources.monotonic() - this.#difference;
     if (growthMillis < -MAX_BOOT_CLOCK_LAG_MILLIS) {
       this.#isUsable = false;
       return 0;
--- a/src/dev/sim/process-clock.ts
+++ b/src/dev/sim/process-clock.ts
@@ -46,7 +46,7 @@
 
   /** Both steady clocks, in the form in which a process reads them. */
   sources(): ClockSources {
-    return { steady: () => this.monotonic(), sinceBoot: () => this.sinceBoot() };
+    return { monotonic: () => this.monotonic(), sinceBoot: () => this.sinceBoot() };
   }
 
   /** Current wall-clock time in milliseconds. */
--- a/test/clock/suspension-watch.test.ts
+++ b/test/clock/suspension-watch.test.ts
@@ -10,7 +10,7 @@
   steadyMillis = 123;
   bootMillis = 5_000_007;
   readonly sources = {
-    steady: () => this.steadyMillis,
+    monotonic: () => this.steadyMillis,
     sinceBoot: () => Math.floor(this.bootMillis / STEP_MILLIS) * STEP_MILLIS,
   };
 
--- a/test/router/suspension-detector.test.ts
+++ b/test/router/suspension-detector.test.ts
@@ -7,7 +7,7 @@
 function machine() {
   const clocks = { steady: 0, boot: 1000, wallBehind: 0, bootReads: 0 };
   const detector = new SuspensionDetector({
-    steady: () => clocks.steady,
+    monotonic: () => clocks.steady,
     sinceBoot: () => {
       clocks.bootReads += 1;
       return clocks.boot;
