--- a/src/control/service-coordinator.ts
+++ b/src/control/service-coordinator.ts
@@ -159,7 +159,9 @@
 
   /** Under a new key map nothing is granted until every shard of the old one is released. */
   #mayPlace(): boolean {
-    return this.#scan.isDone && this.#parts.registry().retiredOwned(this.#service.definition.name).size === 0;
+    return (
+      this.#scan.isDone && this.#parts.registry().retiredOwnedShards(this.#service.definition.name).size === 0
+    );
   }
 
   #place(now: MonotonicMillis): void {
@@ -190,7 +192,7 @@
   #shardsToScan(): ShardId[] {
     const registry = this.#parts.registry();
     const { name } = this.#service.definition;
-    return [...registry.retiredOwned(name), ...registry.unownedShards(name)];
+    return [...registry.retiredOwnedShards(name), ...registry.unownedShards(name)];
   }
 
   #changeKeyMap(now: MonotonicMillis): void {
--- a/src/registry/registry-machine.ts
+++ b/src/registry/registry-machine.ts
@@ -98,7 +98,7 @@
     return this.state.shards.unowned(service);
   }
 
-  retiredOwned(service: ServiceName): ReadonlySet<ShardId> {
+  retiredOwnedShards(service: ServiceName): ReadonlySet<ShardId> {
     return this.state.shards.retiredOwned(service);
   }
 
--- a/src/registry/types.ts
+++ b/src/registry/types.ts
@@ -299,7 +299,7 @@
   /** Shards of the service's current generation without an owner, including shards that were never granted. */
   unownedShards(service: ServiceName): ReadonlySet<ShardId>;
   /** Shards of older generations that still have an owner. While any exists, no shard of the service is granted. */
-  retiredOwned(service: ServiceName): ReadonlySet<ShardId>;
+  retiredOwnedShards(service: ServiceName): ReadonlySet<ShardId>;
   ledgerRecord(service: ServiceName, key: string): LedgerRecord | undefined;
   /** Sorted ranges of a service with numeric keys; empty for any other service. */
   ranges(service: ServiceName): readonly KeyRange[];
--- a/test/control/coordinator-slices.test.ts
+++ b/test/control/coordinator-slices.test.ts
@@ -62,6 +62,6 @@
     expect(SERVERS.map((id) => rig.registry.shardsOwnedBy(id).size)).to.deep.equal(
       SERVERS.map(() => SHARDS / 10 + 1),
     );
-    expect(rig.registry.retiredOwned(SERVICE.name).size).to.equal(0);
+    expect(rig.registry.retiredOwnedShards(SERVICE.name).size).to.equal(0);
   });
 });
