--- a/src/cli/daemons/run-control.ts
+++ b/src/cli/daemons/run-control.ts
@@ -3,7 +3,7 @@
 import { createControlNode } from '../../control/control-node.js';
 import { ControlDaemon } from '../../control/daemon/control-daemon.js';
 import { type ControlDaemonSettings, DEFAULT_CONTROL_TIMINGS } from '../../control/daemon/settings.js';
-import { createLogger, enableLogs, identifyProcess } from '../../logging/logger.js';
+import { createLogger, enableLogs, setProcessIdentity } from '../../logging/logger.js';
 import type { Address } from '../../model/identifiers.js';
 import { readSecret } from '../../security/secret-file.js';
 import { TokenFile } from '../../security/token-file.js';
@@ -16,7 +16,7 @@
   openReplica,
   RoomWaits,
 } from '../../storage/index.js';
-import { checkFree } from '../../wire/index.js';
+import { ensureAddressFree } from '../../wire/index.js';
 import type { Invocation } from '../command-spec.js';
 import type { ExitCode } from '../exit-codes.js';
 import { runDaemon } from '../run-daemon.js';
@@ -74,8 +74,8 @@
 export async function runControl(invocation: Invocation): Promise<ExitCode> {
   const settings = loadControlSettings(settingsLayers(invocation));
   const daemon = daemonSettings(settings);
-  await checkFree(settings.listen);
-  await checkFree(settings.admin);
+  await ensureAddressFree(settings.listen);
+  await ensureAddressFree(settings.admin);
   const log = createLogger('storage');
   const waits = new RoomWaits({
     full: (error) => log.warn('disk-full', { error }),
@@ -84,7 +84,7 @@
   const { identity, restored, store } = await openFolder(settings, waits.around(DISK));
   const { replica } = identity;
   enableLogs(settings.log);
-  identifyProcess({ process: settings.replicaName ?? replica, zone: settings.zone });
+  setProcessIdentity({ process: settings.replicaName ?? replica, zone: settings.zone });
   const opened = { replica, restored, files: store, stopWaiting: () => waits.stop() };
   const member = new ControlDaemon(daemon, opened, createControlNode);
   const layers = settingsLayers(invocation);
--- a/src/cli/daemons/run-router.ts
+++ b/src/cli/daemons/run-router.ts
@@ -1,5 +1,5 @@
 /** Implements `router run`. */
-import { enableLogs, identifyProcess } from '../../logging/logger.js';
+import { enableLogs, setProcessIdentity } from '../../logging/logger.js';
 import type { HeaderNames } from '../../model/header-names.js';
 import { RouterDaemon } from '../../router/router-daemon.js';
 import type { RouterDaemonSettings } from '../../router/settings.js';
@@ -7,7 +7,7 @@
 import { createRouterNode } from '../../routing/index.js';
 import { readSecret } from '../../security/secret-file.js';
 import { loadRouterSettings, type RouterSettings } from '../../settings/router-settings.js';
-import { checkFree } from '../../wire/index.js';
+import { ensureAddressFree } from '../../wire/index.js';
 import type { Invocation } from '../command-spec.js';
 import type { ExitCode } from '../exit-codes.js';
 import { runDaemon } from '../run-daemon.js';
@@ -65,10 +65,10 @@
 export async function runRouter(invocation: Invocation): Promise<ExitCode> {
   const settings = loadRouterSettings(settingsLayers(invocation));
   const daemon = daemonSettings(settings);
-  await checkFree(settings.listen);
-  await checkFree(settings.admin);
+  await ensureAddressFree(settings.listen);
+  await ensureAddressFree(settings.admin);
   enableLogs(settings.log);
-  identifyProcess({ process: settings.router, zone: settings.zone });
+  setProcessIdentity({ process: settings.router, zone: settings.zone });
   const router = new RouterDaemon(daemon, createRouterNode, 'koa');
   const layers = settingsLayers(invocation);
   const reload = (): void => router.setControlMembers(loadRouterSettings(layers).control);
--- a/src/control/admin/commands/held-keys-schema.ts
+++ b/src/control/admin/commands/held-keys-schema.ts
@@ -1,7 +1,7 @@
 /** Schema of the keys that an upstream reports in a heartbeat, as rows; all rows are validated before any is applied. */
 import { z } from 'zod';
 import type { HeldKeys } from '../../../model/held-keys.js';
-import { LARGEST_KEY } from '../../../model/key-range.js';
+import { MAX_KEY } from '../../../model/key-range.js';
 
 /** Maximum rows of one list: far more than are ever assigned to an upstream. */
 const MAX_ROWS = 1024;
@@ -10,7 +10,7 @@
 const keySchema = z
   .int({ error: 'expected a whole number' })
   .min(0, 'must be 0 or more')
-  .max(LARGEST_KEY, `must be ${LARGEST_KEY} or less`);
+  .max(MAX_KEY, `must be ${MAX_KEY} or less`);
 const fenceSchema = z.int({ error: 'expected a whole number' }).min(0, 'must be 0 or more');
 const handoverSchema = z.string({ error: 'expected text' }).max(MAX_HANDOVER_CHARACTERS);
 
--- a/src/control/constraints/draining-upstreams.ts
+++ b/src/control/constraints/draining-upstreams.ts
@@ -1,7 +1,7 @@
 /** Marks upstreams as withdrawn when routers report that they are draining, so that their keys move and all routers are notified. */
 import type { RunName } from '../../model/crash-suspect.js';
-import { runOfAnnounced } from '../../model/service.js';
-import type { HeardUpstream } from '../../model/upstream-notice.js';
+import { announcedRun } from '../../model/service.js';
+import type { ReportedUpstream } from '../../model/upstream-notice.js';
 import type { Registry } from '../../registry/types.js';
 import type { ProposeCommand } from '../propose-command.js';
 
@@ -21,10 +21,10 @@
   }
 
   /** Records a router's report. Reports about any run but the one in the registry are ignored. */
-  recordReport({ upstream, run, isLeaving }: HeardUpstream, router: string | null): void {
+  recordReport({ upstream, run, isLeaving }: ReportedUpstream, router: string | null): void {
     const { registry, propose } = this.#parts;
     const definition = registry().upstreams().get(upstream)?.definition;
-    const isCurrentRun = definition?.announced !== undefined && runOfAnnounced(definition) === run;
+    const isCurrentRun = definition?.announced !== undefined && announcedRun(definition) === run;
     if (!isLeaving || !isCurrentRun || definition.leaving || this.#proposed.has(run)) {
       return;
     }
--- a/src/control/constraints/limited-upstreams.ts
+++ b/src/control/constraints/limited-upstreams.ts
@@ -1,7 +1,7 @@
 /** Rate limits of upstreams, as reported by routers to the leader. The latest report applies; a new leader starts without any. */
 import type { RunName } from '../../model/crash-suspect.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
-import type { HeardLimit, HeardUpstream } from '../../model/upstream-notice.js';
+import type { ReportedLimit, ReportedUpstream } from '../../model/upstream-notice.js';
 
 /** A limit that no router has reported for this long expires; routers report every second. */
 const REPORT_EXPIRY_MILLIS = 5000;
@@ -11,7 +11,7 @@
  */
 const RECOVERY_MILLIS = 10_000;
 
-const NO_REPORT: HeardLimit = { perSecond: null, heardAgoMillis: Number.MAX_SAFE_INTEGER };
+const NO_REPORT: ReportedLimit = { perSecond: null, heardAgoMillis: Number.MAX_SAFE_INTEGER };
 
 interface LimitRecord {
   readonly upstream: UpstreamId;
@@ -25,7 +25,7 @@
 }
 
 /** An upstream with a limit in force. */
-export interface LimitedUpstream extends HeardLimit {
+export interface LimitedUpstream extends ReportedLimit {
   readonly upstream: UpstreamId;
 }
 
@@ -33,7 +33,7 @@
   readonly #runs = new Map<RunName, LimitRecord>();
 
   /** Records a router's report; returns `true` if it changes the limit. */
-  recordReport({ upstream, run, limit }: HeardUpstream, now: MonotonicMillis): boolean {
+  recordReport({ upstream, run, limit }: ReportedUpstream, now: MonotonicMillis): boolean {
     const known = this.#runs.get(run);
     const observedAt = now - limit.heardAgoMillis;
     if (known === undefined) {
@@ -63,7 +63,7 @@
   }
 
   /** The latest report about a run, as sent to routers. */
-  lastReport(run: RunName, now: MonotonicMillis): HeardLimit {
+  lastReport(run: RunName, now: MonotonicMillis): ReportedLimit {
     const known = this.#runs.get(run);
     if (known === undefined || known.observedAt === Number.NEGATIVE_INFINITY) {
       return NO_REPORT;
@@ -115,7 +115,7 @@
   }
 
   #addRun(
-    { upstream, run, limit }: Pick<HeardUpstream, 'upstream' | 'run' | 'limit'>,
+    { upstream, run, limit }: Pick<ReportedUpstream, 'upstream' | 'run' | 'limit'>,
     now: MonotonicMillis,
   ): boolean {
     const observedAt = now - limit.heardAgoMillis;
--- a/src/control/constraints/permit-issuer.ts
+++ b/src/control/constraints/permit-issuer.ts
@@ -5,8 +5,8 @@
  */
 import type { RunName } from '../../model/crash-suspect.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
-import { PERMIT_MILLIS, PERMIT_SHARE, sharedPerSecond } from '../../model/limit-shares.js';
-import type { HeardUpstream, IssuedPermits } from '../../model/upstream-notice.js';
+import { PERMIT_LIFETIME_MILLIS, PERMIT_SHARE, sharedPerSecond } from '../../model/limit-shares.js';
+import type { IssuedPermits, ReportedUpstream } from '../../model/upstream-notice.js';
 import type { UpstreamPermits, UpstreamReport } from '../messages.js';
 import type { ReportingRouter } from '../router-requests.js';
 import type { ConnectionId } from '../types.js';
@@ -59,7 +59,7 @@
 
   constructor(parts: PermitIssuerParts, electedAt: MonotonicMillis) {
     this.#parts = parts;
-    this.#issuesFrom = electedAt + parts.deposedMillis + PERMIT_MILLIS;
+    this.#issuesFrom = electedAt + parts.deposedMillis + PERMIT_LIFETIME_MILLIS;
     this.#nextExpiryAt = electedAt + EXPIRY_INTERVAL_MILLIS;
   }
 
@@ -111,7 +111,7 @@
   }
 
   #enqueue(
-    report: HeardUpstream,
+    report: ReportedUpstream,
     from: Pick<PermitRequest, 'connection' | 'stamp'>,
     now: MonotonicMillis,
   ): void {
--- a/src/control/constraints/upstream-constraints.ts
+++ b/src/control/constraints/upstream-constraints.ts
@@ -1,6 +1,6 @@
 /** Constraints that upstreams report (rate limits, back-offs, draining), and what they mean for routers and for the placement of keys. */
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
-import type { HeardUpstream } from '../../model/upstream-notice.js';
+import type { ReportedUpstream } from '../../model/upstream-notice.js';
 import type { CapacityLimit } from '../../placement/ranges/capacity-limit.js';
 import type { UpstreamReport } from '../messages.js';
 import type { ReportingRouter } from '../router-requests.js';
@@ -83,7 +83,7 @@
   }
 
   #recordBackoff(
-    { upstream, run, restMillis }: HeardUpstream,
+    { upstream, run, restMillis }: ReportedUpstream,
     from: ReportingRouter,
     now: MonotonicMillis,
   ): void {
--- a/src/control/crash-reports.ts
+++ b/src/control/crash-reports.ts
@@ -4,8 +4,8 @@
  */
 import {
   type ClearedSuspect,
-  DEFAULT_QUARANTINE_TERMS,
-  type QuarantineTerms,
+  DEFAULT_QUARANTINE_SETTINGS,
+  type QuarantineSettings,
   type UpstreamCrash,
 } from '../model/crash-suspect.js';
 import type { MonotonicMillis, RouterId, WallMillis } from '../model/identifiers.js';
@@ -20,18 +20,18 @@
   readonly raft: RaftAdapter;
   readonly propose: ProposeCommand;
   /** The defaults if left out. */
-  readonly terms?: QuarantineTerms | undefined;
+  readonly terms?: QuarantineSettings | undefined;
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
 export class CrashReports {
   readonly #parts: CrashReportsParts;
-  readonly #terms: QuarantineTerms;
+  readonly #terms: QuarantineSettings;
   #sweepNotBefore: MonotonicMillis = Number.NEGATIVE_INFINITY;
 
   constructor(parts: CrashReportsParts) {
     this.#parts = parts;
-    this.#terms = parts.terms ?? DEFAULT_QUARANTINE_TERMS;
+    this.#terms = parts.terms ?? DEFAULT_QUARANTINE_SETTINGS;
   }
 
   /** Handles a report; `router` is `null` if this member has no name for its sender. */
--- a/src/control/daemon/settings.ts
+++ b/src/control/daemon/settings.ts
@@ -3,7 +3,7 @@
 import type { RaftTimings } from '../../consensus/types.js';
 import { DEFAULT_RANGE_TIMINGS, type RangeTimings } from '../../lease/range-timings.js';
 import { DEFAULT_LEASE_TIMINGS, type LeaseTimings } from '../../lease/types.js';
-import { DEFAULT_QUARANTINE_TERMS, type QuarantineTerms } from '../../model/crash-suspect.js';
+import { DEFAULT_QUARANTINE_SETTINGS, type QuarantineSettings } from '../../model/crash-suspect.js';
 import type { HolderProtocol } from '../../model/holder-protocol.js';
 import type { Address, ClusterId, ReplicaId, Zone } from '../../model/identifiers.js';
 import { DEFAULT_WIRE_LIMITS, type WireIdentity, type WireLimits } from '../../wire/index.js';
@@ -49,7 +49,7 @@
   readonly releaseMillis: number;
   readonly ranges: RangeTimings;
   /** When requests during which upstreams crash are rejected. */
-  readonly quarantine: QuarantineTerms;
+  readonly quarantine: QuarantineSettings;
   /** Timeout of operators' requests, after which their outcome is unknown. */
   readonly operationMillis: number;
   /** Maximum wait for another leader on a planned stop. */
@@ -70,7 +70,7 @@
   sessionMillis: 300,
   releaseMillis: 3000,
   ranges: DEFAULT_RANGE_TIMINGS,
-  quarantine: DEFAULT_QUARANTINE_TERMS,
+  quarantine: DEFAULT_QUARANTINE_SETTINGS,
   operationMillis: 15_000,
   transferMillis: 2000,
   idleMillis: 200,
--- a/src/control/fleet-capacity/fleet-capacity.ts
+++ b/src/control/fleet-capacity/fleet-capacity.ts
@@ -2,7 +2,7 @@
  * Speeds of upstreams without keys, and demand and capacity of each zone, which the control leader derives from the reports of all routers.
  * None of it is in the Raft log: a new leader starts empty, and routers expire values that aren't renewed.
  */
-import type { FleetReport, FleetVersion, UpstreamSpeed, ZoneRoom } from '../../model/fleet-view.js';
+import type { FleetReport, FleetViewVersion, UpstreamSpeed, ZoneCapacity } from '../../model/fleet-view.js';
 import type { MonotonicMillis, ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
 import { OwnerSpeeds } from '../../placement/ranges/owner-speeds.js';
 import type { FleetUpdate, LoadReport } from '../messages.js';
@@ -46,7 +46,7 @@
 /** The published values, each with its age. */
 export interface FleetStatus {
   readonly speeds: readonly (UpstreamSpeed & { readonly sinceMillis: number })[];
-  readonly zones: readonly (ZoneRoom & { readonly sinceMillis: number })[];
+  readonly zones: readonly (ZoneCapacity & { readonly sinceMillis: number })[];
 }
 
 export class FleetCapacity {
@@ -58,7 +58,7 @@
   readonly #publishedSpeeds = new PublishedValues<UpstreamSpeed>((one, other) =>
     isWithin(one.speed, other.speed, SPEED_STEP),
   );
-  readonly #publishedZones = new PublishedValues<ZoneRoom>(isSameCapacity);
+  readonly #publishedZones = new PublishedValues<ZoneCapacity>(isSameCapacity);
   #number = 0;
   #recomputedAt: MonotonicMillis;
   #upstreams: ReadonlyMap<UpstreamId, KeylessUpstream> = new Map();
@@ -104,7 +104,7 @@
     };
   }
 
-  #updateSince(have: FleetVersion): FleetUpdate {
+  #updateSince(have: FleetViewVersion): FleetUpdate {
     const { term } = this.#parts;
     const isWhole = have.term !== term || have.number > this.#number;
     const since = isWhole ? Number.NEGATIVE_INFINITY : have.number;
@@ -195,7 +195,7 @@
     return true;
   }
 
-  #publishZones(capacities: readonly ZoneRoom[], version: Version): boolean {
+  #publishZones(capacities: readonly ZoneCapacity[], version: Version): boolean {
     let hasUpdate = false;
     for (const capacity of capacities) {
       const before = this.#publishedZones.get(`${capacity.service} ${capacity.zone}`);
@@ -213,7 +213,7 @@
     speeds: ReadonlyMap<UpstreamId, number>,
     demand: ReadonlyMap<Zone, number>,
     now: MonotonicMillis,
-  ): ZoneRoom[] {
+  ): ZoneCapacity[] {
     const meanMillis = this.#demand.meanMillis(service);
     if (meanMillis === null) {
       return [];
@@ -240,7 +240,7 @@
   }
 
   /** Logs only changes that involve spilled requests. */
-  #logSpillChange({ service, zone, use, spill }: ZoneRoom, before: ZoneRoom | undefined): void {
+  #logSpillChange({ service, zone, use, spill }: ZoneCapacity, before: ZoneCapacity | undefined): void {
     if (spill.length > 0 || (before?.spill.length ?? 0) > 0) {
       this.#parts.log('zone-spill-changed', { service, zone, use, spill, before: before?.spill ?? [] });
     }
@@ -274,7 +274,7 @@
   }
 }
 
-function isSameCapacity(one: ZoneRoom, other: ZoneRoom): boolean {
+function isSameCapacity(one: ZoneCapacity, other: ZoneCapacity): boolean {
   const isShareSame = (zone: Zone): boolean =>
     Math.abs(shareTo(one, zone) - shareTo(other, zone)) < SHARE_STEP &&
     (shareTo(one, zone) === 0) === (shareTo(other, zone) === 0);
@@ -286,7 +286,7 @@
   );
 }
 
-function shareTo({ spill }: ZoneRoom, zone: Zone): number {
+function shareTo({ spill }: ZoneCapacity, zone: Zone): number {
   return spill.find((part) => part.zone === zone)?.share ?? 0;
 }
 
@@ -298,7 +298,7 @@
   return Math.round(value * 100) / 100;
 }
 
-function roundedPart({ zone, share }: ZoneRoom['spill'][number]): ZoneRoom['spill'][number] {
+function roundedPart({ zone, share }: ZoneCapacity['spill'][number]): ZoneCapacity['spill'][number] {
   return { zone, share: Math.round(share * 1000) / 1000 };
 }
 
--- a/src/control/fleet-capacity/spill-plan.ts
+++ b/src/control/fleet-capacity/spill-plan.ts
@@ -1,5 +1,5 @@
 /** Plans which part of each zone's requests goes to which other zone, from the zones' demand and capacity. */
-import type { SpillPart } from '../../model/fleet-view.js';
+import type { SpillShare } from '../../model/fleet-view.js';
 import type { Zone } from '../../model/identifiers.js';
 
 /**
@@ -21,7 +21,7 @@
   readonly zone: Zone;
   /** Utilization of the zone's capacity once requests are distributed as planned. */
   readonly use: number;
-  readonly spill: readonly SpillPart[];
+  readonly spill: readonly SpillShare[];
 }
 
 /**
--- a/src/control/messages.ts
+++ b/src/control/messages.ts
@@ -1,7 +1,7 @@
 /** Messages between routers and control members, and from joining replicas, in the frames of `src/wire/`. */
 import type { ClaimantId, ClaimResult, StoredAnswer } from '../ledger/types.js';
 import type { ClearedSuspect, UpstreamCrash } from '../model/crash-suspect.js';
-import type { FleetReport, FleetVersion, UpstreamSpeed, ZoneRoom } from '../model/fleet-view.js';
+import type { FleetReport, FleetViewVersion, UpstreamSpeed, ZoneCapacity } from '../model/fleet-view.js';
 import type {
   Address,
   ClusterId,
@@ -15,8 +15,8 @@
   WallMillis,
   Zone,
 } from '../model/identifiers.js';
-import type { RouterTurn } from '../model/router-turn.js';
-import type { HeardUpstream, IssuedPermits } from '../model/upstream-notice.js';
+import type { RouterTimeSlots } from '../model/router-time-slots.js';
+import type { IssuedPermits, ReportedUpstream } from '../model/upstream-notice.js';
 import type { RoutingDelta, RoutingSnapshot } from '../registry/types.js';
 
 /** Sent to the members by a replica that isn't a member, and repeated until it is one. */
@@ -51,7 +51,7 @@
   /** Internal addresses of all voters, for a router whose settings list other addresses. */
   readonly members: readonly Address[];
   /** The router's time slots in the use of cold upstreams; `null`: unknown. */
-  readonly turn: RouterTurn | null;
+  readonly turn: RouterTimeSlots | null;
 }
 /**
  * The changes since the last revision that the router holds, sent immediately. They are committed, but not confirmed to be the
@@ -85,12 +85,12 @@
 /** Response to a `LoadReport` with a `FleetReport`: the changes since the version in that report. Sent only to its sender. */
 export interface FleetUpdate {
   readonly type: 'fleet-news';
-  readonly version: FleetVersion;
+  readonly version: FleetViewVersion;
   /** Whether this is the complete view, which replaces any earlier one. */
   readonly isWhole: boolean;
   /** Speed 1 for an upstream that is no longer known to differ. */
   readonly speeds: readonly UpstreamSpeed[];
-  readonly zones: readonly ZoneRoom[];
+  readonly zones: readonly ZoneCapacity[];
 }
 /**
  * Requests during which upstreams crashed, and suspects that succeeded since. Sent to the leader, and repeated until the
@@ -109,7 +109,7 @@
   readonly type: 'upstream-report';
   /** Send time by the router's clock; permits are valid from this time. */
   readonly stamp: MonotonicMillis;
-  readonly upstreams: readonly HeardUpstream[];
+  readonly upstreams: readonly ReportedUpstream[];
 }
 /** Response to an `UpstreamReport`, immediately or once a permit is available. Requests for permits that it doesn't list stay pending. */
 export interface UpstreamPermits {
--- a/src/control/operator-requests.ts
+++ b/src/control/operator-requests.ts
@@ -2,7 +2,7 @@
 import { longestLeaseMillis } from '../lease/lease-bound.js';
 import { DEFAULT_RANGE_TIMINGS } from '../lease/range-timings.js';
 import { GRANT_CARRIERS } from '../model/grant-carrier.js';
-import { saysOfKeys } from '../model/held-keys.js';
+import { isKeyReport } from '../model/held-keys.js';
 import type { MonotonicMillis, UpstreamId, Zone } from '../model/identifiers.js';
 import type { UpstreamDefinition } from '../model/service.js';
 import type { CommandResult, DeclarationChange, EvacuationCommand, Registry } from '../registry/types.js';
@@ -274,7 +274,7 @@
   #setsSequence({ definition, report }: AnnounceRequest): boolean {
     const service = this.#parts.raft.registry.services().get(definition.service);
     const isByHeartbeat = service !== undefined && grantTermsOf(service).carrier === GRANT_CARRIERS.heartbeat;
-    return !isByHeartbeat || report === null || saysOfKeys(report);
+    return !isByHeartbeat || report === null || isKeyReport(report);
   }
 
   #acceptHeartbeat(
--- a/src/control/ranges/heartbeat-holders.ts
+++ b/src/control/ranges/heartbeat-holders.ts
@@ -14,7 +14,7 @@
   longestHoldMillis,
   type TimedGrantTimings,
 } from '../../lease/timed-grants.js';
-import { type HeldKeys, hasLetGo, type ReleasedSpan, saysOfKeys } from '../../model/held-keys.js';
+import { type HeldKeys, hasReleased, isKeyReport, type ReleasedSpan } from '../../model/held-keys.js';
 import type { MonotonicMillis, UpstreamId, WallMillis } from '../../model/identifiers.js';
 import { type KeySpan, overlaps } from '../../model/key-range.js';
 import { FREE_PROOFS, type FreeProof } from './free-proof.js';
@@ -77,7 +77,7 @@
     }
     const holder = this.#holderOf(upstream);
     const isLate = holder.latestReport !== null && report.sequence <= holder.latestReport.sequence;
-    const reportsKeys = saysOfKeys(report);
+    const reportsKeys = isKeyReport(report);
     if (isLate || (!reportsKeys && now < holder.heldUntil)) {
       return false;
     }
@@ -149,7 +149,7 @@
       return FREE_PROOFS.bound;
     }
     const isEvidence = latestReport !== null && reportCount > 1 && latestReport.sequence > afterSequence;
-    const isFree = isEvidence && now >= this.callGrantsUntil && hasLetGo(latestReport, span);
+    const isFree = isEvidence && now >= this.callGrantsUntil && hasReleased(latestReport, span);
     return isFree ? FREE_PROOFS.released : null;
   }
 
--- a/src/control/ranges/leader-service.ts
+++ b/src/control/ranges/leader-service.ts
@@ -3,7 +3,7 @@
 import { DEPOSED_GRANTER_MILLIS, longestHoldMillis } from '../../lease/timed-grants.js';
 import { DEFAULT_GRANT_CARRIER, GRANT_CARRIERS, type GrantCarrier } from '../../model/grant-carrier.js';
 import type { MonotonicMillis, ServiceName, UpstreamId } from '../../model/identifiers.js';
-import type { RangeGrantTerms } from '../../model/service.js';
+import type { RangeGrantSettings } from '../../model/service.js';
 import type { CapacityLimit } from '../../placement/ranges/capacity-limit.js';
 import type { Registry, ServiceRecord } from '../../registry/types.js';
 import { CallCarrier } from './call-carrier.js';
@@ -13,7 +13,7 @@
 import { type LogRangeEvent, RangeService } from './range-service.js';
 
 export interface LeaderService {
-  readonly terms: RangeGrantTerms;
+  readonly terms: RangeGrantSettings;
   readonly ranges: RangeService;
   /** `null` if its ranges are not granted by heartbeats. */
   readonly heartbeats: HeartbeatCarrier | null;
@@ -21,7 +21,7 @@
 
 export interface LeaderServiceParts {
   readonly service: ServiceName;
-  readonly terms: RangeGrantTerms;
+  readonly terms: RangeGrantSettings;
   readonly registry: () => Registry;
   readonly timings: RangeTimings;
   /** Results of calls and heartbeats of all upstreams. */
@@ -32,7 +32,7 @@
 }
 
 /** Returns how the ranges of a service are granted. */
-export function grantTermsOf({ definition }: ServiceRecord): RangeGrantTerms {
+export function grantTermsOf({ definition }: ServiceRecord): RangeGrantSettings {
   return definition.rangeGrants ?? { carrier: DEFAULT_GRANT_CARRIER, hasChanged: false };
 }
 
--- a/src/control/router-requests.ts
+++ b/src/control/router-requests.ts
@@ -3,7 +3,7 @@
  * also serves claims and settlements in the ledger.
  */
 import type { Incarnation, MonotonicMillis, Revision, RouterId, Zone } from '../model/identifiers.js';
-import type { RoundPlace, RouterTurn } from '../model/router-turn.js';
+import type { RoundPosition, RouterTimeSlots } from '../model/router-time-slots.js';
 import type { CommandResult, RoutingDelta } from '../registry/types.js';
 import { type DepartedRouter, DepartedRouters } from './departed-routers.js';
 import type {
@@ -224,7 +224,7 @@
    * Returns the time slots of a router. Routers sync with the member of their zone where they can; a member of another zone that
    * numbers some of them assumes that every member does, so that the total is never too low.
    */
-  #timeSlotOf(connection: ConnectionId): RouterTurn | null {
+  #timeSlotOf(connection: ConnectionId): RouterTimeSlots | null {
     const router = this.#routers.get(connection);
     if (router === undefined) {
       return null;
@@ -277,7 +277,11 @@
 }
 
 /** `members`: the assumed number of members that number these routers. */
-function positionOf(router: ConnectedRouter, peers: readonly ConnectedRouter[], members: number): RoundPlace {
+function positionOf(
+  router: ConnectedRouter,
+  peers: readonly ConnectedRouter[],
+  members: number,
+): RoundPosition {
   return { phaseShare: peers.indexOf(router) / peers.length, routers: peers.length * members };
 }
 
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -13,7 +13,7 @@
 import type { RangeTimings } from '../lease/range-timings.js';
 import type { LeaseTimings, SessionAnswer, SessionRequest } from '../lease/types.js';
 import type { LedgerRecord } from '../ledger/types.js';
-import type { CrashSuspect, QuarantineTerms } from '../model/crash-suspect.js';
+import type { CrashSuspect, QuarantineSettings } from '../model/crash-suspect.js';
 import type { EvacuationRecord } from '../model/evacuation.js';
 import type { GrantedKeys, HeldKeys } from '../model/held-keys.js';
 import type {
@@ -244,7 +244,7 @@
   /** Timings of grants to upstreams that announce themselves; the defaults if omitted. */
   readonly ranges?: RangeTimings;
   /** Quarantine of requests that crash upstreams; the defaults if omitted. */
-  readonly quarantine?: QuarantineTerms;
+  readonly quarantine?: QuarantineSettings;
   /** Zone of this member; omitted if unknown. */
   readonly zone?: Zone;
   /** Known zones besides those of registered upstreams; evacuations of any other zone are refused. */
--- a/src/dev/bench/report/table.ts
+++ b/src/dev/bench/report/table.ts
@@ -1,5 +1,5 @@
 /** Renders results as text: one row for each measure, one column for each arm. */
-import { alignColumns, namesThenNumbers } from '../../../text/columns.js';
+import { alignColumns, numericColumnAlignment } from '../../../text/columns.js';
 import type { ExperimentResult, Measure } from '../experiment.js';
 import { spreadOf } from '../statistics.js';
 
@@ -48,7 +48,7 @@
 /** Renders the whole result as it is printed. */
 export function renderTable(title: string, result: ExperimentResult): string {
   const head = ['', ...result.arms.map(({ arm, baseline }) => `${arm}${baseline ? BASELINE_MARK : ''}`)];
-  const lines = [title, '', ...alignColumns([head, ...measureRows(result)], namesThenNumbers)];
+  const lines = [title, '', ...alignColumns([head, ...measureRows(result)], numericColumnAlignment)];
   if (result.targets.length > 0) {
     const rows = result.targets.map(({ target, wanted, reached, met }) => [
       target,
@@ -56,7 +56,7 @@
       reached,
       met ? 'met' : 'NOT MET',
     ]);
-    lines.push('', ...alignColumns([['target', 'wanted', 'reached', ''], ...rows], namesThenNumbers));
+    lines.push('', ...alignColumns([['target', 'wanted', 'reached', ''], ...rows], numericColumnAlignment));
   }
   lines.push('', ...result.notes.map((note) => `- ${note}`));
   return `${lines.join('\n')}\n`;
--- a/src/dev/scale/scale-table.ts
+++ b/src/dev/scale/scale-table.ts
@@ -1,5 +1,5 @@
 /** Formats the result of a scale run. */
-import { alignColumns, namesThenNumbers } from '../../text/columns.js';
+import { alignColumns, numericColumnAlignment } from '../../text/columns.js';
 import type { RoleRow, ScaleResult } from './scale-result.js';
 
 const MEGABYTE = 1024 * 1024;
@@ -24,7 +24,7 @@
     `machine load ${before.toFixed(1)} at the start, ${after.toFixed(1)} at the end; ` +
       `${megabytes(result.totalBytes)} MB resident in all`,
     '',
-    ...alignColumns([HEADINGS, ...result.rows.map(cellsOf)], namesThenNumbers),
+    ...alignColumns([HEADINGS, ...result.rows.map(cellsOf)], numericColumnAlignment),
     '',
     `first grants of all shards: ${round(result.firstGrantsMillis)} ms; changes resent: ${result.resends}`,
     `change of configuration in force everywhere: p50 ${round(change.inForceP50)} ms, ` +
--- a/src/dev/sim/router/sim-router.ts
+++ b/src/dev/sim/router/sim-router.ts
@@ -3,7 +3,7 @@
 import { SuspensionWatch } from '../../../clock/suspension-watch.js';
 import { DEFAULT_CONFIG_LEASE_TIMINGS, type RouterToControl } from '../../../control/messages.js';
 import type { Address, Incarnation, UpstreamId } from '../../../model/identifiers.js';
-import { SILENT_NOTICE, type UpstreamNotice } from '../../../model/upstream-notice.js';
+import { EMPTY_NOTICE, type UpstreamNotice } from '../../../model/upstream-notice.js';
 import { createRouterNode } from '../../../routing/index.js';
 import type {
   ArrivedRequest,
@@ -320,6 +320,6 @@
 function noticeOf(constraint: UpstreamConstraint | undefined): UpstreamNotice {
   const { limitPerSecond, restMillis, isLeaving } = constraint ?? NO_CONSTRAINT;
   const limit =
-    limitPerSecond === null ? SILENT_NOTICE.limit : { type: 'named' as const, perSecond: limitPerSecond };
-  return { ...SILENT_NOTICE, limit, restMillis, isLeaving };
+    limitPerSecond === null ? EMPTY_NOTICE.limit : { type: 'named' as const, perSecond: limitPerSecond };
+  return { ...EMPTY_NOTICE, limit, restMillis, isLeaving };
 }
--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -41,7 +41,7 @@
 const budget = new RecordBudget(MAX_RECORDS_PER_SECOND);
 
 /** Sets the process fields of all later records. */
-export function identifyProcess(processIdentity: ProcessIdentity): void {
+export function setProcessIdentity(processIdentity: ProcessIdentity): void {
   identity = processIdentity;
 }
 
@@ -56,7 +56,7 @@
 }
 
 /** Waits a short time for buffered lines to be written. Called before the process exits. */
-export function finishLogs(): Promise<void> {
+export function flushLogs(): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, FINISH_MILLIS));
 }
 
--- a/src/model/crash-suspect.ts
+++ b/src/model/crash-suspect.ts
@@ -46,7 +46,7 @@
 }
 
 /** When and for how long a request is quarantined, and how many suspects are kept. */
-export interface QuarantineTerms {
+export interface QuarantineSettings {
   /** Crashes without a success in between that lead to quarantine. */
   readonly crashes: number;
   /** Time after the last crash until the quarantine ends. After that, one more crash quarantines the request again. */
@@ -64,7 +64,7 @@
  * and an innocent one is blocked no longer. 512 suspects of about 100 bytes each take 50 kB in a router's snapshot; losing a rack
  * of 40 upstreams makes about 200 requests suspects.
  */
-export const DEFAULT_QUARANTINE_TERMS: QuarantineTerms = {
+export const DEFAULT_QUARANTINE_SETTINGS: QuarantineSettings = {
   crashes: 3,
   keepMillis: 10 * 60 * 1000,
   trialMillis: 5000,
@@ -75,6 +75,6 @@
 const UNNAMED_RUN_MILLIS = 1000;
 
 /** Derives the name of an unnamed run from its upstream and its end time. */
-export function nameUnnamedRun(upstream: UpstreamId, endedAt: WallMillis): RunName {
+export function deriveRunName(upstream: UpstreamId, endedAt: WallMillis): RunName {
   return `${upstream}@${Math.round(endedAt / UNNAMED_RUN_MILLIS)}`;
 }
--- a/src/model/declaration.ts
+++ b/src/model/declaration.ts
@@ -4,7 +4,7 @@
  */
 import type { GrantCarrier } from './grant-carrier.js';
 import type { Revision, ServiceName } from './identifiers.js';
-import type { WarmupTerms } from './service.js';
+import type { WarmupLimit } from './service.js';
 
 /** A weighted target of a route's traffic. */
 export interface SplitPart {
@@ -44,7 +44,7 @@
   /** How its key ranges are granted; `null` if it isn't keyed. */
   readonly grantedBy: GrantCarrier | null;
   /** Limits for its upstreams while they are cold; `null` if not declared. */
-  readonly warmup: WarmupTerms | null;
+  readonly warmup: WarmupLimit | null;
   /** How long keys stay slow after a move without a handover from the last owner, in milliseconds; `null` if not declared. */
   readonly unwarmedKeyMillis: number | null;
 }
--- a/src/model/fleet-view.ts
+++ b/src/model/fleet-view.ts
@@ -2,12 +2,12 @@
 import type { ServiceName, UpstreamId, Zone } from './identifiers.js';
 
 /** Version of the leader's fleet view that a router holds. A new leader starts a new term with an empty view. */
-export interface FleetVersion {
+export interface FleetViewVersion {
   readonly term: number;
   readonly number: number;
 }
 
-export const UNTOLD_VERSION: FleetVersion = { term: 0, number: 0 };
+export const INITIAL_FLEET_VERSION: FleetViewVersion = { term: 0, number: 0 };
 
 /** Requests of one kind that an upstream completed. */
 export interface UpstreamSample {
@@ -33,7 +33,7 @@
   readonly zone: Zone;
   /** Increases with each report of one run; a report that isn't above the latest is a duplicate or late. */
   readonly number: number;
-  readonly have: FleetVersion;
+  readonly have: FleetViewVersion;
   readonly upstreams: readonly UpstreamSample[];
   readonly demand: readonly DemandSample[];
 }
@@ -45,13 +45,13 @@
 }
 
 /** Share of a zone's requests that is sent to another zone. */
-export interface SpillPart {
+export interface SpillShare {
   readonly zone: Zone;
   readonly share: number;
 }
 
 /** Demand of a zone for a service compared to the capacity of its upstreams there. */
-export interface ZoneRoom {
+export interface ZoneCapacity {
   readonly service: ServiceName;
   readonly zone: Zone;
   /** Mean processing time of a request at an upstream of speed 1. */
@@ -60,5 +60,5 @@
   readonly isUneven: boolean;
   /** Share of the zone's slots in use, including requests from other zones. */
   readonly use: number;
-  readonly spill: readonly SpillPart[];
+  readonly spill: readonly SpillShare[];
 }
--- a/src/model/held-keys.ts
+++ b/src/model/held-keys.ts
@@ -36,7 +36,7 @@
 }
 
 /** Whether a heartbeat reports keys. One that doesn't may come from any sender that has the upstream's id. */
-export function saysOfKeys({ held, released }: HeldKeys): boolean {
+export function isKeyReport({ held, released }: HeldKeys): boolean {
   return held !== null || released.length > 0;
 }
 
@@ -44,6 +44,6 @@
  * Whether a heartbeat confirms that its upstream holds none of these keys. An upstream that holds nothing may omit `held`; the keys
  * must then be listed as released.
  */
-export function hasLetGo({ held, released }: HeldKeys, span: KeySpan): boolean {
+export function hasReleased({ held, released }: HeldKeys, span: KeySpan): boolean {
   return held === null ? covers(released, span) : !held.some((row) => overlaps(row, span));
 }
--- a/src/model/key-range.ts
+++ b/src/model/key-range.ts
@@ -2,7 +2,7 @@
 import type { Epoch, Revision, ServiceName, UpstreamId } from './identifiers.js';
 
 /** Largest key of a keyspace of kind `range`; the smallest is 0. */
-export const LARGEST_KEY = 65_535;
+export const MAX_KEY = 65_535;
 
 /** Name of the one keyspace of a service whose keys are numbers. */
 export const RANGE_KEYSPACE = 'numbers';
@@ -28,7 +28,7 @@
 /** Parses a key of a keyspace of kind `range`; returns `undefined` if it is invalid. */
 export function parseNumericKey(text: string): number | undefined {
   const key = Number(text);
-  return /^\d{1,5}$/.test(text) && key <= LARGEST_KEY ? key : undefined;
+  return /^\d{1,5}$/.test(text) && key <= MAX_KEY ? key : undefined;
 }
 
 /** Index of the range that contains `key` in a list sorted by `from`; -1 if there is none. */
--- a/src/model/limit-shares.ts
+++ b/src/model/limit-shares.ts
@@ -12,16 +12,16 @@
 /** Part of a limit issued as permits. */
 export const PERMIT_SHARE = 1 - EVEN_SHARE;
 /** How long a permit is valid after it was issued. */
-export const PERMIT_MILLIS = 500;
+export const PERMIT_LIFETIME_MILLIS = 500;
 /** How long an unused time slot stays valid. */
-export const EVEN_TURN_MILLIS = 1000;
+export const EVEN_TIME_SLOT_LIFETIME_MILLIS = 1000;
 /**
  * Lower bound on the request rate to a limited upstream, since only a response can show that a limit has ended. One request in four
  * seconds over all routers.
  */
-export const LEAST_LIMIT_PER_SECOND = 0.25;
+export const MIN_LIMIT_PER_SECOND = 0.25;
 
 /** Requests per second that all routers together send under a limit. */
 export function sharedPerSecond(perSecond: number): number {
-  return Math.max(LEAST_LIMIT_PER_SECOND, perSecond);
+  return Math.max(MIN_LIMIT_PER_SECOND, perSecond);
 }
--- a/src/model/service.ts
+++ b/src/model/service.ts
@@ -40,14 +40,14 @@
 }
 
 /** How a service's key ranges are granted. */
-export interface RangeGrantTerms {
+export interface RangeGrantSettings {
   readonly carrier: GrantCarrier;
   /** Whether the carrier has changed: upstreams may still hold keys granted by the previous one. */
   readonly hasChanged: boolean;
 }
 
 /** Limit for upstreams of a service while they are cold. */
-export interface WarmupTerms {
+export interface WarmupLimit {
   /** Requests per second from all routers together. */
   readonly perSecond: number;
   /** How long an upstream is cold after its start. */
@@ -93,9 +93,9 @@
   /** Path of its upstreams' health endpoint; defaults to the routers' settings. */
   readonly healthPath?: string;
   /** How its key ranges are granted; if omitted, by requests and never changed. */
-  readonly rangeGrants?: RangeGrantTerms;
+  readonly rangeGrants?: RangeGrantSettings;
   /** Limit for its upstreams while they are cold; unknown if omitted. */
-  readonly warmup?: WarmupTerms;
+  readonly warmup?: WarmupLimit;
   /**
    * How long keys stay slow after a move without a handover from the last owner, in milliseconds; unknown if omitted.
    */
@@ -113,11 +113,11 @@
   /** Set by `upstream drain` or by the upstream itself: it gets no new work and its shards move away. */
   readonly leaving: boolean;
   /** Properties of an upstream that announced itself; omitted if an operator declared it. */
-  readonly announced?: AnnouncedFacts;
+  readonly announced?: AnnouncedProperties;
 }
 
 /** Properties that an upstream announces by heartbeat. */
-export interface AnnouncedFacts {
+export interface AnnouncedProperties {
   /** Concurrent requests. */
   readonly slots: number;
   /** Remaining warm-up at the time of the announcement, in milliseconds; 0 if the upstream is warm. */
@@ -130,6 +130,6 @@
 }
 
 /** Returns the run of an announced upstream. */
-export function runOfAnnounced({ id, announced }: UpstreamDefinition): Incarnation {
+export function announcedRun({ id, announced }: UpstreamDefinition): Incarnation {
   return announced?.born === undefined ? id : `${id}@${announced.born}`;
 }
--- a/src/model/upstream-notice.ts
+++ b/src/model/upstream-notice.ts
@@ -29,7 +29,7 @@
 }
 
 /** Notice of a response without notice headers. */
-export const SILENT_NOTICE: UpstreamNotice = {
+export const EMPTY_NOTICE: UpstreamNotice = {
   limit: { type: 'none' },
   restMillis: null,
   isLeaving: false,
@@ -37,7 +37,7 @@
 };
 
 /** Last reported limit of one run of an upstream. */
-export interface HeardLimit {
+export interface ReportedLimit {
   /** `null` if there is no limit any more. */
   readonly perSecond: number | null;
   /** Age of the report in milliseconds. */
@@ -45,10 +45,10 @@
 }
 
 /** Notices of one run of an upstream as reported by one router, with its demand for permits. */
-export interface HeardUpstream {
+export interface ReportedUpstream {
   readonly upstream: UpstreamId;
   readonly run: RunName;
-  readonly limit: HeardLimit;
+  readonly limit: ReportedLimit;
   /** Remaining back-off that the upstream requested from this router; 0 if there is none. */
   readonly restMillis: number;
   /** The upstream reports that it is draining, and the configuration doesn't show it yet. */
@@ -70,5 +70,5 @@
   /** Time until the next permit if some of the requested ones were denied; `null` if none was. */
   readonly nextInMillis: number | null;
   /** Latest limit reported by any router. */
-  readonly limit: HeardLimit;
+  readonly limit: ReportedLimit;
 }
--- a/src/placement/ranges/key-loads.ts
+++ b/src/placement/ranges/key-loads.ts
@@ -3,7 +3,7 @@
  * prefix sums, so that the cost of planning depends on the number of busy keys. Reports are far more frequent than plans, so
  * a report updates only its own key, and the list is rebuilt on demand by one pass over all keys, without sorting.
  */
-import { type KeySpan, LARGEST_KEY } from '../../model/key-range.js';
+import { type KeySpan, MAX_KEY } from '../../model/key-range.js';
 
 const DEFAULT_HALF_LIFE_MILLIS = 3000;
 /** Interval at which the decay is applied, as a share of the half-life. */
@@ -13,7 +13,7 @@
 /** A key with less work than this is forgotten. */
 const MIN_WORK_MILLIS = 0.05;
 
-const KEY_COUNT = LARGEST_KEY + 1;
+const KEY_COUNT = MAX_KEY + 1;
 
 /** Busy keys in ascending order, with prefix sums of their work. */
 interface SortedLoads {
@@ -43,7 +43,7 @@
 
   /** Adds the work in milliseconds done for a key since the last report. Values that aren't valid keys are ignored. */
   add(key: number, workMillis: number, now: number): void {
-    if (!Number.isInteger(key) || key < 0 || key > LARGEST_KEY) {
+    if (!Number.isInteger(key) || key < 0 || key > MAX_KEY) {
       return;
     }
     this.#decay(now);
--- a/src/placement/ranges/owner-loads.ts
+++ b/src/placement/ranges/owner-loads.ts
@@ -1,6 +1,6 @@
 /** Upstreams that may own ranges of keys, and their utilisation by the load of these keys. */
 import type { UpstreamId } from '../../model/identifiers.js';
-import { type KeyRange, type KeySpan, LARGEST_KEY, spanLength } from '../../model/key-range.js';
+import { type KeyRange, type KeySpan, MAX_KEY, spanLength } from '../../model/key-range.js';
 import type { KeyLoads } from './key-loads.js';
 
 /** An upstream that may own ranges. */
@@ -24,7 +24,7 @@
 const MIN_CAPACITY = 1;
 
 /** Load attributed to each key even if it is idle, so that idle keys are spread too. */
-const IDLE_KEY_LOAD = (IDLE_LOAD_SHARE * MILLIS_PER_SECOND) / (LARGEST_KEY + 1);
+const IDLE_KEY_LOAD = (IDLE_LOAD_SHARE * MILLIS_PER_SECOND) / (MAX_KEY + 1);
 
 /** Returns the load attributed to the keys of a span as idle keys, in milliseconds of work per second. */
 export function idleLoad(span: KeySpan): number {
--- a/src/placement/ranges/span-search.ts
+++ b/src/placement/ranges/span-search.ts
@@ -1,5 +1,5 @@
 /** Searches for the shortest span of keys that carries a given load. */
-import { type KeyRange, type KeySpan, LARGEST_KEY, spanLength } from '../../model/key-range.js';
+import { type KeyRange, type KeySpan, MAX_KEY, spanLength } from '../../model/key-range.js';
 import type { KeyLoads } from './key-loads.js';
 
 /** Bounds of a moved span's load, as factors on the target load. */
@@ -52,7 +52,7 @@
 }
 
 function shortestSpanIn(range: KeySpan, loads: KeyLoads, { wanted, most }: LoadShift): KeySpan | undefined {
-  const maxKeys = Math.ceil((LARGEST_KEY + 1) * MAX_KEYS_SHARE);
+  const maxKeys = Math.ceil((MAX_KEY + 1) * MAX_KEYS_SHARE);
   const busy = loads.busyKeysIn(range);
   const minLoad = wanted * MIN_SHIFT_FACTOR;
   let best: KeySpan | undefined;
--- a/src/registry/commands/crash-commands.ts
+++ b/src/registry/commands/crash-commands.ts
@@ -1,5 +1,5 @@
 /** Commands about requests during which upstreams crashed: recording crashes, clearing, expiry, and release by operators. */
-import type { CrashSuspect, QuarantineTerms, UpstreamCrash } from '../../model/crash-suspect.js';
+import type { CrashSuspect, QuarantineSettings, UpstreamCrash } from '../../model/crash-suspect.js';
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, CrashCommand, OperatorCommand } from '../types.js';
 import { accepted, checkExpected, NOT_FOUND } from './results.js';
@@ -23,7 +23,7 @@
   return accepted(transaction);
 }
 
-function noteCrash(transaction: Transaction, crash: UpstreamCrash, terms: QuarantineTerms): void {
+function noteCrash(transaction: Transaction, crash: UpstreamCrash, terms: QuarantineSettings): void {
   const { state, revision } = transaction;
   const { fingerprint, service, run } = crash;
   const before = state.suspects.find(fingerprint);
@@ -53,7 +53,7 @@
   { reporter }: UpstreamCrash,
   crashes: number,
   { state }: Transaction,
-  terms: QuarantineTerms,
+  terms: QuarantineSettings,
 ): Pick<CrashSuspect, 'quarantinedAt' | 'trialBy'> {
   if (before !== undefined && before.quarantinedAt !== null) {
     const isBeforeTrial = state.clock < before.quarantinedAt + terms.trialMillis;
--- a/src/registry/commands/declaration-apply.ts
+++ b/src/registry/commands/declaration-apply.ts
@@ -8,7 +8,7 @@
 } from '../../model/declaration.js';
 import { DEFAULT_GRANT_CARRIER } from '../../model/grant-carrier.js';
 import { RANGE_KEYSPACE } from '../../model/key-range.js';
-import type { RangeGrantTerms, ServiceDefinition } from '../../model/service.js';
+import type { RangeGrantSettings, ServiceDefinition } from '../../model/service.js';
 import { sortKeys } from '../dedup-table.js';
 import type { Transaction } from '../registry-state.js';
 import type { CommandResult, DeclarationChange } from '../types.js';
@@ -233,7 +233,7 @@
 function rangeGrantsOf(
   { grantedBy }: DeclaredService,
   before: ServiceDefinition | undefined,
-): RangeGrantTerms | undefined {
+): RangeGrantSettings | undefined {
   if (grantedBy === null) {
     return undefined;
   }
--- a/src/registry/commands/upstream-announce.ts
+++ b/src/registry/commands/upstream-announce.ts
@@ -3,7 +3,7 @@
  * leaving stays leaving. After a run has ended, or a later run of its id is known, a late announcement of it changes nothing.
  */
 import type { UpstreamId } from '../../model/identifiers.js';
-import { runOfAnnounced, type UpstreamDefinition } from '../../model/service.js';
+import { announcedRun, type UpstreamDefinition } from '../../model/service.js';
 import type { Transaction } from '../registry-state.js';
 import type { AnnouncementCommand, CommandResult, LeaderCommand, UpstreamRecord } from '../types.js';
 import { accepted } from './results.js';
@@ -62,7 +62,7 @@
   if (state.upstreams.has(id)) {
     transaction.noteAll(state.ranges.revokeOwner(id, revision));
   }
-  transaction.putUpstream(id, { definition, revision, incarnation: runOfAnnounced(definition) });
+  transaction.putUpstream(id, { definition, revision, incarnation: announcedRun(definition) });
 }
 
 /** A run that is leaving stays leaving; its warmup may change. */
--- a/src/registry/range-table.ts
+++ b/src/registry/range-table.ts
@@ -1,6 +1,6 @@
 /** Owners of ranges of numeric keys, by service. The ranges of a service always cover its whole key space. */
 import type { Revision, ServiceName, UpstreamId } from '../model/identifiers.js';
-import { findRange, type KeyRange, LARGEST_KEY } from '../model/key-range.js';
+import { findRange, type KeyRange, MAX_KEY } from '../model/key-range.js';
 import type { RangeUpdate, RegistryChange } from './types.js';
 
 const NO_RANGES: readonly KeyRange[] = [];
@@ -34,7 +34,7 @@
     if (this.#services.has(service)) {
       return [];
     }
-    const whole = { service, from: 0, to: LARGEST_KEY, owner: null, fence: 0, former: null, revision };
+    const whole = { service, from: 0, to: MAX_KEY, owner: null, fence: 0, former: null, revision };
     return this.#replace(service, [whole]);
   }
 
--- a/src/registry/types.ts
+++ b/src/registry/types.ts
@@ -3,7 +3,7 @@
 import type {
   ClearedSuspect,
   CrashSuspect,
-  QuarantineTerms,
+  QuarantineSettings,
   RequestFingerprint,
   UpstreamCrash,
 } from '../model/crash-suspect.js';
@@ -122,10 +122,10 @@
   | {
       readonly type: 'crashes-note';
       readonly crashes: readonly UpstreamCrash[];
-      readonly terms: QuarantineTerms;
+      readonly terms: QuarantineSettings;
     }
   | { readonly type: 'suspects-clear'; readonly cleared: readonly ClearedSuspect[] }
-  | { readonly type: 'suspects-expire'; readonly terms: QuarantineTerms };
+  | { readonly type: 'suspects-expire'; readonly terms: QuarantineSettings };
 
 /** Commands derived from the announcements of upstreams. */
 export type AnnouncementCommand =
--- a/src/registry/validation/validate-declaration.ts
+++ b/src/registry/validation/validate-declaration.ts
@@ -7,7 +7,7 @@
   type SplitPart,
 } from '../../model/declaration.js';
 import { DEFAULT_GRANT_CARRIER, GRANT_CARRIERS, type GrantCarrier } from '../../model/grant-carrier.js';
-import type { WarmupTerms } from '../../model/service.js';
+import type { WarmupLimit } from '../../model/service.js';
 import {
   checkBoolean,
   checkChoice,
@@ -79,7 +79,7 @@
 }
 
 /** Warmup needs both fields: a request rate and how long it applies. Without either of them there is no warmup. */
-function checkWarmup(place: string, fields: Readonly<Record<string, unknown>>): WarmupTerms | null {
+function checkWarmup(place: string, fields: Readonly<Record<string, unknown>>): WarmupLimit | null {
   const { warmupPerSecond, warmupSeconds } = fields;
   const isLeftOut = (value: unknown): boolean => value === undefined || value === null;
   if (isLeftOut(warmupPerSecond) || isLeftOut(warmupSeconds)) {
--- a/src/router/attempts/read-notice.ts
+++ b/src/router/attempts/read-notice.ts
@@ -2,8 +2,8 @@
 import type { HeaderNames } from '../../model/header-names.js';
 import type { WallMillis } from '../../model/identifiers.js';
 import {
+  EMPTY_NOTICE,
   type LimitNotice,
-  SILENT_NOTICE,
   type UnreadableHeader,
   type UpstreamNotice,
 } from '../../model/upstream-notice.js';
@@ -46,7 +46,7 @@
     }
   }
   if (limits.length + backoffs.length + drainingValues.length === 0) {
-    return SILENT_NOTICE;
+    return EMPTY_NOTICE;
   }
   const limit = limits.length === 0 ? NO_LIMIT : readLimit(limits);
   const restMillis = backoffs.length === 0 ? null : readBackoff(backoffs, headers, wall);
--- a/src/router/attempts/upstream-attempts.ts
+++ b/src/router/attempts/upstream-attempts.ts
@@ -1,7 +1,7 @@
 /** The attempts in progress on upstreams, by their numbers. */
 import type { HeaderNames } from '../../model/header-names.js';
 import type { Incarnation, UpstreamId } from '../../model/identifiers.js';
-import { SILENT_NOTICE, type UpstreamNotice } from '../../model/upstream-notice.js';
+import { EMPTY_NOTICE, type UpstreamNotice } from '../../model/upstream-notice.js';
 import { NumberedTable } from '../../routing/numbered-table.js';
 import type { AttemptNumber, AttemptResult } from '../../routing/types.js';
 import type { CallerExchange } from '../caller/caller-exchange.js';
@@ -114,7 +114,7 @@
 
   private handleHead(upstream: UpstreamId, number: AttemptNumber, head: AnswerHead): void {
     const notice = readNotice(head, this.parts.headers, Date.now());
-    if (notice !== SILENT_NOTICE) {
+    if (notice !== EMPTY_NOTICE) {
       this.notifying.delete(upstream);
       this.notifying.set(upstream, this.latestAttempt);
       dropOldest(this.notifying, MAX_NOTIFYING_UPSTREAMS);
--- a/src/routing/capacity/warmup-time-slots.ts
+++ b/src/routing/capacity/warmup-time-slots.ts
@@ -8,8 +8,8 @@
  * upstream that every router selects because it has no load.
  */
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
-import type { RoundPlace } from '../../model/router-turn.js';
-import type { WarmupTerms } from '../../model/service.js';
+import type { RoundPosition } from '../../model/router-time-slots.js';
+import type { WarmupLimit } from '../../model/service.js';
 import type { WarmupBounds } from '../../model/warmup-bounds.js';
 import { affinityOf } from '../upstream/affinity.js';
 
@@ -30,7 +30,7 @@
 const HASH_NAME = 'turns';
 
 /** Returns the requests per second that all routers of a zone together send to a cold upstream. */
-export function timeSlotsPerSecond(terms: WarmupTerms, bounds: WarmupBounds): number {
+export function timeSlotsPerSecond(terms: WarmupLimit, bounds: WarmupBounds): number {
   const maxRequests = terms.perSecond * bounds.overrunFactor + bounds.marginRequests;
   const maxSlotsAndCarryOver = maxRequests * BOUND_SHARE - NUMBERING_MEMBERS;
   const maxByBound = maxSlotsAndCarryOver / (1 + TIME_SLOT_MILLIS / MILLIS_PER_SECOND);
@@ -53,7 +53,7 @@
   }
 
   /** Whether a request that any other upstream could take as well may be sent now. */
-  isDue(place: RoundPlace, perSecond: number, now: MonotonicMillis): boolean {
+  isDue(place: RoundPosition, perSecond: number, now: MonotonicMillis): boolean {
     const { number, age } = this.#latest(place, perSecond, now);
     return number > this.#lastUsed && number >= 0 && age < TIME_SLOT_MILLIS;
   }
@@ -62,18 +62,18 @@
    * Whether a request that no other upstream can take may be sent now. Its arrival can't be planned, so an unused time slot stays valid
    * until the next one; over the few seconds for which an upstream is cold, this adds up to about what it bears.
    */
-  isUnused(place: RoundPlace, perSecond: number, now: MonotonicMillis): boolean {
+  isUnused(place: RoundPosition, perSecond: number, now: MonotonicMillis): boolean {
     const { number } = this.#latest(place, perSecond, now);
     return number > this.#lastUsed && number >= 0;
   }
 
   /** Uses the current time slot for a request. */
-  use(place: RoundPlace, perSecond: number, now: MonotonicMillis): void {
+  use(place: RoundPosition, perSecond: number, now: MonotonicMillis): void {
     this.#lastUsed = this.#latest(place, perSecond, now).number;
   }
 
   /** Returns the time slot that began last, and its age. */
-  #latest({ phaseShare, routers }: RoundPlace, perSecond: number, now: MonotonicMillis) {
+  #latest({ phaseShare, routers }: RoundPosition, perSecond: number, now: MonotonicMillis) {
     const roundMillis = (routers / perSecond) * MILLIS_PER_SECOND;
     const phase = (phaseShare + this.#phaseShift) % 1;
     const rounds = (now - this.coldFrom) / roundMillis - phase;
--- a/src/routing/crash-watch.ts
+++ b/src/routing/crash-watch.ts
@@ -5,7 +5,7 @@
  */
 import {
   type CrashSuspect,
-  DEFAULT_QUARANTINE_TERMS,
+  DEFAULT_QUARANTINE_SETTINGS,
   type RequestFingerprint,
   type RunName,
   type UpstreamCrash,
@@ -82,7 +82,7 @@
     }
     const suspect = this.#context.view.suspect(fingerprint);
     const own = this.#accusations.get(fingerprint)?.size ?? 0;
-    const needed = suspect?.needed ?? DEFAULT_QUARANTINE_TERMS.crashes;
+    const needed = suspect?.needed ?? DEFAULT_QUARANTINE_SETTINGS.crashes;
     return suspect?.quarantinedAt != null || (suspect?.crashes ?? 0) + own >= needed;
   }
 
@@ -90,7 +90,7 @@
   retryAfter(fingerprint: RequestFingerprint): number {
     const { view, wall, random } = this.#context;
     const until = view.suspect(fingerprint)?.until;
-    const left = until === undefined ? DEFAULT_QUARANTINE_TERMS.keepMillis : until - wall;
+    const left = until === undefined ? DEFAULT_QUARANTINE_SETTINGS.keepMillis : until - wall;
     return left > 0 ? Math.ceil(left) : retryAfterMillis(0, random);
   }
 
--- a/src/routing/notices/even-time-slots.ts
+++ b/src/routing/notices/even-time-slots.ts
@@ -4,8 +4,8 @@
  * all routers could use theirs at the same moment.
  */
 import type { MonotonicMillis } from '../../model/identifiers.js';
-import { EVEN_TURN_MILLIS } from '../../model/limit-shares.js';
-import type { RoundPlace } from '../../model/router-turn.js';
+import { EVEN_TIME_SLOT_LIFETIME_MILLIS } from '../../model/limit-shares.js';
+import type { RoundPosition } from '../../model/router-time-slots.js';
 
 const MILLIS_PER_SECOND = 1000;
 
@@ -20,7 +20,7 @@
   constructor(private readonly shift: number) {}
 
   /** Advances to `now` at the given rate, which may change between calls, and makes the time slots that have started available. */
-  advance({ phaseShare, routers }: RoundPlace, perSecond: number, now: MonotonicMillis): void {
+  advance({ phaseShare, routers }: RoundPosition, perSecond: number, now: MonotonicMillis): void {
     if (this.#remaining === null) {
       this.#remaining = 1 - ((phaseShare + this.shift) % 1);
       this.#advancedAt = now;
@@ -38,7 +38,7 @@
 
   /** Whether a time slot is available. */
   isDue(now: MonotonicMillis): boolean {
-    return this.#slotStartedAt !== null && now - this.#slotStartedAt < EVEN_TURN_MILLIS;
+    return this.#slotStartedAt !== null && now - this.#slotStartedAt < EVEN_TIME_SLOT_LIFETIME_MILLIS;
   }
 
   use(): void {
--- a/src/routing/notices/notice-table.ts
+++ b/src/routing/notices/notice-table.ts
@@ -4,8 +4,8 @@
  */
 import type { RunName } from '../../model/crash-suspect.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
-import type { RoundPlace } from '../../model/router-turn.js';
-import type { HeardLimit, UpstreamNotice } from '../../model/upstream-notice.js';
+import type { RoundPosition } from '../../model/router-time-slots.js';
+import type { ReportedLimit, UpstreamNotice } from '../../model/upstream-notice.js';
 import type { AnswerOrder } from './request-limit.js';
 import { RunNotices } from './run-notices.js';
 
@@ -14,7 +14,7 @@
 
 export interface NoticeTableParts {
   /** Returns this router's current place among all routers. */
-  readonly place: () => RoundPlace;
+  readonly place: () => RoundPosition;
   /** Logs a received notice. */
   readonly log: (event: string, fields: Readonly<Record<string, unknown>>) => void;
 }
@@ -87,7 +87,7 @@
   }
 
   /** Applies the latest limit that another router received, forwarded by control. Returns `true` if this changes the limit in force. */
-  applyFromControl(notices: RunNotices, heard: HeardLimit, now: MonotonicMillis): boolean {
+  applyFromControl(notices: RunNotices, heard: ReportedLimit, now: MonotonicMillis): boolean {
     const { limit, upstream, run } = notices;
     const before = limit.perSecond;
     const isChanged = limit.recordFromControl(heard, now);
--- a/src/routing/notices/request-limit.ts
+++ b/src/routing/notices/request-limit.ts
@@ -5,8 +5,8 @@
  */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import { EVEN_SHARE, sharedPerSecond } from '../../model/limit-shares.js';
-import type { RoundPlace } from '../../model/router-turn.js';
-import type { HeardLimit } from '../../model/upstream-notice.js';
+import type { RoundPosition } from '../../model/router-time-slots.js';
+import type { ReportedLimit } from '../../model/upstream-notice.js';
 import type { AttemptNumber } from '../types.js';
 import { EvenTimeSlots } from './even-time-slots.js';
 
@@ -31,7 +31,7 @@
 export class RequestLimit {
   /** `null` while no limit is in force. */
   #timeSlots: EvenTimeSlots | null = null;
-  readonly #place: () => RoundPlace;
+  readonly #place: () => RoundPosition;
   #perSecond: number | null = null;
   #receivedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   /** The latest attempt that had started when the limit was last received. */
@@ -45,7 +45,7 @@
 
   /** `place` returns this router's current place among all routers. `shift`: see `EvenTimeSlots`. */
   constructor(
-    place: () => RoundPlace,
+    place: () => RoundPosition,
     private readonly shift: number,
   ) {
     this.#place = place;
@@ -66,7 +66,7 @@
   }
 
   /** The last received limit and its age, to be reported to control. */
-  lastReport(now: MonotonicMillis): HeardLimit {
+  lastReport(now: MonotonicMillis): ReportedLimit {
     const isReceived = this.#receivedAt !== Number.NEGATIVE_INFINITY;
     return { perSecond: this.#perSecond, heardAgoMillis: isReceived ? now - this.#receivedAt : NEVER_MILLIS };
   }
@@ -85,7 +85,7 @@
   }
 
   /** Records a limit that another router received, forwarded by control. Returns `true` if this changes the limit in force. */
-  recordFromControl({ perSecond, heardAgoMillis }: HeardLimit, now: MonotonicMillis): boolean {
+  recordFromControl({ perSecond, heardAgoMillis }: ReportedLimit, now: MonotonicMillis): boolean {
     if (now - heardAgoMillis <= this.#receivedAt) {
       return false;
     }
--- a/src/routing/notices/run-notices.ts
+++ b/src/routing/notices/run-notices.ts
@@ -1,7 +1,7 @@
 /** Notices of one run of an upstream in its answers to this router. They outlive the router's state of the upstream. */
 import type { RunName } from '../../model/crash-suspect.js';
 import type { MonotonicMillis, UpstreamId } from '../../model/identifiers.js';
-import type { RoundPlace } from '../../model/router-turn.js';
+import type { RoundPosition } from '../../model/router-time-slots.js';
 import type { AttemptNumber } from '../types.js';
 import { affinityOf } from '../upstream/affinity.js';
 import { Backoff } from './backoff.js';
@@ -27,7 +27,7 @@
     readonly run: RunName,
     /** Whether `run` identifies a single run; `false`: it stands for every process that answers as this upstream. */
     private readonly isNamed: boolean,
-    place: () => RoundPlace,
+    place: () => RoundPosition,
   ) {
     this.limit = new RequestLimit(place, affinityOf(SHIFT_HASH_KEY, run) / AFFINITY_RANGE);
   }
--- a/src/routing/notices/upstream-reporter.ts
+++ b/src/routing/notices/upstream-reporter.ts
@@ -4,8 +4,8 @@
  */
 import type { UpstreamPermits } from '../../control/messages.js';
 import type { MonotonicMillis } from '../../model/identifiers.js';
-import { PERMIT_MILLIS } from '../../model/limit-shares.js';
-import type { HeardUpstream, IssuedPermits } from '../../model/upstream-notice.js';
+import { PERMIT_LIFETIME_MILLIS } from '../../model/limit-shares.js';
+import type { IssuedPermits, ReportedUpstream } from '../../model/upstream-notice.js';
 import type { RankedQueue } from '../queue/ranked-queue.js';
 import type { RouterContext } from '../router-context.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
@@ -85,7 +85,7 @@
 
   /** Applies the leader's answer. Returns the upstreams whose queued requests have to be checked. */
   applyPermits({ stamp, waitedMillis, upstreams }: UpstreamPermits): UpstreamState[] {
-    const until = stamp + waitedMillis + PERMIT_MILLIS;
+    const until = stamp + waitedMillis + PERMIT_LIFETIME_MILLIS;
     return upstreams.flatMap((issued) => this.#applyIssued(issued, until));
   }
 
@@ -113,10 +113,10 @@
     return state === null ? [] : [state];
   }
 
-  #dueReports(): HeardUpstream[] {
+  #dueReports(): ReportedUpstream[] {
     const { notices: table, now } = this.#context;
     const { unreported: untold } = table;
-    const due: HeardUpstream[] = [];
+    const due: ReportedUpstream[] = [];
     for (const notices of untold) {
       const report = this.#reportOf(notices);
       if (report !== null) {
@@ -133,7 +133,7 @@
   }
 
   /** Returns `null` if nothing about this run is due to be reported. */
-  #reportOf(notices: RunNotices): HeardUpstream | null {
+  #reportOf(notices: RunNotices): ReportedUpstream | null {
     const { now } = this.#context;
     const { limit, backoff, upstream, run } = notices;
     const last = this.#lastReports.get(notices) ?? NO_REPORT;
--- a/src/routing/picker/least-work-picker.ts
+++ b/src/routing/picker/least-work-picker.ts
@@ -1,5 +1,5 @@
 /** Picks the better of random choices by estimated outstanding work, and prefers the own zone. */
-import type { ZoneRoom } from '../../model/fleet-view.js';
+import type { ZoneCapacity } from '../../model/fleet-view.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
 import { SpillCredits } from '../zones/spill-credits.js';
 import { CapacityDraw } from './capacity-draw.js';
@@ -65,7 +65,11 @@
   }
 
   /** Picks by demand and capacity as reported by control: the planned share of the requests leaves the zone, and few others do. */
-  #pickByCapacity(local: readonly UpstreamState[], context: PickContext, capacity: ZoneRoom): UpstreamState {
+  #pickByCapacity(
+    local: readonly UpstreamState[],
+    context: PickContext,
+    capacity: ZoneCapacity,
+  ): UpstreamState {
     const remote = context.candidates.filter((upstream) => upstream.zone !== context.zone);
     const spillZone = this.#spillCredits.nextZone(capacity.spill, context.random);
     const inSpillZone = remote.filter(({ zone }) => zone === spillZone);
--- a/src/routing/picker/picker.ts
+++ b/src/routing/picker/picker.ts
@@ -1,5 +1,5 @@
 /** Interface of the algorithms that pick an upstream for a request which any upstream of the service can serve. */
-import type { ZoneRoom } from '../../model/fleet-view.js';
+import type { ZoneCapacity } from '../../model/fleet-view.js';
 import type { Zone } from '../../model/identifiers.js';
 import type { Random } from '../random.js';
 import type { UpstreamState } from '../upstream/upstream-state.js';
@@ -14,7 +14,7 @@
   /** Upstreams that are expected to answer within this many milliseconds count as equally good; `null`: faster is always better. */
   readonly inTimeMillis: number | null;
   /** Demand and capacity of this router's zone; left out or `null` if unknown. */
-  readonly zoneCapacity?: ZoneRoom | null;
+  readonly zoneCapacity?: ZoneCapacity | null;
   /** Returns the factor of the service's policy on an upstream's cost; 1 without a policy. */
   weigh(upstream: UpstreamState): number;
 }
--- a/src/routing/router-context.ts
+++ b/src/routing/router-context.ts
@@ -1,6 +1,6 @@
 /** Shared by the parts of a router: its state, the current time and the effects of the current step. */
 import type { Epoch, Incarnation, ShardId, UpstreamId, WallMillis } from '../model/identifiers.js';
-import { type RouterTurn, UNTOLD_TURN } from '../model/router-turn.js';
+import { DEFAULT_TIME_SLOTS, type RouterTimeSlots } from '../model/router-time-slots.js';
 import { ConfigurationLease } from './configuration-lease.js';
 import { ConfigurationView } from './configuration-view.js';
 import { CrashWatch } from './crash-watch.js';
@@ -42,7 +42,7 @@
   /** `null`: the settings contain no link width. */
   link: LinkGate | null = null;
   /** This router's positions among the routers that share cold upstreams in time slots, as last received from control. */
-  turn: RouterTurn = UNTOLD_TURN;
+  turn: RouterTimeSlots = DEFAULT_TIME_SLOTS;
   /** Outcome counts of each route. */
   readonly tallies = new RouteTallies();
   readonly timers = new TimerHeap<TimerSubject>();
--- a/src/routing/service-state.ts
+++ b/src/routing/service-state.ts
@@ -1,6 +1,6 @@
 /** A router's state of one service: its upstreams, waiting requests, budgets and policy. */
 import type { ServiceName, UpstreamId, Zone } from '../model/identifiers.js';
-import type { RouterTurn } from '../model/router-turn.js';
+import type { RouterTimeSlots } from '../model/router-time-slots.js';
 import type { ServiceDefinition } from '../model/service.js';
 import type { WarmupBounds } from '../model/warmup-bounds.js';
 import { compilePolicy, PolicyError, type PolicyProgram } from '../policy/index.js';
@@ -122,7 +122,7 @@
    */
   findColdUpstream(
     zone: Zone,
-    turn: RouterTurn,
+    turn: RouterTimeSlots,
     bounds: WarmupBounds,
     now: number,
   ): UpstreamState | undefined {
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -18,7 +18,7 @@
   Zone,
 } from '../model/identifiers.js';
 import type { Outcome } from '../model/outcome.js';
-import type { HeardLimit, UpstreamNotice } from '../model/upstream-notice.js';
+import type { ReportedLimit, UpstreamNotice } from '../model/upstream-notice.js';
 import type { WarmupBounds } from '../model/warmup-bounds.js';
 import type { PolicyTraceRecord } from '../policy/index.js';
 import type { ConnectionBreak } from './connection-break.js';
@@ -193,7 +193,7 @@
   /** Set where ranks compete or the key is hot: inputs of the queue order and the capacity by rank. */
   readonly order?: OrderFacts;
   /** Set if the owner reported a rate limit: the limit, the age of the report, and the permits available here. */
-  readonly limit?: HeardLimit & { readonly permits: number };
+  readonly limit?: ReportedLimit & { readonly permits: number };
   /** Set if the owner requested a back-off from this router: the remaining time in milliseconds. */
   readonly restMillis?: number;
   /** Set if the settings contain the link width. */
--- a/src/routing/upstream/warmup-state.ts
+++ b/src/routing/upstream/warmup-state.ts
@@ -1,12 +1,12 @@
 /** Whether one upstream is cold, and this router's time slots at it during that time. */
 import type { UpstreamId } from '../../model/identifiers.js';
-import type { RoundPlace, RouterTurn } from '../../model/router-turn.js';
-import type { WarmupTerms } from '../../model/service.js';
+import type { RoundPosition, RouterTimeSlots } from '../../model/router-time-slots.js';
+import type { WarmupLimit } from '../../model/service.js';
 import type { WarmupBounds } from '../../model/warmup-bounds.js';
 import { timeSlotsPerSecond, WarmupTimeSlots } from '../capacity/warmup-time-slots.js';
 
 export class WarmupState {
-  #terms: WarmupTerms | null = null;
+  #terms: WarmupLimit | null = null;
   /** End of the warm-up that the upstream announced or that the router assumes. */
   #coldUntil = Number.NEGATIVE_INFINITY;
   /** The upstream was unreachable, so the next answer may come from a new process. */
@@ -16,7 +16,7 @@
   constructor(private readonly upstream: UpstreamId) {}
 
   /** Sets the service's limits for cold upstreams; `null` if it declares none. */
-  setTerms(terms: WarmupTerms | null): void {
+  setTerms(terms: WarmupLimit | null): void {
     this.#terms = terms;
   }
 
@@ -31,19 +31,19 @@
   }
 
   /** Whether this router has a time slot now at an upstream that is or may be cold. */
-  hasTimeSlot({ inZone }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
+  hasTimeSlot({ inZone }: RouterTimeSlots, bounds: WarmupBounds, now: number): boolean {
     const terms = this.#terms;
     return terms !== null && this.#timeSlotsFrom(now).isDue(inZone, timeSlotsPerSecond(terms, bounds), now);
   }
 
   /** Whether this router may send one more request for its keys to a cold owner. */
-  hasOwnerTimeSlot({ inAll }: RouterTurn, bounds: WarmupBounds, now: number): boolean {
+  hasOwnerTimeSlot({ inAll }: RouterTimeSlots, bounds: WarmupBounds, now: number): boolean {
     const terms = this.#terms;
     return terms === null || this.#timeSlotsFrom(now).isUnused(inAll, timeSlotsPerSecond(terms, bounds), now);
   }
 
   /** Records a sent request. `place`: the router's place from which the time slot was derived. */
-  useTimeSlot(place: RoundPlace, bounds: WarmupBounds, now: number): void {
+  useTimeSlot(place: RoundPosition, bounds: WarmupBounds, now: number): void {
     if (this.#terms !== null) {
       this.#timeSlotsFrom(now).use(place, timeSlotsPerSecond(this.#terms, bounds), now);
     }
--- a/src/routing/watched-runs.ts
+++ b/src/routing/watched-runs.ts
@@ -4,9 +4,9 @@
  * request that ends one run after the other must be stopped within three. But a device on the path can refuse connections to a run that is
  * alive, so the suspicions are retracted if that run answers again.
  */
-import { nameUnnamedRun, type RunName, type UpstreamCrash } from '../model/crash-suspect.js';
+import { deriveRunName, type RunName, type UpstreamCrash } from '../model/crash-suspect.js';
 import type { Address, MonotonicMillis, UpstreamId } from '../model/identifiers.js';
-import { runOfAnnounced } from '../model/service.js';
+import { announcedRun } from '../model/service.js';
 import type { Attempt } from './request-group.js';
 import type { RouterContext } from './router-context.js';
 import type { RunCheck } from './types.js';
@@ -193,7 +193,7 @@
   }
 
   #runOf({ upstream, run }: Attempt): WatchedRun {
-    const name = run ?? nameUnnamedRun(upstream.id, this.#context.wall);
+    const name = run ?? deriveRunName(upstream.id, this.#context.wall);
     const existing = this.#runs.get(name);
     if (existing !== undefined) {
       return existing;
@@ -233,7 +233,7 @@
 /** Name of an upstream's current run; `null` if the run has no name of its own. */
 export function runNameOf({ id, incarnation, isAnnounced, record }: UpstreamState): RunName | null {
   if (isAnnounced) {
-    return runOfAnnounced(record.definition);
+    return announcedRun(record.definition);
   }
   return incarnation === null ? null : `${id}/${incarnation}`;
 }
--- a/src/routing/zones/fleet-view-cache.ts
+++ b/src/routing/zones/fleet-view-cache.ts
@@ -3,7 +3,7 @@
  * own measurements alone.
  */
 import type { FleetUpdate } from '../../control/messages.js';
-import { type FleetVersion, UNTOLD_VERSION, type ZoneRoom } from '../../model/fleet-view.js';
+import { type FleetViewVersion, INITIAL_FLEET_VERSION, type ZoneCapacity } from '../../model/fleet-view.js';
 import type { MonotonicMillis, ServiceName, UpstreamId, Zone } from '../../model/identifiers.js';
 import type { FleetView } from '../upstream/fleet-view.js';
 
@@ -18,14 +18,14 @@
 }
 
 export class FleetViewCache implements FleetView {
-  #version: FleetVersion = UNTOLD_VERSION;
+  #version: FleetViewVersion = INITIAL_FLEET_VERSION;
   #receivedAt: MonotonicMillis = Number.NEGATIVE_INFINITY;
   readonly #speeds = new Map<UpstreamId, number>();
   readonly #usualLoads = new Map<string, UsualLoad>();
-  readonly #capacities = new Map<ServiceName, Map<Zone, ZoneRoom>>();
+  readonly #capacities = new Map<ServiceName, Map<Zone, ZoneCapacity>>();
 
   /** Version that the router has, so that control can send the changes since then. */
-  get version(): FleetVersion {
+  get version(): FleetViewVersion {
     return this.#version;
   }
 
@@ -41,7 +41,7 @@
       this.#speeds.set(upstream, speed);
     }
     for (const capacity of zones) {
-      const byZone = this.#capacities.get(capacity.service) ?? new Map<Zone, ZoneRoom>();
+      const byZone = this.#capacities.get(capacity.service) ?? new Map<Zone, ZoneCapacity>();
       this.#capacities.set(capacity.service, byZone.set(capacity.zone, capacity));
     }
     this.#version = version;
@@ -58,7 +58,7 @@
   }
 
   /** Demand and capacity of a zone; `null` if they are unknown or expired. */
-  capacityOf(service: ServiceName, zone: Zone, now: MonotonicMillis): ZoneRoom | null {
+  capacityOf(service: ServiceName, zone: Zone, now: MonotonicMillis): ZoneCapacity | null {
     return this.#isFresh(now) ? (this.#capacities.get(service)?.get(zone) ?? null) : null;
   }
 
--- a/src/routing/zones/spill-credits.ts
+++ b/src/routing/zones/spill-credits.ts
@@ -1,5 +1,5 @@
 /** Spreads the parts of a zone's requests that go to other zones evenly over a router's own requests. */
-import type { SpillPart } from '../../model/fleet-view.js';
+import type { SpillShare } from '../../model/fleet-view.js';
 import type { Zone } from '../../model/identifiers.js';
 import type { Random } from '../random.js';
 
@@ -16,7 +16,7 @@
    * Returns the zone that the next request goes to; `null` for the router's own zone. Credits start at random values, so that the shares are kept
    * over many routers with few requests each.
    */
-  nextZone(parts: readonly SpillPart[], random: Random): Zone | null {
+  nextZone(parts: readonly SpillShare[], random: Random): Zone | null {
     for (const zone of this.#credits.keys()) {
       if (!parts.some((part) => part.zone === zone)) {
         this.#credits.delete(zone);
--- a/src/settings/control-settings.ts
+++ b/src/settings/control-settings.ts
@@ -4,7 +4,7 @@
 import type { RangeTimings } from '../lease/range-timings.js';
 import { DEFAULT_LEASE_TIMINGS, type LeaseTimings } from '../lease/types.js';
 import type { ConfigLeaseTimings } from '../model/configuration-lease.js';
-import type { QuarantineTerms } from '../model/crash-suspect.js';
+import type { QuarantineSettings } from '../model/crash-suspect.js';
 import type { HolderProtocol } from '../model/holder-protocol.js';
 import type { Address, ClusterId, Zone } from '../model/identifiers.js';
 import { addressSchema, splitAddress } from './addresses.js';
@@ -68,7 +68,7 @@
   /** Timings of grants to upstreams that announce themselves. */
   readonly ranges: RangeTimings;
   /** When requests that crash upstreams are refused. */
-  readonly quarantine: QuarantineTerms;
+  readonly quarantine: QuarantineSettings;
   /** Protocol for calls to upstreams that announce themselves. */
   readonly holders: HolderProtocol;
   /** Namespaces that log at debug and info level, in the syntax of the `debug` package. */
--- a/src/settings/quarantine-settings.ts
+++ b/src/settings/quarantine-settings.ts
@@ -1,6 +1,6 @@
 /** The `quarantine` settings of a control member: when a request that crashed upstreams is refused, and for how long. */
 import { z } from 'zod';
-import { DEFAULT_QUARANTINE_TERMS, type QuarantineTerms } from '../model/crash-suspect.js';
+import { DEFAULT_QUARANTINE_SETTINGS, type QuarantineSettings } from '../model/crash-suspect.js';
 import { positiveDurationSchema } from './units.js';
 
 /** Maximum number of suspects that fits into a snapshot for routers. */
@@ -15,8 +15,8 @@
   requests: countSchema.max(MAX_REQUESTS, `must be ${MAX_REQUESTS} or less`).optional(),
 });
 
-export function completeQuarantine(fields: z.output<typeof quarantineSchema> = {}): QuarantineTerms {
-  const defaults = DEFAULT_QUARANTINE_TERMS;
+export function completeQuarantine(fields: z.output<typeof quarantineSchema> = {}): QuarantineSettings {
+  const defaults = DEFAULT_QUARANTINE_SETTINGS;
   return {
     crashes: fields.crashes ?? defaults.crashes,
     keepMillis: fields.keep ?? defaults.keepMillis,
--- a/src/text/columns.ts
+++ b/src/text/columns.ts
@@ -25,7 +25,7 @@
 }
 
 /** Alignment of the first column (names) to the left and of the others (numbers) to the right. */
-export function namesThenNumbers(column: number): Alignment {
+export function numericColumnAlignment(column: number): Alignment {
   return column === 0 ? 'left' : 'right';
 }
 
--- a/src/wire/frame-client.ts
+++ b/src/wire/frame-client.ts
@@ -22,7 +22,7 @@
 const FIRST_DIAL_TIMEOUT_MILLIS = 200;
 
 /** Returns the connect timeout after this number of consecutive failures. */
-export function dialMillis(failures: number, limits: Pick<WireLimits, 'handshakeMillis'>): number {
+export function connectTimeoutMillis(failures: number, limits: Pick<WireLimits, 'handshakeMillis'>): number {
   return Math.min(limits.handshakeMillis, FIRST_DIAL_TIMEOUT_MILLIS * 2 ** Math.min(failures, MAX_DOUBLINGS));
 }
 
@@ -73,7 +73,10 @@
     const { address, localAddress } = this.options;
     const socket = connect({ ...parseAddress(address), ...(localAddress && { localAddress }) });
     this.dialing = socket;
-    const dialTimer = setTimeout(() => socket.destroy(), dialMillis(this.failures, this.options.limits));
+    const dialTimer = setTimeout(
+      () => socket.destroy(),
+      connectTimeoutMillis(this.failures, this.options.limits),
+    );
     const onFailure = (reason: Error | null): void => {
       clearTimeout(dialTimer);
       this.handleLoss(reason);
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -25,7 +25,7 @@
   type WireLimits,
 } from './frame-connection.js';
 export { FrameServer, type FrameServerOptions } from './frame-server.js';
-export { checkFree, ListenError } from './listen-error.js';
+export { ensureAddressFree, ListenError } from './listen-error.js';
 export type { MessageCodec } from './message-codec.js';
 export { raftCodecs } from './raft/index.js';
 export { controlToRouterCodecs, routerToControlCodecs } from './router/index.js';
--- a/src/wire/listen-error.ts
+++ b/src/wire/listen-error.ts
@@ -20,7 +20,7 @@
 }
 
 /** Throws `ListenError` if an address is in use. Called at start, before any state is touched. */
-export async function checkFree(address: Address): Promise<void> {
+export async function ensureAddressFree(address: Address): Promise<void> {
   const { host, port } = parseAddress(address);
   const server = createServer();
   try {
--- a/src/wire/message-codec.ts
+++ b/src/wire/message-codec.ts
@@ -66,7 +66,7 @@
   }
 
   /** Whether the set has a codec for frames of this kind. */
-  carries(kind: number): boolean {
+  hasKind(kind: number): boolean {
     return this.byKind.has(kind);
   }
 
--- a/src/wire/router/fleet-rows.ts
+++ b/src/wire/router/fleet-rows.ts
@@ -1,6 +1,6 @@
 /** Encodes observations of upstreams without keys as rows of a load report. */
 import type { LoadReport } from '../../control/messages.js';
-import type { DemandSample, FleetReport, FleetVersion, UpstreamSample } from '../../model/fleet-view.js';
+import type { DemandSample, FleetReport, FleetViewVersion, UpstreamSample } from '../../model/fleet-view.js';
 
 type Row = LoadReport['shards'][number];
 
@@ -13,7 +13,7 @@
 /** A report while its rows are decoded. */
 interface PartialFleetReport {
   zone: { readonly zone: string; readonly number: number } | null;
-  have: FleetVersion | null;
+  have: FleetViewVersion | null;
   readonly upstreams: UpstreamSample[];
   readonly demand: DemandSample[];
 }
--- a/src/wire/router/index.ts
+++ b/src/wire/router/index.ts
@@ -5,13 +5,13 @@
 import { claimRequestCodec } from './claim-request.js';
 import { claimResponseCodec } from './claim-response.js';
 import { crashReportCodec } from './crash-report.js';
-import { fleetNewsCodec } from './fleet-news.js';
+import { fleetUpdateCodec } from './fleet-update.js';
 import { loadReportCodec } from './load-report.js';
 import { settleRequestCodec } from './settle-request.js';
 import { settleResponseCodec } from './settle-response.js';
-import { syncNewsCodec } from './sync-news.js';
 import { syncRequestCodec } from './sync-request.js';
 import { syncResponseCodec } from './sync-response.js';
+import { syncUpdateCodec } from './sync-update.js';
 import { upstreamPermitsCodec } from './upstream-permits.js';
 import { upstreamReportCodec } from './upstream-report.js';
 
@@ -26,10 +26,10 @@
 
 export const controlToRouterCodecs = new MessageCodecSet<ControlToRouter>([
   syncResponseCodec,
-  syncNewsCodec,
+  syncUpdateCodec,
   changeNoticeCodec,
   claimResponseCodec,
   settleResponseCodec,
   upstreamPermitsCodec,
-  fleetNewsCodec,
+  fleetUpdateCodec,
 ]);
--- a/src/wire/router/routing-fields.ts
+++ b/src/wire/router/routing-fields.ts
@@ -287,7 +287,7 @@
 export const routingSnapshotField: restructure.FieldType<RoutingSnapshot | null> = new SnapshotField();
 export const routingDeltaField: restructure.FieldType<RoutingDelta | null> = new DeltaField();
 /** A delta that is never `null`. */
-export const routingDeltaOnlyField: restructure.FieldType<RoutingDelta> = {
+export const requiredRoutingDeltaField: restructure.FieldType<RoutingDelta> = {
   size: (value) => routingDeltaField.size(value),
   encode: (stream, value) => routingDeltaField.encode(stream, value),
   decode: (stream) => {
--- a/src/wire/router/sync-response.ts
+++ b/src/wire/router/sync-response.ts
@@ -1,7 +1,7 @@
 /** Response to a sync request: configuration for a router. */
 import type { SyncResponse } from '../../control/messages.js';
 import type { Address } from '../../model/identifiers.js';
-import type { RouterTurn } from '../../model/router-turn.js';
+import type { RouterTimeSlots } from '../../model/router-time-slots.js';
 import { flag, json, real, safeInteger } from '../fields.js';
 import { FRAME_KINDS } from '../frame.js';
 import { defineMessage } from '../message-codec.js';
@@ -15,5 +15,5 @@
   delta: routingDeltaField,
   leader: json<Address | null>(),
   members: json<readonly Address[]>(),
-  turn: json<RouterTurn | null>(),
+  turn: json<RouterTimeSlots | null>(),
 });
--- a/src/wire/router/sync-news.ts
+++ b/src/wire/router/sync-update.ts
@@ -2,8 +2,8 @@
 import type { SyncUpdate } from '../../control/messages.js';
 import { FRAME_KINDS } from '../frame.js';
 import { defineMessage } from '../message-codec.js';
-import { routingDeltaOnlyField } from './routing-fields.js';
+import { requiredRoutingDeltaField } from './routing-fields.js';
 
-export const syncNewsCodec = defineMessage<SyncUpdate>(FRAME_KINDS.syncNews, 'sync-news', {
-  delta: routingDeltaOnlyField,
+export const syncUpdateCodec = defineMessage<SyncUpdate>(FRAME_KINDS.syncNews, 'sync-news', {
+  delta: requiredRoutingDeltaField,
 });
--- a/test/contract/frames.test.ts
+++ b/test/contract/frames.test.ts
@@ -142,7 +142,7 @@
 
   it('a router sends no message of a replica', () => {
     for (const raftKind of [16, 18, 20, 22]) {
-      expect(routerToControlCodecs.carries(raftKind)).to.equal(false);
+      expect(routerToControlCodecs.hasKind(raftKind)).to.equal(false);
     }
   });
 });
--- a/test/control/fleet-capacity.test.ts
+++ b/test/control/fleet-capacity.test.ts
@@ -3,7 +3,11 @@
 import { FleetCapacity, type KeylessUpstream } from '../../src/control/fleet-capacity/fleet-capacity.js';
 import { planSpill } from '../../src/control/fleet-capacity/spill-plan.js';
 import type { FleetUpdate, LoadReport } from '../../src/control/messages.js';
-import { type FleetReport, type FleetVersion, UNTOLD_VERSION } from '../../src/model/fleet-view.js';
+import {
+  type FleetReport,
+  type FleetViewVersion,
+  INITIAL_FLEET_VERSION,
+} from '../../src/model/fleet-view.js';
 import { Random } from '../../src/routing/random.js';
 
 const WORK_MILLIS = 100;
@@ -38,7 +42,7 @@
     const fleet = {
       zone: 'a',
       number: this.number,
-      have: UNTOLD_VERSION,
+      have: INITIAL_FLEET_VERSION,
       upstreams: [],
       demand: [],
       ...changes,
@@ -51,7 +55,11 @@
   update: FleetUpdate | null = null;
 
   /** Reports a second in which each upstream answered `requests` requests of `millisOf` milliseconds each. */
-  second(millisOf: (id: string) => number, requests = 5, have: FleetVersion = UNTOLD_VERSION): void {
+  second(
+    millisOf: (id: string) => number,
+    requests = 5,
+    have: FleetViewVersion = INITIAL_FLEET_VERSION,
+  ): void {
     this.now += 1000;
     for (const zone of ['a', 'b']) {
       const upstreams = Array.from({ length: 3 }, (_, index) => `${zone}${index}`).map((upstream) => ({
@@ -67,7 +75,7 @@
   }
 
   speeds(): Record<string, number> {
-    this.report({ have: UNTOLD_VERSION }, 'reader');
+    this.report({ have: INITIAL_FLEET_VERSION }, 'reader');
     return Object.fromEntries((this.update?.speeds ?? []).map(({ upstream, speed }) => [upstream, speed]));
   }
 }
@@ -125,7 +133,7 @@
     for (let second = 0; second < 60; second += 1) {
       reports.second(millisAtSpeed);
     }
-    const knownVersion = reports.update?.version as FleetVersion;
+    const knownVersion = reports.update?.version as FleetViewVersion;
     for (let second = 0; second < 60; second += 1) {
       reports.second(millisAtSpeed, 5, knownVersion);
       expect(reports.update).to.deep.include({ isWhole: false, speeds: [], zones: [] });
@@ -144,7 +152,7 @@
 
 describe('demand of zones', () => {
   function spillOf(reports: Reports, zone: string): number {
-    reports.report({ have: UNTOLD_VERSION }, 'reader');
+    reports.report({ have: INITIAL_FLEET_VERSION }, 'reader');
     const capacity = reports.update?.zones.find((published) => published.zone === zone);
     return capacity?.spill.reduce((sum, { share }) => sum + share, 0) ?? 0;
   }
--- a/test/control/fleet-reports.test.ts
+++ b/test/control/fleet-reports.test.ts
@@ -1,11 +1,11 @@
 /** Handling of reports of upstreams without keys by a control member. */
 import { expect } from 'chai';
 import type { LoadReport } from '../../src/control/messages.js';
-import { UNTOLD_VERSION } from '../../src/model/fleet-view.js';
+import { INITIAL_FLEET_VERSION } from '../../src/model/fleet-view.js';
 import { type Cluster, startCluster } from './cluster-harness.js';
 
 const PLAIN: LoadReport = { type: 'load-report', intervalMillis: 1000, shards: [] };
-const FLEET = { zone: 'a', number: 1, have: UNTOLD_VERSION, upstreams: [], demand: [] };
+const FLEET = { zone: 'a', number: 1, have: INITIAL_FLEET_VERSION, upstreams: [], demand: [] };
 
 function answersTo(cluster: Cluster, connection: string): string[] {
   return cluster.routerMessages
--- a/test/control/late-call-answers.test.ts
+++ b/test/control/late-call-answers.test.ts
@@ -3,7 +3,7 @@
 import type { HolderCall } from '../../src/control/ranges/holder-call.js';
 import { RangeCoordinator } from '../../src/control/ranges/range-coordinator.js';
 import { DEFAULT_RANGE_TIMINGS } from '../../src/lease/range-timings.js';
-import { LARGEST_KEY } from '../../src/model/key-range.js';
+import { MAX_KEY } from '../../src/model/key-range.js';
 import { type Command, createRegistry, type Registry } from '../../src/registry/index.js';
 
 const SERVICE = 'menu';
@@ -35,7 +35,7 @@
   }
   const updates = [
     { from: 0, to: MIDDLE - 1, expectedFence: 0, owner: 'u1', former: null },
-    { from: MIDDLE, to: LARGEST_KEY, expectedFence: 0, owner: 'u2', former: null },
+    { from: MIDDLE, to: MAX_KEY, expectedFence: 0, owner: 'u2', former: null },
   ];
   apply(registry, { type: 'range-update', service: SERVICE, updates });
   return registry;
--- a/test/control/limited-owners.test.ts
+++ b/test/control/limited-owners.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { UpstreamBackoffs } from '../../src/control/constraints/upstream-backoffs.js';
 import { formatShardId } from '../../src/model/identifiers.js';
-import { LARGEST_KEY, RANGE_KEYSPACE } from '../../src/model/key-range.js';
+import { MAX_KEY, RANGE_KEYSPACE } from '../../src/model/key-range.js';
 import { RangeWorld, SERVICE } from './range-world.js';
 
 const OWNERS = 6;
@@ -43,7 +43,7 @@
   }
 
   #keys(): number[] {
-    return Array.from({ length: KEY_COUNT }, (_, index) => Math.floor((index * LARGEST_KEY) / KEY_COUNT));
+    return Array.from({ length: KEY_COUNT }, (_, index) => Math.floor((index * MAX_KEY) / KEY_COUNT));
   }
 
   #loads() {
--- a/test/control/permit-issuer.test.ts
+++ b/test/control/permit-issuer.test.ts
@@ -3,7 +3,7 @@
 import { PermitIssuer } from '../../src/control/constraints/permit-issuer.js';
 import type { UpstreamPermits } from '../../src/control/messages.js';
 import { PERMIT_SHARE } from '../../src/model/limit-shares.js';
-import type { HeardUpstream } from '../../src/model/upstream-notice.js';
+import type { ReportedUpstream } from '../../src/model/upstream-notice.js';
 
 const DEPOSED_MILLIS = 600;
 /** The time from which a new leader issues permits. */
@@ -12,7 +12,7 @@
 /** Permits per second. */
 const RATE = PER_SECOND * PERMIT_SHARE;
 
-function reportOf(changes: Partial<HeardUpstream> = {}): HeardUpstream {
+function reportOf(changes: Partial<ReportedUpstream> = {}): ReportedUpstream {
   const limit = { perSecond: PER_SECOND, heardAgoMillis: 0 };
   return {
     upstream: 'u1',
@@ -39,7 +39,7 @@
     0,
   );
 
-  report(router: string, upstream: HeardUpstream, now: number): void {
+  report(router: string, upstream: ReportedUpstream, now: number): void {
     const message = { type: 'upstream-report', stamp: now, upstreams: [upstream] } as const;
     this.issuer.recordReport(message, { connection: router, router }, now);
     this.issuer.run(now);
--- a/test/control/range-load.ts
+++ b/test/control/range-load.ts
@@ -9,7 +9,7 @@
 import type { RangeTimings } from '../../src/lease/range-timings.js';
 import { GRANT_CARRIERS, type GrantCarrier } from '../../src/model/grant-carrier.js';
 import type { HeldKeys } from '../../src/model/held-keys.js';
-import { type KeyRange, LARGEST_KEY } from '../../src/model/key-range.js';
+import { type KeyRange, MAX_KEY } from '../../src/model/key-range.js';
 import { type Command, createRegistry, type Registry } from '../../src/registry/index.js';
 
 const SERVICE = 'menu';
@@ -167,10 +167,10 @@
       };
       this.#apply({ type: 'upstream-announce', definition: { ...definition, announced } });
     }
-    const length = Math.floor((LARGEST_KEY + 1) / rows);
+    const length = Math.floor((MAX_KEY + 1) / rows);
     const updates = Array.from({ length: rows }, (_, row) => ({
       from: row * length,
-      to: row === rows - 1 ? LARGEST_KEY : (row + 1) * length - 1,
+      to: row === rows - 1 ? MAX_KEY : (row + 1) * length - 1,
       owner: `u${row % upstreams}`,
       former: null,
       expectedFence: 0,
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -11,7 +11,7 @@
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import type { RangeTimings } from '../../src/lease/range-timings.js';
 import type { UpstreamId } from '../../src/model/identifiers.js';
-import { LARGEST_KEY } from '../../src/model/key-range.js';
+import { MAX_KEY } from '../../src/model/key-range.js';
 import type { UpstreamDefinition } from '../../src/model/service.js';
 import type { CapacityLimit } from '../../src/placement/ranges/capacity-limit.js';
 import type { Command, Registry } from '../../src/registry/index.js';
@@ -34,12 +34,12 @@
 
 /** One run of an upstream. Its clock is as slow as the timings allow. */
 class Holder {
-  readonly fences = new Float64Array(LARGEST_KEY + 1);
+  readonly fences = new Float64Array(MAX_KEY + 1);
   /** Fences under which earlier runs held keys. */
-  readonly fencesBefore = new Float64Array(LARGEST_KEY + 1);
+  readonly fencesBefore = new Float64Array(MAX_KEY + 1);
   /** A key that this run accepted under no higher fence than an earlier run; `null` if there is none. */
   fencesReused: string | null = null;
-  readonly heldUntil = new Float64Array(LARGEST_KEY + 1).fill(Number.NEGATIVE_INFINITY);
+  readonly heldUntil = new Float64Array(MAX_KEY + 1).fill(Number.NEGATIVE_INFINITY);
   /**
    * `refused`: cut off from control by a device that refuses connections, while the upstream is live and holds its
    * keys. `deaf`: the same, but its heartbeats arrive. `mute`: its heartbeats arrive, and its calls get no response.
--- a/test/placement/key-loads.test.ts
+++ b/test/placement/key-loads.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { LARGEST_KEY } from '../../src/model/key-range.js';
+import { MAX_KEY } from '../../src/model/key-range.js';
 import { KeyLoads } from '../../src/placement/ranges/key-loads.js';
 
 const CLOSE = 1e-6;
@@ -11,13 +11,13 @@
   it('of a span equal the sum over its keys', () => {
     const random = xoroshiro128plus(7);
     const loads = new KeyLoads();
-    const keys = Array.from({ length: 400 }, () => uniformInt(random, 0, LARGEST_KEY));
-    for (const key of [0, LARGEST_KEY, ...keys]) {
+    const keys = Array.from({ length: 400 }, () => uniformInt(random, 0, MAX_KEY));
+    for (const key of [0, MAX_KEY, ...keys]) {
       loads.add(key, uniformInt(random, 1, 500), 0);
     }
-    const busy = [...new Set([0, LARGEST_KEY, ...keys])].sort((one, other) => one - other);
+    const busy = [...new Set([0, MAX_KEY, ...keys])].sort((one, other) => one - other);
     for (let round = 0; round < 100; round += 1) {
-      const [from, to] = [uniformInt(random, 0, LARGEST_KEY), uniformInt(random, 0, LARGEST_KEY)].sort(
+      const [from, to] = [uniformInt(random, 0, MAX_KEY), uniformInt(random, 0, MAX_KEY)].sort(
         (one, other) => one - other,
       ) as [number, number];
       const inside = busy.filter((key) => from <= key && key <= to);
@@ -37,18 +37,18 @@
     loads.add(5, 100, 0);
     loads.add(9, 100, 20_000);
     expect(loads.loadOf(5)).to.equal(0);
-    const { first, end } = loads.busyKeysIn({ from: 0, to: LARGEST_KEY });
+    const { first, end } = loads.busyKeysIn({ from: 0, to: MAX_KEY });
     expect(end - first).to.equal(1);
     expect(loads.busyKeyAt(first)).to.equal(9);
   });
 
   it('ignore invalid keys', () => {
     const loads = new KeyLoads();
-    for (const key of [-1, LARGEST_KEY + 1, 0.5, Number.NaN]) {
+    for (const key of [-1, MAX_KEY + 1, 0.5, Number.NaN]) {
       loads.add(key, 100, 0);
     }
-    expect(loads.loadOfSpan({ from: 0, to: LARGEST_KEY })).to.equal(0);
-    loads.add(LARGEST_KEY, 100, 0);
-    expect(loads.loadOfSpan({ from: 0, to: LARGEST_KEY })).to.equal(loads.loadOf(LARGEST_KEY));
+    expect(loads.loadOfSpan({ from: 0, to: MAX_KEY })).to.equal(0);
+    loads.add(MAX_KEY, 100, 0);
+    expect(loads.loadOfSpan({ from: 0, to: MAX_KEY })).to.equal(loads.loadOf(MAX_KEY));
   });
 });
--- a/test/placement/move-costs.test.ts
+++ b/test/placement/move-costs.test.ts
@@ -1,6 +1,6 @@
 /** Moves of keys under loads with changing hot keys, and the share of requests in time. The bounds state what moves must achieve. */
 import { expect } from 'chai';
-import { LARGEST_KEY, spanLength } from '../../src/model/key-range.js';
+import { MAX_KEY, spanLength } from '../../src/model/key-range.js';
 import { heatAgeMillis, MAX_HEAT_MILLIS, remainingMillis } from '../../src/placement/ranges/heat-age.js';
 import { KeyLoads } from '../../src/placement/ranges/key-loads.js';
 import { MoveEstimator } from '../../src/placement/ranges/move-estimator.js';
@@ -140,7 +140,7 @@
       slots: 2 + (index % 2),
       speed: 1,
     }));
-    const ranges = divideSpan({ from: 0, to: LARGEST_KEY }, list).map(({ from, to, target }) => ({
+    const ranges = divideSpan({ from: 0, to: MAX_KEY }, list).map(({ from, to, target }) => ({
       service: 'menu',
       from,
       to,
@@ -178,7 +178,7 @@
   it('is proportional to slots and speeds, and to slots alone while no speed is known', () => {
     const divided = (speeds: readonly number[]): number[] =>
       divideSpan(
-        { from: 0, to: LARGEST_KEY },
+        { from: 0, to: MAX_KEY },
         speeds.map((speed, index) => ({ upstream: `u${index}`, slots: 2, speed })),
       ).map(spanLength);
     expect(divided([0.5, 1, 0.5])).to.deep.equal([16_384, 32_768, 16_384]);
--- a/test/placement/moving-keys-model.ts
+++ b/test/placement/moving-keys-model.ts
@@ -4,7 +4,7 @@
  */
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
 import { RandomSource } from '../../src/dev/virtual/random-source.js';
-import { findRange, type KeyRange, LARGEST_KEY } from '../../src/model/key-range.js';
+import { findRange, type KeyRange, MAX_KEY } from '../../src/model/key-range.js';
 import { BalancePlanner } from '../../src/placement/ranges/balance-planner.js';
 import type { MoveCostParameters } from '../../src/placement/ranges/move-worth.js';
 import type { RangeServer } from '../../src/placement/ranges/owner-loads.js';
@@ -105,17 +105,15 @@
       const speed = load.speedsKnown === true ? (load.speeds[index % load.speeds.length] ?? 1) : 1;
       return { ...server, speed };
     });
-    this.#ranges = divideSpan({ from: 0, to: LARGEST_KEY }, serversWithSpeeds).map(
-      ({ from, to, target }) => ({
-        service: 'keys',
-        from,
-        to,
-        owner: target,
-        fence: 1,
-        former: null,
-        revision: 1,
-      }),
-    );
+    this.#ranges = divideSpan({ from: 0, to: MAX_KEY }, serversWithSpeeds).map(({ from, to, target }) => ({
+      service: 'keys',
+      from,
+      to,
+      owner: target,
+      fence: 1,
+      former: null,
+      revision: 1,
+    }));
   }
 
   run(): KeysOutcome {
@@ -151,7 +149,7 @@
     const hot = hotKeys(now, this.#random);
     const key = isHot
       ? hot.from + Math.floor(this.#random.fraction() * hot.count)
-      : Math.floor(this.#random.fraction() * (LARGEST_KEY + 1));
+      : Math.floor(this.#random.fraction() * (MAX_KEY + 1));
     this.#others += Number(!isHot);
     this.#send(key, isHot, now);
   }
--- a/test/placement/range-planner.test.ts
+++ b/test/placement/range-planner.test.ts
@@ -1,6 +1,6 @@
 /** Plans of ranges: an even first division, few moved keys, and no owner overloaded by the keys of a leaving owner. */
 import { expect } from 'chai';
-import { type KeyRange, LARGEST_KEY, spanLength } from '../../src/model/key-range.js';
+import { type KeyRange, MAX_KEY, spanLength } from '../../src/model/key-range.js';
 import { KeyLoads } from '../../src/placement/ranges/key-loads.js';
 import { OwnerLoads, type RangeServer } from '../../src/placement/ranges/owner-loads.js';
 import {
@@ -13,7 +13,7 @@
   spreadSpan,
 } from '../../src/placement/ranges/range-planner.js';
 
-const WHOLE = { from: 0, to: LARGEST_KEY };
+const WHOLE = { from: 0, to: MAX_KEY };
 
 function servers(count: number, slots = 2): RangeServer[] {
   return Array.from({ length: count }, (_, index) => ({ upstream: `u${index}`, slots, speed: 1 }));
@@ -83,7 +83,7 @@
     const spans = divideSpan(WHOLE, list);
     expect(spans.map(spanLength)).to.deep.equal([16_384, 49_152]);
     expect(spans[0]?.from).to.equal(0);
-    expect(spans[1]?.to).to.equal(LARGEST_KEY);
+    expect(spans[1]?.to).to.equal(MAX_KEY);
   });
 
   it('measures steady work per second', () => {
--- a/test/registry/range-table.test.ts
+++ b/test/registry/range-table.test.ts
@@ -1,7 +1,7 @@
 /** Ranges always cover all keys without overlap, and fences only increase. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { findRange, LARGEST_KEY } from '../../src/model/key-range.js';
+import { findRange, MAX_KEY } from '../../src/model/key-range.js';
 import { RangeTable } from '../../src/registry/range-table.js';
 import type { RangeUpdate } from '../../src/registry/types.js';
 
@@ -14,12 +14,12 @@
     expect(to).to.be.at.least(from);
     next = to + 1;
   }
-  expect(next).to.equal(LARGEST_KEY + 1);
+  expect(next).to.equal(MAX_KEY + 1);
 }
 
 const spanArbitrary = fc
-  .tuple(fc.integer({ min: 0, max: LARGEST_KEY }), fc.integer({ min: 0, max: 3000 }))
-  .map(([from, length]) => ({ from, to: Math.min(LARGEST_KEY, from + length) }));
+  .tuple(fc.integer({ min: 0, max: MAX_KEY }), fc.integer({ min: 0, max: 3000 }))
+  .map(([from, length]) => ({ from, to: Math.min(MAX_KEY, from + length) }));
 const ownerArbitrary = fc.constantFrom('u1', 'u2', null);
 
 describe('range table', () => {
@@ -64,10 +64,10 @@
       former: null,
       expectedFence: 0,
     });
-    table.update(SERVICE, [give(0, 99, 'u1'), give(100, 199, 'u1'), give(200, LARGEST_KEY, 'u2')], 2);
+    table.update(SERVICE, [give(0, 99, 'u1'), give(100, 199, 'u1'), give(200, MAX_KEY, 'u2')], 2);
     expect(table.rangesOf(SERVICE).map(({ from, to, owner }) => [from, to, owner])).to.deep.equal([
       [0, 199, 'u1'],
-      [200, LARGEST_KEY, 'u2'],
+      [200, MAX_KEY, 'u2'],
     ]);
   });
 
--- a/test/registry/suspects.test.ts
+++ b/test/registry/suspects.test.ts
@@ -1,9 +1,9 @@
 /** Requests during which upstreams crashed, as kept in the replicated state. */
 import { expect } from 'chai';
-import type { QuarantineTerms } from '../../src/model/crash-suspect.js';
+import type { QuarantineSettings } from '../../src/model/crash-suspect.js';
 import { type Command, createRegistry, decodeRegistry, type Registry } from '../../src/registry/index.js';
 
-const TERMS: QuarantineTerms = { crashes: 3, keepMillis: 1000, trialMillis: 100, mostRequests: 4 };
+const TERMS: QuarantineSettings = { crashes: 3, keepMillis: 1000, trialMillis: 100, mostRequests: 4 };
 
 function send(registry: Registry, command: Command, at = 0): string {
   const envelope = { requestId: null, actor: 'test', at, command };
--- a/test/routing/draining-notices.test.ts
+++ b/test/routing/draining-notices.test.ts
@@ -1,6 +1,6 @@
 /** Upstreams that report in an answer that they are draining get no new requests, whatever they answer later and even without contact to control. */
 import { expect } from 'chai';
-import { SILENT_NOTICE } from '../../src/model/upstream-notice.js';
+import { EMPTY_NOTICE } from '../../src/model/upstream-notice.js';
 import type { UpstreamRecord } from '../../src/registry/types.js';
 import type { RouterEffect } from '../../src/routing/types.js';
 import {
@@ -13,7 +13,7 @@
   upstream,
 } from './router-harness.js';
 
-const DRAINING_NOTICE = { ...SILENT_NOTICE, isLeaving: true };
+const DRAINING_NOTICE = { ...EMPTY_NOTICE, isLeaving: true };
 const HOLD_MILLIS = 100;
 
 function announced(id: string, warmupMillis = 0): UpstreamRecord {
@@ -57,7 +57,7 @@
     const harness = startOwner();
     const [earlyDispatch] = effectsOfType(harness.request('menu', { key: 'k' }), 'dispatch');
     answerAsDraining(harness);
-    harness.step({ type: 'upstream-notice', attempt: earlyDispatch?.attempt ?? 0, notice: SILENT_NOTICE });
+    harness.step({ type: 'upstream-notice', attempt: earlyDispatch?.attempt ?? 0, notice: EMPTY_NOTICE });
     harness.ended(earlyDispatch?.attempt ?? 0, ANSWERED);
     expect(effectsOfType(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
   });
--- a/test/routing/fleet-picking.test.ts
+++ b/test/routing/fleet-picking.test.ts
@@ -1,7 +1,7 @@
 /** Picks by the speeds and capacities that control reports, and by the router's own measurements without such reports. */
 import { expect } from 'chai';
 import type { FleetUpdate } from '../../src/control/messages.js';
-import type { ZoneRoom } from '../../src/model/fleet-view.js';
+import type { ZoneCapacity } from '../../src/model/fleet-view.js';
 import { UpstreamState } from '../../src/routing/index.js';
 import { LeastWorkPicker } from '../../src/routing/picker/least-work-picker.js';
 import type { PickContext } from '../../src/routing/picker/picker.js';
@@ -11,7 +11,14 @@
 import { SpillCredits } from '../../src/routing/zones/spill-credits.js';
 import { upstream } from './router-harness.js';
 
-const ROOM: ZoneRoom = { service: 'menu', zone: 'a', meanMillis: 100, isUneven: true, use: 0.5, spill: [] };
+const ROOM: ZoneCapacity = {
+  service: 'menu',
+  zone: 'a',
+  meanMillis: 100,
+  isUneven: true,
+  use: 0.5,
+  spill: [],
+};
 
 function updateOf(changes: Partial<FleetUpdate> = {}): FleetUpdate {
   const version = { term: 1, number: 1 };
@@ -61,7 +68,7 @@
 
 describe('picks', () => {
   it('are the same as without an update while speeds are equal and no zone lacks capacity', () => {
-    const picksWith = (room: ZoneRoom | null): string[] => {
+    const picksWith = (room: ZoneCapacity | null): string[] => {
       const fleet = new FleetViewCache();
       if (room !== null) {
         fleet.update(updateOf({ zones: [room] }), 0);
--- a/test/routing/limited-fleet.ts
+++ b/test/routing/limited-fleet.ts
@@ -6,7 +6,7 @@
 import { PermitIssuer } from '../../src/control/constraints/permit-issuer.js';
 import type { ControlToRouter, UpstreamPermits } from '../../src/control/messages.js';
 import { EventQueue } from '../../src/dev/virtual/event-queue.js';
-import { SILENT_NOTICE, type UpstreamNotice } from '../../src/model/upstream-notice.js';
+import { EMPTY_NOTICE, type UpstreamNotice } from '../../src/model/upstream-notice.js';
 import { Random } from '../../src/routing/random.js';
 import type { AttemptResult, RouterEffect } from '../../src/routing/types.js';
 import { CONFIG, MEMBERS, onlyShard, RouterHarness, service, upstream } from './router-harness.js';
@@ -236,7 +236,7 @@
     }
     if (this.#options.sabotage !== 'notices-unread') {
       const notice: UpstreamNotice = {
-        ...SILENT_NOTICE,
+        ...EMPTY_NOTICE,
         limit: perSecond === null ? { type: 'none' } : { type: 'named', perSecond },
       };
       this.#carryOut(router, harness.step({ type: 'upstream-notice', attempt, notice }));
--- a/test/routing/limited-upstreams.test.ts
+++ b/test/routing/limited-upstreams.test.ts
@@ -1,7 +1,7 @@
 /** Routing and refusals once an upstream sets a rate limit, which is never exceeded. */
 import { expect } from 'chai';
 import type { ServiceDefinition } from '../../src/model/service.js';
-import { type LimitNotice, SILENT_NOTICE } from '../../src/model/upstream-notice.js';
+import { EMPTY_NOTICE, type LimitNotice } from '../../src/model/upstream-notice.js';
 import type { UpstreamRecord } from '../../src/registry/types.js';
 import type { RouterEffect } from '../../src/routing/types.js';
 import {
@@ -34,7 +34,7 @@
 function answered(harness: RouterHarness, limit: LimitNotice, key: string | null = 'k'): number {
   const [dispatch] = effectsOfType(harness.request('menu', { key }), 'dispatch');
   const attempt = dispatch?.attempt ?? 0;
-  harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit } });
+  harness.step({ type: 'upstream-notice', attempt, notice: { ...EMPTY_NOTICE, limit } });
   harness.ended(attempt, ANSWERED);
   return attempt;
 }
@@ -104,7 +104,7 @@
     const [last] = effectsOfType(permits(harness, 1), 'dispatch');
     const attempt = last?.attempt ?? 0;
     harness.request('menu', { key: 'k' });
-    const effects = harness.step({ type: 'upstream-notice', attempt, notice: SILENT_NOTICE });
+    const effects = harness.step({ type: 'upstream-notice', attempt, notice: EMPTY_NOTICE });
     expect(effectsOfType(effects, 'dispatch')).to.have.length(1);
     expect(effectsOfType(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(1);
   });
@@ -117,7 +117,7 @@
     const effects = harness.step({
       type: 'upstream-notice',
       attempt: last?.attempt ?? 0,
-      notice: { ...SILENT_NOTICE, limit, unreadable },
+      notice: { ...EMPTY_NOTICE, limit, unreadable },
     });
     expect(effectsOfType(effects, 'log').map(({ event }) => event)).to.include('upstream-notice-unreadable');
     expect(effectsOfType(harness.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
@@ -138,7 +138,7 @@
     const fresh = started(['u1'], { keyed: true });
     const [early] = effectsOfType(fresh.request('menu', { key: 'k' }), 'dispatch');
     answered(fresh, limitOf(5));
-    fresh.step({ type: 'upstream-notice', attempt: early?.attempt ?? 0, notice: SILENT_NOTICE });
+    fresh.step({ type: 'upstream-notice', attempt: early?.attempt ?? 0, notice: EMPTY_NOTICE });
     fresh.ended(early?.attempt ?? 0, ANSWERED);
     expect(effectsOfType(fresh.request('menu', { key: 'k' }), 'dispatch')).to.have.length(0);
   });
@@ -181,7 +181,7 @@
         toLimited += 1;
       }
       if (dispatch?.upstream === 'u1') {
-        harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit: limitOf(1) } });
+        harness.step({ type: 'upstream-notice', attempt, notice: { ...EMPTY_NOTICE, limit: limitOf(1) } });
         isLimited = true;
       }
       const retries = harness.ended(attempt, count % 3 === 0 ? { type: 'connect-failed' } : ANSWERED);
@@ -207,7 +207,7 @@
       harness.run(20);
       attempt = dispatch?.upstream === 'u1' ? dispatch.attempt : 0;
     }
-    harness.step({ type: 'upstream-notice', attempt, notice: { ...SILENT_NOTICE, limit: limitOf(1) } });
+    harness.step({ type: 'upstream-notice', attempt, notice: { ...EMPTY_NOTICE, limit: limitOf(1) } });
     let countAtLimited = 0;
     for (let count = 0; count < 200; count += 1) {
       countAtLimited += effectsOfType(harness.request('menu'), 'dispatch').filter(
--- a/test/routing/request-limit.test.ts
+++ b/test/routing/request-limit.test.ts
@@ -1,6 +1,6 @@
 /** Start, change and end of a rate limit at one router, and the number of requests it admits. */
 import { expect } from 'chai';
-import { PERMIT_MILLIS } from '../../src/model/limit-shares.js';
+import { PERMIT_LIFETIME_MILLIS } from '../../src/model/limit-shares.js';
 import { RequestLimit } from '../../src/routing/notices/request-limit.js';
 
 const ROUTERS = 10;
@@ -36,10 +36,10 @@
   it('admits as many requests as control issued permits, while the permits are valid', () => {
     const limit = makeLimit();
     limit.recordAnswer(1, { attempt: 1, latest: 1 }, 0);
-    limit.addPermits(3, PERMIT_MILLIS);
+    limit.addPermits(3, PERMIT_LIFETIME_MILLIS);
     expect(countSent(limit, 0, 100)).to.equal(3);
-    limit.addPermits(3, 100 + PERMIT_MILLIS);
-    expect(countSent(limit, 101 + PERMIT_MILLIS, 1000)).to.equal(0);
+    limit.addPermits(3, 100 + PERMIT_LIFETIME_MILLIS);
+    expect(countSent(limit, 101 + PERMIT_LIFETIME_MILLIS, 1000)).to.equal(0);
   });
 
   it('drops unused time slots', () => {
--- a/test/routing/upstream-backoff.test.ts
+++ b/test/routing/upstream-backoff.test.ts
@@ -6,7 +6,7 @@
  * rejection, and more 1.1 s later.
  */
 import { expect } from 'chai';
-import { SILENT_NOTICE } from '../../src/model/upstream-notice.js';
+import { EMPTY_NOTICE } from '../../src/model/upstream-notice.js';
 import type { AttemptResult, RouterEffect } from '../../src/routing/types.js';
 import {
   ANSWERED,
@@ -147,7 +147,7 @@
   it('gets a back-off also if its 503 doesn’t say that the request has not run', () => {
     startOwner();
     const [attempt = 0] = dispatchedOf(1);
-    const notice = { ...SILENT_NOTICE, restMillis: BACKOFF_MILLIS };
+    const notice = { ...EMPTY_NOTICE, restMillis: BACKOFF_MILLIS };
     const effects = harness.step({ type: 'upstream-notice', attempt, notice });
     expect(effectsOfType(effects, 'recall-unsent')).to.have.length(1);
     const delivered = harness.ended(attempt, { ...ANSWERED, status: 503 } as AttemptResult);
--- a/test/routing/warmup-time-slots.test.ts
+++ b/test/routing/warmup-time-slots.test.ts
@@ -3,7 +3,7 @@
  * load played here is 4.2 * 1.5 + 8 = 14.3 in any second; the upstream bears 4.2 per second.
  */
 import { expect } from 'chai';
-import type { RoundPlace } from '../../src/model/router-turn.js';
+import type { RoundPosition } from '../../src/model/router-time-slots.js';
 import { timeSlotsPerSecond, WarmupTimeSlots } from '../../src/routing/capacity/warmup-time-slots.js';
 import { Random } from '../../src/routing/random.js';
 
@@ -24,7 +24,7 @@
 }
 
 /** A way to share the capacity of a cold upstream: creates the rule that one router applies. */
-type Strategy = (place: RoundPlace, updatedAt: number, random: Random) => (now: number) => boolean;
+type Strategy = (place: RoundPosition, updatedAt: number, random: Random) => (now: number) => boolean;
 
 /** The time slots of rounds, as implemented. */
 const byTimeSlots: Strategy = (place, updatedAt) => {
