--- a/src/cli/daemons/run-control.ts
+++ b/src/cli/daemons/run-control.ts
@@ -10,11 +10,11 @@
 import { type ControlSettings, loadControlSettings } from '../../settings/control-settings.js';
 import {
   DISK,
+  DiskFullRetry,
   type FileSystem,
   type OpenedStore,
   openOrCreateReplica,
   openReplica,
-  RoomWaits,
 } from '../../storage/index.js';
 import { ensureAddressFree } from '../../wire/index.js';
 import type { Invocation } from '../command-spec.js';
@@ -77,11 +77,11 @@
   await ensureAddressFree(settings.listen);
   await ensureAddressFree(settings.admin);
   const log = createLogger('storage');
-  const waits = new RoomWaits({
-    full: (error) => log.warn('disk-full', { error }),
-    hasRoom: (waitedMillis) => log.info('disk-has-room', { waitedMillis }),
+  const waits = new DiskFullRetry({
+    onDiskFull: (error) => log.warn('disk-full', { error }),
+    onSpaceAvailable: (waitedMillis) => log.info('disk-has-room', { waitedMillis }),
   });
-  const { identity, restored, store } = await openFolder(settings, waits.around(DISK));
+  const { identity, restored, store } = await openFolder(settings, waits.wrap(DISK));
   const { replica } = identity;
   enableLogs(settings.log);
   setProcessIdentity({ process: settings.replicaName ?? replica, zone: settings.zone });
--- a/src/cli/declaration-plan.ts
+++ b/src/cli/declaration-plan.ts
@@ -3,7 +3,7 @@
 import { createRegistry, type OperatorCommand } from '../registry/index.js';
 import type { DefinitionDocument } from '../settings/definition-documents.js';
 import { type DocumentMap, serviceDocument, upstreamDocument } from '../settings/definition-writer.js';
-import { findPolicyProblems } from '../settings/policy-places.js';
+import { findPolicyProblems } from '../settings/policy-problems.js';
 import { SettingsError, type SettingsProblem } from '../settings/settings-error.js';
 import type { ServicesBody, UpstreamsBody } from './api-types.js';
 import type { ControlClient } from './control-client.js';
--- a/src/settings/policy-file.ts
+++ b/src/settings/policy-file.ts
@@ -1,7 +1,7 @@
 /** Files with the policy of one service: a YAML map with the list `policy`. */
 import type { PolicyRule } from '../model/service.js';
 import { policyDocumentSchema } from './definition-schemas.js';
-import { findPolicyProblems } from './policy-places.js';
+import { findPolicyProblems } from './policy-problems.js';
 import { SettingsError } from './settings-error.js';
 import { checkSource, readYaml } from './yaml-source.js';
 
--- a/src/settings/settings-error.ts
+++ b/src/settings/settings-error.ts
@@ -2,7 +2,7 @@
 import { TernmountError } from '../errors/ternmount-error.js';
 
 /** Location of an invalid value. */
-export interface SettingsPlace {
+export interface SettingsLocation {
   /** File name, environment variable, flag or `settings`. */
   readonly source: string;
   /** Path of the value, e.g. `listen` or `services[2].deadline`; empty for the whole source. */
@@ -13,7 +13,7 @@
 }
 
 /** One invalid value. */
-export interface SettingsProblem extends SettingsPlace {
+export interface SettingsProblem extends SettingsLocation {
   readonly message: string;
 }
 
--- a/src/storage/room-waits.ts
+++ b/src/storage/disk-full-retry.ts
@@ -9,19 +9,19 @@
 
 const DEFAULT_RETRY_MILLIS = 200;
 
-export interface RoomWaitsOptions {
+export interface DiskFullRetryOptions {
   readonly retryMillis?: number;
   /** Called when a write starts waiting because the disk is full. */
-  readonly full?: (error: Error) => void;
+  readonly onDiskFull?: (error: Error) => void;
   /** Called when the write succeeds, with the time that it waited. */
-  readonly hasRoom?: (waitedMillis: number) => void;
+  readonly onSpaceAvailable?: (waitedMillis: number) => void;
 }
 
-export class RoomWaits {
-  readonly #options: RoomWaitsOptions;
+export class DiskFullRetry {
+  readonly #options: DiskFullRetryOptions;
   #isStopped = false;
 
-  constructor(options: RoomWaitsOptions = {}) {
+  constructor(options: DiskFullRetryOptions = {}) {
     this.#options = options;
   }
 
@@ -31,7 +31,7 @@
   }
 
   /** Wraps a file system so that its writes wait for disk space. */
-  around(files: FileSystem): FileSystem {
+  wrap(files: FileSystem): FileSystem {
     return {
       list: (folder) => files.list(folder),
       read: (path) => files.read(path),
@@ -73,13 +73,13 @@
   }
 
   async #retryWhileFull<Result>(run: () => Promise<Result>, rollBack?: () => Promise<void>): Promise<Result> {
-    const { retryMillis = DEFAULT_RETRY_MILLIS, full, hasRoom } = this.#options;
+    const { retryMillis = DEFAULT_RETRY_MILLIS, onDiskFull, onSpaceAvailable } = this.#options;
     let fullSince: number | null = null;
     for (;;) {
       try {
         const result = await run();
         if (fullSince !== null) {
-          hasRoom?.(Math.round(performance.now() - fullSince));
+          onSpaceAvailable?.(Math.round(performance.now() - fullSince));
         }
         return result;
       } catch (thrown) {
@@ -89,7 +89,7 @@
         await rollBack?.();
         if (fullSince === null) {
           fullSince = performance.now();
-          full?.(toError(thrown));
+          onDiskFull?.(toError(thrown));
         }
         await sleep(retryMillis);
       }
--- a/src/storage/index.ts
+++ b/src/storage/index.ts
@@ -1,4 +1,6 @@
 /** The data folder of a replica: write-ahead log, snapshots, identity and lock. */
+
+export { DiskFullRetry, type DiskFullRetryOptions } from './disk-full-retry.js';
 export { DISK, type FileSystem, type WritableFile } from './file-system.js';
 export { type FolderLock, lockFolder } from './folder-lock.js';
 export {
@@ -11,7 +13,6 @@
 export type { ReplicaIdentity } from './replica-identity.js';
 export { openOrCreateReplica, type SelfStart } from './replica-opening.js';
 export { ReplicaStore } from './replica-store.js';
-export { RoomWaits, type RoomWaitsOptions } from './room-waits.js';
 export {
   FolderLockedError,
   FolderUnusableError,
--- a/test/storage/room-waits.test.ts
+++ b/test/storage/disk-full-retry.test.ts
@@ -4,7 +4,7 @@
 import type { PersistRequest } from '../../src/consensus/types.js';
 import { PersistTask } from '../../src/control/daemon/persist-task.js';
 import { MemoryDisk } from '../../src/dev/disk/memory-disk.js';
-import { createReplica, openReplica, RoomWaits } from '../../src/storage/index.js';
+import { createReplica, DiskFullRetry, openReplica } from '../../src/storage/index.js';
 
 const FOLDER = '/data';
 const RETRY_MILLIS = 2;
@@ -24,13 +24,13 @@
   it('delays writes: nothing is reported as persisted before it is, and nothing is lost', async () => {
     const disk = await newDisk();
     const events: string[] = [];
-    const diskFullRetry = new RoomWaits({
+    const diskFullRetry = new DiskFullRetry({
       retryMillis: RETRY_MILLIS,
-      full: () => events.push('full'),
-      hasRoom: () => events.push('room'),
+      onDiskFull: () => events.push('full'),
+      onSpaceAvailable: () => events.push('room'),
     });
     const lock = () => ({ release: () => {} });
-    const opened = await openReplica(FOLDER, 'demo', { files: diskFullRetry.around(disk), lock });
+    const opened = await openReplica(FOLDER, 'demo', { files: diskFullRetry.wrap(disk), lock });
     const persisted: number[] = [];
     const failures: Error[] = [];
     const task = new PersistTask(opened.store, {
@@ -56,9 +56,9 @@
 
   it('doesn’t delay a shutdown', async () => {
     const disk = await newDisk();
-    const diskFullRetry = new RoomWaits({ retryMillis: RETRY_MILLIS });
+    const diskFullRetry = new DiskFullRetry({ retryMillis: RETRY_MILLIS });
     const lock = () => ({ release: () => {} });
-    const opened = await openReplica(FOLDER, 'demo', { files: diskFullRetry.around(disk), lock });
+    const opened = await openReplica(FOLDER, 'demo', { files: diskFullRetry.wrap(disk), lock });
     const failures: Error[] = [];
     const task = new PersistTask(opened.store, {
       persisted: () => {},
