--- a/src/dev/fleet/checker/fleet-history.ts
+++ b/src/dev/fleet/checker/fleet-history.ts
@@ -1,10 +1,10 @@
 /** Joins the records of a fleet's journals into runs and attempts. */
 import type {
   AttemptRecord,
+  ConstrainedArrivalRecord,
+  ConstraintReportedRecord,
   FleetEventRecord,
   JournalRecord,
-  NeedSaidRecord,
-  NeedyArrivalRecord,
   RunEffectRecord,
   RunEndRecord,
   RunStartRecord,
@@ -20,7 +20,7 @@
 }
 
 /** Requests that reached constrained upstreams, and answers that reported the constraints. */
-export type NeedRecord = NeedyArrivalRecord | NeedSaidRecord;
+export type NeedRecord = ConstrainedArrivalRecord | ConstraintReportedRecord;
 
 /** Records of a fleet, each list in order of time. */
 export interface FleetHistory {
--- a/src/dev/journal/records.ts
+++ b/src/dev/journal/records.ts
@@ -52,13 +52,13 @@
 }
 
 /** Constraint that a stand-in reports in the head of each answer. */
-export interface SaidNeed {
+export interface ConstraintReport {
   readonly limitPerSecond: number | null;
   readonly restMillis: number | null;
   readonly isLeaving: boolean;
 }
 
-interface ConstraintRecordBase extends RecordBase, SaidNeed {
+interface ConstraintRecordBase extends RecordBase, ConstraintReport {
   readonly upstream: UpstreamId;
   readonly incarnation: Incarnation;
   /** The router's id of the request. */
@@ -66,13 +66,13 @@
 }
 
 /** A request arrived at a stand-in that reports a constraint, or reported one before. */
-export interface NeedyArrivalRecord extends ConstraintRecordBase {
+export interface ConstrainedArrivalRecord extends ConstraintRecordBase {
   readonly type: 'needy-arrival';
   /** The caller's own id of the request. */
   readonly request: string;
 }
 /** An answer that reports a constraint was written to its connection. */
-export interface NeedSaidRecord extends ConstraintRecordBase {
+export interface ConstraintReportedRecord extends ConstraintRecordBase {
   readonly type: 'need-said';
 }
 
@@ -166,6 +166,6 @@
   | RunStartRecord
   | RunEffectRecord
   | RunEndRecord
-  | NeedyArrivalRecord
-  | NeedSaidRecord;
+  | ConstrainedArrivalRecord
+  | ConstraintReportedRecord;
 export type JournalRecord = UpstreamJournalRecord | AttemptRecord | FleetEventRecord;
--- a/src/dev/sim/clients/crashing-caller.ts
+++ b/src/dev/sim/clients/crashing-caller.ts
@@ -1,6 +1,6 @@
 /** A caller that sends the same request repeatedly, through any router; each upstream that begins to run it crashes. */
 import type { World } from '../world.js';
-import type { CallerRequest } from './sending.js';
+import type { CallerRequest } from './request-send.js';
 import { SimCaller } from './sim-caller.js';
 
 /** Mean time between two sends. */
--- a/src/dev/sim/clients/sim-caller.ts
+++ b/src/dev/sim/clients/sim-caller.ts
@@ -3,7 +3,7 @@
 import type { SimRouter } from '../router/sim-router.js';
 import { SimProcess } from '../sim-process.js';
 import type { World } from '../world.js';
-import { type CallerRequest, RequestSend } from './sending.js';
+import { type CallerRequest, RequestSend } from './request-send.js';
 
 const THINK_MILLIS = 50;
 /** Share of requests whose caller gives up before the answer, and the mean time until then. */
--- a/src/dev/sim/control/persist-task.ts
+++ b/src/dev/sim/control/persist-task.ts
@@ -4,7 +4,7 @@
 import type { SimProcess } from '../sim-process.js';
 import type { SimulatedDisk } from '../simulated-disk.js';
 import type { World } from '../world.js';
-import { sabotagePersist } from './spoil-control.js';
+import { sabotagePersist } from './sabotage-control.js';
 
 const MIN_SYNC_MILLIS = 0.2;
 const MAX_SYNC_MILLIS = 3;
--- a/src/dev/sim/control/sim-control.ts
+++ b/src/dev/sim/control/sim-control.ts
@@ -19,15 +19,15 @@
 import { SimProcess, TickTimer } from '../sim-process.js';
 import { SimulatedDisk } from '../simulated-disk.js';
 import type { World } from '../world.js';
-import { CommitRecorder } from './commit-judge.js';
+import { CommitRecorder } from './commit-recorder.js';
 import { PersistTask } from './persist-task.js';
-import { callUpstream } from './session-call.js';
 import {
   sabotageOperatorRequest,
   sabotageOperatorResponse,
   sabotageRouterMessage,
   sabotageSessionRequest,
-} from './spoil-control.js';
+} from './sabotage-control.js';
+import { callUpstream } from './session-call.js';
 
 export const CLUSTER = 'simulated';
 const ELECTION_TIMEOUT_MILLIS = 300;
--- a/src/dev/sim/router/sim-router.ts
+++ b/src/dev/sim/router/sim-router.ts
@@ -17,12 +17,12 @@
 } from '../../../routing/types.js';
 import { SimProcess, TickTimer } from '../sim-process.js';
 import type { ReportedConstraint } from '../upstream/attempt-frame.js';
-import { NO_CONSTRAINT, type UpstreamConstraint } from '../upstream/upstream-need.js';
+import { NO_CONSTRAINT, type UpstreamConstraint } from '../upstream/upstream-constraint.js';
 import type { World } from '../world.js';
 import { ControlLine } from './control-line.js';
 import { type Exchange, type RouterAnswer, storedAnswer } from './router-answer.js';
+import { sabotageNotice, sabotageRefusal, sabotageResult, sabotageToControl } from './sabotage-router.js';
 import { SimAttempt } from './sim-attempt.js';
-import { sabotageNotice, sabotageRefusal, sabotageResult, sabotageToControl } from './spoil-router.js';
 import { UpstreamConnections } from './upstream-connections.js';
 
 const CLAIM_TIMEOUT_MILLIS = 1000;
--- a/src/dev/sim/simulation.ts
+++ b/src/dev/sim/simulation.ts
@@ -19,7 +19,7 @@
 import type { SabotageName } from './sabotages.js';
 import type { SimSizes } from './sim-sizes.js';
 import { SimUpstream } from './upstream/sim-upstream.js';
-import { beginConstraint } from './upstream/upstream-need.js';
+import { beginConstraint } from './upstream/upstream-constraint.js';
 import type { World } from './world.js';
 
 export interface SimulationOptions {
--- a/src/dev/sim/upstream/attempt-frame.ts
+++ b/src/dev/sim/upstream/attempt-frame.ts
@@ -1,7 +1,7 @@
 /** Messages on a connection between a router and an upstream. */
 import type { FenceCredentials, FenceRefusal } from '../../../lease/types.js';
 import type { SendId } from '../../checker/history.js';
-import type { UpstreamConstraint } from './upstream-need.js';
+import type { UpstreamConstraint } from './upstream-constraint.js';
 
 /** A request as sent by a router. */
 export interface AttemptFrame {
--- a/src/dev/sim/upstream/sim-upstream.ts
+++ b/src/dev/sim/upstream/sim-upstream.ts
@@ -11,7 +11,7 @@
 import { type AdmittedRequest, FenceView } from './fence-view.js';
 import { observeHolders } from './observe-holders.js';
 import { sendAnswer } from './send-answer.js';
-import { NO_CONSTRAINT, type UpstreamConstraint } from './upstream-need.js';
+import { NO_CONSTRAINT, type UpstreamConstraint } from './upstream-constraint.js';
 
 /** Maximum number of requests in flight; more are shed. */
 const QUEUE_LIMIT = 20;
--- a/src/dev/standins/upstream/standin-need.ts
+++ b/src/dev/standins/upstream/standin-need.ts
@@ -4,7 +4,7 @@
 import { HEADERS } from '../../../model/outcome.js';
 import type { JournalWriter } from '../../journal/journal-writer.js';
 import { machineMillis } from '../../journal/machine-clock.js';
-import type { SaidNeed } from '../../journal/records.js';
+import type { ConstraintReport } from '../../journal/records.js';
 import type { FaultSwitchboard } from './fault-switchboard.js';
 import { callerRequestOf, type UpstreamIdentity } from './run-recorder.js';
 
@@ -57,7 +57,7 @@
     return this.#isLeaving;
   }
 
-  #currentNotices(): SaidNeed {
+  #currentNotices(): ConstraintReport {
     return {
       limitPerSecond: this.#faults.needs('names-limit') ? LIMIT_PER_SECOND : null,
       restMillis: this.#faults.needs('asks-rest') ? BACKOFF_SECONDS * MILLIS_PER_SECOND : null,
@@ -77,7 +77,7 @@
     response.end();
   }
 
-  #record(type: 'needy-arrival' | 'need-said', request: IncomingMessage, notices: SaidNeed): void {
+  #record(type: 'needy-arrival' | 'need-said', request: IncomingMessage, notices: ConstraintReport): void {
     const { upstream, incarnation } = this.#identity;
     const id = request.headers[HEADERS.requestId];
     const routerRequest = typeof id === 'string' ? id : null;
--- a/test/fleet/checker/checker.test.ts
+++ b/test/fleet/checker/checker.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { checkFleet, type PromiseName } from '../../../src/dev/fleet/checker/index.js';
-import type { JournalRecord, SaidNeed } from '../../../src/dev/journal/records.js';
+import type { ConstraintReport, JournalRecord } from '../../../src/dev/journal/records.js';
 import { attempt, event, run } from './journal-fixtures.js';
 
 interface Case {
@@ -17,7 +17,7 @@
 const NO_NEED = { limitPerSecond: null, restMillis: null, isLeaving: false };
 
 /** An answer that reports `need`, and requests that reach the same upstream from the same router. */
-function constrainedUpstream(need: Partial<SaidNeed>, arrivals: readonly number[]): JournalRecord[] {
+function constrainedUpstream(need: Partial<ConstraintReport>, arrivals: readonly number[]): JournalRecord[] {
   const said = { ...NO_NEED, ...need };
   const answer: JournalRecord = { type: 'need-said', at: 0, ...UPSTREAM, routerRequest: 'r1/1.1', ...said };
   const later = arrivals.map((at, index): JournalRecord => {
