--- a/src/dev/checker/answer-rule.ts
+++ b/src/dev/checker/answer-rule.ts
@@ -13,7 +13,7 @@
   private readonly sent = new Map<SendId, RequestSent>();
   private readonly ended = new Set<SendId>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'request-sent':
         this.sent.set(event.send, event);
--- a/src/dev/checker/rest-rule.ts
+++ b/src/dev/checker/backoff-rule.ts
@@ -2,7 +2,7 @@
  * Upstreams that reject a router's request with a back-off: shortly after that, and until the back-off ends, the router
  * sends hardly any requests there. A router that was disturbed recently is excused.
  */
-import type { HistoryEvent, NeedyUpstreamReached, NoticeGiven } from './history.js';
+import type { ConstrainedUpstreamReached, HistoryEvent, NoticeReceived } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
 /** Time during which requests in transit may still arrive. */
@@ -15,11 +15,11 @@
   arrivals: number;
 }
 
-export class RestRule implements Rule {
+export class BackoffRule implements Rule {
   /** By router and run of the upstream. */
   readonly #backoffs = new Map<string, Backoff[]>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'notice-given':
         this.#recordNotice(event);
@@ -35,7 +35,7 @@
     return NO_VIOLATIONS;
   }
 
-  #recordNotice({ at, answeredAt, router, upstream, restMillis }: NoticeGiven): void {
+  #recordNotice({ at, answeredAt, router, upstream, restMillis }: NoticeReceived): void {
     if (restMillis === null) {
       return;
     }
@@ -46,7 +46,7 @@
     this.#backoffs.set(name, [...open, backoff]);
   }
 
-  #checkArrival({ at, router, upstream, isExcused }: NeedyUpstreamReached): readonly Violation[] {
+  #checkArrival({ at, router, upstream, isExcused }: ConstrainedUpstreamReached): readonly Violation[] {
     if (isExcused) {
       return NO_VIOLATIONS;
     }
--- a/src/dev/checker/change-rule.ts
+++ b/src/dev/checker/change-rule.ts
@@ -2,7 +2,7 @@
  * Operators' changes: every later read contains an accepted change unless a later one replaced it, each change is
  * applied at most once, a race has one winner, and a rejected change is never applied.
  */
-import type { ChangeAnswered, ChangeAsked, HistoryEvent, ThingsRead } from './history.js';
+import type { ChangeAnswered, ChangeRequested, HistoryEvent, ThingsRead } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
 interface Change {
@@ -32,7 +32,7 @@
   private readonly byMarker = new Map<string, Change>();
   private readonly things = new Map<string, ThingFacts>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'change-asked':
         return this.recordRequest(event);
@@ -49,7 +49,7 @@
     return NO_VIOLATIONS;
   }
 
-  private recordRequest(event: ChangeAsked): readonly Violation[] {
+  private recordRequest(event: ChangeRequested): readonly Violation[] {
     if (this.changes.has(event.requestId)) {
       return NO_VIOLATIONS;
     }
--- a/src/dev/checker/checker.ts
+++ b/src/dev/checker/checker.ts
@@ -1,8 +1,10 @@
 /** Checks a history against all rules, event by event. It shares no code with the system under test. */
 import { AnswerRule } from './answer-rule.js';
+import { BackoffRule } from './backoff-rule.js';
 import { ChangeRule } from './change-rule.js';
 import { ConfigurationRule } from './configuration-rule.js';
 import { CrashRule } from './crash-rule.js';
+import { DrainNoticeRule } from './drain-notice-rule.js';
 import { EvacuationRule } from './evacuation-rule.js';
 import { ExecutionRule } from './execution-rule.js';
 import type { HistoryEvent } from './history.js';
@@ -10,9 +12,7 @@
 import { LogRule } from './log-rule.js';
 import { OwnershipRule } from './ownership-rule.js';
 import { RecoveryRule } from './recovery-rule.js';
-import { RestRule } from './rest-rule.js';
 import type { Rule, Violation } from './rule.js';
-import { ToldLeavingRule } from './told-leaving-rule.js';
 
 export class Checker {
   private readonly rules: readonly Rule[] = [
@@ -26,8 +26,8 @@
     new RecoveryRule(),
     new CrashRule(),
     new LimitRule(),
-    new RestRule(),
-    new ToldLeavingRule(),
+    new BackoffRule(),
+    new DrainNoticeRule(),
   ];
   private readonly allViolations: Violation[] = [];
 
@@ -37,10 +37,10 @@
   }
 
   /** Checks the next event and returns the violations that it reveals. */
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     const before = this.allViolations.length;
     for (const rule of this.rules) {
-      this.allViolations.push(...rule.take(event));
+      this.allViolations.push(...rule.check(event));
     }
     return this.allViolations.slice(before);
   }
--- a/src/dev/checker/configuration-rule.ts
+++ b/src/dev/checker/configuration-rule.ts
@@ -5,7 +5,7 @@
  */
 import type {
   ChangeAnswered,
-  ChangeAsked,
+  ChangeRequested,
   HistoryEvent,
   RequestDispatched,
   RouterRevision,
@@ -35,7 +35,7 @@
   private readonly upstreams = new Map<string, LeavingChange[]>();
   private readonly asked = new Map<string, LeavingChange>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'change-asked':
         return this.recordRequest(event);
@@ -54,7 +54,7 @@
     return NO_VIOLATIONS;
   }
 
-  private recordRequest(event: ChangeAsked): readonly Violation[] {
+  private recordRequest(event: ChangeRequested): readonly Violation[] {
     const { thing, leaving, removed } = event.value;
     if (this.asked.has(event.requestId) || leaving === null) {
       return NO_VIOLATIONS;
--- a/src/dev/checker/crash-rule.ts
+++ b/src/dev/checker/crash-rule.ts
@@ -24,7 +24,7 @@
   readonly #contents = new Map<SendId, string>();
   readonly #facts = new Map<string, RequestFacts>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'request-sent':
         this.#contents.set(event.send, event.content);
--- a/src/dev/checker/told-leaving-rule.ts
+++ b/src/dev/checker/drain-notice-rule.ts
@@ -3,17 +3,17 @@
  * the router that received the answer, whether or not the router is connected to control. A restart or a freeze of the
  * router since then excuses it.
  */
-import type { HistoryEvent, NeedyUpstreamReached, SendId } from './history.js';
+import type { ConstrainedUpstreamReached, HistoryEvent, SendId } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
 const DRAIN_MILLIS = 2000;
 
-export class ToldLeavingRule implements Rule {
+export class DrainNoticeRule implements Rule {
   readonly #sentAt = new Map<SendId, number>();
   /** By router and run of the upstream. */
   readonly #reportedAt = new Map<string, number>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'request-sent':
         this.#sentAt.set(event.send, event.at);
@@ -36,7 +36,13 @@
     return NO_VIOLATIONS;
   }
 
-  #checkArrival({ at, router, upstream, send, runningSince }: NeedyUpstreamReached): readonly Violation[] {
+  #checkArrival({
+    at,
+    router,
+    upstream,
+    send,
+    runningSince,
+  }: ConstrainedUpstreamReached): readonly Violation[] {
     const reportedAt = this.#reportedAt.get(nameOf(router, upstream));
     const sentAt = this.#sentAt.get(send) ?? at;
     if (reportedAt === undefined || runningSince >= reportedAt || sentAt <= reportedAt + DRAIN_MILLIS) {
--- a/src/dev/checker/evacuation-rule.ts
+++ b/src/dev/checker/evacuation-rule.ts
@@ -9,7 +9,7 @@
   /** Time from which the order is in force, by upstream of a zone out of use. */
   private readonly inForceFrom = new Map<string, number>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'evacuation-answered':
         this.note(event);
--- a/src/dev/checker/execution-rule.ts
+++ b/src/dev/checker/execution-rule.ts
@@ -27,7 +27,7 @@
   private readonly sent = new Map<SendId, SentRequest>();
   private readonly keys = new Map<string, KeyFacts>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'request-sent':
         return this.recordSent(event);
--- a/src/dev/checker/history.ts
+++ b/src/dev/checker/history.ts
@@ -139,7 +139,7 @@
 }
 
 /** An operator requested a change, for the first time or again. */
-export interface ChangeAsked {
+export interface ChangeRequested {
   readonly type: 'change-asked';
   readonly at: number;
   readonly requestId: string;
@@ -197,7 +197,7 @@
 }
 
 /** An answer with notices of its upstream in the headers reached a router. */
-export interface NoticeGiven {
+export interface NoticeReceived {
   readonly type: 'notice-given';
   readonly at: number;
   /** Name and incarnation. */
@@ -215,7 +215,7 @@
 }
 
 /** A request arrived at an upstream that sends notices, or sent some before. */
-export interface NeedyUpstreamReached {
+export interface ConstrainedUpstreamReached {
   readonly type: 'needy-upstream-reached';
   readonly at: number;
   readonly router: string;
@@ -241,11 +241,11 @@
   | RequestReached
   | UpstreamCrashed
   | RouterRevision
-  | ChangeAsked
+  | ChangeRequested
   | ChangeAnswered
   | ThingsRead
   | EntryCommitted
   | EvacuationAnswered
-  | NoticeGiven
-  | NeedyUpstreamReached
+  | NoticeReceived
+  | ConstrainedUpstreamReached
   | RecoveryObserved;
--- a/src/dev/checker/limit-rule.ts
+++ b/src/dev/checker/limit-rule.ts
@@ -2,7 +2,7 @@
  * Upstreams with a limit: some time after its first notice, they receive in any window little more than the limit from
  * the routers that received it. A router that was disturbed recently is excused.
  */
-import type { HistoryEvent, NeedyUpstreamReached, NoticeGiven } from './history.js';
+import type { ConstrainedUpstreamReached, HistoryEvent, NoticeReceived } from './history.js';
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
 const WINDOW_MILLIS = 4000;
@@ -30,7 +30,7 @@
 export class LimitRule implements Rule {
   readonly #runs = new Map<string, LimitedRun>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'notice-given':
         this.#recordNotice(event);
@@ -46,7 +46,7 @@
     return NO_VIOLATIONS;
   }
 
-  #recordNotice({ at, router, upstream, limitPerSecond }: NoticeGiven): void {
+  #recordNotice({ at, router, upstream, limitPerSecond }: NoticeReceived): void {
     const run = this.#runOf(upstream);
     if (limitPerSecond !== null) {
       run.firstStatedAt ??= at;
@@ -54,7 +54,7 @@
     }
   }
 
-  #checkArrival(event: NeedyUpstreamReached): readonly Violation[] {
+  #checkArrival(event: ConstrainedUpstreamReached): readonly Violation[] {
     const { at, router, upstream, limitPerSecond, isExcused } = event;
     const run = this.#runOf(upstream);
     if (limitPerSecond === null) {
--- a/src/dev/checker/log-rule.ts
+++ b/src/dev/checker/log-rule.ts
@@ -5,7 +5,7 @@
 export class LogRule implements Rule {
   private readonly committed = new Map<number, EntryCommitted>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     if (event.type !== 'entry-committed') {
       return NO_VIOLATIONS;
     }
--- a/src/dev/checker/ownership-rule.ts
+++ b/src/dev/checker/ownership-rule.ts
@@ -10,7 +10,7 @@
 export class OwnershipRule implements Rule {
   private readonly lastEffects = new Map<string, LastEffect>();
 
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     switch (event.type) {
       case 'holders-observed':
         return checkHolders(event);
--- a/src/dev/checker/recovery-rule.ts
+++ b/src/dev/checker/recovery-rule.ts
@@ -3,7 +3,7 @@
 import { NO_VIOLATIONS, type Rule, type Violation } from './rule.js';
 
 export class RecoveryRule implements Rule {
-  take(event: HistoryEvent): readonly Violation[] {
+  check(event: HistoryEvent): readonly Violation[] {
     if (event.type !== 'recovery-observed' || event.recovered) {
       return NO_VIOLATIONS;
     }
--- a/src/dev/checker/rule.ts
+++ b/src/dev/checker/rule.ts
@@ -26,7 +26,7 @@
 
 /** Checks events in order and returns each violation as soon as it is certain. */
 export interface Rule {
-  take(event: HistoryEvent): readonly Violation[];
+  check(event: HistoryEvent): readonly Violation[];
   /** Ends the history and returns the violations that are certain only then. */
   finish(at: number): readonly Violation[];
 }
--- a/src/dev/fleet/checker/needs-heeded.ts
+++ b/src/dev/fleet/checker/needs-heeded.ts
@@ -3,11 +3,11 @@
  * checker. Limits and back-offs aren't checked while routers are frozen or zones are cut, and for some time after.
  */
 
+import { BackoffRule } from '../../checker/backoff-rule.js';
+import { DrainNoticeRule } from '../../checker/drain-notice-rule.js';
 import type { HistoryEvent } from '../../checker/history.js';
 import { LimitRule } from '../../checker/limit-rule.js';
-import { RestRule } from '../../checker/rest-rule.js';
 import type { Rule } from '../../checker/rule.js';
-import { ToldLeavingRule } from '../../checker/told-leaving-rule.js';
 import type { FleetEventRecord } from '../../journal/records.js';
 import type { FleetHistory, NeedRecord } from './fleet-history.js';
 import type { PromiseResult, Violation } from './promise-check.js';
@@ -19,11 +19,11 @@
 export function checkNeedsHeeded({ needs, attempts, events }: FleetHistory): PromiseResult {
   const disturbances = events.filter(({ event }) => DISTURBANCES.has(event)).map(({ at }) => at);
   const sentAtByRequest = new Map(attempts.map(({ routerRequest, sentAt }) => [routerRequest, sentAt]));
-  const rules: readonly Rule[] = [new LimitRule(), new RestRule(), new ToldLeavingRule()];
+  const rules: readonly Rule[] = [new LimitRule(), new BackoffRule(), new DrainNoticeRule()];
   const violations: Violation[] = [];
   for (const record of needs) {
     for (const event of eventsOf(record, sentAtByRequest, disturbances)) {
-      const ruleViolations = rules.flatMap((rule) => rule.take(event));
+      const ruleViolations = rules.flatMap((rule) => rule.check(event));
       violations.push(
         ...ruleViolations.map(({ message, at }) => ({ promise: 'needs-heeded' as const, message, at })),
       );
--- a/src/dev/scale/roles/hollow-router-role.ts
+++ b/src/dev/scale/roles/simulated-router-role.ts
@@ -2,11 +2,11 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Revision } from '../../../model/identifiers.js';
 import { machineMillis } from '../../journal/machine-clock.js';
-import { simulateReport } from '../hollow-report.js';
-import { SimulatedRouter } from '../hollow-router.js';
 import { RevisionWatch } from '../revision-watch.js';
 import { SharedConfiguration } from '../shared-configuration.js';
 import { SharedDecoder } from '../shared-decoder.js';
+import { simulateReport } from '../simulated-report.js';
+import { SimulatedRouter } from '../simulated-router.js';
 import { SocketMeter } from '../socket-meter.js';
 import { sampleUsage, type UsageSample } from '../usage.js';
 import type { RunIdentity } from '../worker-calls.js';
--- a/src/dev/scale/scale-fleet.ts
+++ b/src/dev/scale/scale-fleet.ts
@@ -6,9 +6,9 @@
 import type { ReplicaId, Revision } from '../../model/identifiers.js';
 import type { OperatorCommand } from '../../registry/types.js';
 import type { ControlMethods } from './roles/control-role.js';
-import type { SimulatedRouterMethods } from './roles/hollow-router-role.js';
-import type { SimulatedUpstreamMethods } from './roles/hollow-upstream-role.js';
 import type { RealRouterMethods } from './roles/real-router-role.js';
+import type { SimulatedRouterMethods } from './roles/simulated-router-role.js';
+import type { SimulatedUpstreamMethods } from './roles/simulated-upstream-role.js';
 import {
   CONTROL_MEMBERS,
   type ScalePlan,
--- a/src/dev/scale/worker-main.ts
+++ b/src/dev/scale/worker-main.ts
@@ -1,9 +1,9 @@
 /** Entry point of each process of a scale run: reads the role's name from its arguments and answers calls. */
 import { toError } from '../../errors/ternmount-error.js';
 import { createControlRole } from './roles/control-role.js';
-import { createSimulatedRouterRole } from './roles/hollow-router-role.js';
-import { createSimulatedUpstreamRole } from './roles/hollow-upstream-role.js';
 import { createRealRouterRole } from './roles/real-router-role.js';
+import { createSimulatedRouterRole } from './roles/simulated-router-role.js';
+import { createSimulatedUpstreamRole } from './roles/simulated-upstream-role.js';
 import type { RoleMethods, RoleName, WorkerCall, WorkerReply } from './worker-calls.js';
 
 const ROLES: Readonly<Record<RoleName, () => object>> = {
--- a/src/dev/sim/recorder.ts
+++ b/src/dev/sim/recorder.ts
@@ -38,7 +38,7 @@
   /** Records an event and passes it to the checker. */
   record(event: HistoryEvent): void {
     this.note(event);
-    for (const violation of this.checker.take(event)) {
+    for (const violation of this.checker.check(event)) {
       this.note({ violation });
     }
   }
--- a/src/dev/standins/upstream/upstream-standin.ts
+++ b/src/dev/standins/upstream/upstream-standin.ts
@@ -28,7 +28,7 @@
 import { FaultSwitchboard } from './fault-switchboard.js';
 import { callerRequestOf, RunRecorder } from './run-recorder.js';
 import { SlotQueue } from './slot-queue.js';
-import { StandinNotices } from './standin-need.js';
+import { StandinNotices } from './standin-notices.js';
 import type { UpstreamSettings } from './upstream-settings.js';
 import { LoadReporter, WorkModel } from './work-model.js';
 
--- a/test/dev/checker/execution-rule.test.ts
+++ b/test/dev/checker/execution-rule.test.ts
@@ -74,7 +74,7 @@
     it(name, () => {
       const checker = new Checker();
       for (const event of events) {
-        checker.take(event);
+        checker.check(event);
       }
       expect(checker.violations.map(({ promise }) => promise)).to.deep.equal(broken);
     });
--- a/test/dev/scale/hollow-daemons.test.ts
+++ b/test/dev/scale/simulated-daemons.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
 import type { ControlToRouter } from '../../../src/control/messages.js';
-import { simulateReport } from '../../../src/dev/scale/hollow-report.js';
 import { RevisionWatch } from '../../../src/dev/scale/revision-watch.js';
-import { createSimulatedUpstreamRole } from '../../../src/dev/scale/roles/hollow-upstream-role.js';
+import { createSimulatedUpstreamRole } from '../../../src/dev/scale/roles/simulated-upstream-role.js';
 import { SharedConfiguration } from '../../../src/dev/scale/shared-configuration.js';
 import { SharedDecoder } from '../../../src/dev/scale/shared-decoder.js';
+import { simulateReport } from '../../../src/dev/scale/simulated-report.js';
 import type { SessionAnswer } from '../../../src/lease/types.js';
 import { HEADERS } from '../../../src/model/outcome.js';
 import type { RoutingSnapshot } from '../../../src/registry/types.js';
