--- a/src/dev/bench/models/placement/coordinator-rig.ts
+++ b/src/dev/bench/models/placement/coordinator-rig.ts
@@ -133,7 +133,7 @@
   }
 
   /** Returns the number of shards that a server holds according to its own grant holder. */
-  heldBy(upstream: UpstreamId): number {
+  heldCount(upstream: UpstreamId): number {
     return this.#holders.get(upstream)?.status(this.now).held ?? 0;
   }
 
--- a/test/control/coordinator-slices.test.ts
+++ b/test/control/coordinator-slices.test.ts
@@ -23,7 +23,7 @@
 }
 
 function heldCounts(rig: CoordinatorRig): number[] {
-  return SERVERS.map((id) => rig.heldBy(id));
+  return SERVERS.map((id) => rig.heldCount(id));
 }
 
 describe('coordination in slices', () => {
