--- a/src/lease/lease-bound.ts
+++ b/src/lease/lease-bound.ts
@@ -9,12 +9,12 @@
  *    granter's clock runs at most `leaseMillis * (1 + clockRateError)`, whatever the delay of the renewal and however
  *    long either process pauses: a pause stops the process, not its clock, which counts suspensions of the machine as
  *    well (`src/clock`). A granter's clock may stand still in a suspension: it then waits longer.
- * 3. So the lease has ended once the granter's clock shows more than `received + leaseMillis * (1 + clockRateError)`.
+ * 3. So the lease has ended once the granter's clock shows more than `receivedAt + leaseMillis * (1 + clockRateError)`.
  *
  * For a change of leaders: a renewal leaves only after a quorum round that began after its stamp was received. Some
  * voter of the next leader took part in that round before it voted (afterwards it would have rejected the older term).
  * So the next leader was elected after the stamp was made, and step 2 holds from its election on: every lease of an
- * earlier leader has ended once `elected + leaseMillis * (1 + clockRateError)` has passed on the next leader's clock.
+ * earlier leader has ended once `electedAt + leaseMillis * (1 + clockRateError)` has passed on the next leader's clock.
  */
 import type { MonotonicMillis } from '../model/identifiers.js';
 import type { LeaseTimings } from './types.js';
--- a/src/lease/session-schedule.ts
+++ b/src/lease/session-schedule.ts
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Records a step. A leader that was itself stalled calls its upstreams once more before it ends their leases, except those
+   * Records a step of the granter. A leader that was itself stalled calls its upstreams once more before it ends their leases, except those
    * that had been silent for a renewal interval before the stall.
    */
   recordStep(now: MonotonicMillis): void {
--- a/src/ledger/expiry-queue.ts
+++ b/src/ledger/expiry-queue.ts
@@ -8,7 +8,7 @@
 }
 
 /**
- * Returns the earliest entry first. An entry stays in the queue when its key is deleted or extended, so the caller
+ * A queue that returns the earliest entry first. An entry stays in the queue when its key is deleted or extended, so the caller
  * checks after `pop` whether the entry is still valid. Each operation costs O(log n).
  */
 export class ExpiryQueue {
--- a/src/placement/balancer.ts
+++ b/src/placement/balancer.ts
@@ -23,7 +23,10 @@
  */
 const HOTTEST_LOAD_SHARE = 0.8;
 
-/** Share of the tolerance for the owner of such a shard: it is the most loaded server, and its limit is steady. */
+/**
+ * Share of the tolerance for a server whose hottest shard alone exceeds the tolerable utilisation: it is the most loaded
+ * server, and its limit is steady.
+ */
 const HOT_TOLERANCE_SHARE = 0.25;
 
 /** A shard and the target of its move. */
--- a/src/placement/baselines/bounded-load.ts
+++ b/src/placement/baselines/bounded-load.ts
@@ -7,7 +7,7 @@
 import { mayHoldShard, type OwnerRule, RecomputingPlanner } from './recomputing-planner.js';
 import { hashText, mixHashes } from './text-hash.js';
 
-/** Load that a server may have above its fair share, as a share of it. */
+/** Load that a server may have in excess of its fair share, as a fraction of that share. */
 const EXCESS = 0.25;
 const POINTS_PER_SERVER = 64;
 
@@ -91,7 +91,7 @@
   return low;
 }
 
-/** Returns the owner of a shard that exceeds the bound by itself. */
+/** Returns the least loaded server that may own the shard; used if the shard would exceed the bound at every server. */
 function leastLoaded(
   servers: readonly PlacementServer[],
   shard: PlacementShard,
--- a/src/placement/placement-state.ts
+++ b/src/placement/placement-state.ts
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Shards placed on the server aren't placed any more until `setShard` is called for them. */
+  /** Removes a server. Its shards stay unplaced until `setShard` is called for them; those without an owner may be placed again at once. */
   removeServer(id: UpstreamId): void {
     const existing = this.servers.get(id);
     if (existing === undefined) {
@@ -243,7 +243,7 @@
   return (entry.load + floor * entry.shards.size) / capacityOf(entry);
 }
 
-/** Returns the share of the load that the server should currently carry. */
+/** Returns the current capacity of a server, relative to the others; it is reduced while the server is cold. */
 export function capacityOf({ server }: ServerEntry): number {
   return server.state === 'cold' ? server.capacity * COLD_SHARE : server.capacity;
 }
--- a/src/placement/ranges/move-weigher.ts
+++ b/src/placement/ranges/move-weigher.ts
@@ -61,7 +61,7 @@
     const seen = { recent: recent.loadOfSpan(move), steady: steady.loadOfSpan(move) };
     const halfLives = { recentMillis: recent.halfLifeMillis, steadyMillis: steady.halfLifeMillis };
     const heatMillis = heatAgeMillis(seen, halfLives);
-    // The average with the long half-life still shows load that has gone, and moving that gains nothing.
+    // The average with the long half-life still includes load that has ended, and moving that load gains nothing.
     const load = Math.min(loads.loadOfSpan(move), seen.recent);
     const fromLoad = use.loadOf(from.upstream);
     const toLoad = use.loadOf(to.upstream);
--- a/src/placement/ranges/range-planner.ts
+++ b/src/placement/ranges/range-planner.ts
@@ -199,7 +199,7 @@
 
 /**
  * Plans the move of a single key that takes most of its owner's capacity or exceeds it, to the server with the largest
- * capacity. Other keys of that server move away in later plans.
+ * capacity among those whose load is below that of the key. Other keys of that server move away in later plans.
  */
 function hotKeyMove(search: MoveSearch, busy: RangeServer): PlannedSpan | undefined {
   const { owned, loads, use, planned, weigher } = search;
--- a/src/router/attempts/answer-stream.ts
+++ b/src/router/attempts/answer-stream.ts
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Deferred because buffer space becomes free while another answer is read or breaks: this answer, read within that call, would be
-   * taken for a part of the other one.
+   * Deferred because buffer space becomes free while another answer is read or breaks: chunks of this answer that were read within the
+   * same call would be taken for a part of the other one.
    */
   private resume(): void {
     setImmediate(() => {
--- a/src/router/hints/probe-schedule.ts
+++ b/src/router/hints/probe-schedule.ts
@@ -1,6 +1,7 @@
 /**
  * Decides which upstream a router probes next. A probe costs an upstream time and the router a request, and there may be a
- * thousand of each. Upstreams are therefore probed round-robin at even intervals, and at a lower rate the more there are.
+ * thousand upstreams and a thousand routers. Upstreams are therefore probed round-robin at even intervals, and at a lower
+ * rate the more there are.
  */
 import type { UpstreamId } from '../../model/identifiers.js';
 
--- a/src/routing/attempt-results.ts
+++ b/src/routing/attempt-results.ts
@@ -71,13 +71,13 @@
     this.dispatcher.drainUpstream(attempt.upstream);
   }
 
-  /** Gives up an attempt that can no longer be answered. */
+  /** Abandons an attempt that can no longer be answered. */
   abandon(attempt: Attempt): void {
     this.detach(attempt);
     this.broken(attempt);
   }
 
-  /** Gives up an attempt at a slow upstream, counts it as a failure of that upstream, and requeues the group. */
+  /** Abandons an attempt at a slow upstream, counts it as a failure of that upstream, and requeues the group. */
   retryElsewhere(attempt: Attempt): void {
     const { group, upstream } = attempt;
     this.evidence.countFailure(attempt);
--- a/src/routing/capacity/hot-keys.ts
+++ b/src/routing/capacity/hot-keys.ts
@@ -51,8 +51,8 @@
     }
     const share = this.#count(owner.id, key, now);
     const isHot = now < (this.#hotUntil.get(key) ?? Number.NEGATIVE_INFINITY);
-    // While the surplus of a hot key is held back, its owner isn't crowded; the key then stays hot while there is no slot behind the
-    // other keys.
+    // While the surplus of a hot key is held back, no requests queue at its owner. A hot key therefore stays hot while its owner has no
+    // slot for the key's own rank, behind the other keys.
     const exceedsCapacity = isHot
       ? !owner.hasSlot(now, rank + HOT_RANK_OFFSET)
       : owner.isProbablyQueueing(now);
--- a/src/routing/capacity/rank-headroom.ts
+++ b/src/routing/capacity/rank-headroom.ts
@@ -15,19 +15,22 @@
 const INITIAL_LOAD_LIMIT = 0.5;
 /** The same limit at the end of a group's wait: it may then queue at the upstream, where few more important requests are. */
 const FINAL_LOAD_LIMIT = 1.25;
-/** Each further rank has a limit lower by this factor. */
+/** The limit of each further rank is that of the rank before it times this factor. */
 const LIMIT_FACTOR_PER_RANK = 0.8;
-/** Share of that rise for the surplus of a hot key: however long its requests have waited, more of them follow. */
+/**
+ * For the surplus of a hot key, the limit rises only by this share of the difference between those two: however long its requests have
+ * waited, more of them follow.
+ */
 const HOT_KEY_RAISE_SHARE = 1 / 3;
 /** Outstanding requests per slot below which an upstream is clear: the most important requests go there first. */
 const CLEAR_LOAD_LIMIT = 0.75;
-/** Weight of a report in the mean load once there are many. */
+/** Weight of a report in the mean load once many reports were received. */
 const SMOOTHING = 0.1;
 /** Reported loads per slot are capped at this value. */
 const MAX_LOAD_PER_SLOT = 4;
 /**
- * Where no upstream reports its load, the punctuality of the most important requests stands in for it: with one late answer for each
- * twelve in time, the mean stays between the limits.
+ * Where no upstream reports its load, each answer to a most important request counts as a load sample, by whether it was in time: with
+ * one late answer for each twelve in time, the mean stays between the limits.
  */
 const LATE_ANSWER_SAMPLE = { perSlot: 1.5, weight: 0.2 } as const;
 const IN_TIME_ANSWER_SAMPLE = { perSlot: 0.3, weight: 0.03 } as const;
--- a/src/routing/capacity/warmup-time-slots.ts
+++ b/src/routing/capacity/warmup-time-slots.ts
@@ -1,6 +1,6 @@
 /**
- * Decides when a router may send to a cold upstream. A cold upstream bears a few requests per second from all routers together and fails
- * well above that. Since routers don't communicate with each other, they take turns in time slots: a round has one time slot for each
+ * Decides when a router may send to a cold upstream. A cold upstream handles a few requests per second from all routers together and
+ * fails well above that. Since routers don't communicate with each other, they take turns in time slots: a round has one time slot for each
  * router of the zone, evenly spread, and lasts as long as the upstream needs for one request of each router. An unused time slot expires,
  * since otherwise all routers together could use theirs at the same moment.
  *
@@ -14,8 +14,8 @@
 import { affinityOf } from '../upstream/affinity.js';
 
 /**
- * An unused time slot is valid for this long. In any second, as many time slots as begin in this time may be used in addition to those
- * that begin in that second.
+ * For a request that any upstream could serve, an unused time slot is valid for this long. In any second, as many time slots as begin in
+ * this time may be used in addition to those that begin in that second.
  */
 const TIME_SLOT_MILLIS = 1000;
 /** Share of the bound that time slots may fill: routers that are disconnected or have just started don't follow them. */
@@ -43,7 +43,7 @@
   #lastUsed = Number.NEGATIVE_INFINITY;
   readonly #phaseShift: number;
 
-  /** `coldFrom`: when this router learned that the upstream is cold; all connected routers learn it at almost the same time. */
+  /** `coldFrom`: when this router received the report that the upstream is cold; all connected routers receive it at almost the same time. */
   constructor(
     upstream: UpstreamId,
     private readonly coldFrom: MonotonicMillis,
@@ -60,7 +60,7 @@
 
   /**
    * Whether a request that no other upstream can take may be sent now. Its arrival can't be planned, so an unused time slot stays valid
-   * until the next one; over the few seconds for which an upstream is cold, this adds up to about what it bears.
+   * until the next one; over the few seconds for which an upstream is cold, this adds up to about what it can handle.
    */
   isUnused(place: RoundPosition, perSecond: number, now: MonotonicMillis): boolean {
     const { number } = this.#latest(place, perSecond, now);
--- a/src/routing/claim-flow.ts
+++ b/src/routing/claim-flow.ts
@@ -23,7 +23,7 @@
 const SENDS_PER_TIMEOUT = 4;
 const MIN_RESEND_MILLIS = 20;
 const MAX_SETTLE_RESEND_MILLIS = 2000;
-/** Settlements that are not acknowledged within this time are given up; their ledger records stay unsettled. */
+/** Settlements that are not acknowledged within this time are abandoned; their ledger records stay unsettled. */
 const SETTLE_TIMEOUT_MILLIS = 60_000;
 /** How long a settled claim that was never granted is remembered, so that a late grant can be settled again. */
 const LINGER_MILLIS = 10_000;
@@ -178,7 +178,7 @@
     this.listener?.onClaimGranted(claim.group);
   }
 
-  /** Settles again if the claim was granted only after its settlement, which overtook it, had been acknowledged. */
+  /** Settles a claim again if its settlement overtook it, that is if it was granted after the settlement had been acknowledged. */
   private onLateAnswer(claim: Claim, result: ClaimResult | null): void {
     if (claim.state === 'lingering' && result !== null && isGranted(result, claim)) {
       claim.state = 'settling';
--- a/src/routing/configuration-lease.ts
+++ b/src/routing/configuration-lease.ts
@@ -104,7 +104,7 @@
     this.syncDueAt = Math.min(this.syncDueAt, Math.max(now, this.lastSentAt + MIN_FORCED_SYNC_GAP_MILLIS));
   }
 
-  /** Handles a member's notice that `revision` exists; requests a sync if it is newer than `held`. */
+  /** Handles a member's announcement of `revision`; requests a sync if it is newer than `held`. */
   onRevisionNotice(revision: Revision, held: Revision, now: MonotonicMillis): void {
     if (revision > this.announcedRevision) {
       this.announcedRevision = revision;
--- a/src/routing/control-members.ts
+++ b/src/routing/control-members.ts
@@ -6,7 +6,7 @@
 
 /** How long a member of the own zone is skipped after it didn't answer. */
 const SILENT_RETRY_MILLIS = 5000;
-/** How long it is skipped after it answered without a quorum. Shorter, since no member has a quorum during an election. */
+/** The same after an answer without a quorum. Shorter, since no member has a quorum during an election. */
 const UNCONFIRMED_RETRY_MILLIS = 500;
 
 export class ControlMembers {
--- a/src/routing/crash-watch.ts
+++ b/src/routing/crash-watch.ts
@@ -190,7 +190,7 @@
     this.#scheduleReport(0);
   }
 
-  /** Clears a request that succeeded: one that crashes its upstream never does. */
+  /** Clears a request that succeeded: a request that crashes its upstream never succeeds. */
   #clear(fingerprint: RequestFingerprint | null): void {
     if (fingerprint === null) {
       return;
--- a/src/routing/notices/even-time-slots.ts
+++ b/src/routing/notices/even-time-slots.ts
@@ -1,7 +1,7 @@
 /**
  * Time slots of one router at an upstream that limits the request rate of all routers together. Each router has one time slot per round. The
- * slots are spread evenly over the round without communication between routers. An unused slot expires after a while: if slots accumulated,
- * all routers could use theirs at the same moment.
+ * time slots are spread evenly over the round without communication between routers. An unused time slot expires after a while: if unused
+ * ones accumulated, all routers could use theirs at the same moment.
  */
 import type { MonotonicMillis } from '../../model/identifiers.js';
 import { EVEN_TIME_SLOT_LIFETIME_MILLIS } from '../../model/limit-shares.js';
--- a/src/routing/notices/notice-table.ts
+++ b/src/routing/notices/notice-table.ts
@@ -23,7 +23,7 @@
 export interface NoticeSource extends AnswerOrder {
   readonly upstream: UpstreamId;
   readonly run: RunName;
-  /** Whether `run` identifies a single run; `false`: it stands for every process that answers as this upstream. */
+  /** Whether `run` identifies a single run; `false`: it covers every process that answers as this upstream. */
   readonly isNamed: boolean;
   /** Start of the attempt. */
   readonly startedAt: MonotonicMillis;
@@ -71,7 +71,7 @@
     return isLimitChanged || isBackoffNew || isDrainingNew ? notices : null;
   }
 
-  /** Records that an answer asks for a back-off. Returns the run's notices, or `null` if this answer's request is already recorded. */
+  /** Records the back-off that an answer requests. Returns the run's notices, or `null` if the back-off of this answer is already recorded. */
   recordBackoff(restMillis: number, from: NoticeSource, now: MonotonicMillis): RunNotices | null {
     const notices = this.#runs.get(from.run) ?? this.#addRun(from);
     const { upstream, run, backoff } = notices;
--- a/src/routing/notices/run-notices.ts
+++ b/src/routing/notices/run-notices.ts
@@ -25,7 +25,7 @@
   constructor(
     readonly upstream: UpstreamId,
     readonly run: RunName,
-    /** Whether `run` identifies a single run; `false`: it stands for every process that answers as this upstream. */
+    /** Whether `run` identifies a single run; `false`: it covers every process that answers as this upstream. */
     private readonly isNamed: boolean,
     place: () => RoundPosition,
   ) {
--- a/src/routing/queue/rank-presence.ts
+++ b/src/routing/queue/rank-presence.ts
@@ -8,7 +8,7 @@
 const DECAY_MILLIS = 20_000;
 /** A kind competes with the others only from this share of the service's requests on. */
 const MIN_SHARE = 0.05;
-/** Below this decayed count, a kind's share isn't meaningful. It takes two recent requests, since the older one has decayed. */
+/** Below this decayed count, a kind's share isn't meaningful. Two requests reach it only if both are recent, as the older has decayed. */
 const MIN_DECAYED_REQUESTS = 1.5;
 /** Interval at which the competing kinds are recomputed. */
 const REFRESH_MILLIS = 250;
--- a/src/routing/queue/return-schedules.ts
+++ b/src/routing/queue/return-schedules.ts
@@ -1,7 +1,7 @@
 /**
  * Schedules the return of rejected callers. Each caller gets its own place in a schedule, at the rate at which requests of its rank drain
  * here, and the capacity at that time is reserved against new arrivals for a short time. A returning request carries no mark of the
- * earlier try, so an arrival is matched with a reservation that is due if as much of its time has passed as of the reservation's caller.
+ * earlier try, so an arrival is matched with a due reservation by its deadline: a new arrival has a later one than a returning caller.
  */
 
 /** Reserved capacity is held for this long after the return time: the caller needs a new connection, and its clock runs independently. */
@@ -16,8 +16,8 @@
  */
 const ESTIMATE_ERROR_FACTOR = 1.5;
 /**
- * Share of the time before the latest return time over which such callers are spread, and the step of the spread. The step is the golden
- * ratio's fraction, whose multiples never coincide.
+ * Share of the time before the latest return time over which callers scheduled as late as they can come are spread, and the step of the
+ * spread. The step is the golden ratio's fraction, whose multiples never coincide.
  */
 const SPREAD_SHARE = 0.25;
 const SPREAD_STEP = (Math.sqrt(5) - 1) / 2;
@@ -75,7 +75,7 @@
 interface Reservation extends ClaimedReservation {
   /** Its place in the schedule. */
   readonly at: number;
-  /** When the caller was asked to return; at `at` or earlier. */
+  /** The return time that the caller received; `at` or earlier. */
   readonly returnAt: number;
   /** Whether its capacity is reserved against new arrivals. */
   readonly isCapacityReserved: boolean;
--- a/src/routing/request-group.ts
+++ b/src/routing/request-group.ts
@@ -48,7 +48,7 @@
   readonly foundFreeSlot: boolean;
   /** The grant under which it was sent; `null` for services that aren't keyed. */
   readonly grant: SentGrant | null;
-  /** When the end of the grant was noticed; `null`: it hasn't ended. */
+  /** When the end of the grant was detected; `null`: it hasn't ended. */
   grantEndedAt: number | null;
   /** Whether its group continues without it. */
   abandoned: boolean;
--- a/src/routing/request-intake.ts
+++ b/src/routing/request-intake.ts
@@ -289,7 +289,7 @@
       this.policyGate.pass(group);
       return;
     }
-    // The claim comes first: once it is granted, a refusal can correctly report that the order did not run.
+    // The claim comes first: once it is granted, a refusal can correctly report that the request did not run.
     group.phase = 'claiming';
     group.service.claiming.add(group);
     this.claims.ask(group, idempotency);
--- a/src/routing/service-state.ts
+++ b/src/routing/service-state.ts
@@ -30,7 +30,7 @@
 /** Lower bound of an upstream's service time in capacity estimates. */
 const MIN_SERVICE_MILLIS = 0.1;
 
-/** How long after the latest retry time was given to a refused caller such retries may arrive. */
+/** Retries may arrive until this long after the latest refusal that gave its caller a retry time. */
 const RETURN_WINDOW_MILLIS = 10_000;
 
 export class ServiceState {
@@ -118,7 +118,7 @@
 
   /**
    * Returns a cold upstream of this zone that has a free slot and whose current time slot belongs to this router; `undefined` if there
-   * is none. Its allowance is used first, because the request would only wait longer at other upstreams.
+   * is none. The time slot is used first, because the request would only wait longer at other upstreams.
    */
   findColdUpstream(
     zone: Zone,
--- a/src/routing/upstream/standing.ts
+++ b/src/routing/upstream/standing.ts
@@ -109,7 +109,7 @@
     this.unhealthyAt = healthy ? Number.NEGATIVE_INFINITY : now;
   }
 
-  /** Discards the evidence, which was about an earlier incarnation. */
+  /** Discards the results of this router's requests and of probes, which were about an earlier incarnation. */
   reset(): void {
     this.hasEnded = false;
     this.successAt = Number.NEGATIVE_INFINITY;
--- a/src/routing/upstream/upstream-state.ts
+++ b/src/routing/upstream/upstream-state.ts
@@ -256,7 +256,7 @@
     return (rounds * roundMillis) / this.#slowStartShare(now);
   }
 
-  /** The same by the fleet's measurements; `null` if they show no difference or have expired. */
+  /** The cost according to the fleet's measurements; `null` if they show no difference or have expired. */
   #costByFleet(now: number): number | null {
     const fleetRoundMillis = this.#fleetView?.meanMillisIfUneven(this.service, this.zone, now) ?? null;
     if (fleetRoundMillis === null || !this.isAnnounced) {
--- a/src/routing/watched-runs.ts
+++ b/src/routing/watched-runs.ts
@@ -18,8 +18,8 @@
 const MAX_RUNS = 256;
 const MAX_LOSSES = 64;
 /**
- * Delay between a broken connection and the check of its run. The result of the next attempt there often makes the check unnecessary,
- * whose connection takes a slot for a moment where connections are limited.
+ * Delay between a broken connection and the check of its run. The result of the next attempt there often makes the check unnecessary;
+ * a check briefly uses up a connection, which matters where connections are limited.
  */
 const FIRST_CHECK_DELAY_MILLIS = 20;
 /** Delay before another check: a process closes its connections one by one, possibly its listener last. */
--- a/test/router/caller/answer-stream.test.ts
+++ b/test/router/caller/answer-stream.test.ts
@@ -1,4 +1,4 @@
-/** A blocked answer is read on once there is capacity, and not after it was aborted. */
+/** Reading of a blocked answer resumes once there is capacity, but not after the answer was aborted. */
 import type { ServerResponse } from 'node:http';
 import { expect } from 'chai';
 import { AnswerStream } from '../../../src/router/attempts/answer-stream.js';
--- a/test/routing/competing-callers.test.ts
+++ b/test/routing/competing-callers.test.ts
@@ -45,7 +45,7 @@
   return Math.min(1, (1 - row.urgent) / row.other) - inTimeShare(play(row, changes).other);
 }
 
-/** Returns how far each row exceeds the bound of the urgent or of the others, whichever is more. */
+/** Returns by how much each row exceeds its bounds: the larger excess of urgent and of other requests. */
 function beyondBounds(routers: number): number[] {
   return ROWS.map((row) => {
     const { urgent, other } = play(row, { routers });
--- a/test/routing/false-accusations.test.ts
+++ b/test/routing/false-accusations.test.ts
@@ -23,7 +23,7 @@
 const RESET: AttemptResult = { type: 'broken', how: 'reset' };
 const IDS = ['u1', 'u2', 'u3'];
 const CHECK_MILLIS = 25;
-/** Longer than unanswered attempts are remembered. */
+/** Longer than the time for which unanswered attempts are kept. */
 const FORGOTTEN_MILLIS = 6000;
 
 function started(): RouterHarness {
--- a/test/routing/lost-owner.test.ts
+++ b/test/routing/lost-owner.test.ts
@@ -3,7 +3,7 @@
 
 const HOLD_MILLIS = 1000;
 const DEADLINE_MILLIS = 2000;
-/** Longer than an answer takes that was sent by the old owner before it gave up the shard. */
+/** Longer than the transit time of an answer that the old owner sent before it released the shard. */
 const GRACE_MILLIS = 100;
 
 function start(changes: Parameters<typeof service>[1] = {}): RouterHarness {
--- a/test/routing/warmup-time-slots.test.ts
+++ b/test/routing/warmup-time-slots.test.ts
@@ -1,6 +1,6 @@
 /**
- * How many requests all routers together send to a cold upstream in one second, and how quickly they use what it bears. The bound of the
- * load played here is 4.2 * 1.5 + 8 = 14.3 in any second; the upstream bears 4.2 per second.
+ * How many requests all routers together send to a cold upstream in one second, and how quickly they use its capacity. The bound of the
+ * simulated load is 4.2 * 1.5 + 8 = 14.3 in any second; the upstream can handle 4.2 per second.
  */
 import { expect } from 'chai';
 import type { RoundPosition } from '../../src/model/router-time-slots.js';
