--- a/src/cli/status/control-findings.ts
+++ b/src/cli/status/control-findings.ts
@@ -17,7 +17,7 @@
   return address.slice(0, address.lastIndexOf(':'));
 }
 
-/** Returns the hosts of silent replicas (without a leader, of all), which another finding covers. */
+/** Returns the hosts of silent replicas, or of all replicas if there is no leader; another finding covers them. */
 function hostsOfSilentReplicas({ leader, best }: StatusView): Set<string> {
   const addresses: Readonly<Record<ReplicaId, Address>> = best?.raft.membership.addresses ?? {};
   const silent = Object.entries(addresses).filter(
--- a/src/cli/status/service-lines.ts
+++ b/src/cli/status/service-lines.ts
@@ -6,7 +6,7 @@
   return value === null ? '-' : value.toFixed(2);
 }
 
-/** Uses the field names of the glossary; prints a dash for an unknown value. */
+/** Uses the terms of docs/GLOSSARY.md; prints a dash for an unknown value. */
 function lineOf(measures: ServiceMeasures): string {
   const { service, ownedShards, unownedShards, ownerChangesLastMinute, imbalance, imbalanceOverBound } =
     measures;
--- a/src/control/address-claims.ts
+++ b/src/control/address-claims.ts
@@ -43,7 +43,7 @@
 export interface AddressClaimsParts {
   readonly registry: () => Registry;
   readonly timings: RangeTimings;
-  /** Whether an upstream may hold keys by the state of this leader. */
+  /** Whether an upstream may hold keys according to this leader's state. */
   readonly mayHold: (upstream: UpstreamId, now: MonotonicMillis) => boolean;
   /** Sends the question; `AddressClaims.onAnswer` is called once with its result. */
   readonly ask: (question: IdentityQuestion) => void;
--- a/src/control/admin/bounded-operate.ts
+++ b/src/control/admin/bounded-operate.ts
@@ -19,7 +19,7 @@
 
 const UNKNOWN: OperatorResponse = { type: 'unknown' };
 
-/** Returns whether the request can't have changed anything. */
+/** Returns whether the request only reads, so that it can't have changed anything. */
 function isRead(request: OperatorRequest): boolean {
   return request.type.startsWith('get-');
 }
--- a/src/control/daemon/settings.ts
+++ b/src/control/daemon/settings.ts
@@ -48,7 +48,7 @@
   /** Timeout of releases of keys, which wait for running requests on them. */
   readonly releaseMillis: number;
   readonly ranges: RangeTimings;
-  /** When requests during which upstreams crash are rejected. */
+  /** Quarantine: when, and for how long, requests during which upstreams crashed are rejected. */
   readonly quarantine: QuarantineSettings;
   /** Timeout of operators' requests, after which their outcome is unknown. */
   readonly operationMillis: number;
--- a/src/control/daemon/step-meter.ts
+++ b/src/control/daemon/step-meter.ts
@@ -46,7 +46,7 @@
     this.#lateMillis = Math.max(this.#lateMillis, now - dueAt);
   }
 
-  /** Returns the report since the previous one and starts the next; `null` if too little time has passed. */
+  /** Returns the report on the time since the previous one, and starts the next; `null` if too little time has passed. */
   takeReport(now: MonotonicMillis): StepReport | null {
     const spanMillis = now - this.#since;
     if (spanMillis < REPORT_MILLIS) {
--- a/src/control/fleet-capacity/keyless-upstreams.ts
+++ b/src/control/fleet-capacity/keyless-upstreams.ts
@@ -1,4 +1,4 @@
-/** The upstreams of services without keys in the registry: routers may choose any of them. */
+/** The registry's upstreams of services without keys, among which routers may choose freely. */
 import type { Registry } from '../../registry/types.js';
 import type { KeylessUpstream } from './fleet-capacity.js';
 
--- a/src/control/operator-requests.ts
+++ b/src/control/operator-requests.ts
@@ -86,7 +86,7 @@
     });
   }
 
-  /** Handles the begin or end of a leadership, of this member or another. */
+  /** Handles the start or end of a leadership, of this member or another. */
   roleChanged(now: MonotonicMillis): void {
     this.#addresses.onRoleChange(now);
   }
--- a/src/control/placement-proposals.ts
+++ b/src/control/placement-proposals.ts
@@ -18,7 +18,7 @@
   readonly onMoveStarted: (move: PlacementMove) => void;
 }
 
-/** A grant whose holder has released it for good. */
+/** A grant whose holder has released it permanently. */
 export interface ShardRelease {
   readonly shard: ShardId;
   /** Epoch of the grant. */
--- a/src/control/ranges/heartbeat-carrier.ts
+++ b/src/control/ranges/heartbeat-carrier.ts
@@ -128,7 +128,7 @@
     return handover !== null;
   }
 
-  /** Registry records of upstreams change without the ranges, so they are checked each time. */
+  /** Checks the registry records of upstreams each time, since they can change while the ranges stay the same. */
   syncRanges(ranges: readonly KeyRange[]): void {
     if (ranges !== this.#syncedRanges) {
       this.#syncedRanges = ranges;
--- a/src/control/shard-handovers.ts
+++ b/src/control/shard-handovers.ts
@@ -20,7 +20,7 @@
   readonly registry: () => Registry;
   /** Maximum wait of a move for its target to warm; the default if omitted. */
   readonly warmTimeoutMillis?: number | undefined;
-  /** Called when a holder has released a grant for good; may be called more than once for the same grant. */
+  /** Called when a holder has released a grant permanently; may be called more than once for the same grant. */
   readonly onReleased: (shard: ShardId, epoch: Epoch, now: MonotonicMillis) => void;
 }
 
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Returns the grants that their holders have released for good and that are still in the registry. */
+  /** Returns the grants that their holders have released permanently and that are still in the registry. */
   releases(): ShardRelease[] {
     return [...this.#released].map(([shard, epoch]) => ({ shard, epoch }));
   }
--- a/src/dev/bench/models/loaded-world.ts
+++ b/src/dev/bench/models/loaded-world.ts
@@ -1,4 +1,4 @@
-/** A world under the rush load of its deployment, into which experiments inject events. */
+/** A world under the load of its deployment's rush, the phase with the highest rate. Experiments inject events into it. */
 import type { ServiceName } from '../../../model/identifiers.js';
 import type { ServiceDefinition } from '../../../model/service.js';
 import type { Deployment } from '../../../settings/deployment.js';
@@ -14,7 +14,7 @@
 const PERCENT = 100;
 
 export interface LoadedWorldOptions {
-  /** Service whose keys are probed; its keys are those of the rush. */
+  /** Service whose keys are probed: all keys that it has in the rush. */
   readonly watched: ServiceName;
   /** Maximum virtual duration of the load. */
   readonly loadMillis: number;
--- a/src/dev/bench/world/world-from-deployment.ts
+++ b/src/dev/bench/world/world-from-deployment.ts
@@ -63,7 +63,7 @@
     .reduce((sum, { count, slots, serviceMillis }) => sum + (count * slots * 1000) / serviceMillis, 0);
 }
 
-/** Returns the phase with the highest rate. */
+/** Returns the rush: the phase with the highest rate. */
 export function rushOf(deployment: Deployment): WorkloadPhase {
   return deployment.workload.phases.reduce((rush, phase) =>
     phase.requestsPerSecond > rush.requestsPerSecond ? phase : rush,
--- a/src/dev/sim/recovery.ts
+++ b/src/dev/sim/recovery.ts
@@ -62,7 +62,7 @@
   return isPeer && upstream.state === 'running' && !upstream.isDrainRequested;
 }
 
-/** Checks the owner of every key now, and the responses to callers and operators during `watchMillis` after. */
+/** Checks the owner of every key now, and the responses to callers and operators during `observationMillis` after. */
 export function observeRecovery(simulation: Simulation, observationMillis: number): void {
   const { recorder, time, upstreams } = simulation;
   const observe = (subject: string, recovered: boolean): void =>
--- a/src/model/crash-suspect.ts
+++ b/src/model/crash-suspect.ts
@@ -47,7 +47,7 @@
 
 /** When and for how long a request is quarantined, and how many suspects are kept. */
 export interface QuarantineSettings {
-  /** Crashes without a success in between that lead to quarantine. */
+  /** Number of crashes, without a success in between, after which a request is quarantined. */
   readonly crashes: number;
   /** Time after the last crash until the quarantine ends. After that, one more crash quarantines the request again. */
   readonly keepMillis: number;
--- a/src/model/header-names.ts
+++ b/src/model/header-names.ts
@@ -1,6 +1,6 @@
 /** Configurable names of the headers exchanged with callers and with upstreams that announce themselves. */
 
-/** Lower case. */
+/** Names of headers, in lower case. */
 export interface HeaderNames {
   /** Identifies a request; the upstream echoes it in its response. */
   readonly requestId: string;
--- a/src/model/router-time-slots.ts
+++ b/src/model/router-time-slots.ts
@@ -9,7 +9,7 @@
 }
 
 export interface RouterTimeSlots {
-  /** Among the routers of its zone. Only these use the cold upstreams of that zone that any router of it can use. */
+  /** Among the routers of its zone: only these send requests that any upstream can serve to the cold upstreams of that zone. */
   readonly inZone: RoundPosition;
   /** Among all routers, since every router sends to the owner of a key. */
   readonly inAll: RoundPosition;
--- a/src/model/service.ts
+++ b/src/model/service.ts
@@ -118,7 +118,7 @@
 
 /** Properties that an upstream announces by heartbeat. */
 export interface AnnouncedProperties {
-  /** Concurrent requests. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   /** Remaining warm-up at the time of the announcement, in milliseconds; 0 if the upstream is warm. */
   readonly warmupMillis: number;
--- a/src/registry/commands/upstream-announce.ts
+++ b/src/registry/commands/upstream-announce.ts
@@ -54,7 +54,7 @@
   return accepted(transaction);
 }
 
-/** The previous run of this id has ended, as has any other run at the same address. */
+/** Registers a new run. The previous run of its id has ended, as has any other run at the same address. */
 function startRun(transaction: Transaction, definition: UpstreamDefinition): void {
   const { state, revision } = transaction;
   const { id } = definition;
--- a/src/settings/control-settings.ts
+++ b/src/settings/control-settings.ts
@@ -67,7 +67,7 @@
   readonly toleratedLosses: number;
   /** Timings of grants to upstreams that announce themselves. */
   readonly ranges: RangeTimings;
-  /** When requests that crash upstreams are refused. */
+  /** Quarantine: when, and for how long, requests during which upstreams crashed are rejected. */
   readonly quarantine: QuarantineSettings;
   /** Protocol for calls to upstreams that announce themselves. */
   readonly holders: HolderProtocol;
--- a/src/settings/deployment.ts
+++ b/src/settings/deployment.ts
@@ -19,7 +19,7 @@
 export interface UpstreamTemplate {
   readonly service: ServiceName;
   readonly count: number;
-  /** Concurrent requests. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   /** Maximum number of connections. */
   readonly connections: number;
--- a/src/storage/replica-opening.ts
+++ b/src/storage/replica-opening.ts
@@ -81,7 +81,7 @@
   await createReplicaAs(folder, identity, options);
 }
 
-/** Returns the id of the first member at an address. */
+/** Returns the id of an initial member, which is derived from its address so that all initial members use the same ids. */
 export function firstReplicaAt(address: Address): ReplicaId {
   return FIRST_PREFIX + address.replaceAll(/[^0-9A-Za-z]/g, '-');
 }
--- a/src/upstream/refusal.ts
+++ b/src/upstream/refusal.ts
@@ -7,7 +7,7 @@
 const SERVICE_UNAVAILABLE = 503;
 const BAD_REQUEST = 400;
 
-/** Refusals for a temporary condition; the others mean that the request was sent to the wrong server. */
+/** Refusals for a temporary condition; with the others, this run isn't the addressed one, or holds no such shard, epoch or key. */
 const TEMPORARY_REFUSALS: ReadonlySet<FenceRefusal> = new Set(['draining', 'overloaded']);
 
 /** Sends a JSON body with its length. */
--- a/src/wire/http/request-faults.ts
+++ b/src/wire/http/request-faults.ts
@@ -6,7 +6,7 @@
 import { type IncomingMessage, type Server, type ServerResponse, STATUS_CODES } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** Reasons for rejecting the bytes of a caller. */
+/** Reasons for rejecting what a caller sent before it is a complete request. */
 export type RequestFault = 'malformed' | 'header-too-large' | 'too-slow';
 
 /** A JSON response with additional headers. */
@@ -71,7 +71,7 @@
       return;
     }
     if (fault === 'too-slow' && socket.isPaused()) {
-      // The socket isn't being read, so the caller may not be slow.
+      // The server isn't reading from the socket, so the delay may not be the caller's.
       return;
     }
     if (isRunning) {
--- a/src/wire/router/routing-fields.ts
+++ b/src/wire/router/routing-fields.ts
@@ -122,7 +122,7 @@
   }
 }
 
-/** A registry returns the same array for a list until the list changes. */
+/** Compares lists by identity: a registry returns the same array for a list until the list changes. */
 function isSameContent(one: RoutingSnapshot, other: RoutingSnapshot): boolean {
   const isSameDeclared = one.services === other.services && one.upstreams === other.upstreams;
   const isSameState = one.suspects === other.suspects && one.evacuations === other.evacuations;
--- a/test/cli/several-members.test.ts
+++ b/test/cli/several-members.test.ts
@@ -53,7 +53,7 @@
     return runCli(['service', 'apply', file, ...extra], environment);
   }
 
-  /** Forwards requests to the harness; `interferes` may replace the answers to changes. */
+  /** Forwards requests to the harness; `intercept` may replace the answers to changes. */
   function forward(intercept: (response: ServerResponse, count: number) => boolean) {
     let changes = 0;
     return (request: IncomingMessage, response: ServerResponse): void => {
--- a/test/control/address-claims.test.ts
+++ b/test/control/address-claims.test.ts
@@ -157,7 +157,7 @@
   });
 
   // Guards against two holders of one key after a restart of all members: a newly elected leader has no heartbeats yet, so a delayed
-  // first heartbeat of an earlier run ended the live run at the address, which then counted as departed for good.
+  // first heartbeat of an earlier run ended the live run at the address, which then counted as departed permanently.
   it('does not displace that run under a newly elected leader', () => {
     const cluster = startSecond();
     const deposed = cluster.leader();
--- a/test/control/heartbeat-filter.test.ts
+++ b/test/control/heartbeat-filter.test.ts
@@ -38,7 +38,7 @@
     });
   }
 
-  /** `late`, `news` or `known`. */
+  /** Passes a heartbeat to the filter; returns `late`, `news` (it carries an update) or `known`. */
   receive(definition: UpstreamDefinition, sequence: number, now: number): string {
     if (this.filter.isLate(definition, sequence)) {
       return 'late';
--- a/test/control/heartbeat-upstream.ts
+++ b/test/control/heartbeat-upstream.ts
@@ -15,8 +15,9 @@
 }
 
 /**
- * `refused` means cut off from control by a device that refuses connections, while the upstream is live and holds its
- * keys.
+ * `cut`: cut off from control, while the upstream is live and holds its keys. `refused`: the same, by a device that refuses
+ * connections. `dark`: its process doesn't run, and calls get no answer. `ended`: its process has ended, and connections to it
+ * are refused.
  */
 export type UpstreamCondition = 'up' | 'cut' | 'refused' | 'dark' | 'ended';
 
--- a/test/control/heartbeat-world.ts
+++ b/test/control/heartbeat-world.ts
@@ -352,7 +352,7 @@
     });
   }
 
-  /** Answers an identity question for the run at an address, unless that one is cut off. */
+  /** Answers an identity question for the run at an address, unless the run is cut off. */
   #answerQuestion({ id, address, claimant }: IdentityQuestion, { claims }: Leadership): void {
     const liveUpstream = [...this.upstreams.values()].find(
       (upstream) => upstream.address === address && upstream.isAlive,
--- a/test/control/range-world.ts
+++ b/test/control/range-world.ts
@@ -43,7 +43,9 @@
   /**
    * `refused`: cut off from control by a device that refuses connections, while the upstream is live and holds its
    * keys. `deaf`: the same, but its heartbeats arrive. `mute`: its heartbeats arrive, and its calls get no response.
-   * `erring`: its heartbeats arrive, and its calls get an error response from an unknown sender.
+   * `erring`: its heartbeats arrive, and its calls get an error response from an unknown sender. `cut`: cut off from control, so
+   * that calls get no response. `dark`: its process doesn't run, and calls get no response. `ended`: its process has ended, and
+   * connections to it are refused.
    */
   state: 'up' | 'cut' | 'refused' | 'deaf' | 'mute' | 'erring' | 'dark' | 'ended' = 'up';
   /** Share of calls that are carried out late, without a response. */
@@ -285,7 +287,7 @@
     }
   }
 
-  /** Answers an identity question for the run at an address, unless that one is cut off. */
+  /** Answers an identity question for the run at an address, unless the run is cut off. */
   #answerQuestion({ id, address, claimant }: IdentityQuestion, claims: AddressClaims): void {
     const liveHolder = [...this.holders.values()].find(
       (holder) => holder.address === address && holder.isAlive,
