--- a/src/control/admin/admin-app.ts
+++ b/src/control/admin/admin-app.ts
@@ -50,7 +50,7 @@
   });
   router.get('/metrics', async (context) => {
     if (metrics === undefined) {
-      throw new AdminError('not-found', 'this member exports no metrics');
+      throw new AdminError('not-found', 'there are no metrics');
     }
     context.body = await metrics.metrics();
     context.type = metrics.contentType;
@@ -98,8 +98,8 @@
   app.use(
     router.allowedMethods({
       throw: true,
-      methodNotAllowed: () => new AdminError('method-not-allowed', 'this path does not support this method'),
-      notImplemented: () => new AdminError('method-not-allowed', 'this path does not support this method'),
+      methodNotAllowed: () => new AdminError('method-not-allowed', 'this path does not take this method'),
+      notImplemented: () => new AdminError('method-not-allowed', 'this path does not take this method'),
     }),
   );
   return app;
--- a/src/control/admin/bounded-operate.ts
+++ b/src/control/admin/bounded-operate.ts
@@ -53,7 +53,7 @@
   return async (request) => {
     const sender = senderOf(request);
     if (inFlight[sender] >= bounds.maximumOperations) {
-      throw new AdminError('overloaded', 'too many concurrent requests; nothing was changed');
+      throw new AdminError('overloaded', 'too many requests at once; nothing was changed');
     }
     inFlight[sender] += 1;
     try {
--- a/src/control/admin/commands/declaration-routes.ts
+++ b/src/control/admin/commands/declaration-routes.ts
@@ -38,7 +38,7 @@
   if (match === null) {
     throw new AdminError(
       'invalid-request',
-      'If-Match must be the version that the change is based on, 0 for the first',
+      'If-Match must be the version that the change builds on, 0 for the first',
     );
   }
   return Number(match[1]);
@@ -99,7 +99,7 @@
   }
   const { document } = expectResponse(response, 'declaration');
   if (document === null) {
-    throw new AdminError('not-found', 'no document has been declared');
+    throw new AdminError('not-found', 'nothing was declared as one document');
   }
   const { limits, ...rest } = document;
   context.body = limits === null ? rest : document;
--- a/src/control/admin/middlewares.ts
+++ b/src/control/admin/middlewares.ts
@@ -119,7 +119,7 @@
     const token = BEARER_PATTERN.exec(context.get('Authorization'))?.[1];
     const operator = token === undefined ? undefined : authority.authenticate(token);
     if (operator === undefined) {
-      const message = token === undefined ? 'a token is required' : 'the token is unknown or expired';
+      const message = token === undefined ? 'a token is needed' : 'the token is unknown or expired';
       throw new AdminError('unauthenticated', message);
     }
     context.state.operator = operator;
--- a/src/control/admin/queries/state-queries.ts
+++ b/src/control/admin/queries/state-queries.ts
@@ -8,7 +8,7 @@
 function readQueryParameter(context: AdminContext, name: string): string | undefined {
   const value = context.query[name];
   if (Array.isArray(value)) {
-    throw new AdminError('invalid-request', `${name} must not be repeated`);
+    throw new AdminError('invalid-request', `${name} must stand once`);
   }
   return value;
 }
--- a/src/control/admin/request-body.ts
+++ b/src/control/admin/request-body.ts
@@ -25,12 +25,7 @@
     if (thrown instanceof AdminError) {
       throw thrown;
     }
-    throw new AdminError(
-      'invalid-request',
-      'the connection closed before the end of the body',
-      {},
-      { cause: toError(thrown) },
-    );
+    throw new AdminError('invalid-request', 'the body ended early', {}, { cause: toError(thrown) });
   }
   return Buffer.concat(chunks);
 }
@@ -71,7 +66,7 @@
     return result.data;
   }
   const problems = result.error.issues.flatMap((issue) => describeProblems(issue, value));
-  const [first = 'invalid body'] = problems;
+  const [first = 'wrong body'] = problems;
   const path = formatPath(result.error.issues[0]?.path ?? []);
   throw new AdminError(code, first, { path, problems });
 }
--- a/src/control/admin/responses.ts
+++ b/src/control/admin/responses.ts
@@ -32,7 +32,7 @@
         ? new AdminError('unavailable', 'no quorum confirmed the read in time')
         : new AdminError(
             'outcome-unknown',
-            'the change may or may not have been applied; resend with the same request id',
+            'the change may or may not be made; resend with the same request id',
             {
               requestId,
             },
@@ -75,7 +75,7 @@
     case 'not-found':
       throw new AdminError('not-found', 'there is no such thing');
     case 'claim':
-      throw new AdminError('internal', 'the control core answered an operator with a claim result');
+      throw new AdminError('internal', 'a claim is no answer to an operator');
   }
 }
 
--- a/src/control/ranges/range-servers.ts
+++ b/src/control/ranges/range-servers.ts
@@ -71,7 +71,12 @@
         if (loadLimit !== undefined || (limitsCold && announced.warmupMillis > 0)) {
           limited.add(id);
         }
-        const server = { upstream: id, slots: announced.slots, speed: this.speeds.speedOf(id), isFull };
+        const server = {
+          upstream: id,
+          slots: announced.slots,
+          speed: this.speeds.speedOf(id),
+          isExcludedAsTarget: isFull,
+        };
         servers.push(loadLimit === undefined ? server : withLoadLimit(server, loadLimit, meanMillis));
       }
     }
--- a/src/control/replica-replacement.ts
+++ b/src/control/replica-replacement.ts
@@ -100,7 +100,7 @@
     if (running.newReplica !== newReplica && learners.includes(running.newReplica)) {
       raft.proposeMembership({ type: 'remove-learner', replica: running.newReplica }, () => {});
     }
-    const message = `superseded: ${newReplica} was requested instead of ${running.newReplica}`;
+    const message = `given up: ${newReplica} was asked for in place of ${running.newReplica}`;
     this.#finish(running.operation, { type: 'rejected', message });
     return true;
   }
--- a/src/policy/expression.ts
+++ b/src/policy/expression.ts
@@ -100,10 +100,10 @@
 
 function findLoopFault(node: ASTNode, receiver: ASTNode, insideLoop: boolean): ExpressionFault | undefined {
   if (insideLoop) {
-    return { offset: node.start, message: 'a looping macro cannot be used inside another one' };
+    return { offset: node.start, message: 'a macro that loops can not stand inside another' };
   }
   if (receiver.op !== 'list') {
-    return { offset: receiver.start, message: 'a looping macro requires a list literal' };
+    return { offset: receiver.start, message: 'a macro that loops needs a list written out' };
   }
   return firstFault(childrenOf(node), true);
 }
--- a/src/policy/policy-program.ts
+++ b/src/policy/policy-program.ts
@@ -125,7 +125,7 @@
       return this.compileField(rule, index, field, text, 'number');
     }
     if (required) {
-      this.addDiagnostic(rule, index, null, 0, `action ${rule.action} requires ${field}`);
+      this.addDiagnostic(rule, index, null, 0, `action ${rule.action} needs ${field}`);
       return undefined;
     }
     return null;
--- a/src/router/attempts/attempt.ts
+++ b/src/router/attempts/attempt.ts
@@ -14,7 +14,7 @@
 import { AttemptAbortedError, type AttemptFailure } from './attempt-error.js';
 import { classifyBreak } from './classify-break.js';
 import type { ConnectionResets } from './connection-resets.js';
-import { ConnectionRejectedError } from './settled-connector.js';
+import { ConnectionTurnedAwayError } from './settled-connector.js';
 import { storedAnswerOf } from './stored-answer.js';
 import type { UpstreamProtocol } from './upstream-protocol.js';
 
@@ -212,7 +212,7 @@
       this.report({ type: 'broken', how: classifyBreak(error) });
       return;
     }
-    const turnedAway = error instanceof ConnectionRejectedError;
+    const turnedAway = error instanceof ConnectionTurnedAwayError;
     const refused = (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
     this.report({ type: 'connect-failed', closedOnAccept: turnedAway, refused });
   }
--- a/src/router/attempts/settled-connector.ts
+++ b/src/router/attempts/settled-connector.ts
@@ -18,7 +18,7 @@
 const KEEP_ALIVE_PROBE_MILLIS = 60_000;
 
 /** The upstream accepted a connection and closed it before anything was sent. */
-export class ConnectionRejectedError extends TernmountError {
+export class ConnectionTurnedAwayError extends TernmountError {
   constructor() {
     super(
       { code: 'TERNMOUNT_ROUTER_CONNECTION_TURNED_AWAY', retriable: true },
@@ -42,7 +42,7 @@
         if (isOpen) {
           callback(null, socket);
         } else {
-          callback(new ConnectionRejectedError(), null);
+          callback(new ConnectionTurnedAwayError(), null);
         }
       });
     });
--- a/src/router/policy-traces.ts
+++ b/src/router/policy-traces.ts
@@ -33,11 +33,7 @@
   /** Serves `?service=NAME&records=N&seconds=S`; ends after N records or S seconds, whichever comes first. */
   serve(request: IncomingMessage, response: ServerResponse): void {
     if (!isSameMachine(request.socket)) {
-      refuse(
-        response,
-        FORBIDDEN,
-        'traces contain keys; they are available only on the machine of the router',
-      );
+      refuse(response, FORBIDDEN, 'traces hold keys: ask from the machine of the router');
       return;
     }
     const query = new URL(request.url ?? '/', 'http://router').searchParams;
@@ -46,7 +42,7 @@
     if (records === null || seconds === null) {
       refuse(response, BAD_REQUEST, `records: 1 to ${MAX_RECORDS}, seconds: 1 to ${MAX_SECONDS}`);
     } else if (this.traces.size >= MAX_TRACES) {
-      refuse(response, SERVICE_UNAVAILABLE, `${MAX_TRACES} traces are already being recorded`);
+      refuse(response, SERVICE_UNAVAILABLE, `${MAX_TRACES} traces are being recorded`);
     } else {
       this.start({ service: query.get('service'), response, left: records }, seconds);
     }
